--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -7,6 +7,7 @@
 
 use super::model::{Job, Kind, Machine, Priority, Resources, TaskId, Uid};
 use super::place::{self, ZoneCount};
+use super::teams::TeamUsage;
 use super::Core;
 use crate::limits;
 use std::collections::BTreeMap;
@@ -32,6 +33,8 @@
     lowest: Option<Priority>,
     /// In which order jobs yield, worked out when somebody asks for it.
     yielding: Option<Arc<[Uid]>>,
+    /// What each team uses.
+    pub(super) teams: TeamUsage,
 }
 
 impl Room {
@@ -156,6 +159,7 @@
                 .map(|j| j.spec.priority)
                 .min(),
             yielding: None,
+            teams: self.team_usage(),
         };
         for machine in self.machines.values() {
             *probes += 1;
@@ -235,10 +239,6 @@
         if job.inherited && !self.settled_for(job) {
             return self.wait(uid, "machines of the last leader have not reported");
         }
-        let limited = self.team_limited(&job.spec.team);
-        if limited && !self.settled {
-            return self.wait(uid, "team usage not known yet");
-        }
         let held = job.places.len() as u32;
         // A gang starts only whole.
         if job.spec.kind == Kind::Gang && held > 0 {
@@ -246,8 +246,10 @@
         }
         let running = held.saturating_sub(room.stopping.get(&uid).copied().unwrap_or(0));
         let fresh = held == 0;
+        // What its team's guarantee covers need not wait for other teams.
+        let guaranteed = self.guaranteed_tasks(job, &room.teams);
         // Width is kept without regard to the gap; growth beyond it waits for the gap to pass.
-        let target = if fresh || leftover || !self.in_gap(job) {
+        let target = if fresh || leftover || guaranteed > 0 || !self.in_gap(job) {
             job.unfinished()
         } else {
             job.width.max(job.minimum())
@@ -256,12 +258,12 @@
         if want == 0 {
             return self.wait(uid, GAP);
         }
-        let want = if limited { want.min(self.team_room(job)) } else { want };
+        let want = want.min(self.team_room(job, &room.teams));
         // What only its wait for a beginning has earned is a beginning; more comes by its plain rank.
         let hurried = !leftover
             && job.spec.kind == Kind::Array
             && self.rank(job) > self.plain_rank(job, self.size(job));
-        let want = if hurried { want.min(job.minimum()) } else { want };
+        let want = if hurried { want.min(job.minimum().max(guaranteed)) } else { want };
         // A gang within whose team's limit only a part of it fits would start in part, be stopped as
         // incomplete, and keep others out with it, again and again.
         if want == 0 || held + want < job.admission() {
@@ -296,6 +298,10 @@
         let held = job.places.len() as u32;
         let missing = job.minimum().saturating_sub(held).max(1).min(job.waiting.len() as u32);
         let service = job.spec.kind == Kind::Service;
+        let guaranteed = self.guaranteed_tasks(job, &room.teams);
+        if guaranteed > missing && self.shrink_for(uid, guaranteed, room, probes) {
+            return;
+        }
         if !self.shrink_for(uid, missing, room, probes) && service && missing > 1 {
             // Its replicas serve each by itself: one is better than none.
             self.shrink_for(uid, 1, room, probes);
@@ -426,7 +432,7 @@
             return true;
         }
         let may_any = room.lowest.is_some_and(|lowest| lowest < job.spec.priority)
-            || self.within_guarantee(&job.spec.team, &needs);
+            || self.within_guarantee(&job.spec.team, &needs, &room.teams);
         if !may_any {
             self.wait(uid, "no free slot, and nobody below it runs");
             return false;
@@ -462,6 +468,7 @@
                 victim.width = victim.width.saturating_sub(1).max(victim.minimum());
                 let freed = room.pending.entry(machine.clone()).or_default();
                 *freed = freed.plus(&victim.spec.needs);
+                room.teams.stop(&victim.spec.team, &victim.spec.needs);
                 *room.stopping.entry(id.uid).or_default() += 1;
             }
             self.stop(&machine, id, grace);
@@ -484,7 +491,7 @@
         let mut stops = Vec::new();
         for victim in order.iter().filter_map(|v| self.jobs.get(v)) {
             *probes += 1;
-            if victim.places.is_empty() || gap && self.in_gap(victim) || !self.may_preempt(job, victim) {
+            if victim.places.is_empty() || gap && self.in_gap(victim) {
                 continue;
             }
             let mut running: Vec<_> = self
@@ -494,7 +501,8 @@
                 .collect();
             running.sort();
             let floor = if minimum { victim.minimum() } else { 0 };
-            while running.len() as u32 > floor {
+            // Each stop brings the victim's team nearer to its guarantee.
+            while running.len() as u32 > floor && self.may_preempt(job, victim, &soon.teams) {
                 let Some((_, id, name)) = running.pop() else { break };
                 *probes += 1;
                 let Some(machine) = self.machines.get(name).filter(|m| self.usable(m)) else { continue };
@@ -504,6 +512,7 @@
                 }
                 let free = soon.free.entry(name.to_string()).or_insert_with(|| machine.free());
                 *free = free.plus(&victim.spec.needs);
+                soon.teams.stop(&victim.spec.team, &victim.spec.needs);
                 stops.push((name.to_string(), id));
                 if self.find(job, missing, false, soon, probes).len() as u32 >= missing {
                     return stops;
@@ -515,16 +524,21 @@
 
     /// PROTOCOL, Preemption: higher over lower priority; or a team inside its guarantee over what
     /// another team runs beyond its own.
-    fn may_preempt(&self, job: &Job, victim: &Job) -> bool {
+    fn may_preempt(&self, job: &Job, victim: &Job, teams: &TeamUsage) -> bool {
         if victim.spec.uid == job.spec.uid || victim.spec.kind != Kind::Array {
             return false;
         }
         let higher = job.spec.priority > victim.spec.priority;
-        let other_team = job.spec.team != victim.spec.team;
-        higher
-            || other_team
-                && self.within_guarantee(&job.spec.team, &job.spec.needs)
-                && !self.within_guarantee(&victim.spec.team, &Resources::default())
+        if job.spec.team == victim.spec.team {
+            return higher;
+        }
+        let guaranteed = self.within_guarantee(&job.spec.team, &job.spec.needs, teams);
+        let victim_guaranteed = self.within_guarantee(&victim.spec.team, &Resources::default(), teams);
+        // Without the second condition borrowed capacity went back and forth: what a team got back within its
+        // guarantee was stopped again for a job of a higher class that its own team's guarantee did not cover.
+        // Critical jobs are beyond that: nobody stops them, so nothing goes back and forth.
+        let protected = victim_guaranteed && !guaranteed && job.spec.priority != Priority::Critical;
+        guaranteed && !victim_guaranteed || higher && !protected
     }
 
     pub fn assign(&mut self, uid: Uid, machine: &str, attempt: u64, room: &mut Room) {
@@ -532,6 +546,7 @@
         let Some(task) = job.waiting.pop_first() else { return };
         job.places.entry(task).or_default().push(machine.into());
         let (needs, image) = (job.spec.needs, job.spec.image.clone());
+        room.teams.add(&job.spec.team, &needs);
         if let Some(machine) = self.machines.get(machine) {
             room.take(machine, &needs);
         }
--- a/src/core/gang.rs
+++ b/src/core/gang.rs
@@ -47,7 +47,7 @@
             Stage::Waiting { attempt } => {
                 let now = self.now;
                 let missing = job.waiting.len() as u32;
-                let may = !self.team_limited(&job.spec.team) || self.team_room(job) >= missing;
+                let may = self.team_room(job, &room.teams) >= missing;
                 let found = if may { self.find(job, missing, false, room, probes) } else { Vec::new() };
                 if found.len() as u32 == missing {
                     for machine in found {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -12,6 +12,7 @@
 pub mod records;
 pub mod reports;
 pub mod silence;
+pub mod teams;
 
 use crate::limits;
 use crate::settings::{Operator, Team, Workers};
@@ -598,51 +599,6 @@
         }
     }
 
-    // ---- teams ----
-
-    fn team(&self, name: &str) -> Option<&Team> {
-        self.config.teams.iter().find(|t| t.name == name)
-    }
-
-    fn team_limited(&self, name: &str) -> bool {
-        self.team(name).is_some_and(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0)
-    }
-
-    /// Everything that is, or may be, on a machine for this team.
-    fn team_usage(&self, name: &str) -> Resources {
-        let tasks = self.machines.values().flat_map(|m| &m.tasks);
-        tasks
-            .filter(|(id, _)| self.jobs.get(&id.uid).is_some_and(|j| j.spec.team == name))
-            .fold(Resources::default(), |sum, (_, t)| sum.plus(&t.needs))
-    }
-
-    /// How many more tasks of the job its team's limit allows.
-    fn team_room(&self, job: &Job) -> u32 {
-        let Some(team) = self.team(&job.spec.team) else { return 0 };
-        // A task of a job that is over and unknown here may be anybody's.
-        if self.machines.values().any(|m| !m.foreign.is_empty()) {
-            return 0;
-        }
-        let most = |limit: f64| if limit > 0.0 { limit } else { f64::from(u32::MAX) };
-        let limit = Resources {
-            memory: i64::MAX / 2,
-            ..Resources::offered(most(team.cpus_max), most(team.gpus_max), 0.0)
-        };
-        let room = limit.minus(&self.team_usage(&team.name));
-        job.spec.needs.count_in(&room).clamp(0, i64::from(u32::MAX)) as u32
-    }
-
-    /// Whether the team's present use and `more` fit its guarantee; a guarantee of 0 is none.
-    fn within_guarantee(&self, name: &str, more: &Resources) -> bool {
-        let Some(team) = self.team(name) else { return false };
-        if team.cpus <= 0.0 && team.gpus <= 0.0 {
-            return false;
-        }
-        let used = self.team_usage(name).plus(more);
-        let has = Resources::offered(team.cpus, team.gpus, 0.0);
-        used.cpus <= has.cpus && used.gpus <= has.gpus
-    }
-
     /// The largest shape among critical jobs: what a reserved place must hold.
     fn critical_shape(&self) -> Option<Resources> {
         self.largest(|j| j.spec.priority == Priority::Critical)
--- a/src/core/plan.rs
+++ b/src/core/plan.rs
@@ -5,6 +5,7 @@
 use super::fleet::Offer;
 use super::model::*;
 use super::place::ZoneCount;
+use super::teams::TeamUsage;
 use super::{Core, Effect};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,6 +27,7 @@
     /// How many machines of each offer are coming or wanted.
     count: BTreeMap<Offer, u32>,
     wanted: BTreeMap<Offer, u32>,
+    teams: TeamUsage,
 }
 
 impl Plan {
@@ -76,6 +78,7 @@
             coming: Vec::new(),
             count: BTreeMap::new(),
             wanted: BTreeMap::new(),
+            teams: self.team_usage(),
         };
         let booting = self.machines.values().filter(|m| m.phase == Phase::Expected && !m.deleting);
         for machine in booting {
@@ -159,8 +162,7 @@
     fn plan_job(&self, job: &Job, plan: &mut Plan, probes: &mut usize) {
         let needs = &job.spec.needs;
         let mut zones = ZoneCount::of(job, &self.machines);
-        let limited = self.team_limited(&job.spec.team);
-        let most = if limited { self.team_room(job) } else { u32::MAX };
+        let most = self.team_room(job, &plan.teams);
         let mut left = (job.waiting.len() as u32).min(most);
         // What is coming, machines in use and with the least room first.
         *probes += 1 + plan.coming.len();
