--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -246,10 +246,8 @@
         }
         let running = held.saturating_sub(room.stopping.get(&uid).copied().unwrap_or(0));
         let fresh = held == 0;
-        // What its team's guarantee covers need not wait for other teams.
-        let guaranteed = self.guaranteed_tasks(job, &room.teams);
         // Width is kept without regard to the gap; growth beyond it waits for the gap to pass.
-        let target = if fresh || leftover || guaranteed > 0 || !self.in_gap(job) {
+        let target = if fresh || leftover || !self.in_gap(job) {
             job.unfinished()
         } else {
             job.width.max(job.minimum())
@@ -263,7 +261,7 @@
         let hurried = !leftover
             && job.spec.kind == Kind::Array
             && self.rank(job) > self.plain_rank(job, self.size(job));
-        let want = if hurried { want.min(job.minimum().max(guaranteed)) } else { want };
+        let want = if hurried { want.min(job.minimum()) } else { want };
         // A gang within whose team's limit only a part of it fits would start in part, be stopped as
         // incomplete, and keep others out with it, again and again.
         if want == 0 || held + want < job.admission() {
@@ -298,10 +296,6 @@
         let held = job.places.len() as u32;
         let missing = job.minimum().saturating_sub(held).max(1).min(job.waiting.len() as u32);
         let service = job.spec.kind == Kind::Service;
-        let guaranteed = self.guaranteed_tasks(job, &room.teams);
-        if guaranteed > missing && self.shrink_for(uid, guaranteed, room, probes) {
-            return;
-        }
         if !self.shrink_for(uid, missing, room, probes) && service && missing > 1 {
             // Its replicas serve each by itself: one is better than none.
             self.shrink_for(uid, 1, room, probes);
--- a/src/core/teams.rs
+++ b/src/core/teams.rs
@@ -1,6 +1,6 @@
 //! Teams: what their tasks use, their limits and their guarantees.
 
-use super::model::{Job, Kind, Machine, Resources, Uid};
+use super::model::{Job, Machine, Resources, Uid};
 use super::Core;
 use crate::settings::Team;
 use std::collections::BTreeMap;
@@ -117,18 +117,4 @@
         let guaranteed = Resources::offered(team.cpus, team.gpus, 0.0);
         used.cpus <= guaranteed.cpus && used.gpus <= guaranteed.gpus
     }
-
-    /// How many waiting tasks of an array its team's guarantee covers beyond what the team uses; 0 without one.
-    pub(super) fn guaranteed_tasks(&self, job: &Job, usage: &TeamUsage) -> u32 {
-        let Some(team) = self.team(&job.spec.team).filter(|_| job.spec.kind == Kind::Array) else { return 0 };
-        if team.cpus <= 0.0 && team.gpus <= 0.0 {
-            return 0;
-        }
-        let left = Resources {
-            memory: i64::MAX / 2,
-            ..Resources::offered(team.cpus, team.gpus, 0.0).minus(&usage.staying(&team.name))
-        };
-        let covered = job.spec.needs.count_in(&left).clamp(0, i64::from(u32::MAX)) as u32;
-        covered.min(job.waiting.len() as u32)
-    }
 }
