--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod limits;
 pub mod live;
 pub mod peer;
+pub mod record_versions;
 pub mod server;
 pub mod settings;
 pub mod store;
--- a/src/server.rs
+++ b/src/server.rs
@@ -10,15 +10,16 @@
 use crate::limits::{self, Capacity};
 use crate::live::Reading;
 use crate::peer::{self, Payload, Received, Sender};
+use crate::record_versions::RecordVersions;
 use crate::settings::{Operator, Settings};
 use crate::store::{self, Committed, Store};
 use crate::wire::{
-    Change, Checkin, CheckinAnswer, Compare, Epoch, FleetRecord, LiveRecord, Orders, Over, Record, Rental,
+    Change, Checkin, CheckinAnswer, Epoch, FleetRecord, LiveRecord, Orders, Over, Record, Rental,
 };
 use crate::worker;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::Duration;
 use thiserror::Error;
 use tokio::net::TcpListener;
@@ -193,7 +194,7 @@
         outgoing,
         core: None,
         entry: 0,
-        versions: Versions::default(),
+        versions: RecordVersions::default(),
         replies: BTreeMap::new(),
         next_reply: 0,
         block: Block::new(room.block),
@@ -277,47 +278,6 @@
     Delete(Vec<String>),
 }
 
-/// The versions at which this leader last knew its records. A transaction without an answer may be carried out
-/// seconds later, after newer ones: without a condition on the record itself, the late one would bring back what
-/// it said then, and the next leader would not know of machines that hold tasks, or of finished tasks.
-#[derive(Clone, Default)]
-struct Versions(Arc<Mutex<HashMap<String, u64>>>);
-
-impl Versions {
-    fn of(&self, key: &str) -> u64 {
-        self.0.lock().map_or(0, |known| known.get(key).copied().unwrap_or(0))
-    }
-
-    fn note(&self, key: &str, entry: u64) {
-        if let Ok(mut known) = self.0.lock() {
-            known.insert(key.to_string(), entry);
-        }
-    }
-
-    /// Commits changes of this leader's own records, each at the version that is known. After a conflict the
-    /// versions are read anew: one that was given up may have come after all.
-    async fn commit(&self, store: &Store, mut when: Vec<Compare>, then: Vec<Change>) -> Committed {
-        let keys: Vec<(String, bool)> =
-            then.iter().map(|change| (change.key().to_string(), change.writes())).collect();
-        when.extend(keys.iter().map(|(key, _)| store::compare(key, self.of(key))));
-        let committed = store.commit(when, then).await;
-        match committed {
-            Committed::Done { entry } => {
-                keys.iter().for_each(|(key, writes)| self.note(key, if *writes { entry } else { 0 }));
-            }
-            Committed::Conflict => {
-                for (key, _) in &keys {
-                    if let Ok(found) = store.get(key, limits::STATE_TIMEOUT).await {
-                        self.note(key, found.map_or(0, |(_, entry)| entry));
-                    }
-                }
-            }
-            Committed::Refused | Committed::Unknown => {}
-        }
-        committed
-    }
-}
-
 /// The one owner of this process's state.
 struct Hub {
     config: Config,
@@ -335,7 +295,7 @@
     core: Option<Core>,
     /// Version of the epoch that every transaction of this leader rests on.
     entry: u64,
-    versions: Versions,
+    versions: RecordVersions,
     replies: BTreeMap<u64, ReplyTo>,
     next_reply: u64,
     /// The workers that report here while another node leads.
@@ -756,7 +716,7 @@
         let now = self.clock.now();
         self.config.token = token;
         self.entry = entry;
-        self.versions = Versions::default();
+        self.versions = RecordVersions::default();
         let mut core = Core::new(self.config.clone(), now);
         let types = Command::Types(self.types.values().cloned().collect());
         let effects = core.step(now, vec![types]);
@@ -1015,7 +975,7 @@
     revision: u64,
 }
 
-async fn load(store: &Store, versions: &Versions) -> Result<Loaded, store::StoreError> {
+async fn load(store: &Store, versions: &RecordVersions) -> Result<Loaded, store::StoreError> {
     let (live, revision) = store.list(store::LIVE).await?;
     let (done, _) = store.list(store::DONE).await?;
     let (fleet, _) = store.list(store::FLEET).await?;
@@ -1062,7 +1022,13 @@
 }
 
 /// Loads the jobs and follows what users commit through any node.
-async fn follow_jobs(store: Store, events: mpsc::Sender<Event>, token: u64, entry: u64, versions: Versions) {
+async fn follow_jobs(
+    store: Store,
+    events: mpsc::Sender<Event>,
+    token: u64,
+    entry: u64,
+    versions: RecordVersions,
+) {
     let send = |command| events.send(Event::Core(token, command));
     let mut known: BTreeSet<Uid> = BTreeSet::new();
     let mut from = loop {
--- a/tests/loopback.rs
+++ b/tests/loopback/main.rs
@@ -1,6 +1,8 @@
 //! The real program on loopback, against stand-ins for the state service, the cloud and the workers.
 //! Waits are for events, bounded only so that a broken program ends the test; no timing is asserted.
 
+mod close_looks;
+mod late_writes;
 mod standins;
 
 use serde_json::{json, Value};
--- a/tests/standins/mod.rs
+++ b/tests/loopback/standins.rs
@@ -23,11 +23,38 @@
     /// Answers to readings of one key come this much later than what they say.
     pub slow: Duration,
     pub transactions: u64,
+    /// What happens to the answers of transactions that write keys with this prefix.
+    pub trouble: Option<(String, Trouble)>,
+    /// Transactions without an answer that have not been carried out.
+    pub held: Vec<Value>,
     /// Final states that were written over: never allowed.
     pub overwritten: Vec<String>,
 }
 
+/// What happens to a transaction that gets no answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Trouble {
+    /// It is kept, to be carried out later.
+    Held,
+    /// It is carried out at once.
+    AnswerLost,
+}
+
 impl State {
+    /// The trouble of a transaction, by the keys that it writes.
+    fn trouble_of(&self, transaction: &Value) -> Option<Trouble> {
+        let (prefix, trouble) = self.trouble.as_ref()?;
+        let written = transaction["then"].as_array()?.iter().filter_map(|change| change["write"].as_str());
+        let mut concerned = written.filter(|key| key.starts_with(prefix.as_str()));
+        concerned.next().map(|_| *trouble)
+    }
+
+    /// Carries out what was held, in the order in which it came; the statuses that nobody sees.
+    pub fn carry_out_held(&mut self) -> Vec<u16> {
+        let held = std::mem::take(&mut self.held);
+        held.iter().map(|transaction| self.transact(transaction).0).collect()
+    }
+
     fn expire(&mut self) {
         let now = Instant::now();
         let ended: Vec<u64> = self.permits.iter().filter(|(_, (at, _))| *at < now).map(|(p, _)| *p).collect();
@@ -138,9 +165,29 @@
     Ok(reply(200, json!({"has_next": matching.len() > 3, "items": items, "ledger": state.revision})))
 }
 
+/// No client waits longer for an answer.
+const NO_ANSWER: Duration = Duration::from_secs(30);
+
 #[handler]
-fn multi(Data(state): Data<&Shared>, Json(body): Json<Value>) -> poem::Result<Response> {
-    let (status, body) = open(state)?.transact(&body);
+async fn multi(Data(state): Data<&Shared>, Json(body): Json<Value>) -> poem::Result<Response> {
+    let answer = {
+        let mut state = open(state)?;
+        match state.trouble_of(&body) {
+            None => Some(state.transact(&body)),
+            Some(Trouble::Held) => {
+                state.held.push(body);
+                None
+            }
+            Some(Trouble::AnswerLost) => {
+                state.transact(&body);
+                None
+            }
+        }
+    };
+    let Some((status, body)) = answer else {
+        tokio::time::sleep(NO_ANSWER).await;
+        return Ok(reply(503, json!({"error": "trouble"})));
+    };
     Ok(reply(status, body))
 }
 
