--- a/src/api.rs
+++ b/src/api.rs
@@ -6,10 +6,13 @@
 use crate::http::wall_ms;
 use crate::limits;
 use crate::live::Live;
+use crate::protocol;
+use crate::protocol::records::{FinalRecord, LiveRecord};
+use crate::protocol::users::{JobState, JobStatus, Submission};
+use crate::protocol::workers::{Checkin, Redirect};
 use crate::server::{CheckinReply, Event};
 use crate::settings::Team;
 use crate::store::{self, Committed, Store, StoreError};
-use crate::wire::{self, Checkin, JobState, LiveRecord, Over, Submission};
 use poem::http::{header, StatusCode};
 use poem::web::{Data, Path};
 use poem::{get, handler, post, Body, EndpointExt, IntoEndpoint, Response, Route};
@@ -23,9 +26,6 @@
 /// Per job: finished and running tasks, as the leader last said.
 pub type Summary = Arc<HashMap<Uid, (u32, u32)>>;
 
-/// How a withdrawn job's state is called.
-const ABORTED: &str = "aborted";
-
 /// Final states that this node has read or written; they never change.
 #[derive(Default)]
 struct OverCache {
@@ -163,7 +163,7 @@
 
     /// That a job is withdrawn is told only once whoever relies on our silence holds it (`knowledge`).
     async fn may_tell(&self, uid: Uid, state: &JobState) -> Result<(), Refusal> {
-        if state.status != ABORTED {
+        if state.status != JobStatus::Cancelled {
             return Ok(());
         }
         let later = |why: &str| Refusal::Later(why.into());
@@ -179,10 +179,11 @@
         let Some((value, _)) = self.store.get(&store::over(uid), limits::POLL_TIMEOUT).await? else {
             return Ok(None);
         };
-        let over: Over = serde_json::from_value(value).map_err(|e| StoreError::Malformed(e.to_string()))?;
-        let done = if over.status == "done" { over.tasks } else { 0 };
+        let over: FinalRecord =
+            serde_json::from_value(value).map_err(|e| StoreError::Malformed(e.to_string()))?;
+        let done = if over.status == JobStatus::Done { over.tasks } else { 0 };
         let state =
-            JobState { uid: uid.to_string(), status: over.status, done: Some(done), running: Some(0) };
+            JobState { job_id: uid.to_string(), status: over.status, done: Some(done), running: Some(0) };
         self.may_tell(uid, &state).await?;
         self.remember(uid, &state);
         Ok(Some(state))
@@ -200,14 +201,9 @@
             return self.read_over(uid).await;
         }
         let (done, running) = self.summary.borrow().get(&uid).copied().unwrap_or((0, 0));
-        let status = if running > 0 { "running" } else { "pending" };
-        let state = JobState {
-            uid: uid.to_string(),
-            status: status.into(),
-            done: Some(done),
-            running: Some(running),
-        };
-        Ok(Some(state))
+        let status = if running > 0 { JobStatus::Running } else { JobStatus::Pending };
+        let (done, running) = (Some(done), Some(running));
+        Ok(Some(JobState { job_id: uid.to_string(), status, done, running }))
     }
 
     /// Why the job can never run; None when it can; an error when that can't be told yet.
@@ -230,7 +226,7 @@
 
     async fn submit(&self, body: Body) -> Result<Response, Refusal> {
         let bytes = read_body(body).await?;
-        let submission: Submission = wire::parse(&bytes).map_err(Refusal::Malformed)?;
+        let submission: Submission = protocol::parse(&bytes).map_err(Refusal::Malformed)?;
         let job = submission.check().map_err(Refusal::Malformed)?;
         let _turn = self.admit(&self.changes)?;
         let never = match self.never(&job) {
@@ -256,13 +252,7 @@
         match self.store.commit(absent, vec![record]).await {
             Committed::Done { .. } => {
                 info!(job = %job.uid, class = job.class, team = job.team, tasks = job.tasks, "accepted");
-                let state = JobState {
-                    uid: job.uid.to_string(),
-                    status: "pending".into(),
-                    done: None,
-                    running: None,
-                };
-                Ok(json(StatusCode::CREATED, &state))
+                Ok(json(StatusCode::CREATED, &JobState::without_counts(job.uid, JobStatus::Pending)))
             }
             Committed::Refused => Err(Refusal::Later("state service takes no changes now".into())),
             // Unknown: only what can be read back is told.
@@ -295,15 +285,14 @@
             let state = self.read_over(uid).await?.ok_or(Refusal::NoSuchJob)?;
             return Ok(json(StatusCode::OK, &state));
         };
-        let tasks = value.get("loads").and_then(serde_json::Value::as_u64).unwrap_or(0) as u32;
-        let record = store::write(&over, Over { status: ABORTED.into(), tasks })
+        let tasks = LiveRecord::tasks_of(&value);
+        let record = store::write(&over, FinalRecord { status: JobStatus::Cancelled, tasks })
             .map_err(|e| Refusal::Later(e.to_string()))?;
         let then = vec![record, store::remove(&live)];
         match self.store.commit(vec![store::compare(&live, entry)], then).await {
             Committed::Done { .. } => {
                 info!(job = %uid, "withdrawn");
-                let state =
-                    JobState { uid: uid.to_string(), status: ABORTED.into(), done: None, running: None };
+                let state = JobState::without_counts(uid, JobStatus::Cancelled);
                 self.may_tell(uid, &state).await?;
                 self.remember(uid, &state);
                 Ok(json(StatusCode::OK, &state))
@@ -319,7 +308,7 @@
 
     async fn checkin(&self, body: Body) -> Result<Response, Refusal> {
         let bytes = read_body(body).await?;
-        let checkin: Checkin = wire::parse(&bytes).map_err(|why| {
+        let checkin: Checkin = protocol::parse(&bytes).map_err(|why| {
             warn!(why, "malformed check-in");
             Refusal::Malformed(why)
         })?;
@@ -331,11 +320,7 @@
             Ok(Ok(CheckinReply::Orders(answer))) => Ok(json(StatusCode::OK, &answer)),
             Ok(Ok(CheckinReply::Malformed)) => Err(Refusal::Malformed("loads: unreadable task".into())),
             Ok(Ok(CheckinReply::Elsewhere(leader))) => {
-                let body = leader.map_or_else(
-                    || serde_json::json!({}),
-                    |name| serde_json::json!({ "harbormaster": name }),
-                );
-                Ok(json(StatusCode::MISDIRECTED_REQUEST, &body))
+                Ok(json(StatusCode::MISDIRECTED_REQUEST, &Redirect { leader }))
             }
             _ => Err(Refusal::Later("not entitled to act now".into())),
         }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -4,7 +4,7 @@
 use crate::core::{ListedMachine, Outcome, StoredMachine};
 use crate::http::{Answer, CallError, Http};
 use crate::limits;
-use crate::wire::{Catalog, Names, Rental, Rentals};
+use crate::protocol::cloud::{Catalog, MachineList, MachineNames, RentalRequest, FAILED};
 use reqwest::Method;
 use tracing::{debug, warn};
 
@@ -46,31 +46,31 @@
     /// One page of the machine list, and whether more follow.
     pub async fn page(&self, from: &str) -> Option<(Vec<ListedMachine>, bool)> {
         let from = if from.is_empty() { String::new() } else { format!("from={from}&") };
-        let page: Rentals = self.read(&format!("/rentals?{from}limit={}", limits::LIST_PAGE)).await?;
+        let page: MachineList = self.read(&format!("/rentals?{from}limit={}", limits::LIST_PAGE)).await?;
         let machines = page
-            .vessels
+            .machines
             .into_iter()
-            .map(|v| ListedMachine {
-                failed: v.status == "failed",
-                age_s: v.age_s,
+            .map(|entry| ListedMachine {
+                failed: entry.status == FAILED,
+                age_s: entry.age_s,
                 machine: StoredMachine {
-                    name: v.uid,
-                    machine_type: v.hull,
-                    zone: v.quay,
-                    spot: v.driftwood,
-                    address: v.address,
+                    name: entry.name,
+                    machine_type: entry.machine_type,
+                    zone: entry.zone,
+                    spot: entry.spot,
+                    address: entry.address,
                     images: Default::default(),
                 },
             })
             .collect();
-        Some((machines, page.has_next))
+        Some((machines, page.has_more))
     }
 
-    pub async fn rent(&self, rental: &Rental<'_>) -> (Outcome, Vec<String>) {
+    pub async fn rent(&self, rental: &RentalRequest<'_>) -> (Outcome, Vec<String>) {
         let Ok(body) = serde_json::to_vec(rental) else { return (Outcome::Refused, Vec::new()) };
         match self.call(Method::POST, "/rentals", Some(body)).await {
-            Ok(a) if a.status == 200 => match serde_json::from_slice::<Names>(&a.body) {
-                Ok(names) => (Outcome::Done, names.vessels),
+            Ok(a) if a.status == 200 => match serde_json::from_slice::<MachineNames>(&a.body) {
+                Ok(names) => (Outcome::Done, names.machines),
                 Err(_) => (Outcome::Unknown, Vec::new()),
             },
             // Too many requests or trouble at the cloud: not carried out, worth another try.
@@ -81,7 +81,7 @@
     }
 
     pub async fn delete(&self, names: &[String]) -> Outcome {
-        let Ok(body) = serde_json::to_vec(&Names { vessels: names.to_vec() }) else {
+        let Ok(body) = serde_json::to_vec(&MachineNames { machines: names.to_vec() }) else {
             return Outcome::Refused;
         };
         match self.call(Method::POST, "/rentals/delete", Some(body)).await {
@@ -98,15 +98,15 @@
 
 pub fn types(catalog: &Catalog) -> Vec<MachineType> {
     catalog
-        .hulls
+        .machine_types
         .iter()
-        .map(|h| MachineType {
-            name: h.label.clone(),
-            has: Resources::offered(h.cores, h.gpus, h.memory_gb),
-            price: h.hourly,
-            spot_price: h.spot_price,
-            boot_s: h.boot_s,
-            zones: h.quays.clone(),
+        .map(|entry| MachineType {
+            name: entry.name.clone(),
+            has: Resources::offered(entry.cpus, entry.gpus, entry.memory_gb),
+            price: entry.price,
+            spot_price: entry.spot_price,
+            boot_s: entry.boot_s,
+            zones: entry.zones.clone(),
         })
         .collect()
 }
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -9,7 +9,7 @@
 use crate::core::model::Uid;
 use crate::knowledge::{Attestation, Knowledge};
 use crate::limits::{self, lengthened, shortened};
-use crate::wire::Epoch;
+use crate::protocol::records::Epoch;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tracing::{debug, info, warn};
--- a/src/live.rs
+++ b/src/live.rs
@@ -93,7 +93,7 @@
             Some(copy) => copy,
             None => {
                 let (records, revision) = store.list(store::LIVE).await?;
-                let jobs: HashSet<Uid> = records.iter().filter_map(|r| job(&r.path)).collect();
+                let jobs: HashSet<Uid> = records.iter().filter_map(|r| job(&r.key)).collect();
                 let added = jobs.iter().copied().collect();
                 *reading = Reading { sent: reading.sent, whole: true, added, removed: Vec::new() };
                 Copy { jobs, revision }
@@ -109,15 +109,15 @@
             }
         };
         for event in follow.events {
-            if let Some(uid) = event.write.as_deref().and_then(job) {
+            if let Some(uid) = event.written.as_deref().and_then(job) {
                 now.jobs.insert(uid);
                 reading.added.push(uid);
-            } else if let Some(uid) = event.remove.as_deref().and_then(job) {
+            } else if let Some(uid) = event.removed.as_deref().and_then(job) {
                 now.jobs.remove(&uid);
                 reading.removed.push(uid);
             }
         }
-        now.revision = now.revision.max(follow.ledger);
+        now.revision = now.revision.max(follow.revision);
         *copy = Some(now);
         return Ok(());
     }
--- /dev/null
+++ b/src/protocol/workers.rs
@@ -0,0 +1,210 @@
+//! What workers report and are told.
+
+use crate::core::model::{Cause, Report, ReportedTask, TaskId, TaskStatus, Uid};
+use crate::core::Order;
+use serde::{Deserialize, Serialize};
+
+/// A worker's report.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub struct Checkin {
+    /// The machine's name.
+    #[serde(rename = "vessel")]
+    pub machine: String,
+    /// Where the worker takes direct commands.
+    pub address: String,
+    /// The machine's type.
+    #[serde(rename = "hull")]
+    pub machine_type: String,
+    /// The machine's zone.
+    #[serde(rename = "quay")]
+    pub zone: String,
+    /// It is a spot machine.
+    #[serde(rename = "driftwood", default)]
+    pub spot: bool,
+    /// Rises each time the worker's lease has ended.
+    #[serde(rename = "watch")]
+    pub session: u64,
+    /// Rises with every report of a session.
+    #[serde(rename = "tally")]
+    pub sequence: u64,
+    /// The highest token that the worker has seen.
+    #[serde(rename = "helm", default)]
+    pub token: u64,
+    /// Seconds until the cloud takes the machine away.
+    #[serde(rename = "recall_s", default)]
+    pub notice_s: Option<f64>,
+    /// All tasks on the machine, exited ones included until they are forgotten.
+    #[serde(rename = "loads", default)]
+    pub tasks: Vec<CheckinTask>,
+}
+
+/// A task in a report.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub struct CheckinTask {
+    /// The job's id and the task's number.
+    #[serde(rename = "load")]
+    pub task: String,
+    /// Tells one start of the task from another.
+    #[serde(rename = "launch")]
+    pub attempt: u64,
+    /// A state's word.
+    pub status: String,
+    /// Why an exited task ended, as a word.
+    #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
+    pub reason: Option<String>,
+    /// A stopped task has saved its progress.
+    #[serde(default)]
+    pub saved: bool,
+}
+
+impl CheckinTask {
+    fn status(&self) -> TaskStatus {
+        match (self.status.as_str(), self.reason.as_deref()) {
+            ("fetching" | "waiting", _) => TaskStatus::Fetching,
+            ("flushing", _) => TaskStatus::Saving,
+            ("exited", Some("done")) => TaskStatus::Exited(Cause::Done),
+            // A gang's task whose mates are gone or never came has not failed.
+            ("exited", Some("halted" | "mates_gone" | "incomplete")) => TaskStatus::Exited(Cause::Stopped),
+            ("exited", Some("no_room")) => TaskStatus::Exited(Cause::NoRoom),
+            ("exited", Some("in_use")) => TaskStatus::Exited(Cause::Busy),
+            ("exited", Some("unknown")) => TaskStatus::Exited(Cause::Unknown),
+            ("exited", _) => TaskStatus::Exited(Cause::Error),
+            // A state we do not know still occupies its machine.
+            _ => TaskStatus::Running,
+        }
+    }
+
+    fn id(&self) -> Option<TaskId> {
+        let (uid, task) = self.task.split_once('/')?;
+        Some(TaskId { uid: Uid::parse(uid)?, task: task.parse().ok()? })
+    }
+}
+
+/// A report lists a task whose name can't be read. It cannot be taken at all: a list without that entry would
+/// seem to prove that a task is gone.
+#[derive(Debug, thiserror::Error)]
+#[error("unreadable task {task} in a report of {machine}")]
+pub struct UnreadableTask {
+    /// The machine that reported it.
+    pub machine: String,
+    /// What it was called.
+    pub task: String,
+}
+
+impl TryFrom<Checkin> for Report {
+    type Error = UnreadableTask;
+
+    fn try_from(checkin: Checkin) -> Result<Self, UnreadableTask> {
+        let mut tasks = Vec::with_capacity(checkin.tasks.len());
+        for task in &checkin.tasks {
+            let Some(id) = task.id() else {
+                return Err(UnreadableTask { machine: checkin.machine, task: task.task.clone() });
+            };
+            tasks.push(ReportedTask { id, attempt: task.attempt, status: task.status() });
+        }
+        Ok(Report {
+            machine: checkin.machine,
+            address: checkin.address,
+            machine_type: checkin.machine_type,
+            zone: checkin.zone,
+            spot: checkin.spot,
+            session: checkin.session,
+            seq: checkin.sequence,
+            token: checkin.token,
+            notice_s: checkin.notice_s.filter(|s| s.is_finite() && *s >= 0.0),
+            tasks,
+        })
+    }
+}
+
+/// A command to a worker.
+#[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
+#[serde(tag = "signal", rename_all = "snake_case")]
+pub enum WorkerCommand {
+    /// Start a task.
+    #[serde(rename = "run")]
+    Start {
+        /// The task.
+        #[serde(rename = "load")]
+        task: String,
+        /// The attempt that it starts under.
+        #[serde(rename = "launch")]
+        attempt: u64,
+    },
+    /// Stop a task.
+    Stop {
+        /// The task.
+        #[serde(rename = "load")]
+        task: String,
+        /// The attempt that is meant.
+        #[serde(rename = "launch")]
+        attempt: u64,
+        /// Seconds that it has to save its progress.
+        #[serde(rename = "mooring_s")]
+        grace_s: f64,
+    },
+    /// Remove an exited task from the reports.
+    #[serde(rename = "reap")]
+    Forget {
+        /// The task.
+        #[serde(rename = "load")]
+        task: String,
+        /// The attempt that is meant.
+        #[serde(rename = "launch")]
+        attempt: u64,
+    },
+}
+
+impl From<&Order> for WorkerCommand {
+    fn from(order: &Order) -> Self {
+        match order {
+            Order::Start { id, attempt } => WorkerCommand::Start { task: id.to_string(), attempt: *attempt },
+            Order::Stop { id, attempt, grace_s } => {
+                WorkerCommand::Stop { task: id.to_string(), attempt: *attempt, grace_s: *grace_s }
+            }
+            Order::Forget { id, attempt } => {
+                WorkerCommand::Forget { task: id.to_string(), attempt: *attempt }
+            }
+        }
+    }
+}
+
+/// The answer to a report.
+#[derive(Debug, Serialize)]
+pub struct CheckinAnswer {
+    /// The token of the leader that it comes from.
+    #[serde(rename = "helm")]
+    pub token: u64,
+    /// What the worker is to do, in order.
+    #[serde(rename = "signals")]
+    pub commands: Vec<WorkerCommand>,
+}
+
+impl CheckinAnswer {
+    /// An answer under a leader's token.
+    pub fn new<'a>(token: u64, orders: impl IntoIterator<Item = &'a Order>) -> Self {
+        CheckinAnswer { token, commands: orders.into_iter().map(WorkerCommand::from).collect() }
+    }
+}
+
+/// The answer of a node that does not act for the controllers.
+#[derive(Debug, Serialize)]
+pub struct Redirect {
+    /// The node to report to instead, where it is known.
+    #[serde(rename = "harbormaster", skip_serializing_if = "Option::is_none")]
+    pub leader: Option<String>,
+}
+
+/// Commands sent straight to a worker's address.
+#[derive(Debug, Serialize)]
+pub struct DirectCommands {
+    /// The token of the leader that they come from.
+    #[serde(rename = "helm")]
+    pub token: u64,
+    /// The session of the worker that is meant.
+    #[serde(rename = "watch")]
+    pub session: u64,
+    /// What the worker is to do, in order.
+    #[serde(rename = "signals")]
+    pub commands: Vec<WorkerCommand>,
+}
--- a/src/record_versions.rs
+++ b/src/record_versions.rs
@@ -5,8 +5,8 @@
 //! would not know of machines that hold tasks, or of finished tasks.
 
 use crate::limits;
+use crate::protocol::state_service::{Change, Condition};
 use crate::store::{self, Committed, Store};
-use crate::wire::{Change, Compare};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
@@ -32,7 +32,7 @@
     pub async fn commit(
         &self,
         store: &Store,
-        mut conditions: Vec<Compare>,
+        mut conditions: Vec<Condition>,
         changes: Vec<Change>,
     ) -> Committed {
         let keys: Vec<(String, bool)> =
@@ -40,8 +40,8 @@
         conditions.extend(keys.iter().map(|(key, _)| store::compare(key, self.of(key))));
         let committed = store.commit(conditions, changes).await;
         match committed {
-            Committed::Done { entry } => {
-                keys.iter().for_each(|(key, writes)| self.note(key, if *writes { entry } else { 0 }));
+            Committed::Done { version } => {
+                keys.iter().for_each(|(key, writes)| self.note(key, if *writes { version } else { 0 }));
             }
             Committed::Conflict => self.read_again(store, &keys).await,
             Committed::Refused | Committed::Unknown => {}
--- a/src/server.rs
+++ b/src/server.rs
@@ -10,12 +10,14 @@
 use crate::limits::{self, Capacity};
 use crate::live::Reading;
 use crate::peer::{self, Payload, Received, Sender};
+use crate::protocol::cloud::{Catalog, RentalRequest};
+use crate::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
+use crate::protocol::state_service::{Change, Record};
+use crate::protocol::users::JobStatus;
+use crate::protocol::workers::{Checkin, CheckinAnswer, DirectCommands, WorkerCommand};
 use crate::record_versions::RecordVersions;
 use crate::settings::{Operator, Settings};
 use crate::store::{self, Committed, Store};
-use crate::wire::{
-    Change, Checkin, CheckinAnswer, Epoch, FleetRecord, LiveRecord, Orders, Over, Record, Rental,
-};
 use crate::worker;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -225,7 +227,7 @@
 /// Keeps the machine types known: from the state service at first, so that a node need not wait for
 /// the cloud, then from the cloud.
 async fn keep_catalog(cloud: Cloud, store: Store, types: watch::Sender<Types>, events: mpsc::Sender<Event>) {
-    let publish = |catalog: &crate::wire::Catalog| {
+    let publish = |catalog: &Catalog| {
         let by_name = cloud::types(catalog).into_iter().map(|t| (t.name.clone(), t)).collect();
         let known: Types = Arc::new(by_name);
         types.send_replace(known.clone());
@@ -492,11 +494,10 @@
             Payload::Reply { id, token, keep, orders } => {
                 let Some(PassedOn { to, report, .. }) = self.passed_on.remove(&id) else { return };
                 let reply = match token {
-                    Some(helm) => {
+                    Some(token) => {
                         let orders = self.leadership.knowledge.with_stops(orders, &report);
-                        self.block.passed(now, report, helm, keep);
-                        let signals = orders.iter().map(worker::signal).collect();
-                        CheckinReply::Orders(CheckinAnswer { helm, signals })
+                        self.block.passed(now, report, token, keep);
+                        CheckinReply::Orders(CheckinAnswer::new(token, &orders))
                     }
                     None => CheckinReply::Elsewhere(None),
                 };
@@ -532,9 +533,8 @@
     /// The answer of this node as a holder, if it may answer by itself.
     fn holds(&mut self, now: u64, report: &Report, leader_heard: bool) -> Option<CheckinReply> {
         let stops = self.keeps(now, report)?;
-        let helm = self.block.answers(now, report, leader_heard)?;
-        let signals = stops.iter().map(worker::signal).collect();
-        Some(CheckinReply::Orders(CheckinAnswer { helm, signals }))
+        let token = self.block.answers(now, report, leader_heard)?;
+        Some(CheckinReply::Orders(CheckinAnswer::new(token, &stops)))
     }
 
     /// A check-in at a node that does not lead: answered by itself, passed on, or sent elsewhere.
@@ -585,21 +585,22 @@
         commands: &mut Vec<Command>,
     ) {
         self.checkins.push_back(now);
-        let Some(report) = worker::report(checkin) else {
-            let _ = to.send(CheckinReply::Malformed);
-            return;
+        let report = match Report::try_from(checkin) {
+            Ok(report) => report,
+            Err(error) => {
+                warn!(%error, "report dropped");
+                let _ = to.send(CheckinReply::Malformed);
+                return;
+            }
         };
         let leads = self.leadership.authority(now).filter(|_| self.core.is_some());
         // Before the jobs are loaded a leader knows no more than a caretaker: the worker's lease runs on, and
         // there is nobody to say what it should do but stop what is withdrawn.
         let loaded = self.core.as_ref().is_some_and(|core| core.loaded);
         let cares = if loaded { None } else { leads }.or_else(|| self.leadership.caretaker(now));
-        if let Some(helm) = cares {
+        if let Some(token) = cares {
             let reply = match self.keeps(now, &report) {
-                Some(stops) => {
-                    let signals = stops.iter().map(worker::signal).collect();
-                    CheckinReply::Orders(CheckinAnswer { helm, signals })
-                }
+                Some(stops) => CheckinReply::Orders(CheckinAnswer::new(token, &stops)),
                 None => CheckinReply::Elsewhere(None),
             };
             // The worker may have given up meanwhile.
@@ -783,21 +784,21 @@
                 self.send(node, Payload::Wake(vec![machine]));
             }
             Effect::Direct { machine, address, session, orders } => {
-                let Some(helm) = self.leadership.authority(self.clock.now()) else { return };
-                let signals = orders.iter().map(worker::signal).collect();
-                let orders = Orders { helm, watch: session, signals };
+                let Some(token) = self.leadership.authority(self.clock.now()) else { return };
+                let commands = orders.iter().map(WorkerCommand::from).collect();
+                let orders = DirectCommands { token, session, commands };
                 // The next report brings the stops as well.
                 let Ok(turn) = self.orders.clone().try_acquire_owned() else { return };
                 let (http, events, gate) = (self.workers.clone(), self.events.clone(), self.gate());
-                debug!(machine, stops = orders.signals.len(), "direct stops");
+                debug!(machine, stops = orders.commands.len(), "direct stops");
                 tokio::spawn(async move {
                     let answer = match gate.open() {
-                        true => worker::direct(&http, &address, &orders).await,
+                        true => worker::send_commands(&http, &address, &orders).await,
                         false => None,
                     };
                     drop(turn);
                     if let Some(report) = answer {
-                        let _ = events.send(Event::Core(helm, Command::OrdersAnswered(report))).await;
+                        let _ = events.send(Event::Core(token, Command::OrdersAnswered(report))).await;
                     }
                 });
             }
@@ -817,7 +818,7 @@
                 let rest = chunks.split_off(fit.min(chunks.len()));
                 let epoch = self.entry;
                 self.ask(async move {
-                    let over = Over { status: "done".into(), tasks };
+                    let over = FinalRecord { status: JobStatus::Done, tasks };
                     let mut changes: Vec<_> = store::write(&store::over(uid), over).into_iter().collect();
                     changes.push(store::remove(&store::live(uid)));
                     changes.extend(chunks.iter().map(|chunk| store::remove(&store::done(uid, *chunk))));
@@ -835,7 +836,7 @@
                 let versions = self.versions.clone();
                 self.ask(async move {
                     let path = format!("{}{key}", store::FLEET);
-                    let records: Vec<FleetRecord> = machines.into_iter().map(FleetRecord::from).collect();
+                    let records: Vec<MachineRecord> = machines.into_iter().map(MachineRecord::from).collect();
                     let change = if records.is_empty() {
                         vec![store::remove(&path)]
                     } else {
@@ -881,10 +882,7 @@
         };
         let missing = stops.iter().filter(|stop| !orders.contains(stop));
         let reply = match token {
-            Some(helm) => CheckinReply::Orders(CheckinAnswer {
-                helm,
-                signals: orders.iter().chain(missing).map(worker::signal).collect(),
-            }),
+            Some(token) => CheckinReply::Orders(CheckinAnswer::new(token, orders.iter().chain(missing))),
             None => CheckinReply::Elsewhere(None),
         };
         let _ = to.send(reply);
@@ -957,10 +955,10 @@
         Ok((spec, accepted_ms)) => {
             let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
             let age = age_ms.min(limits::AGE_MOST_MS) * 1_000;
-            Some(StoredJob { spec, entry: record.entry, age, done: BTreeSet::new() })
+            Some(StoredJob { spec, entry: record.version, age, done: BTreeSet::new() })
         }
         Err(error) => {
-            warn!(key = record.path, error, "unreadable job record: skipped");
+            warn!(key = record.key, error, "unreadable job record: skipped");
             None
         }
     }
@@ -979,20 +977,20 @@
     let (live, revision) = store.list(store::LIVE).await?;
     let (done, _) = store.list(store::DONE).await?;
     let (fleet, _) = store.list(store::FLEET).await?;
-    done.iter().chain(&fleet).for_each(|record| versions.note(&record.path, record.entry));
+    done.iter().chain(&fleet).for_each(|record| versions.note(&record.key, record.version));
     let mut jobs: HashMap<Uid, StoredJob> =
         live.iter().filter_map(stored_job).map(|job| (job.spec.uid, job)).collect();
     let mut orphans = Vec::new();
     for record in done {
-        let mut parts = record.path.split('/').skip(1);
+        let mut parts = record.key.split('/').skip(1);
         let uid = parts.next().and_then(Uid::parse);
         let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
         let Some(job) = uid.and_then(|uid| jobs.get_mut(&uid)) else {
-            orphans.push(record.path);
+            orphans.push(record.key);
             continue;
         };
         let (Some(chunk), Some(bits)) = (chunk, record.value.as_str()) else {
-            warn!(key = record.path, "unreadable record of finished tasks: skipped");
+            warn!(key = record.key, "unreadable record of finished tasks: skipped");
             continue;
         };
         let tasks = job.spec.tasks;
@@ -1003,11 +1001,11 @@
     let records = fleet
         .into_iter()
         .filter_map(|record| {
-            let key = record.path.strip_prefix(store::FLEET)?.to_string();
-            match serde_json::from_value::<Vec<FleetRecord>>(record.value) {
+            let key = record.key.strip_prefix(store::FLEET)?.to_string();
+            match serde_json::from_value::<Vec<MachineRecord>>(record.value) {
                 Ok(machines) => Some((key, machines.into_iter().map(StoredMachine::from).collect())),
                 Err(error) => {
-                    warn!(key = record.path, %error, "unreadable machine record: skipped");
+                    warn!(key = record.key, %error, "unreadable machine record: skipped");
                     None
                 }
             }
@@ -1072,16 +1070,16 @@
                 continue;
             }
         };
-        from = from.max(follow.ledger);
+        from = from.max(follow.revision);
         for event in follow.events {
-            if let Some(path) = event.write {
-                let record = Record { path, value: event.value, entry: event.entry };
+            if let Some(key) = event.written {
+                let record = Record { key, value: event.value, version: event.version };
                 if let Some(job) = stored_job(&record) {
                     known.insert(job.spec.uid);
                     let _ = send(Command::JobAdded(job)).await;
                 }
-            } else if let Some(path) = event.remove {
-                if let Some(uid) = path.strip_prefix(store::LIVE).and_then(Uid::parse) {
+            } else if let Some(key) = event.removed {
+                if let Some(uid) = key.strip_prefix(store::LIVE).and_then(Uid::parse) {
                     known.remove(&uid);
                     let _ = send(Command::JobRemoved(uid)).await;
                 }
@@ -1151,13 +1149,13 @@
         }
         CloudRequest::Rent { request, machine_type, zone, spot, count } => {
             // The token makes the name unique among all leaders there will ever be.
-            let charter = format!("r-{token}-{request}");
-            let rental = Rental {
-                charter: &charter,
-                hull: &machine_type,
-                quay: &zone,
-                driftwood: spot,
-                how_many: count,
+            let request_id = format!("r-{token}-{request}");
+            let rental = RentalRequest {
+                request_id: &request_id,
+                machine_type: &machine_type,
+                zone: &zone,
+                spot,
+                count,
             };
             let mut answer = cloud.rent(&rental).await;
             for _ in 0..2 {
--- a/src/store.rs
+++ b/src/store.rs
@@ -2,8 +2,11 @@
 
 use crate::http::{Answer, CallError, Clock, Http};
 use crate::limits;
+use crate::protocol::records::Epoch;
+use crate::protocol::state_service::{
+    Change, ChangeLog, Condition, Lease, Page, Record, Revision, Transaction, Value,
+};
 use crate::settings::StateLimits;
-use crate::wire::{Change, Compare, Epoch, Follow, Ledger, Page, Permit, Record, Transaction};
 use reqwest::Method;
 use serde::Deserialize;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,7 +29,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Committed {
     Done {
-        entry: u64,
+        /// The version of every key that it changed.
+        version: u64,
     },
     /// A condition failed: nothing was changed.
     Conflict,
@@ -74,26 +78,20 @@
     users: Arc<Mutex<(Budget, Budget)>>,
 }
 
-#[derive(Deserialize)]
-struct OneRecord {
-    value: serde_json::Value,
-    entry: u64,
-}
-
 fn json<T: for<'a> Deserialize<'a>>(answer: &Answer) -> Result<T, StoreError> {
     serde_json::from_slice(&answer.body).map_err(|e| StoreError::Malformed(e.to_string()))
 }
 
 pub fn write(key: &str, value: impl serde::Serialize) -> Result<Change, serde_json::Error> {
-    Ok(Change::Write { write: key.into(), value: serde_json::to_value(value)?, permit: None })
+    Ok(Change::Write { key: key.into(), value: serde_json::to_value(value)?, lease: None })
 }
 
 pub fn remove(key: &str) -> Change {
-    Change::Remove { remove: key.into() }
+    Change::Remove { key: key.into() }
 }
 
-pub fn compare(key: &str, entry: u64) -> Compare {
-    Compare { path: key.into(), entry }
+pub fn compare(key: &str, version: u64) -> Condition {
+    Condition { key: key.into(), version }
 }
 
 impl Store {
@@ -161,7 +159,7 @@
     ) -> Result<Option<(serde_json::Value, u64)>, StoreError> {
         let answer = self.call(Method::GET, &format!("/store/{key}"), None, timeout).await?;
         match answer.status {
-            200 => json::<OneRecord>(&answer).map(|r| Some((r.value, r.entry))),
+            200 => json::<Value>(&answer).map(|found| Some((found.value, found.version))),
             404 => Ok(None),
             other => Err(StoreError::Refused(other)),
         }
@@ -172,7 +170,7 @@
         let mut records: Vec<Record> = Vec::new();
         let mut revision = None;
         loop {
-            let from = records.last().map(|r| format!("&from={}", r.path)).unwrap_or_default();
+            let from = records.last().map(|r| format!("&from={}", r.key)).unwrap_or_default();
             let path = format!("/store?prefix={prefix}{from}&limit=500");
             let answer = self.call(Method::GET, &path, None, limits::STATE_TIMEOUT).await?;
             if answer.status != 200 {
@@ -180,24 +178,24 @@
             }
             let page: Page = json(&answer)?;
             // Changes between two pages are seen again when following from the first.
-            let first = *revision.get_or_insert(page.ledger);
-            let more = page.has_next && !page.items.is_empty();
-            records.extend(page.items);
+            let first = *revision.get_or_insert(page.revision);
+            let more = page.has_more && !page.records.is_empty();
+            records.extend(page.records);
             if !more {
                 return Ok((records, first));
             }
         }
     }
 
-    pub async fn commit(&self, when: Vec<Compare>, then: Vec<Change>) -> Committed {
-        let body = match serde_json::to_vec(&Transaction { when, then }) {
+    pub async fn commit(&self, conditions: Vec<Condition>, changes: Vec<Change>) -> Committed {
+        let body = match serde_json::to_vec(&Transaction { conditions, changes }) {
             Ok(body) => body,
             Err(_) => return Committed::Refused,
         };
         match self.call(Method::POST, "/multi", Some(body), limits::STATE_TIMEOUT).await {
             Ok(answer) => match answer.status {
-                200 => json::<Ledger>(&answer)
-                    .map_or(Committed::Unknown, |l| Committed::Done { entry: l.ledger }),
+                200 => json::<Revision>(&answer)
+                    .map_or(Committed::Unknown, |done| Committed::Done { version: done.revision }),
                 409 => Committed::Conflict,
                 _ => Committed::Refused,
             },
@@ -210,14 +208,14 @@
         let body = serde_json::json!({ "life_ms": life_ms }).to_string().into_bytes();
         let answer = self.call(Method::POST, "/grants", Some(body), limits::STATE_TIMEOUT).await?;
         match answer.status {
-            200 => json::<Permit>(&answer).map(|p| p.permit),
+            200 => json::<Lease>(&answer).map(|granted| granted.lease),
             other => Err(StoreError::Refused(other)),
         }
     }
 
     /// Whether the lease still runs; an error leaves it open.
-    pub async fn extend(&self, permit: u64) -> Result<bool, StoreError> {
-        let path = format!("/grants/{permit}/extend");
+    pub async fn extend(&self, lease: u64) -> Result<bool, StoreError> {
+        let path = format!("/grants/{lease}/extend");
         let answer = self.call(Method::POST, &path, Some(b"{}".to_vec()), limits::STATE_TIMEOUT).await?;
         match answer.status {
             200 => Ok(true),
@@ -226,15 +224,20 @@
         }
     }
 
-    pub async fn release(&self, permit: u64) {
+    pub async fn release(&self, lease: u64) {
         // Best effort: the lease ends by itself soon after.
-        let path = format!("/grants/{permit}");
+        let path = format!("/grants/{lease}");
         let _ = self.call(Method::DELETE, &path, None, limits::STATE_TIMEOUT).await;
     }
 
     /// Changes under a prefix, waiting for the first of them; None when `from` is too old and the keys
     /// must be read again.
-    pub async fn follow(&self, prefix: &str, from: u64, wait_ms: u64) -> Result<Option<Follow>, StoreError> {
+    pub async fn follow(
+        &self,
+        prefix: &str,
+        from: u64,
+        wait_ms: u64,
+    ) -> Result<Option<ChangeLog>, StoreError> {
         let path = format!("/follow?prefix={prefix}&from={from}&wait_ms={wait_ms}");
         let timeout = match wait_ms {
             0 => limits::POLL_TIMEOUT,
@@ -253,9 +256,9 @@
         let locked = self.get(LOCK, limits::STATE_TIMEOUT).await?.is_some();
         let epoch = self.get(EPOCH, limits::STATE_TIMEOUT).await?;
         let epoch = epoch
-            .map(|(value, entry)| {
+            .map(|(value, version)| {
                 serde_json::from_value(value)
-                    .map(|epoch| (epoch, entry))
+                    .map(|epoch| (epoch, version))
                     .map_err(|e| StoreError::Malformed(e.to_string()))
             })
             .transpose()?;
@@ -266,23 +269,23 @@
     pub async fn take_over(
         &self,
         epoch: &Epoch,
-        entry: u64,
+        version: u64,
         over_lock: bool,
     ) -> Result<(u64, u64, u64), Option<u64>> {
         let sent = self.clock.now();
-        let permit = self.grant(limits::LOCK_LEASE_MS).await.map_err(|_| None)?;
-        let mut when = vec![compare(EPOCH, entry)];
+        let lease = self.grant(limits::LOCK_LEASE_MS).await.map_err(|_| None)?;
+        let mut conditions = vec![compare(EPOCH, version)];
         if !over_lock {
-            when.push(compare(LOCK, 0));
+            conditions.push(compare(LOCK, 0));
         }
-        let value = serde_json::to_value(epoch).map_err(|_| Some(permit))?;
-        let then = vec![
-            Change::Write { write: EPOCH.into(), value: value.clone(), permit: None },
-            Change::Write { write: LOCK.into(), value, permit: Some(permit) },
+        let value = serde_json::to_value(epoch).map_err(|_| Some(lease))?;
+        let changes = vec![
+            Change::Write { key: EPOCH.into(), value: value.clone(), lease: None },
+            Change::Write { key: LOCK.into(), value, lease: Some(lease) },
         ];
-        match self.commit(when, then).await {
-            Committed::Done { entry } => Ok((permit, entry, sent)),
-            _ => Err(Some(permit)),
+        match self.commit(conditions, changes).await {
+            Committed::Done { version } => Ok((lease, version, sent)),
+            _ => Err(Some(lease)),
         }
     }
 }
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -7,7 +7,7 @@
 use dockpier::knowledge::Attestation;
 use dockpier::leadership::{Message, Status};
 use dockpier::peer::{decode, encode, Payload, Sender};
-use dockpier::wire::{Epoch, FleetRecord, LiveRecord, Over};
+use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
 use std::collections::BTreeMap;
 
 const GOLDEN: &str = include_str!("golden/frames-3f677f9.txt");
@@ -129,10 +129,10 @@
         "gpus":0.0,"loads":3,"logbook_s":20.0,"manifest":"img-07","memory_gb":6.4,"passage_s":30.0,
         "precedence":"high","pull_gb":1.0,"rig":"gang","same_place":true,"stow_s":3.0,"uid":"job-000412"}"#,
     );
-    same::<Vec<FleetRecord>>(
+    same::<Vec<MachineRecord>>(
         r#"[{"vessel":"m-000231","hull":"g8","quay":"a","driftwood":true,"address":"10.1.0.232:9000",
         "images":["img-07"]}]"#,
     );
     same::<Epoch>(r#"{"token":41,"node":"berth-2","incarnation":77}"#);
-    same::<Over>(r#"{"status":"aborted","tasks":3}"#);
+    same::<FinalRecord>(r#"{"status":"aborted","tasks":3}"#);
 }
