--- a/src/api.rs
+++ b/src/api.rs
@@ -1,7 +1,7 @@
 //! What users and workers ask, over HTTP. No decisions here: users' requests are settled with the
 //! state service, check-ins by the owner of the state.
 
-use crate::core::model::{JobSpec, Kind, MachineType, Resources, Uid};
+use crate::core::model::{JobId, JobSpec, Kind, MachineType, Resources};
 use crate::core::Core;
 use crate::http::wall_ms;
 use crate::limits;
@@ -24,13 +24,13 @@
 
 pub type Types = Arc<BTreeMap<String, MachineType>>;
 /// Per job: finished and running tasks, as the leader last said.
-pub type Summary = Arc<HashMap<Uid, (u32, u32)>>;
+pub type Summary = Arc<HashMap<JobId, (u32, u32)>>;
 
 /// Final states that this node has read or written; they never change.
 #[derive(Default)]
 struct OverCache {
-    known: HashMap<Uid, JobState>,
-    order: VecDeque<Uid>,
+    known: HashMap<JobId, JobState>,
+    order: VecDeque<JobId>,
 }
 
 /// What the owner of the state thinks of this node.
@@ -145,10 +145,10 @@
         self.store.user_may_ask(writes).then_some(()).ok_or_else(busy)
     }
 
-    fn remember(&self, uid: Uid, state: &JobState) {
+    fn remember(&self, job_id: JobId, state: &JobState) {
         let Ok(mut over) = self.over.lock() else { return };
-        if over.known.insert(uid, state.clone()).is_none() {
-            over.order.push_back(uid);
+        if over.known.insert(job_id, state.clone()).is_none() {
+            over.order.push_back(job_id);
             if over.order.len() > self.over_most {
                 if let Some(oldest) = over.order.pop_front() {
                     over.known.remove(&oldest);
@@ -157,53 +157,53 @@
         }
     }
 
-    fn remembered(&self, uid: Uid) -> Option<JobState> {
-        self.over.lock().ok()?.known.get(&uid).cloned()
+    fn remembered(&self, job_id: JobId) -> Option<JobState> {
+        self.over.lock().ok()?.known.get(&job_id).cloned()
     }
 
     /// That a job is withdrawn is told only once whoever relies on our silence holds it (`knowledge`).
-    async fn may_tell(&self, uid: Uid, state: &JobState) -> Result<(), Refusal> {
+    async fn may_tell(&self, job_id: JobId, state: &JobState) -> Result<(), Refusal> {
         if state.status != JobStatus::Cancelled {
             return Ok(());
         }
         let later = |why: &str| Refusal::Later(why.into());
         let (to, answer) = oneshot::channel();
-        self.events.try_send(Event::Withdrawn(uid, to)).map_err(|_| later("too many events at once"))?;
+        self.events.try_send(Event::Withdrawn(job_id, to)).map_err(|_| later("too many events at once"))?;
         match tokio::time::timeout(limits::HELD_PATIENCE, answer).await {
             Ok(Ok(true)) => Ok(()),
             _ => Err(later("withdrawn, and not known yet to all controllers")),
         }
     }
 
-    async fn read_over(&self, uid: Uid) -> Result<Option<JobState>, Refusal> {
-        let Some((value, _)) = self.store.get(&store::over(uid), limits::POLL_TIMEOUT).await? else {
+    async fn read_over(&self, job_id: JobId) -> Result<Option<JobState>, Refusal> {
+        let Some((value, _)) = self.store.get(&store::over(job_id), limits::POLL_TIMEOUT).await? else {
             return Ok(None);
         };
         let over: FinalRecord =
             serde_json::from_value(value).map_err(|e| StoreError::Malformed(e.to_string()))?;
         let done = if over.status == JobStatus::Done { over.tasks } else { 0 };
         let state =
-            JobState { job_id: uid.to_string(), status: over.status, done: Some(done), running: Some(0) };
-        self.may_tell(uid, &state).await?;
-        self.remember(uid, &state);
+            JobState { job_id: job_id.to_string(), status: over.status, done: Some(done), running: Some(0) };
+        self.may_tell(job_id, &state).await?;
+        self.remember(job_id, &state);
         Ok(Some(state))
     }
 
     /// The job's state as the state service has it. `live` before `over`: a job moves between them in
     /// one transaction, so that this order never misses it.
-    async fn state(&self, uid: Uid) -> Result<Option<JobState>, Refusal> {
-        if let Some(state) = self.remembered(uid) {
+    async fn state(&self, job_id: JobId) -> Result<Option<JobState>, Refusal> {
+        if let Some(state) = self.remembered(job_id) {
             return Ok(Some(state));
         }
-        let live = self.live.contains(uid).await.ok_or_else(|| Refusal::Later("too many polls".into()))?;
+        let live = self.live.contains(job_id).await.ok_or_else(|| Refusal::Later("too many polls".into()))?;
         if !live.map_err(|e| Refusal::Later(format!("state service: {e}")))? {
             self.may_ask(0)?;
-            return self.read_over(uid).await;
+            return self.read_over(job_id).await;
         }
-        let (done, running) = self.summary.borrow().get(&uid).copied().unwrap_or((0, 0));
+        let (done, running) = self.summary.borrow().get(&job_id).copied().unwrap_or((0, 0));
         let status = if running > 0 { JobStatus::Running } else { JobStatus::Pending };
         let (done, running) = (Some(done), Some(running));
-        Ok(Some(JobState { job_id: uid.to_string(), status, done, running }))
+        Ok(Some(JobState { job_id: job_id.to_string(), status, done, running }))
     }
 
     /// Why the job can never run; None when it can; an error when that can't be told yet.
@@ -232,7 +232,7 @@
         let never = match self.never(&job) {
             Ok(None) => None,
             // What is known already stays known, whatever the types and teams say today.
-            undecided => match self.state(job.uid).await? {
+            undecided => match self.state(job.job_id).await? {
                 Some(state) => return Ok(json(StatusCode::OK, &state)),
                 None => undecided?,
             },
@@ -241,7 +241,7 @@
             return Err(Refusal::Never(why));
         }
         self.may_ask(1)?;
-        let (live, over) = (store::live(job.uid), store::over(job.uid));
+        let (live, over) = (store::live(job.job_id), store::over(job.job_id));
         let record = LiveRecord { submission, accepted_ms: wall_ms() };
         let bytes = serde_json::to_vec(&record).map_err(|e| Refusal::Malformed(e.to_string()))?;
         if bytes.len() > self.store.value_most() {
@@ -251,38 +251,38 @@
         let absent = vec![store::compare(&live, 0), store::compare(&over, 0)];
         match self.store.commit(absent, vec![record]).await {
             Committed::Done { .. } => {
-                info!(job = %job.uid, class = job.class, team = job.team, tasks = job.tasks, "accepted");
-                Ok(json(StatusCode::CREATED, &JobState::without_counts(job.uid, JobStatus::Pending)))
+                info!(job = %job.job_id, class = job.class, team = job.team, tasks = job.tasks, "accepted");
+                Ok(json(StatusCode::CREATED, &JobState::without_counts(job.job_id, JobStatus::Pending)))
             }
             Committed::Refused => Err(Refusal::Later("state service takes no changes now".into())),
             // Unknown: only what can be read back is told.
-            Committed::Conflict | Committed::Unknown => match self.state(job.uid).await? {
+            Committed::Conflict | Committed::Unknown => match self.state(job.job_id).await? {
                 Some(state) => Ok(json(StatusCode::OK, &state)),
                 None => Err(Refusal::Later("not known whether it was stored".into())),
             },
         }
     }
 
-    async fn poll(&self, uid: &str) -> Result<Response, Refusal> {
-        let uid = Uid::parse(uid).ok_or(Refusal::NoSuchJob)?;
-        if let Some(state) = self.remembered(uid) {
+    async fn poll(&self, job_id: &str) -> Result<Response, Refusal> {
+        let job_id = JobId::parse(job_id).ok_or(Refusal::NoSuchJob)?;
+        if let Some(state) = self.remembered(job_id) {
             return Ok(json(StatusCode::OK, &state));
         }
         let _turn = self.admit(&self.polls)?;
-        let state = self.state(uid).await?.ok_or(Refusal::NoSuchJob)?;
+        let state = self.state(job_id).await?.ok_or(Refusal::NoSuchJob)?;
         Ok(json(StatusCode::OK, &state))
     }
 
-    async fn withdraw(&self, uid: &str) -> Result<Response, Refusal> {
-        let uid = Uid::parse(uid).ok_or(Refusal::NoSuchJob)?;
-        if let Some(state) = self.remembered(uid) {
+    async fn withdraw(&self, job_id: &str) -> Result<Response, Refusal> {
+        let job_id = JobId::parse(job_id).ok_or(Refusal::NoSuchJob)?;
+        if let Some(state) = self.remembered(job_id) {
             return Ok(json(StatusCode::OK, &state));
         }
         let _turn = self.admit(&self.changes)?;
         self.may_ask(2)?;
-        let (live, over) = (store::live(uid), store::over(uid));
+        let (live, over) = (store::live(job_id), store::over(job_id));
         let Some((value, entry)) = self.store.get(&live, limits::POLL_TIMEOUT).await? else {
-            let state = self.read_over(uid).await?.ok_or(Refusal::NoSuchJob)?;
+            let state = self.read_over(job_id).await?.ok_or(Refusal::NoSuchJob)?;
             return Ok(json(StatusCode::OK, &state));
         };
         let tasks = LiveRecord::tasks_of(&value);
@@ -291,15 +291,15 @@
         let then = vec![record, store::remove(&live)];
         match self.store.commit(vec![store::compare(&live, entry)], then).await {
             Committed::Done { .. } => {
-                info!(job = %uid, "withdrawn");
-                let state = JobState::without_counts(uid, JobStatus::Cancelled);
-                self.may_tell(uid, &state).await?;
-                self.remember(uid, &state);
+                info!(job = %job_id, "withdrawn");
+                let state = JobState::without_counts(job_id, JobStatus::Cancelled);
+                self.may_tell(job_id, &state).await?;
+                self.remember(job_id, &state);
                 Ok(json(StatusCode::OK, &state))
             }
             Committed::Refused => Err(Refusal::Later("state service takes no changes now".into())),
             // Over by now, perhaps by this very request: its final state says.
-            Committed::Conflict | Committed::Unknown => match self.read_over(uid).await? {
+            Committed::Conflict | Committed::Unknown => match self.read_over(job_id).await? {
                 Some(state) => Ok(json(StatusCode::OK, &state)),
                 None => Err(Refusal::Later("not known whether it was withdrawn".into())),
             },
@@ -339,13 +339,13 @@
 }
 
 #[handler]
-async fn get_submission(Data(api): Shared<'_>, Path(uid): Path<String>) -> Response {
-    answer(api.poll(&uid).await)
+async fn get_submission(Data(api): Shared<'_>, Path(job_id): Path<String>) -> Response {
+    answer(api.poll(&job_id).await)
 }
 
 #[handler]
-async fn post_withdrawal(Data(api): Shared<'_>, Path(uid): Path<String>) -> Response {
-    answer(api.withdraw(&uid).await)
+async fn post_withdrawal(Data(api): Shared<'_>, Path(job_id): Path<String>) -> Response {
+    answer(api.withdraw(&job_id).await)
 }
 
 #[handler]
@@ -379,8 +379,8 @@
 pub fn routes(api: Arc<Api>) -> impl IntoEndpoint {
     Route::new()
         .at("/submissions", post(post_submission))
-        .at("/submissions/:uid", get(get_submission))
-        .at("/submissions/:uid/withdraw", post(post_withdrawal))
+        .at("/submissions/:job_id", get(get_submission))
+        .at("/submissions/:job_id/withdraw", post(post_withdrawal))
         .at("/checkin", post(post_checkin))
         .at("/healthz", get(get_health))
         .at("/overview", get(get_overview))
--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -185,14 +185,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::core::model::{TaskId, TaskStatus, Uid};
+    use crate::core::model::{JobId, TaskId, TaskStatus};
     use crate::limits::SECOND;
 
     const LEASE: u64 = 20 * SECOND;
 
     fn report(seq: u64, tasks: u32) -> Report {
-        let task =
-            |task| ReportedTask { id: TaskId { uid: Uid(1), task }, attempt: 1, status: TaskStatus::Running };
+        let task = |task| ReportedTask {
+            id: TaskId { job_id: JobId(1), task },
+            attempt: 1,
+            status: TaskStatus::Running,
+        };
         Report {
             machine: "m-1".into(),
             address: String::new(),
--- a/src/core/consolidate.rs
+++ b/src/core/consolidate.rs
@@ -12,7 +12,7 @@
 impl Core {
     /// Work that must have an ordinary machine.
     fn is_fixed(&self, id: &TaskId) -> bool {
-        self.jobs.get(&id.uid).is_none_or(|j| !j.spec.spot)
+        self.jobs.get(&id.job_id).is_none_or(|j| !j.spec.spot)
     }
 
     /// Marks, zone by zone, the machines that fixed work and the reserve could do without, emptiest
@@ -98,11 +98,11 @@
                     break;
                 }
                 let still = task.stopping.is_none() && task.status == TaskStatus::Running;
-                let Some(job) = self.jobs.get(&id.uid).filter(|_| still && self.is_fixed(id)) else {
+                let Some(job) = self.jobs.get(&id.job_id).filter(|_| still && self.is_fixed(id)) else {
                     continue;
                 };
                 // One replica of a job at a time: the others carry on.
-                if moves.iter().all(|(_, other)| other.uid != id.uid)
+                if moves.iter().all(|(_, other)| other.job_id != id.job_id)
                     && self.take_warm_place(job, machine, &mut warm)
                 {
                     moves.push((machine.name.clone(), *id));
@@ -114,7 +114,7 @@
             self.decided(format!("move {id} off {machine}"));
             self.fleet.moved = self.now;
             let now = self.now;
-            if let Some(job) = self.jobs.get_mut(&id.uid) {
+            if let Some(job) = self.jobs.get_mut(&id.job_id) {
                 job.rescaled = now;
             }
             self.stop(&machine, id, 0.0);
--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -5,7 +5,7 @@
 //! rescale gap are shrunk, lowest first and never below their minimum, and only if together they
 //! free the newcomer's minimum; that room counts once the workers confirm.
 
-use super::model::{Job, Kind, Machine, Priority, Resources, TaskId, Uid};
+use super::model::{Job, JobId, Kind, Machine, Priority, Resources, TaskId};
 use super::place::{self, ZoneCount};
 use super::teams::TeamUsage;
 use super::Core;
@@ -25,14 +25,14 @@
     /// Room that stops under way will give, by machine.
     pending: BTreeMap<String, Resources>,
     /// Tasks of each job that were told to stop.
-    stopping: BTreeMap<Uid, u32>,
+    stopping: BTreeMap<JobId, u32>,
     /// The largest shape among critical jobs and the places of it kept free in each zone.
     shape: Option<Resources>,
     kept: i64,
     /// The least important class of which an array holds anything.
     lowest: Option<Priority>,
     /// In which order jobs yield, worked out when somebody asks for it.
-    yielding: Option<Arc<[Uid]>>,
+    yielding: Option<Arc<[JobId]>>,
     /// What each team uses.
     pub(super) teams: TeamUsage,
 }
@@ -122,31 +122,31 @@
 
     /// The order in which jobs yield: lowest class with its age first, the latest first on ties. The work that
     /// is left does not count here: it would make the long jobs feed everybody else.
-    fn yielding(&self) -> Arc<[Uid]> {
+    fn yielding(&self) -> Arc<[JobId]> {
         let running = self.jobs.values().filter(|j| !j.over && !j.places.is_empty());
         let mut order: Vec<_> = running
-            .map(|j| (self.plain_rank(j, 1.0), std::cmp::Reverse((j.arrived, j.entry)), j.spec.uid))
+            .map(|j| (self.plain_rank(j, 1.0), std::cmp::Reverse((j.arrived, j.entry)), j.spec.job_id))
             .collect();
         order.sort();
-        order.into_iter().map(|(_, _, uid)| uid).collect()
+        order.into_iter().map(|(_, _, job_id)| job_id).collect()
     }
 
     /// The order of a round: highest aged priority first, earlier first on ties.
-    fn order(&self) -> Vec<Uid> {
+    fn order(&self) -> Vec<JobId> {
         let mut order: Vec<_> = self
             .jobs
             .values()
             .filter(|j| !j.over && (!j.waiting.is_empty() || !j.places.is_empty()))
-            .map(|j| (std::cmp::Reverse(self.rank(j)), j.arrived, j.entry, j.spec.uid))
+            .map(|j| (std::cmp::Reverse(self.rank(j)), j.arrived, j.entry, j.spec.job_id))
             .collect();
         order.sort();
-        order.into_iter().map(|(_, _, _, uid)| uid).collect()
+        order.into_iter().map(|(_, _, _, job_id)| job_id).collect()
     }
 
     /// What the jobs of a round have in common, and the machines with room for any of them.
-    fn room(&mut self, order: &[Uid], probes: &mut usize) -> Room {
+    fn room(&mut self, order: &[JobId], probes: &mut usize) -> Room {
         self.note_unsettled();
-        let jobs = || order.iter().filter_map(|uid| self.jobs.get(uid));
+        let jobs = || order.iter().filter_map(|job_id| self.jobs.get(job_id));
         let least = jobs().filter(|j| !j.waiting.is_empty()).map(|j| j.spec.needs).reduce(|a, b| a.least(&b));
         let mut room = Room {
             free: BTreeMap::new(),
@@ -165,7 +165,7 @@
             *probes += 1;
             for (id, task) in &machine.tasks {
                 if task.stopping.is_some() {
-                    *room.stopping.entry(id.uid).or_default() += 1;
+                    *room.stopping.entry(id.job_id).or_default() += 1;
                 }
             }
             if !self.usable(machine) {
@@ -192,22 +192,22 @@
         // The look at every machine is the fixed price of a round; the budget is for the jobs.
         let jobs = limits::ROUND_JOBS * self.machines.len();
         let budget = probes + self.config.round_probes.max(jobs);
-        let start = self.cursor.and_then(|uid| order.iter().position(|u| *u == uid)).unwrap_or(0);
+        let start = self.cursor.and_then(|job_id| order.iter().position(|u| *u == job_id)).unwrap_or(0);
         self.cursor = None;
-        for uid in &order[start..] {
+        for job_id in &order[start..] {
             if probes >= budget {
-                self.cursor = Some(*uid);
-                debug!(job = %uid, "round out of budget, goes on here");
+                self.cursor = Some(*job_id);
+                debug!(job = %job_id, "round out of budget, goes on here");
                 break;
             }
             probes += 1;
-            self.consider(*uid, false, &mut room, &mut probes);
+            self.consider(*job_id, false, &mut room, &mut probes);
         }
         // Room that no job outside the gap takes would lie idle: it goes to those inside.
-        for uid in order {
-            let in_gap = self.jobs.get(&uid).is_some_and(|j| j.waits_for == GAP && !j.waiting.is_empty());
+        for job_id in order {
+            let in_gap = self.jobs.get(&job_id).is_some_and(|j| j.waits_for == GAP && !j.waiting.is_empty());
             if in_gap && probes < budget && !room.free.is_empty() {
-                self.consider(uid, true, &mut room, &mut probes);
+                self.consider(job_id, true, &mut room, &mut probes);
             }
         }
         self.probes += probes as u64;
@@ -217,34 +217,34 @@
         self.round_due = self.now + rest.max(idle);
     }
 
-    pub fn wait(&mut self, uid: Uid, why: &'static str) {
-        if let Some(job) = self.jobs.get_mut(&uid) {
+    pub fn wait(&mut self, job_id: JobId, why: &'static str) {
+        if let Some(job) = self.jobs.get_mut(&job_id) {
             if job.waits_for != why {
-                debug!(job = %uid, why, waiting = job.waiting.len(), "waits");
+                debug!(job = %job_id, why, waiting = job.waiting.len(), "waits");
                 job.waits_for = why;
             }
         }
     }
 
-    fn consider(&mut self, uid: Uid, leftover: bool, room: &mut Room, probes: &mut usize) {
-        let Some(job) = self.jobs.get(&uid) else { return };
+    fn consider(&mut self, job_id: JobId, leftover: bool, room: &mut Room, probes: &mut usize) {
+        let Some(job) = self.jobs.get(&job_id) else { return };
         if job.waiting.is_empty() {
             return;
         }
         if job.paused_until > self.now {
-            return self.wait(uid, "its tasks failed");
+            return self.wait(job_id, "its tasks failed");
         }
         // A task of an earlier leader's may be on a machine that has not reported yet, if it is one that
         // the job may use at all.
         if job.inherited && !self.settled_for(job) {
-            return self.wait(uid, "machines of the last leader have not reported");
+            return self.wait(job_id, "machines of the last leader have not reported");
         }
         let held = job.places.len() as u32;
         // A gang starts only whole.
         if job.spec.kind == Kind::Gang && held > 0 {
-            return self.mend_gang(uid, room, probes);
+            return self.mend_gang(job_id, room, probes);
         }
-        let running = held.saturating_sub(room.stopping.get(&uid).copied().unwrap_or(0));
+        let running = held.saturating_sub(room.stopping.get(&job_id).copied().unwrap_or(0));
         let fresh = held == 0;
         // Width is kept without regard to the gap; growth beyond it waits for the gap to pass.
         let target = if fresh || leftover || !self.in_gap(job) {
@@ -254,7 +254,7 @@
         };
         let want = target.saturating_sub(held).min(job.waiting.len() as u32);
         if want == 0 {
-            return self.wait(uid, GAP);
+            return self.wait(job_id, GAP);
         }
         let want = want.min(self.team_room(job, &room.teams));
         // What only its wait for a beginning has earned is a beginning; more comes by its plain rank.
@@ -265,40 +265,40 @@
         // A gang within whose team's limit only a part of it fits would start in part, be stopped as
         // incomplete, and keep others out with it, again and again.
         if want == 0 || held + want < job.admission() {
-            return self.wait(uid, "team limit");
+            return self.wait(job_id, "team limit");
         }
         let patient = self.now < job.arrived.max(job.rescaled) + limits::FETCH_PATIENCE;
         let found = self.find(job, want, patient, room, probes);
         if !found.is_empty() && held + found.len() as u32 >= job.admission().min(held + want) {
             if found.len() as u32 + running > job.width {
                 let now = self.now;
-                if let Some(job) = self.jobs.get_mut(&uid) {
+                if let Some(job) = self.jobs.get_mut(&job_id) {
                     job.width = found.len() as u32 + running;
                     job.rescaled = now;
                 }
             }
             let attempt = self.next_attempt();
             for machine in found {
-                self.assign(uid, &machine, attempt, room);
+                self.assign(job_id, &machine, attempt, room);
             }
-            if self.jobs.get(&uid).is_none_or(|j| j.waiting.is_empty()) {
+            if self.jobs.get(&job_id).is_none_or(|j| j.waiting.is_empty()) {
                 return;
             }
-            self.wait(uid, "no further free slot");
-            if self.jobs.get(&uid).is_some_and(|j| j.spec.kind != Kind::Service) {
+            self.wait(job_id, "no further free slot");
+            if self.jobs.get(&job_id).is_some_and(|j| j.spec.kind != Kind::Service) {
                 return;
             }
         }
         if leftover {
             return;
         }
-        let Some(job) = self.jobs.get(&uid) else { return };
+        let Some(job) = self.jobs.get(&job_id) else { return };
         let held = job.places.len() as u32;
         let missing = job.minimum().saturating_sub(held).max(1).min(job.waiting.len() as u32);
         let service = job.spec.kind == Kind::Service;
-        if !self.shrink_for(uid, missing, room, probes) && service && missing > 1 {
+        if !self.shrink_for(job_id, missing, room, probes) && service && missing > 1 {
             // Its replicas serve each by itself: one is better than none.
-            self.shrink_for(uid, 1, room, probes);
+            self.shrink_for(job_id, 1, room, probes);
         }
     }
 
@@ -412,8 +412,8 @@
 
     /// Stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots.
     /// Returns whether that room is under way.
-    fn shrink_for(&mut self, uid: Uid, missing: u32, room: &mut Room, probes: &mut usize) -> bool {
-        let Some(job) = self.jobs.get(&uid) else { return false };
+    fn shrink_for(&mut self, job_id: JobId, missing: u32, room: &mut Room, probes: &mut usize) -> bool {
+        let Some(job) = self.jobs.get(&job_id) else { return false };
         let needs = job.spec.needs;
         // Room that stops under way will free counts as found, so that nobody shrinks twice for it.
         let soon = room.soon(&self.machines);
@@ -422,13 +422,13 @@
         if coming.len() as u32 >= missing {
             // Hold the room for this job: nobody later in the round may take it.
             coming.iter().filter_map(|m| self.machines.get(m)).for_each(|m| room.take(m, &needs));
-            self.wait(uid, "stops or a fetch under way");
+            self.wait(job_id, "stops or a fetch under way");
             return true;
         }
         let may_any = room.lowest.is_some_and(|lowest| lowest < job.spec.priority)
             || self.within_guarantee(&job.spec.team, &needs, &room.teams);
         if !may_any {
-            self.wait(uid, "no free slot, and nobody below it runs");
+            self.wait(job_id, "no free slot, and nobody below it runs");
             return false;
         }
         // A critical job that cannot start goes on where the design stops: jobs inside the gap yield too,
@@ -446,28 +446,28 @@
             (targets.len() as u32 >= missing).then_some((stops, targets))
         });
         let Some((mut stops, targets)) = chosen else {
-            self.wait(uid, "no free slot, and lower jobs cannot yield its minimum");
+            self.wait(job_id, "no free slot, and lower jobs cannot yield its minimum");
             return false;
         };
         // Stops on machines that the newcomer ends up not using would be for nothing.
         stops.retain(|(name, _)| targets.contains(name));
         targets.iter().filter_map(|m| self.machines.get(m)).for_each(|m| room.take(m, &needs));
         for (machine, id) in stops {
-            debug!(task = %id, machine, newcomer = %uid, "shrink");
-            self.decided(format!("stop {id} on {machine} for {uid}"));
+            debug!(task = %id, machine, newcomer = %job_id, "shrink");
+            self.decided(format!("stop {id} on {machine} for {job_id}"));
             let now = self.now;
-            let grace = self.jobs.get(&id.uid).map_or(0.0, |j| j.spec.save_s);
-            if let Some(victim) = self.jobs.get_mut(&id.uid) {
+            let grace = self.jobs.get(&id.job_id).map_or(0.0, |j| j.spec.save_s);
+            if let Some(victim) = self.jobs.get_mut(&id.job_id) {
                 victim.rescaled = now;
                 victim.width = victim.width.saturating_sub(1).max(victim.minimum());
                 let freed = room.pending.entry(machine.clone()).or_default();
                 *freed = freed.plus(&victim.spec.needs);
                 room.teams.stop(&victim.spec.team, &victim.spec.needs);
-                *room.stopping.entry(id.uid).or_default() += 1;
+                *room.stopping.entry(id.job_id).or_default() += 1;
             }
             self.stop(&machine, id, grace);
         }
-        self.wait(uid, "stops under way");
+        self.wait(job_id, "stops under way");
         true
     }
 
@@ -477,7 +477,7 @@
         &self,
         job: &Job,
         missing: u32,
-        order: &[Uid],
+        order: &[JobId],
         soon: &mut Room,
         (gap, minimum): (bool, bool),
         probes: &mut usize,
@@ -519,7 +519,7 @@
     /// PROTOCOL, Preemption: higher over lower priority; or a team inside its guarantee over what
     /// another team runs beyond its own.
     fn may_preempt(&self, job: &Job, victim: &Job, teams: &TeamUsage) -> bool {
-        if victim.spec.uid == job.spec.uid || victim.spec.kind != Kind::Array {
+        if victim.spec.job_id == job.spec.job_id || victim.spec.kind != Kind::Array {
             return false;
         }
         let higher = job.spec.priority > victim.spec.priority;
@@ -535,8 +535,8 @@
         guaranteed && !victim_guaranteed || higher && !protected
     }
 
-    pub fn assign(&mut self, uid: Uid, machine: &str, attempt: u64, room: &mut Room) {
-        let Some(job) = self.jobs.get_mut(&uid) else { return };
+    pub fn assign(&mut self, job_id: JobId, machine: &str, attempt: u64, room: &mut Room) {
+        let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let Some(task) = job.waiting.pop_first() else { return };
         job.places.entry(task).or_default().push(machine.into());
         let (needs, image) = (job.spec.needs, job.spec.image.clone());
@@ -544,7 +544,7 @@
         if let Some(machine) = self.machines.get(machine) {
             room.take(machine, &needs);
         }
-        self.place_on(machine, TaskId { uid, task }, needs, image, attempt);
+        self.place_on(machine, TaskId { job_id, task }, needs, image, attempt);
     }
 
     /// Room held back in each zone for critical services, against everyone else's tasks.
--- a/src/core/gang.rs
+++ b/src/core/gang.rs
@@ -2,7 +2,7 @@
 //! another, start together and end together; the operators' page on gangs (`docs/design.md`) has the details.
 
 use super::elastic::Room;
-use super::model::{Job, Kind, Machine, TaskStatus, Uid};
+use super::model::{Job, JobId, Kind, Machine, TaskStatus};
 use super::Core;
 use crate::limits;
 use std::collections::BTreeSet;
@@ -41,8 +41,8 @@
     }
 
     /// A gang of which something is placed and something waits.
-    pub fn mend_gang(&mut self, uid: Uid, room: &mut Room, probes: &mut usize) {
-        let Some(job) = self.jobs.get(&uid) else { return };
+    pub fn mend_gang(&mut self, job_id: JobId, room: &mut Room, probes: &mut usize) {
+        let Some(job) = self.jobs.get(&job_id) else { return };
         match self.stage(job) {
             Stage::Waiting { attempt } => {
                 let now = self.now;
@@ -51,24 +51,24 @@
                 let found = if may { self.find(job, missing, false, room, probes) } else { Vec::new() };
                 if found.len() as u32 == missing {
                     for machine in found {
-                        self.assign(uid, &machine, attempt, room);
+                        self.assign(job_id, &machine, attempt, room);
                     }
                     // The next task that it loses has its own time.
-                    if let Some(job) = self.jobs.get_mut(&uid) {
+                    if let Some(job) = self.jobs.get_mut(&job_id) {
                         job.short_since = None;
                     }
                     return;
                 }
                 // Its places must not idle until the workers give up by themselves.
                 let patience = limits::gang_patience(self.config.workers.gang_wait_s);
-                let Some(job) = self.jobs.get_mut(&uid) else { return };
+                let Some(job) = self.jobs.get_mut(&job_id) else { return };
                 let since = *job.short_since.get_or_insert(now);
                 if now < since + patience {
-                    return self.wait(uid, "no free slot for the rest of its gang");
+                    return self.wait(job_id, "no free slot for the rest of its gang");
                 }
                 job.short_since = None;
-                self.stop_all(uid);
-                self.wait(uid, "its gang was not complete in time");
+                self.stop_all(job_id);
+                self.wait(job_id, "its gang was not complete in time");
             }
             // What is left of it would only find out by itself, up to `gang_peer_s` later. Tasks that were told to
             // save are left to it: the first that has saved keeps the progress of all.
@@ -79,9 +79,9 @@
                 let saving =
                     self.placed(job).any(|(_, _, t)| t.stopping.is_some_and(|(at, grace)| saves(grace, at)));
                 if !saving {
-                    self.stop_all(uid);
+                    self.stop_all(job_id);
                 }
-                self.wait(uid, "its last attempt has not ended everywhere");
+                self.wait(job_id, "its last attempt has not ended everywhere");
             }
             Stage::Nowhere | Stage::Whole => {}
         }
@@ -89,8 +89,8 @@
 
     /// A machine is about to go. Its gangs save together or not at all: every machine is told at once, with the
     /// time to save and to wait for the others; told one after the other, or one alone, the save would fail.
-    pub fn stop_gang(&mut self, uid: Uid) {
-        let Some(job) = self.jobs.get(&uid).filter(|j| j.spec.kind == Kind::Gang) else { return };
+    pub fn stop_gang(&mut self, job_id: JobId) {
+        let Some(job) = self.jobs.get(&job_id).filter(|j| j.spec.kind == Kind::Gang) else { return };
         let silent = limits::silent(self.config.workers.report_s);
         let reachable = self.placed(job).all(|(_, name, _)| {
             self.machines.get(name).is_some_and(|m| self.now < m.heard + silent && m.unheard == 0)
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -99,7 +99,7 @@
         records: Vec<(String, Vec<StoredMachine>)>,
     },
     JobAdded(StoredJob),
-    JobRemoved(Uid),
+    JobRemoved(JobId),
     /// A check-in; the answer goes out under this number.
     Checkin {
         reply: u64,
@@ -119,12 +119,12 @@
     /// A worker's report in answer to a direct command.
     OrdersAnswered(Report),
     Committed {
-        uid: Uid,
+        job_id: JobId,
         tasks: BTreeSet<u32>,
         outcome: Outcome,
     },
     Finished {
-        uid: Uid,
+        job_id: JobId,
         outcome: Outcome,
     },
     Recorded {
@@ -173,13 +173,13 @@
         orders: Vec<Order>,
     },
     CommitDone {
-        uid: Uid,
+        job_id: JobId,
         entry: u64,
         tasks: BTreeSet<u32>,
         all_done: BTreeSet<u32>,
     },
     Finish {
-        uid: Uid,
+        job_id: JobId,
         entry: u64,
         tasks: u32,
         /// Keys of finished tasks to remove with it.
@@ -216,7 +216,7 @@
     pub now: u64,
     pub started: u64,
     pub loaded: bool,
-    pub jobs: BTreeMap<Uid, Job>,
+    pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<String, Machine>,
     pub types: BTreeMap<String, MachineType>,
     pub fleet: Fleet,
@@ -224,7 +224,7 @@
     records: records::Records,
     writes: records::WriteBudget,
     /// Where the last round of decisions stopped.
-    cursor: Option<Uid>,
+    cursor: Option<JobId>,
     /// The next round is due without news then, and allowed with news from then on.
     round_due: u64,
     round_from: u64,
@@ -326,7 +326,7 @@
         match command {
             Command::Load { jobs, records } => self.load(jobs, records),
             Command::JobAdded(stored) => self.add_job(stored, false),
-            Command::JobRemoved(uid) => self.remove_job(uid),
+            Command::JobRemoved(job_id) => self.remove_job(job_id),
             Command::Checkin { reply, report, via } => {
                 if report.token > self.config.token {
                     self.effects.push(Effect::Deposed(report.token));
@@ -347,12 +347,12 @@
                     return;
                 }
             }
-            Command::Committed { uid, tasks, outcome } => self.committed(uid, tasks, outcome),
-            Command::Finished { uid, outcome } => match outcome {
-                Outcome::Done => self.remove_job(uid),
+            Command::Committed { job_id, tasks, outcome } => self.committed(job_id, tasks, outcome),
+            Command::Finished { job_id, outcome } => match outcome {
+                Outcome::Done => self.remove_job(job_id),
                 // Withdrawn meanwhile, or of unknown outcome: its record decides, and is tried again.
                 _ => {
-                    if let Some(job) = self.jobs.get_mut(&uid) {
+                    if let Some(job) = self.jobs.get_mut(&job_id) {
                         job.committing = false;
                     }
                 }
@@ -410,27 +410,27 @@
     }
 
     fn add_job(&mut self, stored: StoredJob, inherited: bool) {
-        let uid = stored.spec.uid;
-        if self.jobs.contains_key(&uid) {
+        let job_id = stored.spec.job_id;
+        if self.jobs.contains_key(&job_id) {
             return;
         }
-        debug!(job = %uid, tasks = stored.spec.tasks, inherited, "job known");
+        debug!(job = %job_id, tasks = stored.spec.tasks, inherited, "job known");
         let arrived = self.now.saturating_sub(stored.age);
         let job = Job::new(stored.spec, stored.entry, arrived, inherited, stored.done);
-        self.jobs.insert(uid, job);
+        self.jobs.insert(job_id, job);
     }
 
     /// The job is over: nothing of it starts, and what runs is stopped.
-    fn remove_job(&mut self, uid: Uid) {
-        let Some(job) = self.jobs.get_mut(&uid) else { return };
+    fn remove_job(&mut self, job_id: JobId) {
+        let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.over = true;
         job.waiting.clear();
-        self.stop_all(uid);
-        self.drop_if_over(uid);
+        self.stop_all(job_id);
+        self.drop_if_over(job_id);
     }
 
-    fn stop_all(&mut self, uid: Uid) {
-        let Some(job) = self.jobs.get(&uid) else { return };
+    fn stop_all(&mut self, job_id: JobId) {
+        let Some(job) = self.jobs.get(&job_id) else { return };
         let places: Vec<_> = self.placed(job).map(|(id, machine, _)| (id, machine.to_string())).collect();
         for (id, machine) in places {
             self.stop(&machine, id, 0.0);
@@ -441,14 +441,14 @@
     fn placed<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = (TaskId, &'a str, &'a Placed)> {
         let places = job.places.iter().flat_map(|(task, names)| names.iter().map(move |n| (*task, n)));
         places.filter_map(|(task, name)| {
-            let id = TaskId { uid: job.spec.uid, task };
+            let id = TaskId { job_id: job.spec.job_id, task };
             Some((id, name.as_str(), self.machines.get(name)?.tasks.get(&id)?))
         })
     }
 
-    fn drop_if_over(&mut self, uid: Uid) {
-        if self.jobs.get(&uid).is_some_and(|j| j.over && j.places.is_empty()) {
-            self.jobs.remove(&uid);
+    fn drop_if_over(&mut self, job_id: JobId) {
+        if self.jobs.get(&job_id).is_some_and(|j| j.over && j.places.is_empty()) {
+            self.jobs.remove(&job_id);
         }
     }
 
@@ -501,7 +501,7 @@
 
     /// The task is provably not on this machine any more.
     fn unplace(&mut self, name: &str, id: TaskId) {
-        let Some(job) = self.jobs.get_mut(&id.uid) else { return };
+        let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
         if let Some(names) = job.places.get_mut(&id.task) {
             names.retain(|n| n != name);
             if names.is_empty() {
@@ -511,7 +511,7 @@
                 }
             }
         }
-        self.drop_if_over(id.uid);
+        self.drop_if_over(id.job_id);
     }
 
     /// Everything on the machine is gone.
@@ -627,7 +627,7 @@
     }
 
     /// (job, finished tasks, running tasks) for display.
-    pub fn summary(&self) -> Vec<(Uid, u32, u32)> {
+    pub fn summary(&self) -> Vec<(JobId, u32, u32)> {
         let running = |job: &Job| {
             let on = self.placed(job).filter(|(_, _, t)| t.status == TaskStatus::Running);
             on.map(|(id, _, _)| id).collect::<BTreeSet<_>>().len() as u32
@@ -635,7 +635,7 @@
         self.jobs
             .values()
             .filter(|j| !j.over)
-            .map(|j| (j.spec.uid, j.done.len() as u32, running(j)))
+            .map(|j| (j.spec.job_id, j.done.len() as u32, running(j)))
             .collect()
     }
 }
--- a/src/core/model.rs
+++ b/src/core/model.rs
@@ -5,19 +5,19 @@
 
 /// A job id, always `job-` and a number of at least six digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Uid(pub u64);
+pub struct JobId(pub u64);
 
-impl Uid {
+impl JobId {
     /// Only the canonical form is an id: two spellings of one number would be two ids to a user.
-    pub fn parse(text: &str) -> Option<Uid> {
+    pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("job-")?;
         let plain = digits.len() >= 6 && digits.bytes().all(|b| b.is_ascii_digit());
         let canonical = plain && (digits.len() == 6 || !digits.starts_with('0'));
-        canonical.then(|| digits.parse().ok()).flatten().map(Uid)
+        canonical.then(|| digits.parse().ok()).flatten().map(JobId)
     }
 }
 
-impl fmt::Display for Uid {
+impl fmt::Display for JobId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "job-{:06}", self.0)
     }
@@ -25,13 +25,13 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    pub uid: Uid,
+    pub job_id: JobId,
     pub task: u32,
 }
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.uid, self.task)
+        write!(f, "{}/{}", self.job_id, self.task)
     }
 }
 
@@ -107,7 +107,7 @@
 /// A job as submitted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobSpec {
-    pub uid: Uid,
+    pub job_id: JobId,
     pub class: String,
     pub team: String,
     pub kind: Kind,
@@ -275,7 +275,7 @@
     pub told_token: bool,
     /// Reports running that show no trace of what the answer before them said.
     pub unheard: u32,
-    pub errors: BTreeSet<Uid>,
+    pub errors: BTreeSet<JobId>,
     pub no_room_until: u64,
     /// Tasks in a row that took far longer here than the rest of their job elsewhere.
     pub slow_votes: u32,
--- a/src/core/overview.rs
+++ b/src/core/overview.rs
@@ -18,7 +18,7 @@
 
 #[derive(Debug, Default)]
 pub struct Ledger {
-    uses: BTreeMap<(String, String, Uid), Use>,
+    uses: BTreeMap<(String, String, JobId), Use>,
     counted: u64,
     written: u64,
     decisions: VecDeque<String>,
@@ -66,7 +66,7 @@
 
     pub fn overview(&self) -> Overview {
         let jobs = self.jobs.values().take(limits::OVERVIEW_LINES).map(|j| JobLine {
-            job: j.spec.uid.to_string(),
+            job: j.spec.job_id.to_string(),
             class: j.spec.class.clone(),
             team: j.spec.team.clone(),
             priority: format!("{:?}", j.spec.priority).to_lowercase(),
@@ -98,8 +98,8 @@
         self.ledger.counted = self.now;
         let running = self.machines.values().flat_map(|m| m.tasks.iter().map(move |(id, t)| (m, id, t)));
         for (machine, id, task) in running.filter(|(_, _, t)| t.status == TaskStatus::Running) {
-            let Some(job) = self.jobs.get(&id.uid) else { continue };
-            let key = (job.spec.team.clone(), job.spec.class.clone(), id.uid);
+            let Some(job) = self.jobs.get(&id.job_id) else { continue };
+            let key = (job.spec.team.clone(), job.spec.class.clone(), id.job_id);
             let used = self.ledger.uses.entry(key).or_default();
             used.cpus += i128::from(task.needs.cpus) * i128::from(since);
             used.gpus += i128::from(task.needs.gpus) * i128::from(since);
--- a/src/core/plan.rs
+++ b/src/core/plan.rs
@@ -22,7 +22,7 @@
 
 #[derive(Debug)]
 pub struct Plan {
-    queue: std::vec::IntoIter<Uid>,
+    queue: std::vec::IntoIter<JobId>,
     coming: Vec<Group>,
     /// How many machines of each offer are coming or wanted.
     count: BTreeMap<Offer, u32>,
@@ -71,8 +71,8 @@
     pub fn begin_plan(&mut self) {
         let queue = self.jobs.values().filter(|j| !j.over && !j.waiting.is_empty());
         let mut queue: Vec<&Job> = queue.filter(|j| j.paused_until <= self.now).collect();
-        queue.sort_by_key(|j| (std::cmp::Reverse(self.rank(j)), j.arrived, j.spec.uid));
-        let queue: Vec<Uid> = queue.into_iter().map(|j| j.spec.uid).collect();
+        queue.sort_by_key(|j| (std::cmp::Reverse(self.rank(j)), j.arrived, j.spec.job_id));
+        let queue: Vec<JobId> = queue.into_iter().map(|j| j.spec.job_id).collect();
         let mut plan = Plan {
             queue: queue.into_iter(),
             coming: Vec::new(),
@@ -102,12 +102,12 @@
         let Some(mut plan) = self.fleet.plan.take() else { return true };
         let mut probes = 0;
         while probes < self.config.round_probes {
-            let Some(uid) = plan.queue.next() else {
+            let Some(job_id) = plan.queue.next() else {
                 self.probes += probes as u64;
                 self.carry_out_plan(plan);
                 return true;
             };
-            if let Some(job) = self.jobs.get(&uid).filter(|j| !j.over) {
+            if let Some(job) = self.jobs.get(&job_id).filter(|j| !j.over) {
                 self.plan_job(job, &mut plan, &mut probes);
             }
         }
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -203,16 +203,16 @@
 
     /// Jobs whose last task is finished go over in one transaction each.
     fn finish_jobs(&mut self) -> bool {
-        let ready = self.jobs.values().filter(|j| j.ready_to_finish()).map(|j| j.spec.uid);
-        for uid in ready.collect::<Vec<_>>() {
-            let Some(job) = self.jobs.get_mut(&uid) else { continue };
+        let ready = self.jobs.values().filter(|j| j.ready_to_finish()).map(|j| j.spec.job_id);
+        for job_id in ready.collect::<Vec<_>>() {
+            let Some(job) = self.jobs.get_mut(&job_id) else { continue };
             let chunks = job.chunks();
             if !self.writes.take(2.0 + chunks.len() as f64) {
                 return false;
             }
             job.committing = true;
             let (entry, tasks) = (job.entry, job.spec.tasks);
-            self.effects.push(Effect::Finish { uid, entry, tasks, chunks });
+            self.effects.push(Effect::Finish { job_id, entry, tasks, chunks });
         }
         true
     }
@@ -226,23 +226,23 @@
             waits && !j.committing && !j.over && !j.uncommitted.is_empty() && j.unfinished() > 0
         };
         let mut ready: Vec<_> =
-            self.jobs.values().filter(ready).map(|j| (j.uncommitted_since, j.spec.uid)).collect();
+            self.jobs.values().filter(ready).map(|j| (j.uncommitted_since, j.spec.job_id)).collect();
         ready.sort_unstable();
-        for (_, uid) in ready {
-            let Some(job) = self.jobs.get_mut(&uid) else { continue };
+        for (_, job_id) in ready {
+            let Some(job) = self.jobs.get_mut(&job_id) else { continue };
             if !self.writes.take(1.0) {
                 return false;
             }
             job.committing = true;
             let (entry, tasks, all_done) = (job.entry, job.uncommitted.clone(), job.done.clone());
-            self.effects.push(Effect::CommitDone { uid, entry, tasks, all_done });
+            self.effects.push(Effect::CommitDone { job_id, entry, tasks, all_done });
         }
         true
     }
 
-    pub fn committed(&mut self, uid: Uid, tasks: BTreeSet<u32>, outcome: Outcome) {
+    pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: Outcome) {
         let now = self.now;
-        let Some(job) = self.jobs.get_mut(&uid) else { return };
+        let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.committing = false;
         if outcome == Outcome::Done {
             job.stored.extend(tasks.iter().map(|t| t / limits::DONE_CHUNK));
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -162,7 +162,7 @@
                 continue;
             }
             living.insert((task.id, task.attempt));
-            let known = self.jobs.get(&task.id.uid).map(|j| (j.spec.needs, j.over, j.spec.image.clone()));
+            let known = self.jobs.get(&task.id.job_id).map(|j| (j.spec.needs, j.over, j.spec.image.clone()));
             let Some((needs, over, image)) = known else {
                 foreign.insert((task.id, task.attempt));
                 continue;
@@ -212,7 +212,7 @@
 
     /// A task that an earlier leader started here.
     fn adopt(&mut self, name: &str, id: TaskId, over: bool) {
-        let Some(job) = self.jobs.get_mut(&id.uid) else { return };
+        let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
         let elsewhere = job.places.get(&id.task).is_some_and(|n| !n.is_empty());
         let finished = job.done.contains(&id.task) || id.task >= job.spec.tasks;
         job.waiting.remove(&id.task);
@@ -239,7 +239,7 @@
         if held {
             let ran = machine.tasks.remove(&id).and_then(|t| t.runs_since).map(|since| now - since);
             if let (Cause::Done, Some(ran)) = (cause, ran) {
-                self.judge_speed(name, id.uid, ran);
+                self.judge_speed(name, id.job_id, ran);
             }
             self.unplace(name, id);
         }
@@ -252,7 +252,8 @@
         }
         match cause {
             Cause::Done => {
-                if let Some(job) = self.jobs.get_mut(&id.uid).filter(|j| !j.over && id.task < j.spec.tasks) {
+                if let Some(job) = self.jobs.get_mut(&id.job_id).filter(|j| !j.over && id.task < j.spec.tasks)
+                {
                     // The tasks of a gang complete together: its record must not wait for the report of a
                     // machine that is lost.
                     let ended = match job.spec.kind {
@@ -271,14 +272,14 @@
                 }
             }
             Cause::Error | Cause::Unknown if !intended => {
-                if let Some(job) = self.jobs.get_mut(&id.uid) {
+                if let Some(job) = self.jobs.get_mut(&id.job_id) {
                     // A job that fails everywhere must not loop hot.
                     job.errors += 1;
                     let pause = limits::JOB_PAUSE << (job.errors - 1).min(10);
                     job.paused_until = now + pause.min(limits::JOB_PAUSE_MAX);
                 }
                 if let Some(machine) = self.machines.get_mut(name).filter(|_| cause == Cause::Error) {
-                    machine.errors.insert(id.uid);
+                    machine.errors.insert(id.job_id);
                     if machine.errors.len() as u32 >= limits::MACHINE_ERRORS && !machine.draining {
                         warn!(machine = name, "tasks of different jobs fail on it: replacing it");
                         machine.draining = true;
@@ -290,7 +291,7 @@
             }
             // Stopped, or it found its mates gone or never come: the attempt is over for all of a gang.
             Cause::Stopped => {
-                if let Some(job) = self.jobs.get_mut(&id.uid).filter(|j| j.spec.kind == Kind::Gang) {
+                if let Some(job) = self.jobs.get_mut(&id.job_id).filter(|j| j.spec.kind == Kind::Gang) {
                     job.ended_attempt = job.ended_attempt.max(attempt);
                 }
             }
@@ -305,8 +306,8 @@
 
     /// Tasks of one job differ by half or so; one that takes far longer than the others did speaks
     /// against its machine, and a second one in a row keeps arrays off it for a while.
-    fn judge_speed(&mut self, name: &str, uid: Uid, ran: u64) {
-        let Some(job) = self.jobs.get_mut(&uid) else { return };
+    fn judge_speed(&mut self, name: &str, job_id: JobId, ran: u64) {
+        let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let (sum, count) = job.ran;
         job.ran = (sum + ran, count + 1);
         if count < limits::SLOW_AGAINST {
@@ -358,7 +359,7 @@
         let stops: Vec<_> = machine
             .tasks
             .keys()
-            .filter_map(|id| self.jobs.get(&id.uid).map(|j| (*id, j)))
+            .filter_map(|id| self.jobs.get(&id.job_id).map(|j| (*id, j)))
             .filter(|(_, job)| {
                 let saves = job.spec.checkpoint_s > 0.0;
                 let gang = job.spec.kind == Kind::Gang;
@@ -370,7 +371,7 @@
             .collect();
         for (id, kind, grace) in stops {
             match kind {
-                Kind::Gang => self.stop_gang(id.uid),
+                Kind::Gang => self.stop_gang(id.job_id),
                 _ => self.stop(name, id, grace),
             }
         }
@@ -405,7 +406,7 @@
         let machine = &self.machines[name];
         for ((id, attempt), cause) in &machine.exited {
             // The result on the worker is the only one until ours is committed.
-            let job = self.jobs.get(&id.uid);
+            let job = self.jobs.get(&id.job_id);
             let kept = *cause == Cause::Done && job.is_some_and(|j| j.uncommitted.contains(&id.task));
             if !kept {
                 orders.push(Order::Forget { id: *id, attempt: *attempt });
--- a/src/core/teams.rs
+++ b/src/core/teams.rs
@@ -1,6 +1,6 @@
 //! Teams: what their tasks use, their limits and their guarantees.
 
-use super::model::{Job, Machine, Resources, Uid};
+use super::model::{Job, JobId, Machine, Resources};
 use super::Core;
 use crate::settings::Team;
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
     /// Counts what every team uses now: a look at every task, so once a round and not once a job.
     pub(super) fn team_usage(&self) -> TeamUsage {
         let mut usage = TeamUsage { unaccounted: Some(Resources::default()), ..TeamUsage::default() };
-        let mut last: Option<(Uid, &str)> = None;
+        let mut last: Option<(JobId, &str)> = None;
         for machine in self.machines.values() {
             if self.may_hold_unknown_tasks(machine) {
                 let whole = Some(machine.has).filter(|has| *has != Resources::default());
@@ -68,11 +68,11 @@
             }
             for (id, task) in &machine.tasks {
                 let team = match last {
-                    Some((job, team)) if job == id.uid => Some(team),
-                    _ => self.jobs.get(&id.uid).map(|job| job.spec.team.as_str()),
+                    Some((job, team)) if job == id.job_id => Some(team),
+                    _ => self.jobs.get(&id.job_id).map(|job| job.spec.team.as_str()),
                 };
                 let Some(team) = team else { continue };
-                last = Some((id.uid, team));
+                last = Some((id.job_id, team));
                 usage.add(team, &task.needs);
                 if task.stopping.is_some() {
                     usage.stop(team, &task.needs);
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -13,7 +13,7 @@
 //!    know what its earlier life confirmed. One that has no state service promises besides to confirm nothing
 //!    for a while before we hold it, and covers that time too, a restart within it included.
 
-use crate::core::model::{Report, TaskStatus, Uid};
+use crate::core::model::{JobId, Report, TaskStatus};
 use crate::core::Order;
 use crate::limits::{self, shortened};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -63,11 +63,11 @@
     kept: u64,
     members: Vec<Member>,
     /// What this life confirmed: number, when, which.
-    own: VecDeque<(u64, u64, Uid)>,
+    own: VecDeque<(u64, u64, JobId)>,
     last: u64,
     /// Jobs that are over, whoever said so, and when that was learnt.
-    over: HashMap<Uid, u64>,
-    live: HashSet<Uid>,
+    over: HashMap<JobId, u64>,
+    live: HashSet<JobId>,
     /// When the request left that `live` was last read by; 0: not in this life.
     read: u64,
 }
@@ -122,12 +122,12 @@
     }
 
     /// The job is over: nothing of it may start.
-    pub fn is_over(&self, uid: Uid) -> bool {
-        self.over.contains_key(&uid)
+    pub fn is_over(&self, job_id: JobId) -> bool {
+        self.over.contains_key(&job_id)
     }
 
-    pub fn is_live(&self, uid: Uid) -> bool {
-        self.live.contains(&uid)
+    pub fn is_live(&self, job_id: JobId) -> bool {
+        self.live.contains(&job_id)
     }
 
     /// Stops for what the report lists of jobs that are over. None where this node, without a leader's list of
@@ -136,9 +136,9 @@
         let living = report.tasks.iter().filter(|t| !matches!(t.status, TaskStatus::Exited(_)));
         let mut stops = Vec::new();
         for task in living {
-            if self.is_over(task.id.uid) {
+            if self.is_over(task.id.job_id) {
                 stops.push(Order::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 });
-            } else if !self.live.contains(&task.id.uid) {
+            } else if !self.live.contains(&task.id.job_id) {
                 return None;
             }
         }
@@ -147,7 +147,7 @@
 
     /// The answer's orders and the stops that it must not leave without.
     pub fn with_stops(&self, mut orders: Vec<Order>, report: &Report) -> Vec<Order> {
-        for task in report.tasks.iter().filter(|t| self.is_over(t.id.uid)) {
+        for task in report.tasks.iter().filter(|t| self.is_over(t.id.job_id)) {
             if matches!(task.status, TaskStatus::Exited(_)) {
                 continue;
             }
@@ -161,18 +161,25 @@
 
     /// The live jobs as read by a request that left at `sent`: all of them, or what changed. Returns the jobs
     /// that turned out to be over.
-    pub fn read(&mut self, now: u64, sent: u64, whole: bool, added: &[Uid], removed: &[Uid]) -> Vec<Uid> {
-        let mut over: Vec<Uid> = removed.to_vec();
+    pub fn read(
+        &mut self,
+        now: u64,
+        sent: u64,
+        whole: bool,
+        added: &[JobId],
+        removed: &[JobId],
+    ) -> Vec<JobId> {
+        let mut over: Vec<JobId> = removed.to_vec();
         if whole {
-            let listed: HashSet<Uid> = added.iter().copied().collect();
+            let listed: HashSet<JobId> = added.iter().copied().collect();
             over.extend(self.live.difference(&listed));
             self.live = listed;
         } else {
             self.live.extend(added);
         }
-        let over = over.into_iter().filter(|uid| self.note_over(now, *uid)).collect();
+        let over = over.into_iter().filter(|job_id| self.note_over(now, *job_id)).collect();
         // A withdrawal that a member told of may be ahead of the copy.
-        self.live.retain(|uid| !self.over.contains_key(uid));
+        self.live.retain(|job_id| !self.over.contains_key(job_id));
         self.read = self.read.max(sent);
         let kept = self.kept;
         self.over.retain(|_, at| now < *at + kept);
@@ -182,23 +189,23 @@
         over
     }
 
-    fn note_over(&mut self, now: u64, uid: Uid) -> bool {
-        self.live.remove(&uid);
-        self.over.insert(uid, now).is_none()
+    fn note_over(&mut self, now: u64, job_id: JobId) -> bool {
+        self.live.remove(&job_id);
+        self.over.insert(job_id, now).is_none()
     }
 
     // ---- what is told ----
 
     /// This node is about to tell a user that the job is withdrawn. Returns whether that is news, and whether it
     /// may be told now: not while a member that we have promised to be quiet to does not hold it.
-    pub fn confirm(&mut self, now: u64, uid: Uid) -> (bool, bool) {
-        let known = self.own.iter().rev().find(|(_, _, u)| *u == uid).map(|(n, ..)| *n);
+    pub fn confirm(&mut self, now: u64, job_id: JobId) -> (bool, bool) {
+        let known = self.own.iter().rev().find(|(_, _, u)| *u == job_id).map(|(n, ..)| *n);
         let number = known.unwrap_or_else(|| {
             self.last += 1;
-            self.own.push_back((self.last, now, uid));
+            self.own.push_back((self.last, now, job_id));
             self.last
         });
-        let news = self.note_over(now, uid) || known.is_none();
+        let news = self.note_over(now, job_id) || known.is_none();
         let free = |m: &Member| m.silent || now >= m.quiet_until || m.holds >= number;
         let may = self.members.iter().enumerate().all(|(i, m)| i == self.me || free(m));
         (news, may)
@@ -220,7 +227,8 @@
     pub fn attest_to(&mut self, now: u64, to: usize, lost: bool) -> Option<Attestation> {
         let member = self.members.get_mut(to).filter(|m| m.life != 0)?;
         let lacks = self.own.iter().filter(|(number, ..)| *number > member.holds);
-        let withdrawn: Vec<u64> = lacks.map(|(_, _, uid)| uid.0).take(limits::ATTESTED_MOST + 1).collect();
+        let withdrawn: Vec<u64> =
+            lacks.map(|(_, _, job_id)| job_id.0).take(limits::ATTESTED_MOST + 1).collect();
         if withdrawn.len() > limits::ATTESTED_MOST {
             // Never on a day within the state service's limits: it would take minutes to commit as many.
             return None;
@@ -241,7 +249,7 @@
         from: usize,
         life: u64,
         attestation: &Attestation,
-    ) -> (Vec<Uid>, bool) {
+    ) -> (Vec<JobId>, bool) {
         let read = self.read;
         let own_life = self.life;
         let Some(member) = self.members.get_mut(from).filter(|m| m.life == life && life != 0) else {
@@ -260,8 +268,8 @@
             let quiet = if attestation.quiet { shortened(limits::QUIET) } else { 0 };
             member.known = member.known.max(attestation.echo + quiet);
         }
-        let over = attestation.withdrawn.iter().map(|uid| Uid(*uid));
-        (over.filter(|uid| self.note_over(now, *uid)).collect(), news)
+        let over = attestation.withdrawn.iter().map(|job_id| JobId(*job_id));
+        (over.filter(|job_id| self.note_over(now, *job_id)).collect(), news)
     }
 
     /// Whether a member of an earlier version may take it that we have no state service for proof that
--- a/src/knowledge_tests.rs
+++ b/src/knowledge_tests.rs
@@ -10,7 +10,7 @@
     let mut a = Knowledge::new(2, 0, 70, NOW, ALONE, KEPT);
     let mut b = Knowledge::new(2, 1, 71, NOW, ALONE, KEPT);
     for node in [&mut a, &mut b] {
-        node.read(NOW + SECOND, NOW + SECOND, true, &[Uid(1), Uid(2)], &[]);
+        node.read(NOW + SECOND, NOW + SECOND, true, &[JobId(1), JobId(2)], &[]);
     }
     (a, b)
 }
@@ -21,15 +21,16 @@
     from: (&mut Knowledge, usize, u64),
     to: (&mut Knowledge, usize, u64),
     lost: bool,
-) -> Vec<Uid> {
+) -> Vec<JobId> {
     from.0.heartbeat(to.1, to.2, true, now);
     let attestation = from.0.attest_to(now, to.1, lost).unwrap();
     to.0.attested(now, from.1, from.2, &attestation).0
 }
 
-fn report(uids: &[u64]) -> Report {
+fn report(job_ids: &[u64]) -> Report {
     let status = TaskStatus::Running;
-    let task = |uid: &u64| ReportedTask { id: TaskId { uid: Uid(*uid), task: 0 }, attempt: 3, status };
+    let task =
+        |job_id: &u64| ReportedTask { id: TaskId { job_id: JobId(*job_id), task: 0 }, attempt: 3, status };
     Report {
         machine: "m".into(),
         address: String::new(),
@@ -40,7 +41,7 @@
         seq: 1,
         token: 1,
         notice_s: None,
-        tasks: uids.iter().map(task).collect(),
+        tasks: job_ids.iter().map(task).collect(),
     }
 }
 
@@ -48,17 +49,17 @@
 fn a_withdrawal_reaches_the_others_and_no_answer_leaves_without_its_stop() {
     let (mut a, mut b) = pair();
     assert_eq!(b.stops(&report(&[1, 2])), Some(Vec::new()));
-    a.confirm(NOW + 2 * SECOND, Uid(1));
+    a.confirm(NOW + 2 * SECOND, JobId(1));
     b.heartbeat(0, 70, true, NOW);
-    assert_eq!(say(NOW + 2 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), false), [Uid(1)]);
-    let stop = Order::Stop { id: TaskId { uid: Uid(1), task: 0 }, attempt: 3, grace_s: 0.0 };
+    assert_eq!(say(NOW + 2 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), false), [JobId(1)]);
+    let stop = Order::Stop { id: TaskId { job_id: JobId(1), task: 0 }, attempt: 3, grace_s: 0.0 };
     assert_eq!(b.stops(&report(&[1, 2])), Some(vec![stop.clone()]));
     assert_eq!(b.with_stops(vec![stop.clone()], &report(&[1, 2])), [stop]);
     // What the copy lacks may have been withdrawn before this life began: not to be kept alive.
     assert_eq!(b.stops(&report(&[2, 9])), None);
     // A copy that lags behind the word does not bring the job back.
-    b.read(NOW + 3 * SECOND, NOW + 3 * SECOND, true, &[Uid(1), Uid(2)], &[]);
-    assert!(b.is_over(Uid(1)) && !b.is_live(Uid(1)));
+    b.read(NOW + 3 * SECOND, NOW + 3 * SECOND, true, &[JobId(1), JobId(2)], &[]);
+    assert!(b.is_over(JobId(1)) && !b.is_live(JobId(1)));
 }
 
 #[test]
@@ -83,25 +84,25 @@
     let (mut a, mut b) = pair();
     b.heartbeat(0, 70, true, NOW);
     say(NOW + 20 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), true);
-    assert_eq!(a.confirm(NOW + 21 * SECOND, Uid(1)), (true, false), "promised, and not held there");
+    assert_eq!(a.confirm(NOW + 21 * SECOND, JobId(1)), (true, false), "promised, and not held there");
     say(NOW + 22 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), true);
     a.heartbeat(1, 71, true, NOW);
     say(NOW + 22 * SECOND, (&mut b, 1, 71), (&mut a, 0, 70), true);
-    assert_eq!(a.confirm(NOW + 22 * SECOND, Uid(1)), (false, true));
+    assert_eq!(a.confirm(NOW + 22 * SECOND, JobId(1)), (false, true));
     // Its next life keeps the promise, so that no gap is left.
     let mut a = Knowledge::new(2, 0, 72, NOW + 28 * SECOND, ALONE, KEPT);
-    assert_eq!(a.confirm(NOW + 29 * SECOND, Uid(2)), (true, false));
+    assert_eq!(a.confirm(NOW + 29 * SECOND, JobId(2)), (true, false));
     b.heartbeat(0, 72, true, NOW);
     say(NOW + 29 * SECOND, (&mut a, 0, 72), (&mut b, 1, 71), false);
     let promised = NOW + 22 * SECOND + limits::shortened(limits::QUIET);
     assert_eq!(b.by_members(), promised.max(NOW + 29 * SECOND));
-    assert!(a.confirm(NOW + 28 * SECOND + limits::QUIET, Uid(2)).1);
+    assert!(a.confirm(NOW + 28 * SECOND + limits::QUIET, JobId(2)).1);
 }
 
 #[test]
 fn words_for_another_life_or_from_one_that_has_ended_count_for_nothing() {
     let (mut a, mut b) = pair();
-    a.confirm(NOW + 2 * SECOND, Uid(1));
+    a.confirm(NOW + 2 * SECOND, JobId(1));
     a.heartbeat(1, 71, true, NOW + 2 * SECOND);
     let attestation = a.attest_to(NOW + 2 * SECOND, 1, false).unwrap();
     // Its sender has not shown that it attests, or is another life of it.
@@ -113,7 +114,7 @@
     assert_eq!(b.attested(NOW + 2 * SECOND, 0, 70, &other), (vec![], false));
     let early = Attestation { echo: NOW - 1, ..attestation.clone() };
     assert_eq!(b.attested(NOW + 2 * SECOND, 0, 70, &early), (vec![], false));
-    assert_eq!(b.attested(NOW + 2 * SECOND, 0, 70, &attestation), (vec![Uid(1)], true));
+    assert_eq!(b.attested(NOW + 2 * SECOND, 0, 70, &attestation), (vec![JobId(1)], true));
     // A copy is no news: answered, it would be answered in turn, for ever.
     assert_eq!(b.attested(NOW + 2 * SECOND, 0, 70, &attestation), (vec![], false));
     // Earlier versions drop the connection at a frame that they do not know.
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -6,7 +6,7 @@
 //! side counts from receipt and lengthens it. Without the state lease a leader acts only for a bounded time
 //! after the moment up to which it knows of every withdrawal (`knowledge`), and so do all who keep workers alive.
 
-use crate::core::model::Uid;
+use crate::core::model::JobId;
 use crate::knowledge::{Attestation, Knowledge};
 use crate::limits::{self, lengthened, shortened};
 use crate::protocol::records::Epoch;
@@ -612,7 +612,7 @@
         from: usize,
         life: u64,
         attestation: &Attestation,
-    ) -> (Vec<Uid>, Vec<Action>) {
+    ) -> (Vec<JobId>, Vec<Action>) {
         let (over, news) = self.knowledge.attested(now, from, life, attestation);
         let mut actions = Vec::new();
         // Answered only where it brought news: two members that do not take each other's attestations, of other
@@ -625,8 +625,8 @@
 
     /// A job that is about to be told as withdrawn; whether that is news, and whether it may be told. The others
     /// hear of it at once.
-    pub fn confirm(&mut self, now: u64, uid: Uid) -> (bool, bool, Vec<Action>) {
-        let (news, may) = self.knowledge.confirm(now, uid);
+    pub fn confirm(&mut self, now: u64, job_id: JobId) -> (bool, bool, Vec<Action>) {
+        let (news, may) = self.knowledge.confirm(now, job_id);
         let mut actions = Vec::new();
         if news || !may {
             (0..self.names.len()).for_each(|to| self.attest(now, to, &mut actions));
--- a/src/leadership_tests.rs
+++ b/src/leadership_tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::blocks::{Block, Word};
-use crate::core::model::{Report, ReportedTask, TaskId, TaskStatus, Uid};
+use crate::core::model::{JobId, Report, ReportedTask, TaskId, TaskStatus};
 use crate::core::Order;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
     permits: BTreeMap<u64, u64>,
     next_permit: u64,
     /// Live jobs.
-    live: BTreeSet<Uid>,
+    live: BTreeSet<JobId>,
     next_job: u64,
 }
 
@@ -67,13 +67,13 @@
         node: usize,
         life: u64,
         sent: u64,
-        live: BTreeSet<Uid>,
+        live: BTreeSet<JobId>,
     },
     /// A job withdrawn by a node's transaction, which it tells its user when the answer is there.
     Committed {
         node: usize,
         life: u64,
-        uid: Uid,
+        job_id: JobId,
     },
 }
 
@@ -90,7 +90,7 @@
     lease_until: u64,
     report_due: u64,
     /// Jobs of which it has a task.
-    tasks: BTreeSet<Uid>,
+    tasks: BTreeSet<JobId>,
 }
 
 /// What a leader knows of workers' leases: as the core counts them (`Core::expire`).
@@ -140,7 +140,7 @@
     first_workers: bool,
     workers: Vec<Worker>,
     /// Withdrawals told to users, and when.
-    told: BTreeMap<Uid, u64>,
+    told: BTreeMap<JobId, u64>,
     /// How often a job is withdrawn, once in so many steps; 0: never.
     withdraws: u32,
     /// Leases that leaders counted as over, and answers that holders and caretakers gave by themselves.
@@ -353,24 +353,24 @@
                     return;
                 }
                 let now = self.local(node);
-                let live: Vec<Uid> = live.into_iter().collect();
+                let live: Vec<JobId> = live.into_iter().collect();
                 self.nodes[node].leadership.knowledge.read(now, sent, true, &live, &[]);
                 self.nodes[node].state_answered = now;
                 self.nodes[node].read = now;
             }
-            Wire::Committed { node, life, uid } => {
+            Wire::Committed { node, life, job_id } => {
                 // Without an answer nobody is told.
                 if self.nodes[node].life != life || !self.served(node) {
                     return;
                 }
                 let now = self.local(node);
-                let (_, may, actions) = self.nodes[node].leadership.confirm(now, uid);
+                let (_, may, actions) = self.nodes[node].leadership.confirm(now, job_id);
                 self.act(node, actions);
                 if may {
-                    self.told.entry(uid).or_insert(self.now);
+                    self.told.entry(job_id).or_insert(self.now);
                 } else {
                     // The user asks again.
-                    self.send(limits::SECOND, Wire::Committed { node, life, uid });
+                    self.send(limits::SECOND, Wire::Committed { node, life, job_id });
                 }
             }
             Wire::ToStore { node, life, action, sent } => {
@@ -472,10 +472,10 @@
                 continue;
             }
             self.store.next_job += 1;
-            self.store.live.insert(Uid(self.store.next_job));
+            self.store.live.insert(JobId(self.store.next_job));
             // Every worker that the leader reaches has a task of every job.
             if let Some(leader) = self.leader() {
-                let job = Uid(self.store.next_job);
+                let job = JobId(self.store.next_job);
                 let reached = |worker: &Worker| !self.cut_between(worker.home, leader);
                 let reached: Vec<bool> = self.workers.iter().map(reached).collect();
                 for (worker, _) in self.workers.iter_mut().zip(reached).filter(|(_, reached)| *reached) {
@@ -484,9 +484,9 @@
             }
             // The newest have not been read by everybody yet.
             if self.store.live.len() > 4 {
-                let Some(uid) = self.store.live.pop_first() else { continue };
+                let Some(job_id) = self.store.live.pop_first() else { continue };
                 let delay = self.delay();
-                self.send(delay, Wire::Committed { node, life, uid });
+                self.send(delay, Wire::Committed { node, life, job_id });
             }
         }
     }
@@ -540,9 +540,12 @@
         self.workers[w].seq += 1;
         let held = self.cut_between(node, home);
         // Late in the judgement, what the last answer should have done.
-        for (uid, told) in &self.told {
-            let runs = self.workers[w].tasks.contains(uid);
-            assert!(!runs || self.now <= told + CANCEL, "worker {w} runs {uid} told as withdrawn at {told}");
+        for (job_id, told) in &self.told {
+            let runs = self.workers[w].tasks.contains(job_id);
+            assert!(
+                !runs || self.now <= told + CANCEL,
+                "worker {w} runs {job_id} told as withdrawn at {told}"
+            );
         }
         let answer = if held || !self.up(node) { None } else { self.report_to(w, node) };
         let worker = &mut self.workers[w];
@@ -550,7 +553,7 @@
             Some((token, stops)) if token >= worker.token => {
                 worker.token = token;
                 worker.lease_until = self.now + LEASE;
-                worker.tasks.retain(|uid| !stops.contains(uid));
+                worker.tasks.retain(|job_id| !stops.contains(job_id));
             }
             Some(_) => {}
             None => {
@@ -561,11 +564,11 @@
     }
 
     /// The token that a node answers the worker with, if it may, and the jobs whose tasks it stops.
-    fn report_to(&mut self, w: usize, node: usize) -> Option<(u64, BTreeSet<Uid>)> {
+    fn report_to(&mut self, w: usize, node: usize) -> Option<(u64, BTreeSet<JobId>)> {
         let now = self.local(node);
         let worker = &self.workers[w];
-        let task = |uid: &Uid| ReportedTask {
-            id: TaskId { uid: *uid, task: 0 },
+        let task = |job_id: &JobId| ReportedTask {
+            id: TaskId { job_id: *job_id, task: 0 },
             attempt: 1,
             status: TaskStatus::Running,
         };
@@ -581,24 +584,24 @@
             notice_s: None,
             tasks: worker.tasks.iter().map(task).collect(),
         };
-        let uids = |orders: Vec<Order>| {
+        let job_ids = |orders: Vec<Order>| {
             let stopped = orders.into_iter().filter_map(|o| match o {
-                Order::Stop { id, .. } => Some(id.uid),
+                Order::Stop { id, .. } => Some(id.job_id),
                 _ => None,
             });
-            stopped.collect::<BTreeSet<Uid>>()
+            stopped.collect::<BTreeSet<JobId>>()
         };
         let keeps = self.keeps(node, &report);
         let loaded = self.withdraws == 0 || self.nodes[node].read > 0;
         if let Some(token) = self.nodes[node].leadership.authority(now) {
             let stops = if loaded { self.leads(node, &report) } else { keeps }?;
             self.nodes[node].ledger.answered.insert(w, (now, self.now));
-            return Some((token, uids(stops)));
+            return Some((token, job_ids(stops)));
         }
         if let Some(token) = self.nodes[node].leadership.caretaker(now) {
             let stops = keeps?;
             self.alone_answers += 1;
-            return Some((token, uids(stops)));
+            return Some((token, job_ids(stops)));
         }
         let followed = self.nodes[node].leadership.followed(now);
         if let Some((_, token, _)) = followed {
@@ -607,7 +610,7 @@
         if let Some(stops) = keeps {
             if let Some(token) = self.nodes[node].block.answers(now, &report, followed.is_some()) {
                 self.alone_answers += 1;
-                return Some((token, uids(stops)));
+                return Some((token, job_ids(stops)));
             }
         }
         // Passed on.
@@ -619,7 +622,7 @@
                 self.nodes[leader].ledger.answered.insert(w, (at_leader, self.now));
                 let keep = stops.is_empty();
                 self.nodes[node].block.passed(now, report, token, keep);
-                return Some((token, uids(stops)));
+                return Some((token, job_ids(stops)));
             }
         }
         let token = self.workers[w].token;
@@ -644,7 +647,7 @@
             return Some(Vec::new());
         }
         // It stops what it has no job for, as the core does.
-        let known = |id: &TaskId| knowledge.is_live(id.uid);
+        let known = |id: &TaskId| knowledge.is_live(id.job_id);
         let foreign = report.tasks.iter().filter(|t| !known(&t.id));
         let foreign = foreign.map(|t| Order::Stop { id: t.id, attempt: t.attempt, grace_s: 0.0 });
         (now < knowledge.keeps_until()).then(|| knowledge.with_stops(foreign.collect(), report))
--- a/src/live.rs
+++ b/src/live.rs
@@ -4,7 +4,7 @@
 //! on requests. What changed is passed on too, with the time from which it counts: who keeps workers alive must
 //! know which jobs were withdrawn (`knowledge`), so that the copy is brought up to date without polls as well.
 
-use crate::core::model::Uid;
+use crate::core::model::JobId;
 use crate::limits;
 use crate::server::Event;
 use crate::store::{self, Store, StoreError};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-type Question = (Uid, oneshot::Sender<Result<bool, Arc<StoreError>>>);
+type Question = (JobId, oneshot::Sender<Result<bool, Arc<StoreError>>>);
 
 #[derive(Clone)]
 pub struct Live(mpsc::Sender<Question>);
@@ -26,15 +26,15 @@
     }
 
     /// Whether the job was live at some time after this question was asked; None when too many ask.
-    pub async fn contains(&self, uid: Uid) -> Option<Result<bool, Arc<StoreError>>> {
+    pub async fn contains(&self, job_id: JobId) -> Option<Result<bool, Arc<StoreError>>> {
         let (to, answer) = oneshot::channel();
-        self.0.try_send((uid, to)).ok()?;
+        self.0.try_send((job_id, to)).ok()?;
         answer.await.ok()
     }
 }
 
 struct Copy {
-    jobs: HashSet<Uid>,
+    jobs: HashSet<JobId>,
     revision: u64,
 }
 
@@ -45,8 +45,8 @@
     pub sent: u64,
     /// All live jobs are among those added.
     pub whole: bool,
-    pub added: Vec<Uid>,
-    pub removed: Vec<Uid>,
+    pub added: Vec<JobId>,
+    pub removed: Vec<JobId>,
 }
 
 async fn keep(store: Store, mut questions: mpsc::Receiver<Question>, events: mpsc::Sender<Event>) {
@@ -73,9 +73,9 @@
         if fresh.is_ok() && events.send(Event::Live(std::mem::take(&mut reading))).await.is_err() {
             return;
         }
-        for (uid, to) in waiting {
+        for (job_id, to) in waiting {
             let answer = match (&fresh, &copy) {
-                (Ok(()), Some(copy)) => Ok(copy.jobs.contains(&uid)),
+                (Ok(()), Some(copy)) => Ok(copy.jobs.contains(&job_id)),
                 (Err(error), _) => Err(error.clone()),
                 (Ok(()), None) => continue,
             };
@@ -93,7 +93,7 @@
             Some(copy) => copy,
             None => {
                 let (records, revision) = store.list(store::LIVE).await?;
-                let jobs: HashSet<Uid> = records.iter().filter_map(|r| job(&r.key)).collect();
+                let jobs: HashSet<JobId> = records.iter().filter_map(|r| job(&r.key)).collect();
                 let added = jobs.iter().copied().collect();
                 *reading = Reading { sent: reading.sent, whole: true, added, removed: Vec::new() };
                 Copy { jobs, revision }
@@ -109,12 +109,12 @@
             }
         };
         for event in follow.events {
-            if let Some(uid) = event.written.as_deref().and_then(job) {
-                now.jobs.insert(uid);
-                reading.added.push(uid);
-            } else if let Some(uid) = event.removed.as_deref().and_then(job) {
-                now.jobs.remove(&uid);
-                reading.removed.push(uid);
+            if let Some(job_id) = event.written.as_deref().and_then(job) {
+                now.jobs.insert(job_id);
+                reading.added.push(job_id);
+            } else if let Some(job_id) = event.removed.as_deref().and_then(job) {
+                now.jobs.remove(&job_id);
+                reading.removed.push(job_id);
             }
         }
         now.revision = now.revision.max(follow.revision);
@@ -123,6 +123,6 @@
     }
 }
 
-fn job(path: &str) -> Option<Uid> {
-    path.strip_prefix(store::LIVE).and_then(Uid::parse)
+fn job(path: &str) -> Option<JobId> {
+    path.strip_prefix(store::LIVE).and_then(JobId::parse)
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,6 +1,6 @@
 //! Frames between controllers: a fixed layout each, read in place.
 
-use crate::core::model::{Cause, Report, ReportedTask, TaskId, TaskStatus, Uid};
+use crate::core::model::{Cause, JobId, Report, ReportedTask, TaskId, TaskStatus};
 use crate::core::Order;
 use crate::knowledge::Attestation;
 use crate::leadership::{Message, Status};
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 struct Line {
-    uid: U64,
+    job_id: U64,
     done: U32,
     running: U32,
 }
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 struct TaskLine {
-    uid: U64,
+    job_id: U64,
     attempt: U64,
     task: U32,
     status: u8,
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 struct OrderLine {
-    uid: U64,
+    job_id: U64,
     attempt: U64,
     grace_ms: U32,
     task: U32,
@@ -222,7 +222,7 @@
     to.extend_from_slice(line.as_bytes());
     for task in &report.tasks {
         let line = TaskLine {
-            uid: task.id.uid.0.into(),
+            job_id: task.id.job_id.0.into(),
             attempt: task.attempt.into(),
             task: task.id.task.into(),
             status: status_code(task.status),
@@ -250,7 +250,7 @@
     let (tasks, mut rest) =
         <[TaskLine]>::ref_from_prefix_with_elems(rest, line.tasks.get() as usize).map_err(|_| short)?;
     let tasks = tasks.iter().map(|t| {
-        let id = TaskId { uid: Uid(t.uid.get()), task: t.task.get() };
+        let id = TaskId { job_id: JobId(t.job_id.get()), task: t.task.get() };
         let status = status_of(t.status).ok_or("unknown task status")?;
         Ok(ReportedTask { id, attempt: t.attempt.get(), status })
     });
@@ -287,7 +287,7 @@
         Order::Forget { id, attempt } => (2, id, attempt, 0.0),
     };
     OrderLine {
-        uid: id.uid.0.into(),
+        job_id: id.job_id.0.into(),
         attempt: (*attempt).into(),
         grace_ms: ((grace_s * 1000.0) as u32).into(),
         task: id.task.into(),
@@ -297,7 +297,7 @@
 }
 
 fn order_of(line: &OrderLine) -> Result<Order, &'static str> {
-    let id = TaskId { uid: Uid(line.uid.get()), task: line.task.get() };
+    let id = TaskId { job_id: JobId(line.job_id.get()), task: line.task.get() };
     let attempt = line.attempt.get();
     match line.kind {
         0 => Ok(Order::Start { id, attempt }),
@@ -363,8 +363,9 @@
         }
         Payload::Summary(all) => {
             head.kind = SUMMARY;
-            for (uid, done, running) in &all[..all.len().min(SUMMARY_MOST)] {
-                let line = Line { uid: (*uid).into(), done: (*done).into(), running: (*running).into() };
+            for (job_id, done, running) in &all[..all.len().min(SUMMARY_MOST)] {
+                let line =
+                    Line { job_id: (*job_id).into(), done: (*done).into(), running: (*running).into() };
                 body.extend_from_slice(line.as_bytes());
             }
         }
@@ -401,7 +402,7 @@
                 reserved: [0; 7],
             };
             body.extend_from_slice(line.as_bytes());
-            attested.withdrawn.iter().for_each(|uid| body.extend_from_slice(U64::new(*uid).as_bytes()));
+            attested.withdrawn.iter().for_each(|job_id| body.extend_from_slice(U64::new(*job_id).as_bytes()));
         }
     }
     head.length = (body.len() as u32).into();
@@ -448,7 +449,7 @@
         RELEASE => leadership(Message::Release { token, successor: head.successor.get() as usize }),
         SUMMARY => {
             let lines = <[Line]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
-            Payload::Summary(lines.iter().map(|l| (l.uid.get(), l.done.get(), l.running.get())).collect())
+            Payload::Summary(lines.iter().map(|l| (l.job_id.get(), l.done.get(), l.running.get())).collect())
         }
         REPORT => Payload::Report { id: stamp, stamp: time, report: read_report(rest)? },
         REPLY => {
@@ -472,7 +473,7 @@
                 quiet: line.quiet != 0,
                 held: line.held.get(),
                 last: line.last.get(),
-                withdrawn: withdrawn.iter().map(|uid| uid.get()).collect(),
+                withdrawn: withdrawn.iter().map(|job_id| job_id.get()).collect(),
             })
         }
         _ => Payload::Confirmed { id: stamp, lease_ms: head.workers.get() },
@@ -624,7 +625,7 @@
     #[test]
     fn reports_and_orders_survive_the_trip_and_any_cut_of_them_is_refused() {
         let sender = Sender { node: 1, incarnation: 7 };
-        let id = TaskId { uid: Uid(412), task: 3 };
+        let id = TaskId { job_id: JobId(412), task: 3 };
         let report = Report {
             machine: "m-000231".into(),
             address: "10.1.0.232:9000".into(),
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,6 +1,6 @@
 //! What users send and are told.
 
-use crate::core::model::{JobSpec, Kind, Priority, Resources, Uid};
+use crate::core::model::{JobId, JobSpec, Kind, Priority, Resources};
 use crate::limits;
 use serde::{Deserialize, Serialize};
 
@@ -127,7 +127,7 @@
 
 impl JobState {
     /// A state without counts of tasks.
-    pub fn without_counts(job_id: Uid, status: JobStatus) -> Self {
+    pub fn without_counts(job_id: JobId, status: JobStatus) -> Self {
         JobState { job_id: job_id.to_string(), status, done: None, running: None }
     }
 }
@@ -138,12 +138,12 @@
 impl Submission {
     /// Checks what the types do not, and gives the domain's form. The error names the field as users know it.
     pub fn check(&self) -> Result<JobSpec, String> {
-        let uid = Uid::parse(&self.job_id).ok_or("uid: must look like job-000412")?;
+        let job_id = JobId::parse(&self.job_id).ok_or("uid: must look like job-000412")?;
         self.check_names()?;
         self.check_amounts()?;
         self.check_places()?;
         Ok(JobSpec {
-            uid,
+            job_id,
             class: self.class.clone(),
             team: self.team.clone(),
             kind: self.kind.into(),
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,6 +1,6 @@
 //! What workers report and are told.
 
-use crate::core::model::{Cause, Report, ReportedTask, TaskId, TaskStatus, Uid};
+use crate::core::model::{Cause, JobId, Report, ReportedTask, TaskId, TaskStatus};
 use crate::core::Order;
 use serde::{Deserialize, Serialize};
 
@@ -75,8 +75,8 @@
     }
 
     fn id(&self) -> Option<TaskId> {
-        let (uid, task) = self.task.split_once('/')?;
-        Some(TaskId { uid: Uid::parse(uid)?, task: task.parse().ok()? })
+        let (job_id, task) = self.task.split_once('/')?;
+        Some(TaskId { job_id: JobId::parse(job_id)?, task: task.parse().ok()? })
     }
 }
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -3,7 +3,7 @@
 use crate::api::{self, Api, Health, Summary, Types};
 use crate::blocks::{Block, Word};
 use crate::cloud::{self, Cloud};
-use crate::core::model::{Report, Uid};
+use crate::core::model::{JobId, Report};
 use crate::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob, StoredMachine};
 use crate::http::{wall_ms, Clock, Http};
 use crate::leadership::{Action, Leadership, Status, StoreAnswer};
@@ -77,7 +77,7 @@
     /// The live jobs were read.
     Live(Reading),
     /// A user is to be told that the job is withdrawn; the answer is whether that may be told now.
-    Withdrawn(Uid, oneshot::Sender<bool>),
+    Withdrawn(JobId, oneshot::Sender<bool>),
     Store(StoreAnswer),
     /// For the core of this token, and no other.
     Core(u64, Command),
@@ -316,7 +316,7 @@
     summary_due: u64,
     report_due: u64,
     /// Withdrawals that members must hold before they are told.
-    confirming: Vec<(Uid, oneshot::Sender<bool>)>,
+    confirming: Vec<(JobId, oneshot::Sender<bool>)>,
 }
 
 impl Hub {
@@ -379,17 +379,17 @@
                     let over = self.leadership.knowledge.read(now, sent, whole, &added, &removed);
                     commands.extend(over.into_iter().map(Command::JobRemoved));
                 }
-                Event::Withdrawn(uid, to) => {
-                    let (news, _, actions) = self.leadership.confirm(now, uid);
+                Event::Withdrawn(job_id, to) => {
+                    let (news, _, actions) = self.leadership.confirm(now, job_id);
                     self.act(actions);
                     if news {
-                        commands.push(Command::JobRemoved(uid));
+                        commands.push(Command::JobRemoved(job_id));
                     }
-                    self.confirming.push((uid, to));
+                    self.confirming.push((job_id, to));
                 }
                 Event::Peer(Received { payload: Payload::Summary(lines), .. }) => {
                     if !self.leadership.is_leader() {
-                        let lines = lines.into_iter().map(|(u, d, r)| (Uid(u), (d, r))).collect();
+                        let lines = lines.into_iter().map(|(u, d, r)| (JobId(u), (d, r))).collect();
                         self.summary.send_replace(Arc::new(lines));
                     }
                 }
@@ -430,9 +430,9 @@
     fn unless_over(&self, command: Command) -> Option<Command> {
         let knowledge = &self.leadership.knowledge;
         match command {
-            Command::JobAdded(job) if knowledge.is_over(job.spec.uid) => None,
+            Command::JobAdded(job) if knowledge.is_over(job.spec.job_id) => None,
             Command::Load { mut jobs, records } => {
-                jobs.retain(|job| !knowledge.is_over(job.spec.uid));
+                jobs.retain(|job| !knowledge.is_over(job.spec.job_id));
                 Some(Command::Load { jobs, records })
             }
             command => Some(command),
@@ -441,12 +441,12 @@
 
     /// Answers those who want to tell a user of a withdrawal, as soon as it may be told.
     fn tell_confirmed(&mut self, now: u64) {
-        for (uid, to) in std::mem::take(&mut self.confirming) {
-            let (_, may) = self.leadership.knowledge.confirm(now, uid);
+        for (job_id, to) in std::mem::take(&mut self.confirming) {
+            let (_, may) = self.leadership.knowledge.confirm(now, job_id);
             if may {
                 let _ = to.send(true);
             } else if !to.is_closed() {
-                self.confirming.push((uid, to));
+                self.confirming.push((job_id, to));
             }
         }
     }
@@ -802,34 +802,34 @@
                     }
                 });
             }
-            Effect::CommitDone { uid, entry, tasks, all_done } => {
+            Effect::CommitDone { job_id, entry, tasks, all_done } => {
                 let most = self.settings.deployment.state.txn_ops;
                 let versions = self.versions.clone();
                 self.ask(async move {
-                    let (tasks, changes) = done_changes(uid, tasks, &all_done, most);
-                    let when = vec![leads, store::compare(&store::live(uid), entry)];
+                    let (tasks, changes) = done_changes(job_id, tasks, &all_done, most);
+                    let when = vec![leads, store::compare(&store::live(job_id), entry)];
                     let outcome = settle(versions.commit(&store, when, changes).await).await;
-                    Command::Committed { uid, tasks, outcome }
+                    Command::Committed { job_id, tasks, outcome }
                 });
             }
-            Effect::Finish { uid, entry, tasks, mut chunks } => {
+            Effect::Finish { job_id, entry, tasks, mut chunks } => {
                 // What does not fit the transaction is removed after it: readers ask for the job first.
                 let fit = self.settings.deployment.state.txn_ops.saturating_sub(2);
                 let rest = chunks.split_off(fit.min(chunks.len()));
                 let epoch = self.entry;
                 self.ask(async move {
                     let over = FinalRecord { status: JobStatus::Done, tasks };
-                    let mut changes: Vec<_> = store::write(&store::over(uid), over).into_iter().collect();
-                    changes.push(store::remove(&store::live(uid)));
-                    changes.extend(chunks.iter().map(|chunk| store::remove(&store::done(uid, *chunk))));
-                    let when = vec![leads, store::compare(&store::live(uid), entry)];
+                    let mut changes: Vec<_> = store::write(&store::over(job_id), over).into_iter().collect();
+                    changes.push(store::remove(&store::live(job_id)));
+                    changes.extend(chunks.iter().map(|chunk| store::remove(&store::done(job_id, *chunk))));
+                    let when = vec![leads, store::compare(&store::live(job_id), entry)];
                     let outcome = settle(store.commit(when, changes).await).await;
                     if outcome == Outcome::Done {
-                        info!(job = %uid, "done");
-                        let rest = rest.into_iter().map(|chunk| store::done(uid, chunk)).collect();
+                        info!(job = %job_id, "done");
+                        let rest = rest.into_iter().map(|chunk| store::done(job_id, chunk)).collect();
                         tokio::spawn(sweep(store, rest, epoch));
                     }
-                    Command::Finished { uid, outcome }
+                    Command::Finished { job_id, outcome }
                 })
             }
             Effect::Record { key, machines } => {
@@ -907,7 +907,7 @@
 /// The keys of finished tasks to write for `tasks`, as many as one transaction takes, and the tasks
 /// that these cover.
 fn done_changes(
-    uid: Uid,
+    job_id: JobId,
     tasks: BTreeSet<u32>,
     all_done: &BTreeSet<u32>,
     most: usize,
@@ -920,7 +920,7 @@
         .filter_map(|chunk| {
             let first = chunk * limits::DONE_CHUNK;
             let bits = encode_bits(all_done.range(first..first + limits::DONE_CHUNK).map(|t| t - first));
-            store::write(&store::done(uid, *chunk), bits).ok()
+            store::write(&store::done(job_id, *chunk), bits).ok()
         })
         .collect();
     (covered, changes)
@@ -978,14 +978,14 @@
     let (done, _) = store.list(store::DONE).await?;
     let (fleet, _) = store.list(store::FLEET).await?;
     done.iter().chain(&fleet).for_each(|record| versions.note(&record.key, record.version));
-    let mut jobs: HashMap<Uid, StoredJob> =
-        live.iter().filter_map(stored_job).map(|job| (job.spec.uid, job)).collect();
+    let mut jobs: HashMap<JobId, StoredJob> =
+        live.iter().filter_map(stored_job).map(|job| (job.spec.job_id, job)).collect();
     let mut orphans = Vec::new();
     for record in done {
         let mut parts = record.key.split('/').skip(1);
-        let uid = parts.next().and_then(Uid::parse);
+        let job_id = parts.next().and_then(JobId::parse);
         let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
-        let Some(job) = uid.and_then(|uid| jobs.get_mut(&uid)) else {
+        let Some(job) = job_id.and_then(|job_id| jobs.get_mut(&job_id)) else {
             orphans.push(record.key);
             continue;
         };
@@ -1028,11 +1028,11 @@
     versions: RecordVersions,
 ) {
     let send = |command| events.send(Event::Core(token, command));
-    let mut known: BTreeSet<Uid> = BTreeSet::new();
+    let mut known: BTreeSet<JobId> = BTreeSet::new();
     let mut from = loop {
         match load(&store, &versions).await {
             Ok(Loaded { jobs, records, orphans, revision }) => {
-                known.extend(jobs.iter().map(|j| j.spec.uid));
+                known.extend(jobs.iter().map(|j| j.spec.job_id));
                 let _ = send(Command::Load { jobs, records }).await;
                 tokio::spawn(sweep(store.clone(), orphans, entry));
                 break revision;
@@ -1053,9 +1053,9 @@
                     continue;
                 };
                 let jobs: Vec<_> = records.iter().filter_map(stored_job).collect();
-                let listed: BTreeSet<Uid> = jobs.iter().map(|j| j.spec.uid).collect();
-                for uid in known.difference(&listed) {
-                    let _ = send(Command::JobRemoved(*uid)).await;
+                let listed: BTreeSet<JobId> = jobs.iter().map(|j| j.spec.job_id).collect();
+                for job_id in known.difference(&listed) {
+                    let _ = send(Command::JobRemoved(*job_id)).await;
                 }
                 for job in jobs {
                     let _ = send(Command::JobAdded(job)).await;
@@ -1075,13 +1075,13 @@
             if let Some(key) = event.written {
                 let record = Record { key, value: event.value, version: event.version };
                 if let Some(job) = stored_job(&record) {
-                    known.insert(job.spec.uid);
+                    known.insert(job.spec.job_id);
                     let _ = send(Command::JobAdded(job)).await;
                 }
             } else if let Some(key) = event.removed {
-                if let Some(uid) = key.strip_prefix(store::LIVE).and_then(Uid::parse) {
-                    known.remove(&uid);
-                    let _ = send(Command::JobRemoved(uid)).await;
+                if let Some(job_id) = key.strip_prefix(store::LIVE).and_then(JobId::parse) {
+                    known.remove(&job_id);
+                    let _ = send(Command::JobRemoved(job_id)).await;
                 }
             }
         }
@@ -1200,10 +1200,10 @@
     #[test]
     fn finished_tasks_survive_their_encoding_in_chunks() {
         let done: BTreeSet<u32> = [0, 3, 4, 4095, 4096, 99_999].into();
-        let (covered, changes) = done_changes(Uid(7), done.clone(), &done, 8);
+        let (covered, changes) = done_changes(JobId(7), done.clone(), &done, 8);
         assert_eq!(covered, done);
         assert_eq!(changes.len(), 3);
-        let (covered, changes) = done_changes(Uid(7), done.clone(), &done, 2);
+        let (covered, changes) = done_changes(JobId(7), done.clone(), &done, 2);
         assert_eq!((covered.len(), changes.len()), (5, 2));
         let bits = encode_bits([0u32, 3, 4, 4095].into_iter());
         assert_eq!(bits.len(), 1024);
--- a/src/store.rs
+++ b/src/store.rs
@@ -297,14 +297,14 @@
 pub const DONE: &str = "done/";
 pub const FLEET: &str = "fleet/machines/";
 
-pub fn live(uid: impl std::fmt::Display) -> String {
-    format!("{LIVE}{uid}")
+pub fn live(job_id: impl std::fmt::Display) -> String {
+    format!("{LIVE}{job_id}")
 }
 
-pub fn over(uid: impl std::fmt::Display) -> String {
-    format!("over/{uid}")
+pub fn over(job_id: impl std::fmt::Display) -> String {
+    format!("over/{job_id}")
 }
 
-pub fn done(uid: impl std::fmt::Display, chunk: u32) -> String {
-    format!("{DONE}{uid}/{chunk}")
+pub fn done(job_id: impl std::fmt::Display, chunk: u32) -> String {
+    format!("{DONE}{job_id}/{chunk}")
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -30,9 +30,9 @@
 }
 
 /// A job of one-slot tasks that may run anywhere.
-pub fn spec(uid: u64, kind: Kind, priority: Priority, tasks: u32) -> JobSpec {
+pub fn spec(job_id: u64, kind: Kind, priority: Priority, tasks: u32) -> JobSpec {
     JobSpec {
-        uid: Uid(uid),
+        job_id: JobId(job_id),
         class: "c".into(),
         team: "t".into(),
         kind,
--- a/tests/core_rules.rs
+++ b/tests/core_rules.rs
@@ -94,7 +94,7 @@
     }]
 }
 
-fn job(rng: &mut SmallRng, uid: u64, deployment: &Deployment) -> JobSpec {
+fn job(rng: &mut SmallRng, job_id: u64, deployment: &Deployment) -> JobSpec {
     let service = rng.random_bool(0.3);
     let kinds = [Kind::Array, Kind::Array, Kind::Gang];
     let kind = if service { Kind::Service } else { kinds[rng.random_range(0..3)] };
@@ -115,7 +115,7 @@
         spread: service,
         spot: !service,
         estimate_s: 8.0,
-        ..common::spec(uid, kind, priority, tasks)
+        ..common::spec(job_id, kind, priority, tasks)
     }
 }
 
@@ -183,13 +183,13 @@
     passed_on: BTreeMap<u64, (usize, Report)>,
     answered_by_holders: u64,
     cloud_down_until: u64,
-    specs: BTreeMap<Uid, JobSpec>,
-    live: BTreeMap<Uid, (u64, BTreeSet<u32>)>,
-    withdrawn: BTreeMap<Uid, u64>,
-    gangs: BTreeMap<(Uid, u64), GangRun>,
+    specs: BTreeMap<JobId, JobSpec>,
+    live: BTreeMap<JobId, (u64, BTreeSet<u32>)>,
+    withdrawn: BTreeMap<JobId, u64>,
+    gangs: BTreeMap<(JobId, u64), GangRun>,
     gangs_done: u64,
-    over: BTreeSet<Uid>,
-    completed: BTreeMap<Uid, BTreeSet<u32>>,
+    over: BTreeSet<JobId>,
+    completed: BTreeMap<JobId, BTreeSet<u32>>,
     recorded: BTreeMap<String, Vec<StoredMachine>>,
     later: Vec<(u64, Command)>,
     /// Records on their way to the state service: when they are carried out, their key and what they say.
@@ -246,20 +246,20 @@
         }
     }
 
-    fn submit(&mut self, uid: u64) {
-        let spec = job(&mut self.rng, uid, &self.deployment);
+    fn submit(&mut self, job_id: u64) {
+        let spec = job(&mut self.rng, job_id, &self.deployment);
         self.entry += 1;
-        self.live.insert(spec.uid, (self.entry, BTreeSet::new()));
-        self.specs.insert(spec.uid, spec.clone());
+        self.live.insert(spec.job_id, (self.entry, BTreeSet::new()));
+        self.specs.insert(spec.job_id, spec.clone());
         let stored = StoredJob { spec, entry: self.entry, age: 0, done: BTreeSet::new() };
         self.later.push((self.now + STEP, Command::JobAdded(stored)));
     }
 
-    fn withdraw(&mut self, uid: Uid) {
-        if self.live.remove(&uid).is_some() {
-            self.over.insert(uid);
-            self.withdrawn.insert(uid, self.now);
-            self.later.push((self.now + STEP, Command::JobRemoved(uid)));
+    fn withdraw(&mut self, job_id: JobId) {
+        if self.live.remove(&job_id).is_some() {
+            self.over.insert(job_id);
+            self.withdrawn.insert(job_id, self.now);
+            self.later.push((self.now + STEP, Command::JobRemoved(job_id)));
         }
     }
 
@@ -280,8 +280,8 @@
         let jobs = self
             .live
             .iter()
-            .map(|(uid, (entry, done))| StoredJob {
-                spec: self.specs[uid].clone(),
+            .map(|(job_id, (entry, done))| StoredJob {
+                spec: self.specs[job_id].clone(),
                 entry: *entry,
                 age: 0,
                 done: done.clone(),
@@ -365,14 +365,14 @@
     /// them is gone, and they complete together.
     fn run_gangs(&mut self) {
         let now = self.now;
-        let mut alive: BTreeMap<(Uid, u64), Vec<(String, TaskId)>> = BTreeMap::new();
+        let mut alive: BTreeMap<(JobId, u64), Vec<(String, TaskId)>> = BTreeMap::new();
         let mut hanging = BTreeSet::new();
         for (name, worker) in self.workers.iter().filter(|(_, w)| !w.dead && now < w.lease_until) {
             for (id, task) in worker.tasks.iter().filter(|(_, t)| t.exited.is_none()) {
-                if self.specs[&id.uid].kind == Kind::Gang {
-                    alive.entry((id.uid, task.attempt)).or_default().push((name.clone(), *id));
+                if self.specs[&id.job_id].kind == Kind::Gang {
+                    alive.entry((id.job_id, task.attempt)).or_default().push((name.clone(), *id));
                     if now < worker.up_at {
-                        hanging.insert((id.uid, task.attempt));
+                        hanging.insert((id.job_id, task.attempt));
                     }
                 }
             }
@@ -427,9 +427,9 @@
                 worker.lease_until = now + limits::micros(LEASE_S);
             }
             for (id, task) in worker.tasks.iter_mut().filter(|(_, t)| t.exited.is_none()) {
-                if now >= task.ends && self.specs[&id.uid].kind == Kind::Array {
+                if now >= task.ends && self.specs[&id.job_id].kind == Kind::Array {
                     task.exited = Some(Cause::Done);
-                    self.completed.entry(id.uid).or_default().insert(id.task);
+                    self.completed.entry(id.job_id).or_default().insert(id.task);
                     worker.next_report = now;
                 }
             }
@@ -452,8 +452,8 @@
                     .tasks
                     .iter()
                     .map(|(id, t)| {
-                        let waits = self.specs[&id.uid].kind == Kind::Gang
-                            && !self.gangs.contains_key(&(id.uid, t.attempt));
+                        let waits = self.specs[&id.job_id].kind == Kind::Gang
+                            && !self.gangs.contains_key(&(id.job_id, t.attempt));
                         let status = if waits { TaskStatus::Fetching } else { TaskStatus::Running };
                         let status = t.exited.map_or(status, TaskStatus::Exited);
                         ReportedTask { id: *id, attempt: t.attempt, status }
@@ -590,26 +590,26 @@
                 self.held_orders.push((at, machine, self.token, session, orders));
                 self.deliver_held_orders();
             }
-            Effect::CommitDone { uid, entry, tasks, .. } => {
-                let outcome = match self.live.get_mut(&uid) {
+            Effect::CommitDone { job_id, entry, tasks, .. } => {
+                let outcome = match self.live.get_mut(&job_id) {
                     Some((at, done)) if *at == entry => {
                         done.extend(tasks.iter().copied());
                         Outcome::Done
                     }
                     _ => Outcome::Refused,
                 };
-                self.later.push((soon, Command::Committed { uid, tasks, outcome }));
+                self.later.push((soon, Command::Committed { job_id, tasks, outcome }));
             }
-            Effect::Finish { uid, .. } => {
+            Effect::Finish { job_id, .. } => {
                 let mut outcome = Outcome::Refused;
-                if self.live.remove(&uid).is_some() {
-                    let done = self.completed.get(&uid).map_or(0, BTreeSet::len);
-                    assert_eq!(done as u32, self.specs[&uid].tasks, "not_done: {uid} is called done");
-                    self.over.insert(uid);
+                if self.live.remove(&job_id).is_some() {
+                    let done = self.completed.get(&job_id).map_or(0, BTreeSet::len);
+                    assert_eq!(done as u32, self.specs[&job_id].tasks, "not_done: {job_id} is called done");
+                    self.over.insert(job_id);
                     self.finished += 1;
                     outcome = Outcome::Done;
                 }
-                self.later.push((soon, Command::Finished { uid, outcome }));
+                self.later.push((soon, Command::Finished { job_id, outcome }));
             }
             Effect::Record { key, machines } => {
                 let steps = self.rng.random_range(self.deployment.write_steps.clone());
@@ -695,20 +695,20 @@
     }
 
     fn start(&mut self, name: &str, id: TaskId, attempt: u64) {
-        let spec = self.specs[&id.uid].clone();
+        let spec = self.specs[&id.job_id].clone();
         let runs = self.now + self.rng.random_range(3..12) * SECOND;
-        let completed = self.completed.get(&id.uid).is_some_and(|c| c.contains(&id.task));
+        let completed = self.completed.get(&id.job_id).is_some_and(|c| c.contains(&id.task));
         for (other, worker) in self.workers.iter().filter(|(_, w)| !w.dead) {
             // One that hangs past its lease kills them the moment it goes on.
             let alive = self.now < worker.lease_until;
             let there = alive && worker.tasks.get(&id).is_some_and(|t| t.exited.is_none());
             assert!(!there, "ran_twice: {id} starts on {name} while it is on {other}");
         }
-        let since = self.withdrawn.get(&id.uid);
+        let since = self.withdrawn.get(&id.job_id);
         assert!(since.is_none_or(|at| self.now < at + 40 * SECOND), "ran_cancelled: {id}");
         let Some(worker) = self.workers.get_mut(name) else { return };
         // A gang that has not started yet takes a replacement under its own attempt, on whatever machine.
-        let replaces = spec.kind == Kind::Gang && !self.gangs.contains_key(&(id.uid, attempt));
+        let replaces = spec.kind == Kind::Gang && !self.gangs.contains_key(&(id.job_id, attempt));
         assert!(replaces || !worker.gone.contains(&(id, attempt)), "attempt used again: {id}");
         assert!(!worker.spot || spec.spot, "wrong_place: {id} on a spot machine");
         assert!(spec.zone.as_ref().is_none_or(|z| *z == worker.zone), "wrong_place: {id}");
@@ -731,7 +731,7 @@
             .values()
             .filter(|w| !w.dead && self.now < w.lease_until)
             .flat_map(|w| w.tasks.iter().map(move |(i, t)| (i, t, w.zone.as_str())))
-            .filter(|(i, t, _)| i.uid == id.uid && t.exited.is_none())
+            .filter(|(i, t, _)| i.job_id == id.job_id && t.exited.is_none())
             .map(|(_, _, z)| z);
         there.for_each(|zone| *zones.entry(zone).or_default() += 1);
         let most = zones.values().copied().max().unwrap_or(0);
@@ -743,8 +743,8 @@
         let mut gpus: BTreeMap<&str, f64> = BTreeMap::new();
         for worker in self.workers.values().filter(|w| !w.dead && self.now < w.lease_until) {
             for (id, _) in worker.tasks.iter().filter(|(_, t)| t.exited.is_none()) {
-                *gpus.entry(&self.specs[&id.uid].team).or_default() += 1.0;
-                let since = self.withdrawn.get(&id.uid);
+                *gpus.entry(&self.specs[&id.job_id].team).or_default() += 1.0;
+                let since = self.withdrawn.get(&id.job_id);
                 assert!(
                     since.is_none_or(|at| self.now < at + 40 * SECOND),
                     "ran_cancelled: {id} still on a machine"
@@ -814,10 +814,10 @@
                 self.holders[node].block = Block::new(64);
             }
             4 => {
-                let live: Vec<Uid> = self.live.keys().copied().collect();
+                let live: Vec<JobId> = self.live.keys().copied().collect();
                 if !live.is_empty() {
-                    let uid = live[self.rng.random_range(0..live.len())];
-                    self.withdraw(uid);
+                    let job_id = live[self.rng.random_range(0..live.len())];
+                    self.withdraw(job_id);
                 }
             }
             _ => {}
@@ -826,9 +826,9 @@
 
     /// Jobs of every team are cancelled whose machines are cut off or hang, and the leader changes.
     fn cancel_at_the_limit(&mut self, until: u64) {
-        let running = |world: &World, name: &str| -> BTreeSet<Uid> {
+        let running = |world: &World, name: &str| -> BTreeSet<JobId> {
             let tasks = &world.workers[name].tasks;
-            tasks.iter().filter(|(_, t)| t.exited.is_none()).map(|(id, _)| id.uid).collect()
+            tasks.iter().filter(|(_, t)| t.exited.is_none()).map(|(id, _)| id.job_id).collect()
         };
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names.iter().step_by(3) {
@@ -838,7 +838,7 @@
                 let affected = if hangs { &mut worker.up_at } else { &mut worker.cut_until };
                 *affected = until;
             }
-            jobs.into_iter().take(1).for_each(|uid| self.withdraw(uid));
+            jobs.into_iter().take(1).for_each(|job_id| self.withdraw(job_id));
         }
         // The leader sends its stops, and some are under way when it ends.
         (0..3).for_each(|_| self.step());
@@ -850,11 +850,11 @@
 
 fn play(seed: u64, deployment: Deployment) -> [u64; 5] {
     let mut world = World::new(seed, deployment);
-    let mut uid = 0;
+    let mut job_id = 0;
     for round in 0..60 {
         if round < 45 && world.rng.random_bool(0.5) {
-            uid += 1;
-            world.submit(uid);
+            job_id += 1;
+            world.submit(job_id);
         }
         if round < 45 && world.rng.random_bool(0.3) {
             world.trouble();
@@ -864,9 +864,9 @@
         }
     }
     // Services are withdrawn, and everything else must come to its end.
-    let services: Vec<Uid> =
+    let services: Vec<JobId> =
         world.live.keys().copied().filter(|u| world.specs[u].kind == Kind::Service).collect();
-    services.into_iter().for_each(|uid| world.withdraw(uid));
+    services.into_iter().for_each(|job_id| world.withdraw(job_id));
     for _ in 0..4_000 {
         world.step();
         if world.live.is_empty() {
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -81,9 +81,9 @@
                 Effect::Record { key, .. } => {
                     Some(Command::Recorded { key: key.clone(), outcome: Outcome::Done })
                 }
-                Effect::CommitDone { uid, tasks, .. } => {
-                    let (uid, tasks) = (*uid, tasks.clone());
-                    Some(Command::Committed { uid, tasks, outcome: Outcome::Done })
+                Effect::CommitDone { job_id, tasks, .. } => {
+                    let (job_id, tasks) = (*job_id, tasks.clone());
+                    Some(Command::Committed { job_id, tasks, outcome: Outcome::Done })
                 }
                 _ => None,
             })
@@ -138,13 +138,13 @@
     }
 
     fn submit(&mut self, spec: JobSpec) {
-        let entry = spec.uid.0;
+        let entry = spec.job_id.0;
         self.step(vec![Command::JobAdded(StoredJob { spec, entry, age: 0, done: BTreeSet::new() })]);
         (0..3).for_each(|_| self.report());
     }
 
-    fn width(&self, uid: u64) -> u32 {
-        self.running.values().flat_map(|t| t.keys()).filter(|id| id.uid == Uid(uid)).count() as u32
+    fn width(&self, job_id: u64) -> u32 {
+        self.running.values().flat_map(|t| t.keys()).filter(|id| id.job_id == JobId(job_id)).count() as u32
     }
 }
 
@@ -217,7 +217,7 @@
         bed.report();
     }
     bed.submit(spec(3, Kind::Array, Priority::Normal, 1));
-    bed.step(vec![Command::JobRemoved(Uid(1))]);
+    bed.step(vec![Command::JobRemoved(JobId(1))]);
     (0..3).for_each(|_| bed.report());
     assert_eq!((bed.width(2), bed.width(3)), (1, 0));
 }
@@ -226,13 +226,13 @@
 fn a_round_over_its_budget_goes_on_where_it_stopped() {
     let mut bed = Bed::new(6, 0.0);
     bed.core.config.round_probes = 3;
-    let batch = (1..7u64).map(|uid| {
-        let spec = spec(uid, Kind::Array, Priority::Low, 1);
-        Command::JobAdded(StoredJob { spec, entry: uid, age: 0, done: BTreeSet::new() })
+    let batch = (1..7u64).map(|job_id| {
+        let spec = spec(job_id, Kind::Array, Priority::Low, 1);
+        Command::JobAdded(StoredJob { spec, entry: job_id, age: 0, done: BTreeSet::new() })
     });
     bed.step(batch.collect());
     (0..4).for_each(|_| bed.report());
-    let widths: Vec<u32> = (1..7).map(|uid| bed.width(uid)).collect();
+    let widths: Vec<u32> = (1..7).map(|job_id| bed.width(job_id)).collect();
     assert_eq!(widths, [1; 6]);
 }
 
@@ -270,8 +270,8 @@
     // The cut ends and delivers what the machine had reported before.
     bed.report();
     assert!(!bed.core.machines.contains_key(&gone));
-    let places: usize = bed.core.jobs[&Uid(1)].places.values().map(Vec::len).sum();
-    assert_eq!((places, bed.core.jobs[&Uid(1)].waiting.len()), (1, 1));
+    let places: usize = bed.core.jobs[&JobId(1)].places.values().map(Vec::len).sum();
+    assert_eq!((places, bed.core.jobs[&JobId(1)].waiting.len()), (1, 1));
 }
 
 /// A record that an earlier version made may be larger than the state service takes from now on: written again as
@@ -341,7 +341,7 @@
         while bed.now < until {
             bed.report();
         }
-        bed.step(vec![Command::JobRemoved(Uid(1))]);
+        bed.step(vec![Command::JobRemoved(JobId(1))]);
         (0..3).for_each(|_| bed.report());
         assert_eq!((bed.width(first), bed.width(5 - first)), (1, 0), "after {waits_s} s");
     }
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -18,11 +18,11 @@
     notice: BTreeMap<usize, f64>,
     on: BTreeMap<usize, BTreeMap<TaskId, (u64, TaskStatus)>>,
     stops: Vec<(TaskId, f64)>,
-    finished: Vec<Uid>,
+    finished: Vec<JobId>,
 }
 
 const MACHINES: usize = 5;
-const GANG: Uid = Uid(1);
+const GANG: JobId = JobId(1);
 
 fn name(machine: usize) -> String {
     format!("m-{machine:06}")
@@ -72,9 +72,9 @@
         for effect in self.core.step(self.now, batch) {
             match effect {
                 Effect::Record { key, .. } => then.push(Command::Recorded { key, outcome: Outcome::Done }),
-                Effect::Finish { uid, .. } => {
-                    self.finished.push(uid);
-                    then.push(Command::Finished { uid, outcome: Outcome::Done });
+                Effect::Finish { job_id, .. } => {
+                    self.finished.push(job_id);
+                    then.push(Command::Finished { job_id, outcome: Outcome::Done });
                 }
                 Effect::Answer { reply, orders, .. } if reply > 0 => self.orders(reply as usize - 1, orders),
                 Effect::Direct { machine, orders, .. } => {
@@ -142,7 +142,7 @@
     /// Where its living tasks are, under which attempts.
     fn living(&self) -> Vec<(usize, u32, u64)> {
         let all = self.on.iter().flat_map(|(m, on)| on.iter().map(move |(id, t)| (*m, *id, *t)));
-        let living = all.filter(|(_, id, t)| id.uid == GANG && !matches!(t.1, TaskStatus::Exited(_)));
+        let living = all.filter(|(_, id, t)| id.job_id == GANG && !matches!(t.1, TaskStatus::Exited(_)));
         living.map(|(m, id, t)| (m, id.task, t.0)).collect()
     }
 
@@ -254,7 +254,7 @@
     let mut bed = Bed::new();
     let before = bed.attempts();
     let (machine, task, _) = bed.living()[0];
-    let id = TaskId { uid: GANG, task };
+    let id = TaskId { job_id: GANG, task };
     bed.on.get_mut(&machine).unwrap().get_mut(&id).unwrap().1 = TaskStatus::Exited(Cause::Stopped);
     bed.reports(4);
     assert_eq!((bed.living().len(), bed.attempts().len()), (3, 1));
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -118,22 +118,22 @@
         unreachable!()
     }
 
-    async fn wait_for(&self, uid: &str, status: &str) {
+    async fn wait_for(&self, job_id: &str, status: &str) {
         let begun = Instant::now();
         loop {
-            let (code, body) = self.insist("GET", &format!("/submissions/{uid}"), "").await;
-            assert_eq!(code, 200, "{uid} is forgotten");
+            let (code, body) = self.insist("GET", &format!("/submissions/{job_id}"), "").await;
+            assert_eq!(code, 200, "{job_id} is forgotten");
             if body["status"] == status {
                 return;
             }
-            assert!(begun.elapsed() < Duration::from_secs(90), "{uid} is never {status}: {body}");
+            assert!(begun.elapsed() < Duration::from_secs(90), "{job_id} is never {status}: {body}");
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 }
 
-fn submission(uid: &str, rig: &str, tasks: u32) -> Value {
-    json!({"uid": uid, "cargo": "c", "crew": "team", "rig": rig, "precedence": "normal", "loads": tasks,
+fn submission(job_id: &str, rig: &str, tasks: u32) -> Value {
+    json!({"uid": job_id, "cargo": "c", "crew": "team", "rig": rig, "precedence": "normal", "loads": tasks,
         "cores": 2.0, "gpus": 1.0, "memory_gb": 4.0, "manifest": "img", "pull_gb": 1.0, "hulls": null,
         "same_place": false, "apart": false, "driftwood": true, "passage_s": 1.0, "logbook_s": 0.0,
         "stow_s": 0.0, "tide_s": null})
@@ -151,8 +151,8 @@
         let (mut nodes, public) = start_nodes("kills", state_at, cloud_at).await;
         tokio::spawn(standins::workers(cloud, public.clone()));
         let user = User::new(public);
-        let submit = |uid: &'static str, rig: &'static str, tasks| {
-            let (user, body) = (&user, submission(uid, rig, tasks).to_string());
+        let submit = |job_id: &'static str, rig: &'static str, tasks| {
+            let (user, body) = (&user, submission(job_id, rig, tasks).to_string());
             async move { user.insist("POST", "/submissions", &body).await }
         };
         assert_eq!(submit("job-000001", "sweep", 5).await.0, 201);
@@ -217,23 +217,24 @@
         // Between the reading and the transaction of a withdrawal there is time for the end.
         state.lock().unwrap().slow = Duration::from_millis(300);
         for round in 0..12u64 {
-            let uid = format!("job-{:06}", 100 + round);
-            let body = submission(&uid, "sweep", 1).to_string();
+            let job_id = format!("job-{:06}", 100 + round);
+            let body = submission(&job_id, "sweep", 1).to_string();
             assert_eq!(user.insist("POST", "/submissions", &body).await.0, 201);
             tokio::time::sleep(Duration::from_millis(150 * round)).await;
-            let (withdraw, poll) = (format!("/submissions/{uid}/withdraw"), format!("/submissions/{uid}"));
+            let (withdraw, poll) =
+                (format!("/submissions/{job_id}/withdraw"), format!("/submissions/{job_id}"));
             let (ended, asked, repeated) = tokio::join!(
                 user.insist("POST", &withdraw, ""),
                 user.insist("GET", &poll, ""),
                 user.insist("POST", "/submissions", &body),
             );
             let end = ended.1["status"].clone();
-            assert!(ended.0 == 200 && (end == "done" || end == "aborted"), "{uid}: {ended:?}");
+            assert!(ended.0 == 200 && (end == "done" || end == "aborted"), "{job_id}: {ended:?}");
             for (status, answer) in [asked, repeated] {
                 let told = &answer["status"];
                 assert!(
                     status == 200 && (told == "pending" || told == "running" || *told == end),
-                    "{uid}: {told}"
+                    "{job_id}: {told}"
                 );
             }
             for node in 0..3 {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -12,12 +12,12 @@
 const MACHINES: usize = 1_900;
 const SLOTS: i64 = 4;
 
-fn spec(uid: u64, kind: Kind, priority: Priority, tasks: u32) -> JobSpec {
+fn spec(job_id: u64, kind: Kind, priority: Priority, tasks: u32) -> JobSpec {
     JobSpec {
-        image: format!("i{}", uid % 7),
+        image: format!("i{}", job_id % 7),
         image_gb: 1.0,
         spread: kind == Kind::Service,
-        ..common::spec(uid, kind, priority, tasks)
+        ..common::spec(job_id, kind, priority, tasks)
     }
 }
 
@@ -29,7 +29,7 @@
     machines: usize,
     running: BTreeMap<String, BTreeMap<TaskId, u64>>,
     deaf: BTreeSet<String>,
-    done: BTreeSet<Uid>,
+    done: BTreeSet<JobId>,
     deleted: BTreeSet<String>,
     rented: u32,
     /// The cloud has machines, which are up never.
@@ -120,13 +120,13 @@
                     };
                     more.push(Command::Rented { request, machines, outcome });
                 }
-                Effect::CommitDone { uid, tasks, .. } => {
+                Effect::CommitDone { job_id, tasks, .. } => {
                     self.job_writes += 1;
-                    more.push(Command::Committed { uid, tasks, outcome: Outcome::Done });
+                    more.push(Command::Committed { job_id, tasks, outcome: Outcome::Done });
                 }
-                Effect::Finish { uid, chunks, .. } => {
+                Effect::Finish { job_id, chunks, .. } => {
                     self.job_writes += 2 + chunks.len();
-                    more.push(Command::Finished { uid, outcome: Outcome::Done });
+                    more.push(Command::Finished { job_id, outcome: Outcome::Done });
                 }
                 Effect::Answer { reply, orders, .. } => self.carry_out(&name(reply as usize), orders),
                 _ => {}
@@ -171,7 +171,7 @@
         let machine = name(i);
         let tasks = self.running.get(&machine).into_iter().flatten();
         let status = if self.fetching { TaskStatus::Fetching } else { TaskStatus::Running };
-        let status = |id: &TaskId| match self.done.contains(&id.uid) {
+        let status = |id: &TaskId| match self.done.contains(&id.job_id) {
             true => TaskStatus::Exited(Cause::Done),
             false => status,
         };
@@ -195,24 +195,24 @@
     }
 
     fn submit(&mut self, spec: JobSpec) {
-        let entry = spec.uid.0;
+        let entry = spec.job_id.0;
         self.step(vec![Command::JobAdded(StoredJob { spec, entry, age: 0, done: BTreeSet::new() })]);
     }
 
     /// All that runs of the job ends by itself, and is reported so.
-    fn complete(&mut self, uid: u64) {
-        self.done.insert(Uid(uid));
+    fn complete(&mut self, job_id: u64) {
+        self.done.insert(JobId(job_id));
     }
 
-    fn finish(&mut self, uid: u64) {
+    fn finish(&mut self, job_id: u64) {
         for running in self.running.values_mut() {
-            running.retain(|id, _| id.uid != Uid(uid));
+            running.retain(|id, _| id.job_id != JobId(job_id));
         }
-        self.step(vec![Command::JobRemoved(Uid(uid))]);
+        self.step(vec![Command::JobRemoved(JobId(job_id))]);
     }
 
-    fn width(&self, uid: u64) -> usize {
-        self.running.values().flat_map(|t| t.keys()).filter(|id| id.uid == Uid(uid)).count()
+    fn width(&self, job_id: u64) -> usize {
+        self.running.values().flat_map(|t| t.keys()).filter(|id| id.job_id == JobId(job_id)).count()
     }
 }
 
@@ -222,11 +222,11 @@
 #[test]
 fn a_step_costs_by_what_changed_at_1900_machines() {
     let mut fleet = Fleet::new(MACHINES);
-    for uid in 0..250 {
-        fleet.submit(spec(uid, Kind::Service, Priority::Critical, 4));
+    for job_id in 0..250 {
+        fleet.submit(spec(job_id, Kind::Service, Priority::Critical, 4));
     }
-    for uid in 250..320 {
-        fleet.submit(spec(uid, Kind::Array, Priority::Normal, 30));
+    for job_id in 250..320 {
+        fleet.submit(spec(job_id, Kind::Array, Priority::Normal, 30));
     }
     (0..5).for_each(|_| fleet.report());
     let placed: usize = fleet.running.values().map(BTreeMap::len).sum();
@@ -253,8 +253,8 @@
 fn a_plan_costs_by_the_queue_and_asks_for_all_that_is_missing() {
     let mut fleet = Fleet::new(0);
     fleet.rents = true;
-    for uid in 0..400 {
-        fleet.submit(spec(uid, Kind::Array, Priority::Normal, 10));
+    for job_id in 0..400 {
+        fleet.submit(spec(job_id, Kind::Array, Priority::Normal, 10));
     }
     for _ in 0..30 {
         fleet.now += SECOND;
@@ -279,11 +279,11 @@
     let machines = fleet.machine_writes;
     // Machines share records: as many as fit a value, once more when a new one joins.
     assert!(machines <= 2 * 400 / 12 + 2, "{machines} changes for 400 machines");
-    for uid in 0..40 {
-        fleet.submit(spec(uid, Kind::Array, Priority::Normal, 30));
+    for job_id in 0..40 {
+        fleet.submit(spec(job_id, Kind::Array, Priority::Normal, 30));
     }
     (0..3).for_each(|_| fleet.report());
-    (0..40).for_each(|uid| fleet.complete(uid));
+    (0..40).for_each(|job_id| fleet.complete(job_id));
     (0..6).for_each(|_| fleet.report());
     assert!(fleet.core.jobs.is_empty());
     // All its tasks end within one interval of reports here; results are kept on the workers meanwhile.
@@ -404,10 +404,11 @@
                 alive.push(next);
                 next += 1;
             }
-            let done: Vec<u64> = alive.iter().copied().filter(|uid| fleet.width(*uid) == 1).take(4).collect();
-            for uid in done {
-                fleet.finish(uid);
-                alive.retain(|u| *u != uid);
+            let done: Vec<u64> =
+                alive.iter().copied().filter(|job_id| fleet.width(*job_id) == 1).take(4).collect();
+            for job_id in done {
+                fleet.finish(job_id);
+                alive.retain(|u| *u != job_id);
             }
             if round == 10 {
                 fleet.submit(spec(1, Kind::Array, Priority::Low, 90));
@@ -430,7 +431,7 @@
 #[test]
 fn of_jobs_that_wait_the_one_with_less_work_left_goes_first_but_not_for_ever() {
     let mut fleet = Fleet::new(1);
-    let array = |uid, tasks| spec(uid, Kind::Array, Priority::Low, tasks);
+    let array = |job_id, tasks| spec(job_id, Kind::Array, Priority::Low, tasks);
     fleet.submit(array(1, 4));
     fleet.report();
     // The fleet is full. The long job comes first, the short one later.
@@ -447,10 +448,10 @@
     fleet.finish(3);
     fleet.finish(2);
     fleet.submit(array(4, 200));
-    for uid in 10..70 {
-        fleet.submit(array(uid, 2));
+    for job_id in 10..70 {
+        fleet.submit(array(job_id, 2));
         fleet.report();
-        fleet.finish(uid.saturating_sub(2));
+        fleet.finish(job_id.saturating_sub(2));
     }
     assert!(fleet.width(4) > 0);
 }
@@ -462,9 +463,9 @@
     let mut fleet = Fleet::new(1);
     fleet.fetching = true;
     // Different images: `spec` names them by the job's number.
-    (1..4).for_each(|uid| fleet.submit(spec(uid, Kind::Array, Priority::Normal, 1)));
+    (1..4).for_each(|job_id| fleet.submit(spec(job_id, Kind::Array, Priority::Normal, 1)));
     (0..3).for_each(|_| fleet.report());
-    let running = |fleet: &Fleet| (1..4).map(|uid| fleet.width(uid)).sum::<usize>();
+    let running = |fleet: &Fleet| (1..4).map(|job_id| fleet.width(job_id)).sum::<usize>();
     assert_eq!(running(&fleet), 1);
     (0..12).for_each(|_| fleet.report());
     assert_eq!(running(&fleet), 3);
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -29,7 +29,7 @@
 /// What production was asked to write.
 fn payloads(attests: bool) -> Vec<(&'static str, Payload)> {
     let status = Status { state_age: 5_000, workers: 9, machines: 0, attests };
-    let id = TaskId { uid: Uid(412), task: 3 };
+    let id = TaskId { job_id: JobId(412), task: 3 };
     let statuses = [
         TaskStatus::Fetching,
         TaskStatus::Running,
--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -139,7 +139,7 @@
     }
 
     fn submit(&mut self, spec: JobSpec) {
-        let entry = spec.uid.0;
+        let entry = spec.job_id.0;
         self.step(vec![Command::JobAdded(StoredJob { spec, entry, age: 0, done: BTreeSet::new() })]);
     }
 
@@ -158,7 +158,7 @@
         };
         let records = vec![("1-1".to_string(), self.machines.iter().map(machine).collect())];
         let stored = |spec: JobSpec| {
-            let entry = spec.uid.0;
+            let entry = spec.job_id.0;
             StoredJob { spec, entry, age: 0, done: BTreeSet::new() }
         };
         let jobs = jobs.into_iter().map(stored).collect();
@@ -166,7 +166,7 @@
     }
 
     fn running(&self, id: u64) -> usize {
-        self.tasks.values().flat_map(|tasks| tasks.keys()).filter(|task| task.uid == Uid(id)).count()
+        self.tasks.values().flat_map(|tasks| tasks.keys()).filter(|task| task.job_id == JobId(id)).count()
     }
 }
 
