--- a/src/api.rs
+++ b/src/api.rs
@@ -49,7 +49,7 @@
     pub summary: watch::Receiver<Summary>,
     pub events: mpsc::Sender<Event>,
     pub health: Arc<Health>,
-    /// Turns of submissions and withdrawals, and of polls.
+    /// Turns of submissions and cancellations, and of polls.
     changes: Semaphore,
     polls: Semaphore,
     over_most: usize,
@@ -161,14 +161,14 @@
         self.over.lock().ok()?.known.get(&job_id).cloned()
     }
 
-    /// That a job is withdrawn is told only once whoever relies on our silence holds it (`knowledge`).
+    /// That a job is cancelled is told only once whoever relies on our silence holds it (`knowledge`).
     async fn may_tell(&self, job_id: JobId, state: &JobState) -> Result<(), Refusal> {
         if state.status != JobStatus::Cancelled {
             return Ok(());
         }
         let later = |why: &str| Refusal::Later(why.into());
         let (to, answer) = oneshot::channel();
-        self.events.try_send(Event::Withdrawn(job_id, to)).map_err(|_| later("too many events at once"))?;
+        self.events.try_send(Event::Cancelled(job_id, to)).map_err(|_| later("too many events at once"))?;
         match tokio::time::timeout(limits::HELD_PATIENCE, answer).await {
             Ok(Ok(true)) => Ok(()),
             _ => Err(later("withdrawn, and not known yet to all controllers")),
@@ -273,7 +273,7 @@
         Ok(json(StatusCode::OK, &state))
     }
 
-    async fn withdraw(&self, job_id: &str) -> Result<Response, Refusal> {
+    async fn cancel(&self, job_id: &str) -> Result<Response, Refusal> {
         let job_id = JobId::parse(job_id).ok_or(Refusal::NoSuchJob)?;
         if let Some(state) = self.remembered(job_id) {
             return Ok(json(StatusCode::OK, &state));
@@ -291,7 +291,7 @@
         let then = vec![record, store::remove(&live)];
         match self.store.commit(vec![store::compare(&live, entry)], then).await {
             Committed::Done { .. } => {
-                info!(job = %job_id, "withdrawn");
+                info!(job = %job_id, "cancelled");
                 let state = JobState::without_counts(job_id, JobStatus::Cancelled);
                 self.may_tell(job_id, &state).await?;
                 self.remember(job_id, &state);
@@ -344,8 +344,8 @@
 }
 
 #[handler]
-async fn post_withdrawal(Data(api): Shared<'_>, Path(job_id): Path<String>) -> Response {
-    answer(api.withdraw(&job_id).await)
+async fn post_cancellation(Data(api): Shared<'_>, Path(job_id): Path<String>) -> Response {
+    answer(api.cancel(&job_id).await)
 }
 
 #[handler]
@@ -380,7 +380,7 @@
     Route::new()
         .at("/submissions", post(post_submission))
         .at("/submissions/:job_id", get(get_submission))
-        .at("/submissions/:job_id/withdraw", post(post_withdrawal))
+        .at("/submissions/:job_id/withdraw", post(post_cancellation))
         .at("/checkin", post(post_checkin))
         .at("/healthz", get(get_health))
         .at("/overview", get(get_overview))
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -350,7 +350,7 @@
             Command::Committed { job_id, tasks, outcome } => self.committed(job_id, tasks, outcome),
             Command::Finished { job_id, outcome } => match outcome {
                 Outcome::Done => self.remove_job(job_id),
-                // Withdrawn meanwhile, or of unknown outcome: its record decides, and is tried again.
+                // Cancelled meanwhile, or of unknown outcome: its record decides, and is tried again.
                 _ => {
                     if let Some(job) = self.jobs.get_mut(&job_id) {
                         job.committing = false;
--- a/src/core/model.rs
+++ b/src/core/model.rs
@@ -348,7 +348,7 @@
     /// The keys of finished tasks that are in the state service.
     pub stored: BTreeSet<u32>,
     pub committing: bool,
-    /// Withdrawn or otherwise over: its tasks are stopped, nothing starts.
+    /// Cancelled or otherwise over: its tasks are stopped, nothing starts.
     pub over: bool,
     /// The last change of its width.
     pub rescaled: u64,
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -1,9 +1,9 @@
-//! Which jobs are withdrawn, as far as this node knows, and up to when it knows of all of them.
+//! Which jobs are cancelled, as far as this node knows, and up to when it knows of all of them.
 //!
-//! Whoever answers a worker keeps alive what runs there. A withdrawal that was told to a user must reach every
+//! Whoever answers a worker keeps alive what runs there. A cancellation that was told to a user must reach every
 //! task within `cancel_s`, whoever leads, holds, caretakes or has led by then, and whatever fails. So there is
 //! one rule for all of them: a node answers workers only for a bounded time after the moment up to which it
-//! knows of every withdrawal, and no answer of its leaves without the stops that it knows of.
+//! knows of every cancellation, and no answer of its leaves without the stops that it knows of.
 //!
 //! That moment has two proofs, and the later one counts:
 //! 1. the state service: a copy of the live jobs, read by a request that left at that moment;
@@ -18,7 +18,7 @@
 use crate::limits::{self, shortened};
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// What a member attests of the withdrawals that it confirmed, in answer to a heartbeat of the receiver's.
+/// What a member attests of the cancellations that it confirmed, in answer to a heartbeat of the receiver's.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Attestation {
     /// The life of the receiver that it is for, and the stamp of the heartbeat that it answers.
@@ -28,11 +28,11 @@
     pub age: u64,
     /// Nothing will be confirmed for a while that the receiver does not hold.
     pub quiet: bool,
-    /// The highest number of the receiver's own withdrawals that is held here.
+    /// The highest number of the receiver's own cancellations that is held here.
     pub held: u64,
-    /// The highest number of the sender's; `withdrawn` are those up to it that the receiver may lack.
+    /// The highest number of the sender's; `cancelled` are those up to it that the receiver may lack.
     pub last: u64,
-    pub withdrawn: Vec<u64>,
+    pub cancelled: Vec<u64>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -59,7 +59,7 @@
     started: u64,
     /// How long workers may be kept alive beyond what is known (`limits::alone`, and the state lease).
     alone: u64,
-    /// How long a withdrawal is remembered: beyond `cancel_s` nothing hangs on it.
+    /// How long a cancellation is remembered: beyond `cancel_s` nothing hangs on it.
     kept: u64,
     members: Vec<Member>,
     /// What this life confirmed: number, when, which.
@@ -93,7 +93,7 @@
 
     // ---- what is known ----
 
-    /// Every withdrawal confirmed before then is known here by the members' attestations.
+    /// Every cancellation confirmed before then is known here by the members' attestations.
     pub fn by_members(&self) -> u64 {
         if self.read == 0 {
             return 0;
@@ -131,7 +131,7 @@
     }
 
     /// Stops for what the report lists of jobs that are over. None where this node, without a leader's list of
-    /// jobs, can't tell: a job that its copy lacks was withdrawn before this life began, or is too new.
+    /// jobs, can't tell: a job that its copy lacks was cancelled before this life began, or is too new.
     pub fn stops(&self, report: &Report) -> Option<Vec<Order>> {
         let living = report.tasks.iter().filter(|t| !matches!(t.status, TaskStatus::Exited(_)));
         let mut stops = Vec::new();
@@ -178,7 +178,7 @@
             self.live.extend(added);
         }
         let over = over.into_iter().filter(|job_id| self.note_over(now, *job_id)).collect();
-        // A withdrawal that a member told of may be ahead of the copy.
+        // A cancellation that a member told of may be ahead of the copy.
         self.live.retain(|job_id| !self.over.contains_key(job_id));
         self.read = self.read.max(sent);
         let kept = self.kept;
@@ -196,7 +196,7 @@
 
     // ---- what is told ----
 
-    /// This node is about to tell a user that the job is withdrawn. Returns whether that is news, and whether it
+    /// This node is about to tell a user that the job is cancelled. Returns whether that is news, and whether it
     /// may be told now: not while a member that we have promised to be quiet to does not hold it.
     pub fn confirm(&mut self, now: u64, job_id: JobId) -> (bool, bool) {
         let known = self.own.iter().rev().find(|(_, _, u)| *u == job_id).map(|(n, ..)| *n);
@@ -227,9 +227,9 @@
     pub fn attest_to(&mut self, now: u64, to: usize, lost: bool) -> Option<Attestation> {
         let member = self.members.get_mut(to).filter(|m| m.life != 0)?;
         let lacks = self.own.iter().filter(|(number, ..)| *number > member.holds);
-        let withdrawn: Vec<u64> =
+        let cancelled: Vec<u64> =
             lacks.map(|(_, _, job_id)| job_id.0).take(limits::ATTESTED_MOST + 1).collect();
-        if withdrawn.len() > limits::ATTESTED_MOST {
+        if cancelled.len() > limits::ATTESTED_MOST {
             // Never on a day within the state service's limits: it would take minutes to commit as many.
             return None;
         }
@@ -238,10 +238,10 @@
         }
         let (to, echo, held) = (member.life, member.stamp, member.held);
         let age = now.saturating_sub(self.started);
-        Some(Attestation { to, echo, age, quiet: lost, held, last: self.last, withdrawn })
+        Some(Attestation { to, echo, age, quiet: lost, held, last: self.last, cancelled })
     }
 
-    /// What a member attests. Returns the jobs that turned out to be withdrawn, and whether it told of any that
+    /// What a member attests. Returns the jobs that turned out to be cancelled, and whether it told of any that
     /// it had not told of before.
     pub fn attested(
         &mut self,
@@ -268,12 +268,12 @@
             let quiet = if attestation.quiet { shortened(limits::QUIET) } else { 0 };
             member.known = member.known.max(attestation.echo + quiet);
         }
-        let over = attestation.withdrawn.iter().map(|job_id| JobId(*job_id));
+        let over = attestation.cancelled.iter().map(|job_id| JobId(*job_id));
         (over.filter(|job_id| self.note_over(now, *job_id)).collect(), news)
     }
 
     /// Whether a member of an earlier version may take it that we have no state service for proof that
-    /// nothing is withdrawn without it.
+    /// nothing is cancelled without it.
     pub fn may_be_taken_blindly(&self, now: u64) -> bool {
         let recent = self.own.back().is_some_and(|(_, at, _)| now < *at + self.kept);
         !recent && (self.read > 0 || now >= self.started + self.kept)
--- a/src/knowledge_tests.rs
+++ b/src/knowledge_tests.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_withdrawal_reaches_the_others_and_no_answer_leaves_without_its_stop() {
+fn a_cancellation_reaches_the_others_and_no_answer_leaves_without_its_stop() {
     let (mut a, mut b) = pair();
     assert_eq!(b.stops(&report(&[1, 2])), Some(Vec::new()));
     a.confirm(NOW + 2 * SECOND, JobId(1));
@@ -55,7 +55,7 @@
     let stop = Order::Stop { id: TaskId { job_id: JobId(1), task: 0 }, attempt: 3, grace_s: 0.0 };
     assert_eq!(b.stops(&report(&[1, 2])), Some(vec![stop.clone()]));
     assert_eq!(b.with_stops(vec![stop.clone()], &report(&[1, 2])), [stop]);
-    // What the copy lacks may have been withdrawn before this life began: not to be kept alive.
+    // What the copy lacks may have been cancelled before this life began: not to be kept alive.
     assert_eq!(b.stops(&report(&[2, 9])), None);
     // A copy that lags behind the word does not bring the job back.
     b.read(NOW + 3 * SECOND, NOW + 3 * SECOND, true, &[JobId(1), JobId(2)], &[]);
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -4,7 +4,7 @@
 //! majority of controllers. Either suffices to act; both must be gone before another may take over.
 //! Every deadline counts from when the request was sent and is shortened for drift; the granting
 //! side counts from receipt and lengthens it. Without the state lease a leader acts only for a bounded time
-//! after the moment up to which it knows of every withdrawal (`knowledge`), and so do all who keep workers alive.
+//! after the moment up to which it knows of every cancellation (`knowledge`), and so do all who keep workers alive.
 
 use crate::core::model::JobId;
 use crate::knowledge::{Attestation, Knowledge};
@@ -23,7 +23,7 @@
     pub workers: u32,
     /// Machines that a leader counts as up; not told to peers.
     pub machines: u32,
-    /// It attests what it knows of withdrawals and takes others' word for it (`knowledge`); earlier versions don't.
+    /// It attests what it knows of cancellations and takes others' word for it (`knowledge`); earlier versions don't.
     pub attests: bool,
 }
 
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     Send(usize, Message),
-    /// What we attest of withdrawals, to a member that takes it.
+    /// What we attest of cancellations, to a member that takes it.
     Attest(usize, Attestation),
     /// Read epoch and lock.
     Probe,
@@ -186,9 +186,9 @@
     /// A worker has checked in with this leader since it was elected.
     reached: bool,
     alone_until: u64,
-    /// How long workers may be kept alive without hearing of withdrawals.
+    /// How long workers may be kept alive without hearing of cancellations.
     alone: u64,
-    /// Which withdrawals are known here, and up to when all of them.
+    /// Which cancellations are known here, and up to when all of them.
     pub knowledge: Knowledge,
     /// Up to when others may take what this node attested for proof of what it confirmed.
     attested_until: u64,
@@ -198,7 +198,7 @@
 }
 
 impl Leadership {
-    /// `kept`: how long withdrawals are remembered.
+    /// `kept`: how long cancellations are remembered.
     pub fn new(
         names: Vec<String>,
         me: usize,
@@ -293,7 +293,7 @@
         (now + limits::GUARD < self.care_until(now)).then_some(token)
     }
 
-    /// A withdrawal may pass the caretaker by: a zone cut off with a majority in it would keep a withdrawn
+    /// A cancellation may pass the caretaker by: a zone cut off with a majority in it would keep a cancelled
     /// job's tasks alive for as long as it is cut.
     fn care_until(&self, now: u64) -> u64 {
         let granted = self.majority_until(self.own_word(now), |p| p.granted).min(now + limits::GRANT);
@@ -328,7 +328,7 @@
     }
 
     /// What a peer is told of our state service. An earlier version takes it for proof, once all members lack
-    /// it, that nothing is withdrawn without it: it is told so only where that is true.
+    /// it, that nothing is cancelled without it: it is told so only where that is true.
     pub fn told_state_age(&self, now: u64, to: usize, state_age: u64) -> u64 {
         let blind = !self.peers[to].status.attests && !self.knowledge.may_be_taken_blindly(now);
         if blind {
@@ -604,7 +604,7 @@
         actions.push(Action::TakeOver { token, entry, over_lock: by == By::Resuming });
     }
 
-    /// What a member attests of withdrawals. Returns the jobs that turned out to be over. A user may be waiting
+    /// What a member attests of cancellations. Returns the jobs that turned out to be over. A user may be waiting
     /// for us to hold them: the answer does not wait for the next heartbeat.
     pub fn attested(
         &mut self,
@@ -623,7 +623,7 @@
         (over, actions)
     }
 
-    /// A job that is about to be told as withdrawn; whether that is news, and whether it may be told. The others
+    /// A job that is about to be told as cancelled; whether that is news, and whether it may be told. The others
     /// hear of it at once.
     pub fn confirm(&mut self, now: u64, job_id: JobId) -> (bool, bool, Vec<Action>) {
         let (news, may) = self.knowledge.confirm(now, job_id);
--- a/src/leadership_tests.rs
+++ b/src/leadership_tests.rs
@@ -11,7 +11,7 @@
 const ALONE: u64 = 10 * limits::SECOND;
 /// Of workers.
 const LEASE: u64 = 10 * limits::SECOND;
-/// By then a withdrawn job's tasks must be gone: `limits::alone` solved for it.
+/// By then a cancelled job's tasks must be gone: `limits::alone` solved for it.
 const CANCEL: u64 = ALONE + LEASE + limits::LOCK_LEASE_MS * 1_000 + limits::LEASE_MARGIN + limits::SECOND;
 const KEPT: u64 = 2 * CANCEL;
 
@@ -69,7 +69,7 @@
         sent: u64,
         live: BTreeSet<JobId>,
     },
-    /// A job withdrawn by a node's transaction, which it tells its user when the answer is there.
+    /// A job cancelled by a node's transaction, which it tells its user when the answer is there.
     Committed {
         node: usize,
         life: u64,
@@ -139,10 +139,10 @@
     workers_cut: Option<usize>,
     first_workers: bool,
     workers: Vec<Worker>,
-    /// Withdrawals told to users, and when.
+    /// Cancellations told to users, and when.
     told: BTreeMap<JobId, u64>,
-    /// How often a job is withdrawn, once in so many steps; 0: never.
-    withdraws: u32,
+    /// How often a job is cancelled, once in so many steps; 0: never.
+    cancels: u32,
     /// Leases that leaders counted as over, and answers that holders and caretakers gave by themselves.
     proofs: u64,
     alone_answers: u64,
@@ -170,7 +170,7 @@
             first_workers: false,
             workers: Vec::new(),
             told: BTreeMap::new(),
-            withdraws: 0,
+            cancels: 0,
             proofs: 0,
             alone_answers: 0,
             tokens: Vec::new(),
@@ -455,9 +455,9 @@
         self.up(node) && !self.state_down && self.refused != Some(node) && !cut
     }
 
-    /// Jobs come and are withdrawn, and every node reads which are live.
+    /// Jobs come and are cancelled, and every node reads which are live.
     fn run_state(&mut self) {
-        if self.withdraws == 0 {
+        if self.cancels == 0 {
             return;
         }
         for node in (0..3).filter(|n| self.served(*n)).collect::<Vec<_>>() {
@@ -468,7 +468,7 @@
                 let (delay, live) = (2 * self.delay(), self.store.live.clone());
                 self.send(delay, Wire::Live { node, life, sent: now, live });
             }
-            if !self.rng.random_ratio(1, self.withdraws) {
+            if !self.rng.random_ratio(1, self.cancels) {
                 continue;
             }
             self.store.next_job += 1;
@@ -544,7 +544,7 @@
             let runs = self.workers[w].tasks.contains(job_id);
             assert!(
                 !runs || self.now <= told + CANCEL,
-                "worker {w} runs {job_id} told as withdrawn at {told}"
+                "worker {w} runs {job_id} told as cancelled at {told}"
             );
         }
         let answer = if held || !self.up(node) { None } else { self.report_to(w, node) };
@@ -592,7 +592,7 @@
             stopped.collect::<BTreeSet<JobId>>()
         };
         let keeps = self.keeps(node, &report);
-        let loaded = self.withdraws == 0 || self.nodes[node].read > 0;
+        let loaded = self.cancels == 0 || self.nodes[node].read > 0;
         if let Some(token) = self.nodes[node].leadership.authority(now) {
             let stops = if loaded { self.leads(node, &report) } else { keeps }?;
             self.nodes[node].ledger.answered.insert(w, (now, self.now));
@@ -616,7 +616,7 @@
         // Passed on.
         if let Some((leader, token, _)) = followed.filter(|(leader, ..)| !self.cut_between(node, *leader)) {
             let at_leader = self.local(leader);
-            let loaded = self.withdraws == 0 || self.nodes[leader].read > 0;
+            let loaded = self.cancels == 0 || self.nodes[leader].read > 0;
             let leads = self.up(leader) && self.nodes[leader].leadership.authority(at_leader) == Some(token);
             if let Some(stops) = self.leads(leader, &report).filter(|_| leads && loaded) {
                 self.nodes[leader].ledger.answered.insert(w, (at_leader, self.now));
@@ -634,7 +634,7 @@
     /// What `Hub::keeps` says, of versions that have it.
     fn keeps(&self, node: usize, report: &Report) -> Option<Vec<Order>> {
         let (now, knowledge) = (self.local(node), &self.nodes[node].leadership.knowledge);
-        if self.withdraws == 0 {
+        if self.cancels == 0 {
             return Some(Vec::new());
         }
         (now + limits::GUARD < knowledge.keeps_until()).then(|| knowledge.stops(report)).flatten()
@@ -643,7 +643,7 @@
     /// What a leader that has loaded the jobs answers.
     fn leads(&self, node: usize, report: &Report) -> Option<Vec<Order>> {
         let (now, knowledge) = (self.local(node), &self.nodes[node].leadership.knowledge);
-        if self.withdraws == 0 {
+        if self.cancels == 0 {
             return Some(Vec::new());
         }
         // It stops what it has no job for, as the core does.
@@ -769,7 +769,7 @@
 #[test]
 fn a_state_outage_alone_does_not_stop_the_leader() {
     let mut world = World::new(1);
-    world.withdraws = 400;
+    world.cancels = 400;
     world.run(5 * limits::SECOND);
     let leader = world.leader().expect("a leader");
     let tokens = world.tokens.len();
@@ -852,7 +852,7 @@
 fn a_crash_inside_a_state_outage_leaves_a_caretaker() {
     for seed in 0..20 {
         let mut world = World::new(seed);
-        world.withdraws = 400;
+        world.cancels = 400;
         world.run(5 * limits::SECOND);
         world.state_down = true;
         world.run(2 * limits::SECOND);
@@ -878,13 +878,13 @@
 }
 
 /// The zone that holds the leader and a majority is cut off, state service and all. Inside, they may act and
-/// keep workers alive for the bounded time only, since withdrawals outside pass them by (a caretaker went on
+/// keep workers alive for the bounded time only, since cancellations outside pass them by (a caretaker went on
 /// without end); outside, the one that is left leads once that time is over, though nobody promises it.
 #[test]
 fn a_majority_cut_off_from_the_state_service_stops_and_the_one_outside_leads() {
     for seed in 0..20 {
         let mut world = World::new(seed);
-        world.withdraws = 400;
+        world.cancels = 400;
         // Until what an earlier life may have promised is past.
         world.run(12 * limits::SECOND);
         let leader = world.leader().expect("a leader");
@@ -919,10 +919,10 @@
 }
 
 impl World {
-    /// Six workers, two at home with each node, and jobs that come and are withdrawn.
-    fn with_workers(seed: u64, withdraws: u32) -> Self {
+    /// Six workers, two at home with each node, and jobs that come and are cancelled.
+    fn with_workers(seed: u64, cancels: u32) -> Self {
         let mut world = World::new(seed);
-        world.withdraws = withdraws;
+        world.cancels = cancels;
         for w in 0..6 {
             let (node, home, lease_until) = (w % 3, w % 3, LEASE);
             world.workers.push(Worker {
@@ -942,7 +942,7 @@
 }
 
 /// Leaders, holders and caretakers together: whoever keeps a worker alive, the leader knows how long that may
-/// last, and no task of a job lives longer than `CANCEL` after its user was told that it is withdrawn.
+/// last, and no task of a job lives longer than `CANCEL` after its user was told that it is cancelled.
 #[test]
 fn no_lease_is_counted_as_over_that_somebody_keeps_alive() {
     let (mut proofs, mut alone, mut told) = (0, 0, 0);
@@ -959,9 +959,9 @@
     assert!(proofs > 500 && alone > 5_000 && told > 500, "{proofs} proofs, {alone} answers, {told} told");
 }
 
-/// The gap: the state service refuses the leader alone, another node tells users that their jobs are withdrawn,
+/// The gap: the state service refuses the leader alone, another node tells users that their jobs are cancelled,
 /// and then it is down for all, for longer than `CANCEL`, while the workers report on. Members that could not
-/// commit *now* attested so, and the leader kept alive what it had never heard was withdrawn. (The check is in
+/// commit *now* attested so, and the leader kept alive what it had never heard was cancelled. (The check is in
 /// `run_worker`.) `and_then`: what comes on top right after the outage begins.
 fn the_gap(and_then: impl Fn(&mut World, usize)) {
     let mut told = 0;
@@ -980,11 +980,11 @@
         world.run(20 * limits::SECOND);
         assert!(world.leader().is_some(), "seed {seed}: nobody leads after the outage");
     }
-    assert!(told > 20, "only {told} withdrawals were told while the leader was refused");
+    assert!(told > 20, "only {told} cancellations were told while the leader was refused");
 }
 
 #[test]
-fn what_is_withdrawn_while_the_leader_is_refused_ends_in_the_outage_that_follows() {
+fn what_is_cancelled_while_the_leader_is_refused_ends_in_the_outage_that_follows() {
     the_gap(|_, _| {});
 }
 
@@ -1014,10 +1014,10 @@
     });
 }
 
-/// Where every member attests that nothing is withdrawn unknown to it, an outage that all share, of
+/// Where every member attests that nothing is cancelled unknown to it, an outage that all share, of
 /// whatever length and also with a crash inside, goes unnoticed by the workers.
 #[test]
-fn an_outage_without_withdrawals_costs_no_worker_its_lease() {
+fn an_outage_without_cancellations_costs_no_worker_its_lease() {
     for crash in [false, true] {
         for seed in 0..10 {
             let mut world = World::with_workers(seed, 400);
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -39,7 +39,7 @@
 /// A leader that gave up because nobody reached it lets the others try first.
 pub const ABDICATION_PAUSE: u64 = 6_000_000;
 
-/// How long workers may be kept alive, by whom ever, after the moment up to which every withdrawal is known
+/// How long workers may be kept alive, by whom ever, after the moment up to which every cancellation is known
 /// there, the state lease aside: leaders by their peers alone, caretakers, former leaders, and holders that hear
 /// no leader. A worker answered at the very end lives for its lease, and all must be gone `cancel_s` after
 /// the user was told. Taken off besides: the state lease, by which the leader could not miss it longer, the
@@ -49,23 +49,23 @@
     micros(cancel_s - lease_s).saturating_sub(LOCK_LEASE_MS * 1_000 + LEASE_MARGIN + SECOND)
 }
 
-/// A member without the state service promises its peers whenever it attests to confirm no withdrawal for so long
+/// A member without the state service promises its peers whenever it attests to confirm no cancellation for so long
 /// before they hold it: as long as a process is away after an end (3 and 6 s, the briefs), its start and the
 /// wait for its next attestation included, so that a crash within an outage leaves no gap in what is known.
 pub const QUIET: u64 = 10_000_000;
 /// A member counts as without the state service for that promise after this long without an answer: the live jobs
 /// are read once a second. It costs little when wrong, and a crash may follow an outage within two seconds.
 pub const QUIET_AFTER: u64 = 1_500_000;
-/// A user waits this long for the members to hold a withdrawal; then it is told to come back.
+/// A user waits this long for the members to hold a cancellation; then it is told to come back.
 pub const HELD_PATIENCE: Duration = Duration::from_millis(300);
-/// Withdrawals in one attestation: 32 KiB of the 64 that a frame holds.
+/// Cancellations in one attestation: 32 KiB of the 64 that a frame holds.
 pub const ATTESTED_MOST: usize = 4_096;
-/// The live jobs are read again at least this often, polls or not: what is known of withdrawals counts from it.
+/// The live jobs are read again at least this often, polls or not: what is known of cancellations counts from it.
 pub const LIVE_EVERY: Duration = Duration::from_secs(1);
 
-/// How long a withdrawal is remembered: its tasks are gone `cancel_s` after it was told, or a rule is broken
+/// How long a cancellation is remembered: its tasks are gone `cancel_s` after it was told, or a rule is broken
 /// already; doubled for what is known of it late.
-pub fn withdrawn_kept(cancel_s: f64) -> u64 {
+pub fn cancelled_kept(cancel_s: f64) -> u64 {
     micros(2.0 * cancel_s)
 }
 
@@ -212,7 +212,7 @@
 // ---- what is written ----
 
 /// Share of the state service's puts and deletes that the leader spends on its own records; the rest is
-/// for users' submissions and withdrawals through any node.
+/// for users' submissions and cancellations through any node.
 pub const LEADER_WRITE_SHARE: f64 = 0.5;
 /// The leader's least burst: an ended job takes three writes at once.
 pub const WRITES_AT_ONCE: f64 = 4.0;
@@ -298,7 +298,7 @@
     pub peer_queue: usize,
     /// Machines that one holder keeps: some 300 bytes each.
     pub block: usize,
-    /// Submissions and withdrawals in progress at once, and polls; beyond it they are shed with `Retry-After`.
+    /// Submissions and cancellations in progress at once, and polls; beyond it they are shed with `Retry-After`.
     /// Polls must not take the turns of those that change something.
     pub changes: usize,
     pub polls: usize,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -85,7 +85,7 @@
     reserved: [u8; 7],
 }
 
-/// A word on withdrawals; the numbers of the withdrawn jobs follow it.
+/// A word on cancellations; the numbers of the cancelled jobs follow it.
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 struct AttestationLine {
@@ -111,7 +111,7 @@
 /// Sent only to nodes that have shown `ATTESTS` in their present life: others drop the connection.
 const ATTESTATION: u8 = 12;
 
-/// It gives and takes words on withdrawals.
+/// It gives and takes words on cancellations.
 const ATTESTS: u16 = 1;
 
 const NO_NOTICE: u64 = u64::MAX;
@@ -402,7 +402,7 @@
                 reserved: [0; 7],
             };
             body.extend_from_slice(line.as_bytes());
-            attested.withdrawn.iter().for_each(|job_id| body.extend_from_slice(U64::new(*job_id).as_bytes()));
+            attested.cancelled.iter().for_each(|job_id| body.extend_from_slice(U64::new(*job_id).as_bytes()));
         }
     }
     head.length = (body.len() as u32).into();
@@ -465,7 +465,7 @@
         }
         ATTESTATION => {
             let (line, rest) = AttestationLine::ref_from_prefix(rest).map_err(|_| "attestation too short")?;
-            let withdrawn = <[U64]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
+            let cancelled = <[U64]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
             Payload::Attestation(Attestation {
                 to: line.to.get(),
                 echo: stamp,
@@ -473,7 +473,7 @@
                 quiet: line.quiet != 0,
                 held: line.held.get(),
                 last: line.last.get(),
-                withdrawn: withdrawn.iter().map(|job_id| job_id.get()).collect(),
+                cancelled: cancelled.iter().map(|job_id| job_id.get()).collect(),
             })
         }
         _ => Payload::Confirmed { id: stamp, lease_ms: head.workers.get() },
--- a/src/server.rs
+++ b/src/server.rs
@@ -76,8 +76,8 @@
     Peer(Received),
     /// The live jobs were read.
     Live(Reading),
-    /// A user is to be told that the job is withdrawn; the answer is whether that may be told now.
-    Withdrawn(JobId, oneshot::Sender<bool>),
+    /// A user is to be told that the job is cancelled; the answer is whether that may be told now.
+    Cancelled(JobId, oneshot::Sender<bool>),
     Store(StoreAnswer),
     /// For the core of this token, and no other.
     Core(u64, Command),
@@ -164,7 +164,7 @@
     let now = clock.now();
     let workers = &deployment.workers;
     let alone = limits::alone(workers.cancel_s, workers.lease_s);
-    let (seed, kept) = (sender.incarnation, limits::withdrawn_kept(workers.cancel_s));
+    let (seed, kept) = (sender.incarnation, limits::cancelled_kept(workers.cancel_s));
     let leadership = Leadership::new(names, me, sender.incarnation, now, (alone, kept), seed);
     let hub = Hub {
         config: Config {
@@ -315,7 +315,7 @@
     acts_until: Arc<AtomicU64>,
     summary_due: u64,
     report_due: u64,
-    /// Withdrawals that members must hold before they are told.
+    /// Cancellations that members must hold before they are told.
     confirming: Vec<(JobId, oneshot::Sender<bool>)>,
 }
 
@@ -379,7 +379,7 @@
                     let over = self.leadership.knowledge.read(now, sent, whole, &added, &removed);
                     commands.extend(over.into_iter().map(Command::JobRemoved));
                 }
-                Event::Withdrawn(job_id, to) => {
+                Event::Cancelled(job_id, to) => {
                     let (news, _, actions) = self.leadership.confirm(now, job_id);
                     self.act(actions);
                     if news {
@@ -424,9 +424,9 @@
         self.keep_block(now);
     }
 
-    // ---- withdrawals ----
+    // ---- cancellations ----
 
-    /// What the state service says of a job may come later than a member's word that it is withdrawn.
+    /// What the state service says of a job may come later than a member's word that it is cancelled.
     fn unless_over(&self, command: Command) -> Option<Command> {
         let knowledge = &self.leadership.knowledge;
         match command {
@@ -439,7 +439,7 @@
         }
     }
 
-    /// Answers those who want to tell a user of a withdrawal, as soon as it may be told.
+    /// Answers those who want to tell a user of a cancellation, as soon as it may be told.
     fn tell_confirmed(&mut self, now: u64) {
         for (job_id, to) in std::mem::take(&mut self.confirming) {
             let (_, may) = self.leadership.knowledge.confirm(now, job_id);
@@ -595,7 +595,7 @@
         };
         let leads = self.leadership.authority(now).filter(|_| self.core.is_some());
         // Before the jobs are loaded a leader knows no more than a caretaker: the worker's lease runs on, and
-        // there is nobody to say what it should do but stop what is withdrawn.
+        // there is nobody to say what it should do but stop what is cancelled.
         let loaded = self.core.as_ref().is_some_and(|core| core.loaded);
         let cares = if loaded { None } else { leads }.or_else(|| self.leadership.caretaker(now));
         if let Some(token) = cares {
@@ -1088,7 +1088,7 @@
     }
 }
 
-/// Removes what withdrawn jobs left behind, slowly enough to stay clear of the write limit.
+/// Removes what cancelled jobs left behind, slowly enough to stay clear of the write limit.
 async fn sweep(store: Store, orphans: Vec<String>, entry: u64) {
     for key in orphans {
         let _ = store.commit(vec![store::compare(store::EPOCH, entry)], vec![store::remove(&key)]).await;
--- a/tests/core_rules.rs
+++ b/tests/core_rules.rs
@@ -185,7 +185,7 @@
     cloud_down_until: u64,
     specs: BTreeMap<JobId, JobSpec>,
     live: BTreeMap<JobId, (u64, BTreeSet<u32>)>,
-    withdrawn: BTreeMap<JobId, u64>,
+    cancelled: BTreeMap<JobId, u64>,
     gangs: BTreeMap<(JobId, u64), GangRun>,
     gangs_done: u64,
     over: BTreeSet<JobId>,
@@ -222,7 +222,7 @@
             cloud_down_until: 0,
             specs: BTreeMap::new(),
             live: BTreeMap::new(),
-            withdrawn: BTreeMap::new(),
+            cancelled: BTreeMap::new(),
             gangs: BTreeMap::new(),
             gangs_done: 0,
             over: BTreeSet::new(),
@@ -255,10 +255,10 @@
         self.later.push((self.now + STEP, Command::JobAdded(stored)));
     }
 
-    fn withdraw(&mut self, job_id: JobId) {
+    fn cancel(&mut self, job_id: JobId) {
         if self.live.remove(&job_id).is_some() {
             self.over.insert(job_id);
-            self.withdrawn.insert(job_id, self.now);
+            self.cancelled.insert(job_id, self.now);
             self.later.push((self.now + STEP, Command::JobRemoved(job_id)));
         }
     }
@@ -704,7 +704,7 @@
             let there = alive && worker.tasks.get(&id).is_some_and(|t| t.exited.is_none());
             assert!(!there, "ran_twice: {id} starts on {name} while it is on {other}");
         }
-        let since = self.withdrawn.get(&id.job_id);
+        let since = self.cancelled.get(&id.job_id);
         assert!(since.is_none_or(|at| self.now < at + 40 * SECOND), "ran_cancelled: {id}");
         let Some(worker) = self.workers.get_mut(name) else { return };
         // A gang that has not started yet takes a replacement under its own attempt, on whatever machine.
@@ -744,7 +744,7 @@
         for worker in self.workers.values().filter(|w| !w.dead && self.now < w.lease_until) {
             for (id, _) in worker.tasks.iter().filter(|(_, t)| t.exited.is_none()) {
                 *gpus.entry(&self.specs[&id.job_id].team).or_default() += 1.0;
-                let since = self.withdrawn.get(&id.job_id);
+                let since = self.cancelled.get(&id.job_id);
                 assert!(
                     since.is_none_or(|at| self.now < at + 40 * SECOND),
                     "ran_cancelled: {id} still on a machine"
@@ -817,7 +817,7 @@
                 let live: Vec<JobId> = self.live.keys().copied().collect();
                 if !live.is_empty() {
                     let job_id = live[self.rng.random_range(0..live.len())];
-                    self.withdraw(job_id);
+                    self.cancel(job_id);
                 }
             }
             _ => {}
@@ -838,7 +838,7 @@
                 let affected = if hangs { &mut worker.up_at } else { &mut worker.cut_until };
                 *affected = until;
             }
-            jobs.into_iter().take(1).for_each(|job_id| self.withdraw(job_id));
+            jobs.into_iter().take(1).for_each(|job_id| self.cancel(job_id));
         }
         // The leader sends its stops, and some are under way when it ends.
         (0..3).for_each(|_| self.step());
@@ -863,10 +863,10 @@
             world.step();
         }
     }
-    // Services are withdrawn, and everything else must come to its end.
+    // Services are cancelled, and everything else must come to its end.
     let services: Vec<JobId> =
         world.live.keys().copied().filter(|u| world.specs[u].kind == Kind::Service).collect();
-    services.into_iter().for_each(|job_id| world.withdraw(job_id));
+    services.into_iter().for_each(|job_id| world.cancel(job_id));
     for _ in 0..4_000 {
         world.step();
         if world.live.is_empty() {
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn a_withdrawn_gang_is_stopped_in_every_stage() {
+fn a_cancelled_gang_is_stopped_in_every_stage() {
     for status in [TaskStatus::Running, TaskStatus::Fetching] {
         let mut bed = Bed::new();
         bed.set(status);
--- a/tests/loopback/close_looks.rs
+++ b/tests/loopback/close_looks.rs
@@ -120,8 +120,8 @@
             assert!(accepted.is_none_or(|(status, _)| status == 200 || status == 503));
             assert!(look_closely(&user, &id, &body, &Value::from("pending"), 2).await > 0);
             lose("over/");
-            let withdraw = format!("{path}/withdraw");
-            let (_, told) = user.insist("POST", &withdraw, "").await;
+            let cancel = format!("{path}/withdraw");
+            let (_, told) = user.insist("POST", &cancel, "").await;
             assert_eq!(told["status"], "aborted");
             assert!(look_closely(&user, &id, &body, &told["status"], 2).await > 0);
             state.lock().unwrap().trouble = None;
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -188,7 +188,7 @@
             let (_, body) = user.ask(node, "GET", "/submissions/job-000900", String::new()).await.unwrap();
             assert_eq!(body["status"], "aborted", "node {node} tells an older state");
         }
-        // Repeated, and withdrawn after its end, a job tells its state on every node.
+        // Repeated, and cancelled after its end, a job tells its state on every node.
         for node in 0..3 {
             for (path, body) in [
                 ("/submissions", submission("job-000001", "sweep", 3).to_string()),
@@ -201,10 +201,10 @@
     });
 }
 
-/// The last task's end, a withdrawal, a question and a repeated submission meet, at different distances from the
+/// The last task's end, a cancellation, a question and a repeated submission meet, at different distances from the
 /// end: `live` to `over` is one transaction, whoever loses it tells what won, and nobody tells another end later.
 #[test]
-fn an_end_and_a_withdrawal_that_meet_have_one_outcome_on_every_node() {
+fn an_end_and_a_cancellation_that_meet_have_one_outcome_on_every_node() {
     on_runtime(async {
         let (state, state_at) = standins::state_service().await;
         let (cloud, cloud_at) = standins::cloud().await;
@@ -214,17 +214,17 @@
         let first = submission("job-000001", "sweep", 1).to_string();
         assert_eq!(user.insist("POST", "/submissions", &first).await.0, 201);
         user.wait_for("job-000001", "done").await;
-        // Between the reading and the transaction of a withdrawal there is time for the end.
+        // Between the reading and the transaction of a cancellation there is time for the end.
         state.lock().unwrap().slow = Duration::from_millis(300);
         for round in 0..12u64 {
             let job_id = format!("job-{:06}", 100 + round);
             let body = submission(&job_id, "sweep", 1).to_string();
             assert_eq!(user.insist("POST", "/submissions", &body).await.0, 201);
             tokio::time::sleep(Duration::from_millis(150 * round)).await;
-            let (withdraw, poll) =
+            let (cancel, poll) =
                 (format!("/submissions/{job_id}/withdraw"), format!("/submissions/{job_id}"));
             let (ended, asked, repeated) = tokio::join!(
-                user.insist("POST", &withdraw, ""),
+                user.insist("POST", &cancel, ""),
                 user.insist("GET", &poll, ""),
                 user.insist("POST", "/submissions", &body),
             );
@@ -238,11 +238,9 @@
                 );
             }
             for node in 0..3 {
-                for (method, path, body) in [
-                    ("GET", &poll, ""),
-                    ("POST", &withdraw, ""),
-                    ("POST", &"/submissions".to_string(), &body),
-                ] {
+                for (method, path, body) in
+                    [("GET", &poll, ""), ("POST", &cancel, ""), ("POST", &"/submissions".to_string(), &body)]
+                {
                     let answer = user.ask(node, method, path, body.to_string()).await.unwrap();
                     assert_eq!((answer.0, &answer.1["status"]), (200, &end), "{method} {path} on {node}");
                 }
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -104,14 +104,14 @@
 #[test]
 fn attestations_survive_the_trip_and_have_a_kind_that_production_has_not() {
     let attestation =
-        Attestation { to: 7, echo: 11, age: 13, quiet: true, held: 3, last: 5, withdrawn: vec![412, 9] };
+        Attestation { to: 7, echo: 11, age: 13, quiet: true, held: 3, last: 5, cancelled: vec![412, 9] };
     let bytes = encode(SENDER, 6, &Payload::Attestation(attestation.clone()));
     assert!(golden().values().all(|frame| frame[KIND] < bytes[KIND]));
     assert!(matches!(decode(&bytes).unwrap().3, Payload::Attestation(read) if read == attestation));
     for cut in HEAD..bytes.len() {
         let mut part = bytes[..cut].to_vec();
         part[4..8].copy_from_slice(&((cut - HEAD) as u32).to_le_bytes());
-        let fewer = |p: &Payload| matches!(p, Payload::Attestation(a) if a.withdrawn.len() < 2);
+        let fewer = |p: &Payload| matches!(p, Payload::Attestation(a) if a.cancelled.len() < 2);
         assert!(decode(&part).is_err() || decode(&part).is_ok_and(|f| fewer(&f.3)), "cut at {cut}");
     }
 }
