--- a/src/core/consolidate.rs
+++ b/src/core/consolidate.rs
@@ -77,7 +77,7 @@
     /// Stops replicas on surplus machines, if places with their images are free elsewhere. Few at a time,
     /// and only while all is calm: a move costs its users a few seconds.
     pub fn move_replicas(&mut self) {
-        let calm = self.settled
+        let calm = self.reconciled
             && self.now >= self.started + limits::MOVE_CALM
             && self.now >= self.fleet.moved + limits::MOVE_PAUSE
             && self.jobs.values().all(|j| j.over || j.spec.spot || j.waiting.is_empty());
--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -145,7 +145,7 @@
 
     /// What the jobs of a round have in common, and the machines with room for any of them.
     fn room(&mut self, order: &[JobId], probes: &mut usize) -> Room {
-        self.note_unsettled();
+        self.note_unreconciled();
         let jobs = || order.iter().filter_map(|job_id| self.jobs.get(job_id));
         let least = jobs().filter(|j| !j.waiting.is_empty()).map(|j| j.spec.needs).reduce(|a, b| a.least(&b));
         let mut room = Room {
@@ -236,7 +236,7 @@
         }
         // A task of an earlier leader's may be on a machine that has not reported yet, if it is one that
         // the job may use at all.
-        if job.inherited && !self.settled_for(job) {
+        if job.inherited && !self.reconciled_for(job) {
             return self.wait(job_id, "machines of the last leader have not reported");
         }
         let held = job.places.len() as u32;
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -45,7 +45,7 @@
             self.account();
             self.delete_lost();
             // Before the machines of the last leader are known, every one of them would look missing.
-            if self.settled && !self.types.is_empty() {
+            if self.reconciled && !self.types.is_empty() {
                 self.mark_surplus();
                 self.move_replicas();
                 self.begin_plan();
@@ -187,7 +187,7 @@
         let vanished: Vec<String> = self
             .machines
             .values()
-            .filter(|m| m.inherited && !m.settled && m.phase == Phase::Expected && !m.deleting)
+            .filter(|m| m.inherited && !m.reconciled && m.phase == Phase::Expected && !m.deleting)
             .filter(|m| !shown.contains(&m.name))
             .map(|m| m.name.clone())
             .collect();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -235,10 +235,10 @@
     held: Vec<(u64, String)>,
     expire_due: u64,
     /// Kinds of machine (type, zone, spot) of which earlier leaders' have not all reported.
-    unsettled: BTreeSet<fleet::Offer>,
+    unreconciled: BTreeSet<fleet::Offer>,
     attempts: u64,
     /// All machines of earlier leaders are accounted for.
-    settled: bool,
+    reconciled: bool,
     /// Until when somebody else may have kept workers alive under a token of the past.
     kept_alive: u64,
     /// When each holder was last out of touch: what reports through it may come another way for a while.
@@ -274,9 +274,9 @@
             probes: 0,
             held: Vec::new(),
             expire_due: 0,
-            unsettled: BTreeSet::new(),
+            unreconciled: BTreeSet::new(),
             attempts: 0,
-            settled: false,
+            reconciled: false,
             kept_alive: now + limits::lengthened(block_lease),
             out_of_touch: BTreeMap::new(),
             silence: silence::Silence::default(),
@@ -527,7 +527,7 @@
 
     pub fn usable(&self, machine: &Machine) -> bool {
         machine.phase == Phase::Up
-            && machine.settled
+            && machine.reconciled
             && machine.recorded
             && !machine.draining
             && !machine.deleting
@@ -541,16 +541,16 @@
 
     /// Whether every machine that an earlier leader may have started the job on is accounted for, as of
     /// the beginning of the round.
-    pub fn settled_for(&self, job: &Job) -> bool {
+    pub fn reconciled_for(&self, job: &Job) -> bool {
         let may_use = |(machine_type, zone, spot): &fleet::Offer| {
             job.spec.allows_type(machine_type) && job.spec.allows_zone(zone) && (!spot || job.spec.spot)
         };
-        self.settled || !self.unsettled.iter().any(may_use)
+        self.reconciled || !self.unreconciled.iter().any(may_use)
     }
 
-    fn note_unsettled(&mut self) {
-        let open = self.machines.values().filter(|m| m.inherited && !m.settled);
-        self.unsettled = if self.settled {
+    fn note_unreconciled(&mut self) {
+        let open = self.machines.values().filter(|m| m.inherited && !m.reconciled);
+        self.unreconciled = if self.reconciled {
             BTreeSet::new()
         } else {
             open.map(|m| (m.machine_type.clone(), m.zone.clone(), m.spot)).collect()
@@ -577,7 +577,7 @@
             // A worker first heard of may have begun its lease as late as then: without its report in the
             // sum, every machine younger than this leader was given up the moment it came up.
             .filter(|m| now.min(covered) >= m.answered.max(m.heard).max(alive) + lease)
-            .filter(|m| m.phase == Phase::Up || !m.tasks.is_empty() || (m.inherited && !m.settled))
+            .filter(|m| m.phase == Phase::Up || !m.tasks.is_empty() || (m.inherited && !m.reconciled))
             .map(|m| m.name.clone())
             .collect();
         for name in ended {
@@ -585,15 +585,15 @@
             self.clear_machine(&name);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.phase = Phase::Lost;
-                machine.settled = true;
+                machine.reconciled = true;
             }
             self.news = true;
         }
-        if !self.settled && self.loaded {
-            let open = |m: &&Machine| m.inherited && !m.settled;
-            self.settled = now >= alive + lease || self.machines.values().filter(open).count() == 0;
-            if self.settled {
-                info!(after_ms = (now - self.started) / 1000, "all machines of earlier leaders settled");
+        if !self.reconciled && self.loaded {
+            let open = |m: &&Machine| m.inherited && !m.reconciled;
+            self.reconciled = now >= alive + lease || self.machines.values().filter(open).count() == 0;
+            if self.reconciled {
+                info!(after_ms = (now - self.started) / 1000, "all machines of earlier leaders reconciled");
                 self.news = true;
             }
         }
--- a/src/core/model.rs
+++ b/src/core/model.rs
@@ -238,7 +238,7 @@
     pub session: u64,
     pub seq: u64,
     /// A report has stated this leader's token: the task list is exact.
-    pub settled: bool,
+    pub reconciled: bool,
     /// Its record is in the state service, so that a later leader knows to wait for it.
     pub recorded: bool,
     /// An earlier leader recorded it, and may have started tasks on it.
@@ -291,7 +291,7 @@
     /// the last one did says nothing new.
     pub fn calm(&self) -> bool {
         self.phase == Phase::Up
-            && self.settled
+            && self.reconciled
             && self.recorded
             && self.recall_at.is_none()
             && self.told.is_empty()
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -23,7 +23,7 @@
             phase: Phase::Expected,
             session: 0,
             seq: 0,
-            settled: false,
+            reconciled: false,
             recorded: false,
             inherited: false,
             heard: 0,
@@ -116,8 +116,8 @@
         machine.seq = report.seq;
         machine.address = report.address;
         machine.recall_at = report.notice_s.map(|s| now + limits::micros(s));
-        machine.settled |= report.token == token;
-        if !machine.settled {
+        machine.reconciled |= report.token == token;
+        if !machine.reconciled {
             // Its first report to this leader, or a copy of one made for an earlier leader, which may be of
             // any age: its list proves nothing, and taken in, it would make tasks seem to be in two places;
             // nor does it prove that the machine is there. The next report states our token. A machine that
@@ -393,15 +393,15 @@
     /// through may answer by itself what says nothing new.
     pub fn answer(&mut self, name: &str) -> (Vec<Order>, bool) {
         let now = self.now;
-        let settled_and_recorded;
+        let reconciled_and_recorded;
         let mut orders: Vec<Order>;
         {
             let Some(machine) = self.machines.get_mut(name) else { return (Vec::new(), false) };
             machine.answered = now;
             machine.woken = false;
-            machine.told_token = machine.via.is_none() && !machine.settled;
+            machine.told_token = machine.via.is_none() && !machine.reconciled;
             orders = Self::stop_orders(machine).collect();
-            settled_and_recorded = machine.settled && machine.recorded;
+            reconciled_and_recorded = machine.reconciled && machine.recorded;
         }
         let machine = &self.machines[name];
         for ((id, attempt), cause) in &machine.exited {
@@ -412,7 +412,7 @@
                 orders.push(Order::Forget { id: *id, attempt: *attempt });
             }
         }
-        if let Some(machine) = self.machines.get_mut(name).filter(|_| settled_and_recorded) {
+        if let Some(machine) = self.machines.get_mut(name).filter(|_| reconciled_and_recorded) {
             let newest = (machine.session, machine.seq);
             for (id, placed) in &mut machine.tasks {
                 if placed.sent.is_none() && !placed.seen && placed.stopping.is_none() {
--- a/src/core/silence.rs
+++ b/src/core/silence.rs
@@ -187,7 +187,7 @@
     }
 
     fn seen(&self) -> Vec<Seen<'_>> {
-        let awaited = |m: &Machine| m.inherited && !m.settled && m.phase == Phase::Expected;
+        let awaited = |m: &Machine| m.inherited && !m.reconciled && m.phase == Phase::Expected;
         let heard = self.machines.values().filter(|m| m.phase != Phase::Expected || awaited(m));
         heard
             .map(|m| Seen {
--- a/src/core/teams.rs
+++ b/src/core/teams.rs
@@ -86,7 +86,7 @@
     /// that reports tasks of jobs that are over and unknown here. Each counts in full against every team: only
     /// to wait until all had reported kept every team of a fleet without work behind one machine that had died.
     fn may_hold_unknown_tasks(&self, machine: &Machine) -> bool {
-        let unreconciled = !self.settled && machine.inherited && !machine.settled;
+        let unreconciled = !self.reconciled && machine.inherited && !machine.reconciled;
         unreconciled || !machine.foreign.is_empty()
     }
 
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -1,7 +1,7 @@
 //! Which jobs are cancelled, as far as this node knows, and up to when it knows of all of them.
 //!
 //! Whoever answers a worker keeps alive what runs there. A cancellation that was told to a user must reach every
-//! task within `cancel_s`, whoever leads, holds, caretakes or has led by then, and whatever fails. So there is
+//! task within `cancel_s`, whoever leads, holds, keeps leases or has led by then, and whatever fails. So there is
 //! one rule for all of them: a node answers workers only for a bounded time after the moment up to which it
 //! knows of every cancellation, and no answer of its leaves without the stops that it knows of.
 //!
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -127,7 +127,7 @@
     },
     /// In a state outage without a leader: keeps workers alive under the last token, by grants of a
     /// majority, and gives no orders.
-    Caretaker {
+    LeaseKeeper {
         token: u64,
     },
     Leader {
@@ -255,7 +255,7 @@
     }
 
     /// Whether this node's own word counts for itself. What it granted or promised another before it took over
-    /// binds it: a leader that resumed trusted leases beside the caretaker that it had granted (the network test).
+    /// binds it: a leader that resumed trusted leases beside the lease keeper that it had granted (the network test).
     fn own_word(&self, now: u64) -> bool {
         !self.amnesiac(now) && now >= self.bound_until
     }
@@ -288,12 +288,12 @@
     }
 
     /// The token under which this node may keep workers alive, without orders.
-    pub fn caretaker(&self, now: u64) -> Option<u64> {
-        let Role::Caretaker { token } = self.role else { return None };
+    pub fn lease_keeper(&self, now: u64) -> Option<u64> {
+        let Role::LeaseKeeper { token } = self.role else { return None };
         (now + limits::GUARD < self.care_until(now)).then_some(token)
     }
 
-    /// A cancellation may pass the caretaker by: a zone cut off with a majority in it would keep a cancelled
+    /// A cancellation may pass the lease keeper by: a zone cut off with a majority in it would keep a cancelled
     /// job's tasks alive for as long as it is cut.
     fn care_until(&self, now: u64) -> u64 {
         let granted = self.majority_until(self.own_word(now), |p| p.granted).min(now + limits::GRANT);
@@ -316,7 +316,7 @@
         self.knowledge.keeps_until().saturating_sub(now).min(self.alone)
     }
 
-    /// The last time at which a caretaker may have kept workers alive beside this leader: until now
+    /// The last time at which a lease keeper may have kept workers alive beside this leader: until now
     /// while it has no majority's grants, and until it got them back otherwise.
     pub fn alone_until(&self, now: u64) -> u64 {
         let backed = self.majority_until(self.own_word(now), |p| p.granted) > now;
@@ -397,7 +397,7 @@
         if now >= self.heartbeat_due {
             self.heartbeat_due = now + limits::HEARTBEAT;
             let token = match self.role {
-                Role::Leader { token, .. } | Role::Caretaker { token } => token,
+                Role::Leader { token, .. } | Role::LeaseKeeper { token } => token,
                 _ => 0,
             };
             let beat = Message::Heartbeat { token, sent: now };
@@ -515,8 +515,8 @@
         }
         // Without a fresh reading there is nothing to condition a transaction on.
         let readable = self.probed && now < self.probed_at + limits::PROBE_CALM && !self.locked;
-        if let Role::Caretaker { .. } = self.role {
-            if self.caretaker(now).is_some() && !readable && !self.peer_has_state(now) {
+        if let Role::LeaseKeeper { .. } = self.role {
+            if self.lease_keeper(now).is_some() && !readable && !self.peer_has_state(now) {
                 return;
             }
             info!("caretaking ends");
@@ -583,7 +583,7 @@
             // leader that lives on by its state lease alone counts on no worker lease ending meanwhile.
             info!(token = self.token, "no leader and no state service: keeping workers alive");
             self.campaigning = false;
-            self.role = Role::Caretaker { token: self.token };
+            self.role = Role::LeaseKeeper { token: self.token };
             self.peers.iter_mut().for_each(|p| p.granted = 0);
             self.heartbeat_due = now;
             return;
@@ -668,7 +668,7 @@
             Message::Heartbeat { token, sent } => self.heartbeat(now, from, token, sent, &mut actions),
             Message::Grant { token, echo } => {
                 let current = match self.role {
-                    Role::Leader { token: own, .. } | Role::Caretaker { token: own } => own == token,
+                    Role::Leader { token: own, .. } | Role::LeaseKeeper { token: own } => own == token,
                     _ => false,
                 };
                 if current && echo <= now {
@@ -723,7 +723,7 @@
             return;
         }
         actions.extend(self.seen_token(token, now));
-        if let Role::Caretaker { .. } = self.role {
+        if let Role::LeaseKeeper { .. } = self.role {
             self.role = Role::Follower;
         }
         if self.leader.is_none_or(|(node, t, _)| (node, t) != (from, token)) {
--- a/src/leadership_tests.rs
+++ b/src/leadership_tests.rs
@@ -143,7 +143,7 @@
     told: BTreeMap<JobId, u64>,
     /// How often a job is cancelled, once in so many steps; 0: never.
     cancels: u32,
-    /// Leases that leaders counted as over, and answers that holders and caretakers gave by themselves.
+    /// Leases that leaders counted as over, and answers that holders and lease keepers gave by themselves.
     proofs: u64,
     alone_answers: u64,
     tokens: Vec<(u64, usize, u64)>,
@@ -598,7 +598,7 @@
             self.nodes[node].ledger.answered.insert(w, (now, self.now));
             return Some((token, job_ids(stops)));
         }
-        if let Some(token) = self.nodes[node].leadership.caretaker(now) {
+        if let Some(token) = self.nodes[node].leadership.lease_keeper(now) {
             let stops = keeps?;
             self.alone_answers += 1;
             return Some((token, job_ids(stops)));
@@ -683,14 +683,18 @@
         assert!(acting.len() <= 1, "two leaders at {}: {acting:?}", self.now);
         let keeping: Vec<usize> = (0..3)
             .filter(|n| self.nodes[*n].down_until.is_none())
-            .filter(|n| self.nodes[*n].leadership.caretaker(self.local(*n)).is_some())
+            .filter(|n| self.nodes[*n].leadership.lease_keeper(self.local(*n)).is_some())
             .collect();
-        assert!(keeping.len() <= 1, "two caretakers at {}: {keeping:?}", self.now);
+        assert!(keeping.len() <= 1, "two lease keepers at {}: {keeping:?}", self.now);
         if let (Some((leader, _)), Some(keeper)) = (acting.first(), keeping.first()) {
-            // A leader beside a caretaker must know that it may be one of two.
+            // A leader beside a lease keeper must know that it may be one of two.
             let now = self.local(*leader);
             let alone = self.nodes[*leader].leadership.alone_until(now);
-            assert!(alone >= now, "leader {leader} trusts leases beside caretaker {keeper} at {}", self.now);
+            assert!(
+                alone >= now,
+                "leader {leader} trusts leases beside lease keeper {keeper} at {}",
+                self.now
+            );
         }
         self.kept_time += keeping.len() as u64;
         if let Some((node, token)) = acting.first() {
@@ -849,7 +853,7 @@
 }
 
 #[test]
-fn a_crash_inside_a_state_outage_leaves_a_caretaker() {
+fn a_crash_inside_a_state_outage_leaves_a_lease_keeper() {
     for seed in 0..20 {
         let mut world = World::new(seed);
         world.cancels = 400;
@@ -878,7 +882,7 @@
 }
 
 /// The zone that holds the leader and a majority is cut off, state service and all. Inside, they may act and
-/// keep workers alive for the bounded time only, since cancellations outside pass them by (a caretaker went on
+/// keep workers alive for the bounded time only, since cancellations outside pass them by (a lease keeper went on
 /// without end); outside, the one that is left leads once that time is over, though nobody promises it.
 #[test]
 fn a_majority_cut_off_from_the_state_service_stops_and_the_one_outside_leads() {
@@ -941,7 +945,7 @@
     }
 }
 
-/// Leaders, holders and caretakers together: whoever keeps a worker alive, the leader knows how long that may
+/// Leaders, holders and lease keepers together: whoever keeps a worker alive, the leader knows how long that may
 /// last, and no task of a job lives longer than `CANCEL` after its user was told that it is cancelled.
 #[test]
 fn no_lease_is_counted_as_over_that_somebody_keeps_alive() {
@@ -1057,7 +1061,7 @@
     }
 }
 
-/// A node resumes its own epoch without promises. What it granted a caretaker a moment ago still binds it: with
+/// A node resumes its own epoch without promises. What it granted a lease keeper a moment ago still binds it: with
 /// its own word and one grant it took itself for backed by a majority, and worker leases for over.
 #[test]
 fn a_resumed_leader_does_not_count_its_own_word_while_its_grant_to_another_runs() {
@@ -1073,7 +1077,7 @@
     node.store(now, StoreAnswer::Won { permit: 1, entry: 4, lease_sent: now });
     node.message(now + 1, 2, 8, Status::default(), Message::Grant { token: 6, echo: now });
     let soon = now + limits::SECOND;
-    assert_eq!(node.alone_until(soon), soon, "a caretaker may keep workers alive beside it");
+    assert_eq!(node.alone_until(soon), soon, "a lease_keeper may keep workers alive beside it");
     let later = now + lengthened(limits::GRANT) + 1;
     node.message(later, 2, 8, Status::default(), Message::Grant { token: 6, echo: later });
     assert!(node.alone_until(later + 1) <= later, "its word counts again");
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -40,7 +40,7 @@
 pub const ABDICATION_PAUSE: u64 = 6_000_000;
 
 /// How long workers may be kept alive, by whom ever, after the moment up to which every cancellation is known
-/// there, the state lease aside: leaders by their peers alone, caretakers, former leaders, and holders that hear
+/// there, the state lease aside: leaders by their peers alone, lease keepers, former leaders, and holders that hear
 /// no leader. A worker answered at the very end lives for its lease, and all must be gone `cancel_s` after
 /// the user was told. Taken off besides: the state lease, by which the leader could not miss it longer, the
 /// lateness of a worker's own end, and a second on the way. Stops go straight to the workers, so that what a
--- a/src/server.rs
+++ b/src/server.rs
@@ -472,8 +472,8 @@
         match payload {
             Payload::Report { id, stamp, report } => {
                 if !leads || !fresh(stamp) || now >= self.leadership.knowledge.keeps_until() {
-                    // A caretaker keeps workers alive whichever way they come.
-                    let care = self.leadership.caretaker(now).zip(self.keeps(now, &report));
+                    // A lease keeper keeps workers alive whichever way they come.
+                    let care = self.leadership.lease_keeper(now).zip(self.keeps(now, &report));
                     let (token, orders) = care.unzip();
                     let orders = orders.unwrap_or_default();
                     self.send(from, Payload::Reply { id, token, keep: false, orders });
@@ -594,10 +594,10 @@
             }
         };
         let leads = self.leadership.authority(now).filter(|_| self.core.is_some());
-        // Before the jobs are loaded a leader knows no more than a caretaker: the worker's lease runs on, and
+        // Before the jobs are loaded a leader knows no more than a lease keeper: the worker's lease runs on, and
         // there is nobody to say what it should do but stop what is cancelled.
         let loaded = self.core.as_ref().is_some_and(|core| core.loaded);
-        let cares = if loaded { None } else { leads }.or_else(|| self.leadership.caretaker(now));
+        let cares = if loaded { None } else { leads }.or_else(|| self.leadership.lease_keeper(now));
         if let Some(token) = cares {
             let reply = match self.keeps(now, &report) {
                 Some(stops) => CheckinReply::Orders(CheckinAnswer::new(token, &stops)),
