--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,4 @@
-//! What users and workers ask, over HTTP. No decisions here: users' requests are settled with the
+//! What users and workers ask, over HTTP. No decisions here: users' requests are decided by transactions of the
 //! state service, check-ins by the owner of the state.
 
 use crate::core::model::{JobId, JobSpec, Kind, MachineType, Resources};
--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -1,9 +1,9 @@
 //! A controller's block: the workers that report to it.
 //!
-//! The holder passes on what changes and answers by itself, under the leader's token and without commands,
+//! The lessee passes on what changes and answers by itself, under the leader's token and without commands,
 //! the reports that say nothing new. Once a second it tells the leader whom it answered, and each such word
-//! that the leader confirms lets it go on for a block lease: counted by the holder from when it sent the word,
-//! by the leader from when it got it. While it hears no leader, a holder answers whoever shows the last token,
+//! that the leader confirms lets it go on for a block lease: counted by the lessee from when it sent the word,
+//! by the leader from when it got it. While it hears no leader, a lessee answers whoever shows the last token,
 //! so that a zone that is cut off lives on as a whole, whichever node its workers reported to before. The
 //! leader always knows until when somebody may have kept a worker alive.
 
@@ -36,7 +36,7 @@
     pub id: u64,
     /// It names every machine answered since the last word that was confirmed.
     pub whole: bool,
-    /// None was confirmed yet: it says nothing of what an earlier life of this holder answered.
+    /// None was confirmed yet: it says nothing of what an earlier life of this lessee answered.
     pub fresh: bool,
     pub machines: Vec<String>,
 }
@@ -210,7 +210,7 @@
         }
     }
 
-    /// A holder whose lease runs from one second on.
+    /// A lessee whose lease runs from one second on.
     fn block() -> Block {
         let mut block = Block::new(8);
         block.follow(4);
--- a/src/core/gang.rs
+++ b/src/core/gang.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// In how many seconds the machine's next report is due, by which a start reaches it. A holder tells of what it
+    /// In how many seconds the machine's next report is due, by which a start reaches it. A lessee tells of what it
     /// answered up to `BLOCK_TELL` later: a machine that seems due within that may well have just reported, and
     /// comes an interval later. Where reports are hardly rarer than that there is nothing to tell them apart by.
     pub fn report_due_s(&self, machine: &Machine) -> i64 {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -38,7 +38,7 @@
     pub record_machines: usize,
     /// Rental requests under way at once.
     pub rentals_at_once: usize,
-    /// For how long a holder may go on by itself, in microseconds; 0: there are no others.
+    /// For how long a lessee may go on by itself, in microseconds; 0: there are no others.
     pub block_lease: u64,
 }
 
@@ -104,10 +104,10 @@
     Checkin {
         reply: u64,
         report: Report,
-        /// The holder that passed it on; None: it came here.
+        /// The lessee that passed it on; None: it came here.
         via: Option<usize>,
     },
-    /// Machines that a holder has answered by itself.
+    /// Machines that a lessee has answered by itself.
     Heard {
         node: usize,
         machines: Vec<String>,
@@ -160,7 +160,7 @@
         /// The node that passed the report on may answer the next ones by itself if they say nothing new.
         keep: bool,
     },
-    /// A holder is to pass this machine's next report on.
+    /// A lessee is to pass this machine's next report on.
     Wake {
         node: usize,
         machine: String,
@@ -202,9 +202,9 @@
     Deposed(u64),
 }
 
-/// What this leader knows of a holder.
+/// What this leader knows of a lessee.
 #[derive(Debug, Default, Clone, Copy)]
-struct Holder {
+struct Lessee {
     /// Every answer that it gave before then is known here.
     covered: u64,
     /// When its lease was last renewed; it may go on for a block lease.
@@ -241,10 +241,10 @@
     reconciled: bool,
     /// Until when somebody else may have kept workers alive under a token of the past.
     kept_alive: u64,
-    /// When each holder was last out of touch: what reports through it may come another way for a while.
+    /// When each lessee was last out of touch: what reports through it may come another way for a while.
     out_of_touch: BTreeMap<usize, u64>,
     silence: silence::Silence,
-    holders: BTreeMap<usize, Holder>,
+    lessees: BTreeMap<usize, Lessee>,
     /// Work of a job on average, as of the last round.
     typical_work: f64,
     effects: Vec<Effect>,
@@ -253,7 +253,7 @@
 impl Core {
     pub fn new(config: Config, now: u64) -> Self {
         let writes = records::WriteBudget::new(config.write_rps, now);
-        // Holders may answer as long as that for the last leader.
+        // Lessees may answer as long as that for the last leader.
         let block_lease = config.block_lease;
         Core {
             config,
@@ -280,7 +280,7 @@
             kept_alive: now + limits::lengthened(block_lease),
             out_of_touch: BTreeMap::new(),
             silence: silence::Silence::default(),
-            holders: BTreeMap::new(),
+            lessees: BTreeMap::new(),
             typical_work: 0.0,
             effects: Vec::new(),
         }
@@ -336,7 +336,7 @@
             }
             Command::Heard { node, machines, covers, fresh } => {
                 if fresh {
-                    // A holder that crashes has forgotten whom it answered; its first word seemed to cover
+                    // A lessee that crashes has forgotten whom it answered; its first word seemed to cover
                     // that too, and a leader counted leases as over that ran (leadership_tests).
                     self.kept_alive_until(self.now);
                 }
@@ -566,9 +566,9 @@
         let lease = limits::worker_lease(self.config.workers.lease_s);
         let now = self.now;
         let alive = self.started.max(self.kept_alive);
-        // A holder may have answered anybody since its last word, until its own lease ends.
+        // A lessee may have answered anybody since its last word, until its own lease ends.
         let block_lease = limits::lengthened(self.config.block_lease);
-        let open = self.holders.values().filter(|h| now < h.confirmed + block_lease + lease);
+        let open = self.lessees.values().filter(|h| now < h.confirmed + block_lease + lease);
         let covered = open.map(|h| h.covered).min().unwrap_or(u64::MAX);
         let ended: Vec<String> = self
             .machines
--- a/src/core/model.rs
+++ b/src/core/model.rs
@@ -252,7 +252,7 @@
     pub kept: bool,
     /// The way that it reported by before, and when it left that one.
     pub left: Option<(Option<usize>, u64)>,
-    /// Its holder has been told to pass its next report on.
+    /// Its lessee has been told to pass its next report on.
     pub woken: bool,
     pub tasks: BTreeMap<TaskId, Placed>,
     /// The task list of the newest report, to tell an unchanged one by.
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -420,7 +420,7 @@
                     orders.push(Order::Start { id: *id, attempt: placed.attempt });
                 }
             }
-            // What goes through a holder may be lost between it and us; that says nothing of the machine.
+            // What goes through a lessee may be lost between it and us; that says nothing of the machine.
             if machine.via.is_none() {
                 machine.told.clone_from(&orders);
             }
@@ -435,19 +435,19 @@
         (orders, machine.kept)
     }
 
-    /// A holder has answered these machines by itself, and nobody else before `covers`. Their leases run on;
-    /// one that there is something to tell is to be passed on, whether or not its holder was told so before.
+    /// A lessee has answered these machines by itself, and nobody else before `covers`. Their leases run on;
+    /// one that there is something to tell is to be passed on, whether or not its lessee was told so before.
     pub fn heard_through(&mut self, node: usize, names: Vec<String>, covers: Option<u64>) {
         let now = self.now;
-        let holder = self.holders.entry(node).or_default();
-        holder.covered = holder.covered.max(covers.unwrap_or(0));
-        holder.confirmed = now;
+        let lessee = self.lessees.entry(node).or_default();
+        lessee.covered = lessee.covered.max(covers.unwrap_or(0));
+        lessee.confirmed = now;
         for name in names {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             machine.answered = now;
             machine.heard = now;
-            // Come back to a holder that still knew it, it says nothing new there, and was taken for silent on
-            // the way that it had left; what it did elsewhere meanwhile the holder can't tell.
+            // Come back to a lessee that still knew it, it says nothing new there, and was taken for silent on
+            // the way that it had left; what it did elsewhere meanwhile the lessee can't tell.
             let came = machine.comes_by(Some(node), now);
             if came || !machine.calm() {
                 (machine.woken, machine.kept) = (false, true);
@@ -456,7 +456,7 @@
         }
     }
 
-    /// There is something to tell this machine: its holder is to pass its next report on.
+    /// There is something to tell this machine: its lessee is to pass its next report on.
     pub fn wake(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         if let (Some(node), false, true) = (machine.via, machine.woken, machine.kept) {
--- a/src/core/silence.rs
+++ b/src/core/silence.rs
@@ -1,5 +1,5 @@
 //! Which silent machines to give up. Silence has many causes that look alike for a while: a machine's own
-//! death, a hang, a way that is lost (the holder that passed its reports on), a zone that is cut off, a fault
+//! death, a hang, a way that is lost (the lessee that passed its reports on), a zone that is cut off, a fault
 //! of our own. A machine given up is deleted, and with it everything that may still run there, so that the
 //! causes in which machines live on are told apart first: by zone, by way and by time.
 
@@ -67,7 +67,7 @@
     pub report: u64,
     /// A machine's own silence.
     pub silent: u64,
-    /// How long a holder out of touch may answer by itself.
+    /// How long a lessee out of touch may answer by itself.
     pub block_lease: u64,
     /// When this leader began to listen.
     pub started: u64,
@@ -88,7 +88,7 @@
 }
 
 impl Silence {
-    /// Looks at all machines that should be heard. `out_of_touch`: holders that this leader does not reach.
+    /// Looks at all machines that should be heard. `out_of_touch`: lessees that this leader does not reach.
     pub fn look(&mut self, now: u64, p: &Patience, seen: &[Seen], out_of_touch: &BTreeSet<usize>) {
         let mut zones: BTreeMap<&str, (usize, u64)> = BTreeMap::new();
         let mut ways: BTreeMap<Option<usize>, (usize, u64)> = BTreeMap::new();
@@ -153,12 +153,12 @@
         let many = too_many(all_late, known, limits::SILENT_SHARE);
         for (way, here) in &ways {
             let (way, light) = (*way, way_light(way));
-            // Those whose holder has crashed come another way, and only the dead are left on theirs.
+            // Those whose lessee has crashed come another way, and only the dead are left on theirs.
             let left = |m: &&&Seen| m.left.is_some_and(|(from, at)| from == way && at >= light.dark_from());
             let block = here.len() + lit.iter().filter(left).count();
             let silent = |m: &&&Seen| now >= m.heard + p.silent;
             let quiet = here.iter().filter(|m| late(m)).count();
-            // A holder that is only out of touch answers what says nothing new until its lease ends.
+            // A lessee that is only out of touch answers what says nothing new until its lease ends.
             let wait = if light.dark {
                 light.dark_from() + p.block_lease + limits::COMES_LATE
             } else {
@@ -347,9 +347,9 @@
             ("a zone is cut off", |i, _| if i % 2 == 1 { 45 * SECOND } else { 0 }, None, |_| 0, never),
             ("a zone for good", |i, _| if i % 2 == 1 { LONG } else { 0 }, None, |_| 0, never),
             ("all are silent", |_, _| 45 * SECOND, None, |_| 0, never),
-            // Its holder answers by itself; the machines come another way when its lease has ended.
+            // Its lessee answers by itself; the machines come another way when its lease has ended.
             (
-                "a holder is out of touch",
+                "a lessee is out of touch",
                 |i, _| if i % 3 == 1 { 25 * SECOND } else { 0 },
                 Some(1),
                 |_| 0,
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -77,7 +77,7 @@
         token: u64,
         entry: u64,
     },
-    /// It may keep its workers alive until then, as any holder.
+    /// It may keep its workers alive until then, as any lessee.
     Deposed {
         keep_until: u64,
     },
@@ -308,7 +308,7 @@
         self.knowledge.bound(read.max(self.knowledge.by_members()))
     }
 
-    /// How long a holder that this leader has heard may go on by itself.
+    /// How long a lessee that this leader has heard may go on by itself.
     pub fn block_lease(&self, now: u64) -> u64 {
         if !self.is_leader() {
             return 0;
--- a/src/leadership_tests.rs
+++ b/src/leadership_tests.rs
@@ -101,8 +101,8 @@
     floor: u64,
     /// By worker, on the leader's clock and in true time.
     answered: BTreeMap<usize, (u64, u64)>,
-    /// By holder: covered, confirmed.
-    holders: BTreeMap<usize, (u64, u64)>,
+    /// By lessee: covered, confirmed.
+    lessees: BTreeMap<usize, (u64, u64)>,
 }
 
 struct Node {
@@ -143,7 +143,7 @@
     told: BTreeMap<JobId, u64>,
     /// How often a job is cancelled, once in so many steps; 0: never.
     cancels: u32,
-    /// Leases that leaders counted as over, and answers that holders and lease keepers gave by themselves.
+    /// Leases that leaders counted as over, and answers that lessees and lease keepers gave by themselves.
     proofs: u64,
     alone_answers: u64,
     tokens: Vec<(u64, usize, u64)>,
@@ -438,7 +438,7 @@
         self.check();
         self.run_state();
         if !self.workers.is_empty() {
-            self.run_holders();
+            self.run_lessees();
             (0..self.workers.len()).for_each(|w| self.run_worker(w));
             self.check_proofs();
         }
@@ -491,8 +491,8 @@
         }
     }
 
-    /// Holders tell the leader whom they answered; words and confirmations may be lost.
-    fn run_holders(&mut self) {
+    /// Lessees tell the leader whom they answered; words and confirmations may be lost.
+    fn run_lessees(&mut self) {
         for node in 0..3 {
             if !self.up(node) {
                 continue;
@@ -513,8 +513,8 @@
             if anew {
                 ledger.floor = ledger.floor.max(at_leader);
             }
-            let holder = ledger.holders.entry(node).or_default();
-            *holder = (holder.0.max(if whole { stamp } else { 0 }), at_leader);
+            let lessee = ledger.lessees.entry(node).or_default();
+            *lessee = (lessee.0.max(if whole { stamp } else { 0 }), at_leader);
             for name in machines {
                 ledger.answered.insert(name.parse().unwrap(), (at_leader, self.now));
             }
@@ -661,7 +661,7 @@
         let ledger = &mut self.nodes[leader].ledger;
         ledger.floor = ledger.floor.max(kept);
         let lease = lengthened(LEASE) + limits::LEASE_MARGIN;
-        let open = ledger.holders.values().filter(|(_, at)| now < at + lengthened(ALONE) + lease);
+        let open = ledger.lessees.values().filter(|(_, at)| now < at + lengthened(ALONE) + lease);
         let covered = open.map(|(covered, _)| *covered).min().unwrap_or(u64::MAX);
         for (w, worker) in self.workers.iter().enumerate() {
             let (answered, when) = ledger.answered.get(&w).copied().unwrap_or((0, ledger.elected));
@@ -945,7 +945,7 @@
     }
 }
 
-/// Leaders, holders and lease keepers together: whoever keeps a worker alive, the leader knows how long that may
+/// Leaders, lessees and lease keepers together: whoever keeps a worker alive, the leader knows how long that may
 /// last, and no task of a job lives longer than `CANCEL` after its user was told that it is cancelled.
 #[test]
 fn no_lease_is_counted_as_over_that_somebody_keeps_alive() {
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -40,7 +40,7 @@
 pub const ABDICATION_PAUSE: u64 = 6_000_000;
 
 /// How long workers may be kept alive, by whom ever, after the moment up to which every cancellation is known
-/// there, the state lease aside: leaders by their peers alone, lease keepers, former leaders, and holders that hear
+/// there, the state lease aside: leaders by their peers alone, lease keepers, former leaders, and lessees that hear
 /// no leader. A worker answered at the very end lives for its lease, and all must be gone `cancel_s` after
 /// the user was told. Taken off besides: the state lease, by which the leader could not miss it longer, the
 /// lateness of a worker's own end, and a second on the way. Stops go straight to the workers, so that what a
@@ -81,7 +81,7 @@
 
 // ---- blocks ----
 
-/// A holder tells the leader this often which machines it answered.
+/// A lessee tells the leader this often which machines it answered.
 pub const BLOCK_TELL: u64 = 1_000_000;
 /// A worker with news that no leader takes is sent to the other nodes again this long after it came back: it
 /// may be away for a hang of four seconds and a pause of one at two of them, and its lease must outlast that.
@@ -93,7 +93,7 @@
 /// A report that was passed on waits this long for the leader; then the worker is kept alive if it may be,
 /// or sent elsewhere. Well within the 4 s that it gives us.
 pub const RELAY_PATIENCE: u64 = 1_500_000;
-/// What a holder passed on or told is taken by the leader within this time of the heartbeat that it
+/// What a lessee passed on or told is taken by the leader within this time of the heartbeat that it
 /// echoes: bytes that a cut held back must do nothing.
 pub const RELAY_FRESH: u64 = 3_000_000;
 
@@ -108,7 +108,7 @@
 }
 
 /// A machine that has not reported for this long gets no new tasks and is suspected. Reports come every
-/// `report_s` plus a quarter; one that its holder could not pass on is followed by the next 2.5 s later.
+/// `report_s` plus a quarter; one that its lessee could not pass on is followed by the next 2.5 s later.
 pub fn silent(report_s: f64) -> u64 {
     micros(report_s * 1.25) + 3_250_000
 }
@@ -126,7 +126,7 @@
 /// new tasks and is deleted. One lost answer is ordinary.
 pub const UNHEARD_DEAF: u32 = 2;
 /// No report at all through one node, or from one zone, for this long and three times the mean interval
-/// between them means that it is lost: holders tell whom they answered once a second, and machines that all
+/// between them means that it is lost: lessees tell whom they answered once a second, and machines that all
 /// reported at once (a cut has ended) next do so three quarters of an interval later at the earliest.
 pub fn way_silent(report: u64) -> u64 {
     (report / 4 * 3 + 500_000).max(1_500_000)
@@ -296,7 +296,7 @@
     /// Frames waiting for one peer: all workers of a block after a change of leader, and a heartbeat between
     /// them. More are dropped; the next heartbeat, and the worker's next report, make up for them.
     pub peer_queue: usize,
-    /// Machines that one holder keeps: some 300 bytes each.
+    /// Machines that one lessee keeps: some 300 bytes each.
     pub block: usize,
     /// Submissions and cancellations in progress at once, and polls; beyond it they are shed with `Retry-After`.
     /// Polls must not take the turns of those that change something.
@@ -328,7 +328,7 @@
 /// Names of machines that are gone are remembered this long: reports that a cut held back, and copies of them,
 /// come minutes late.
 pub const GONE_KEPT: u64 = 3_600_000_000;
-/// A holder forgets a machine that it has not answered for this long: it is gone, or reports elsewhere.
+/// A lessee forgets a machine that it has not answered for this long: it is gone, or reports elsewhere.
 pub const KEPT_IDLE: u64 = 60_000_000;
 /// Frames written to a peer at once: some 100 KiB.
 pub const PEER_BATCH: usize = 512;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -141,7 +141,7 @@
     },
     /// Machines whose next report is to be passed on.
     Wake(Vec<String>),
-    /// Machines that their holder answered by itself, with the stamp of the leader's last heartbeat.
+    /// Machines that their lessee answered by itself, with the stamp of the leader's last heartbeat.
     Heard {
         id: u64,
         stamp: u64,
@@ -151,7 +151,7 @@
         fresh: bool,
         machines: Vec<String>,
     },
-    /// The leader has taken note: the holder may go on by itself for so long.
+    /// The leader has taken note: the lessee may go on by itself for so long.
     Confirmed {
         id: u64,
         lease_ms: u32,
--- a/src/server.rs
+++ b/src/server.rs
@@ -59,8 +59,8 @@
 enum ReplyTo {
     /// With the stops that it must not leave without.
     Worker(oneshot::Sender<CheckinReply>, Vec<Order>),
-    /// To the holder that passed it on, under its number.
-    Holder(usize, u64),
+    /// To the lessee that passed it on, under its number.
+    Lessee(usize, u64),
 }
 
 /// A report on its way to the leader.
@@ -464,7 +464,7 @@
         self.outgoing.get(node).is_some_and(|to| to.as_ref().is_some_and(|to| to.try_send(payload).is_ok()))
     }
 
-    /// A frame of the leader's to a holder, or of a holder's to the leader.
+    /// A frame of the leader's to a lessee, or of a lessee's to the leader.
     fn block_frame(&mut self, now: u64, from: usize, payload: Payload, commands: &mut Vec<Command>) {
         let leads = self.leadership.authority(now).is_some() && self.core.is_some();
         // Stamps of other leaders' heartbeats lie outside every window: clocks start at random points.
@@ -481,7 +481,7 @@
                 }
                 self.checkins.push_back(now);
                 self.next_reply += 1;
-                self.replies.insert(self.next_reply, ReplyTo::Holder(from, id));
+                self.replies.insert(self.next_reply, ReplyTo::Lessee(from, id));
                 commands.push(Command::Checkin { reply: self.next_reply, report, via: Some(from) });
             }
             Payload::Heard { id, stamp, whole, fresh: anew, machines } if leads && fresh(stamp) => {
@@ -511,7 +511,7 @@
         }
     }
 
-    /// What a holder does as time passes: tells the leader whom it answered, and gives up waiting for it.
+    /// What a lessee does as time passes: tells the leader whom it answered, and gives up waiting for it.
     fn keep_block(&mut self, now: u64) {
         let followed = self.leadership.followed(now);
         if let Some((leader, token, stamp)) = followed {
@@ -530,7 +530,7 @@
         }
     }
 
-    /// The answer of this node as a holder, if it may answer by itself.
+    /// The answer of this node as a lessee, if it may answer by itself.
     fn holds(&mut self, now: u64, report: &Report, leader_heard: bool) -> Option<CheckinReply> {
         let stops = self.keeps(now, report)?;
         let token = self.block.answers(now, report, leader_heard)?;
@@ -755,7 +755,7 @@
                 ReplyTo::Worker(to, _) => {
                     let _ = to.send(CheckinReply::Elsewhere(None));
                 }
-                ReplyTo::Holder(node, id) => {
+                ReplyTo::Lessee(node, id) => {
                     self.send(node, Payload::Reply { id, token: None, keep: false, orders: Vec::new() });
                 }
             }
@@ -875,7 +875,7 @@
         let token = self.leadership.authority(now).filter(|_| known);
         let (to, stops) = match to {
             ReplyTo::Worker(to, stops) => (to, stops),
-            ReplyTo::Holder(node, id) => {
+            ReplyTo::Lessee(node, id) => {
                 self.send(node, Payload::Reply { id, token, keep, orders });
                 return;
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use dockpier::limits;
 use dockpier::settings::{Operator, Team, Workers};
 
-/// A leader of one team without limits, in two zones, with no holders and nothing scarce.
+/// A leader of one team without limits, in two zones, with no lessees and nothing scarce.
 pub fn config() -> Config {
     Config {
         token: 1,
--- a/tests/core_rules.rs
+++ b/tests/core_rules.rs
@@ -152,7 +152,7 @@
     sick_until: u64,
     /// Until then it does not reach the leader.
     leader_cut_until: u64,
-    /// The holder that it reports to; None: the leader.
+    /// The lessee that it reports to; None: the leader.
     via: Option<usize>,
     session: u64,
     seq: u64,
@@ -164,12 +164,12 @@
 }
 
 /// A controller that does not lead, and until when it and the leader do not hear one another.
-struct Holder {
+struct Lessee {
     block: Block,
     cut_until: u64,
 }
 
-const HOLDERS: usize = 2;
+const LESSEES: usize = 2;
 
 struct World {
     rng: SmallRng,
@@ -178,10 +178,10 @@
     token: u64,
     deployment: Deployment,
     workers: BTreeMap<String, Worker>,
-    holders: Vec<Holder>,
-    /// Reports that holders passed on, by number.
+    lessees: Vec<Lessee>,
+    /// Reports that lessees passed on, by number.
     passed_on: BTreeMap<u64, (usize, Report)>,
-    answered_by_holders: u64,
+    answered_by_lessees: u64,
     cloud_down_until: u64,
     specs: BTreeMap<JobId, JobSpec>,
     live: BTreeMap<JobId, (u64, BTreeSet<u32>)>,
@@ -216,9 +216,9 @@
             core: Core::new(config(1, &deployment), SECOND),
             token: 1,
             workers: BTreeMap::new(),
-            holders: (0..HOLDERS).map(|_| Holder { block: Block::new(64), cut_until: 0 }).collect(),
+            lessees: (0..LESSEES).map(|_| Lessee { block: Block::new(64), cut_until: 0 }).collect(),
             passed_on: BTreeMap::new(),
-            answered_by_holders: 0,
+            answered_by_lessees: 0,
             cloud_down_until: 0,
             specs: BTreeMap::new(),
             live: BTreeMap::new(),
@@ -353,7 +353,7 @@
         batch.extend(Vec::into_iter(due).map(|(_, c): (u64, Command)| c));
         self.run_gangs();
         self.run_workers(&mut batch);
-        self.run_holders(&mut batch);
+        self.run_lessees(&mut batch);
         let effects = self.core.step(self.now, batch);
         for effect in effects {
             self.carry_out(effect);
@@ -472,8 +472,8 @@
                 self.held.push((now + late, None, report.clone()));
             }
             if self.rng.random_bool(0.01) {
-                let via = self.rng.random_range(0..=HOLDERS);
-                worker.via = (via < HOLDERS).then_some(via);
+                let via = self.rng.random_range(0..=LESSEES);
+                worker.via = (via < LESSEES).then_some(via);
             }
             let via = worker.via;
             if via.is_none() && now < worker.leader_cut_until {
@@ -488,10 +488,10 @@
                 let reply = (self.token << 40) | (self.entry << 20) | (self.replies.len() as u64 + 1);
                 self.entry += 1;
                 if let Some(node) = via {
-                    let holder = &mut self.holders[node];
-                    let cut = now < holder.cut_until;
-                    if let Some(token) = holder.block.answers(now, &report, !cut) {
-                        self.answered_by_holders += 1;
+                    let lessee = &mut self.lessees[node];
+                    let cut = now < lessee.cut_until;
+                    if let Some(token) = lessee.block.answers(now, &report, !cut) {
+                        self.answered_by_lessees += 1;
                         if worker.token <= token && now >= worker.deaf_until {
                             worker.token = token;
                             worker.lease_until = now + limits::micros(LEASE_S);
@@ -518,9 +518,9 @@
             }
             let mut reply = 0;
             if let Some(node) = at {
-                let holder = &mut self.holders[node];
-                let cut = now < holder.cut_until;
-                if holder.block.answers(now, &report, !cut).is_some() || cut {
+                let lessee = &mut self.lessees[node];
+                let cut = now < lessee.cut_until;
+                if lessee.block.answers(now, &report, !cut).is_some() || cut {
                     continue;
                 }
                 self.entry += 1;
@@ -531,22 +531,22 @@
         }
     }
 
-    /// Holders follow the leader and tell it whom they answered, while they hear one another.
-    fn run_holders(&mut self, batch: &mut Vec<Command>) {
+    /// Lessees follow the leader and tell it whom they answered, while they hear one another.
+    fn run_lessees(&mut self, batch: &mut Vec<Command>) {
         let (now, token) = (self.now, self.token);
-        for (node, holder) in self.holders.iter_mut().enumerate() {
-            if now < holder.cut_until {
+        for (node, lessee) in self.lessees.iter_mut().enumerate() {
+            if now < lessee.cut_until {
                 continue;
             }
-            holder.block.follow(token);
-            if let Some(Word { id, whole, fresh, machines }) = holder.block.tell(now) {
+            lessee.block.follow(token);
+            if let Some(Word { id, whole, fresh, machines }) = lessee.block.tell(now) {
                 // A word may be lost with its connection, and so may its confirmation: the next one repeats it.
                 if self.rng.random_bool(0.1) {
                     continue;
                 }
                 batch.push(Command::Heard { node, machines, covers: whole.then_some(now), fresh });
                 if self.rng.random_bool(0.9) {
-                    holder.block.confirmed(id, BLOCK_LEASE);
+                    lessee.block.confirmed(id, BLOCK_LEASE);
                 }
             }
         }
@@ -557,11 +557,11 @@
         match effect {
             Effect::Answer { reply, orders, keep } => {
                 if let Some((node, report)) = self.passed_on.remove(&reply) {
-                    let holder = &mut self.holders[node];
-                    if self.now < holder.cut_until {
+                    let lessee = &mut self.lessees[node];
+                    if self.now < lessee.cut_until {
                         return;
                     }
-                    holder.block.passed(self.now, report, self.token, keep);
+                    lessee.block.passed(self.now, report, self.token, keep);
                 }
                 // Nobody waits for the answer to a copy.
                 let Some(name) = self.replies.remove(&reply) else { return };
@@ -662,8 +662,8 @@
                 self.later.push((soon, Command::Deleted { machines, outcome: Outcome::Done }));
             }
             Effect::Wake { node, machine } => {
-                if self.now >= self.holders[node].cut_until {
-                    self.holders[node].block.wake(&[machine]);
+                if self.now >= self.lessees[node].cut_until {
+                    self.lessees[node].block.wake(&[machine]);
                 }
             }
             Effect::Deposed(_) => panic!("nobody else leads"),
@@ -792,26 +792,26 @@
             // All controllers are away for longer than a worker lease.
             13 => self.change_leader(limits::micros(LEASE_S) + 5 * SECOND),
             3 => self.change_leader(4 * SECOND),
-            // A holder and its workers part from the leader, mostly while the cloud is down, so that only
+            // A lessee and its workers part from the leader, mostly while the cloud is down, so that only
             // the end of leases proves anything.
             5 | 7 | 8 => {
-                let node = self.rng.random_range(0..HOLDERS);
-                self.holders[node].cut_until = cut;
+                let node = self.rng.random_range(0..LESSEES);
+                self.lessees[node].cut_until = cut;
                 for worker in self.workers.values_mut().filter(|w| w.via == Some(node)) {
                     worker.leader_cut_until = cut;
                 }
                 if kind > 5 {
                     self.cloud_down_until = cut;
                 }
-                // The holder does not hear that another leads.
+                // The lessee does not hear that another leads.
                 if kind == 8 {
                     self.change_leader(4 * SECOND);
                 }
             }
-            // A holder that ends has forgotten its block.
+            // A lessee that ends has forgotten its block.
             6 => {
-                let node = self.rng.random_range(0..HOLDERS);
-                self.holders[node].block = Block::new(64);
+                let node = self.rng.random_range(0..LESSEES);
+                self.lessees[node].block = Block::new(64);
             }
             4 => {
                 let live: Vec<JobId> = self.live.keys().copied().collect();
@@ -875,7 +875,7 @@
     }
     let stuck: Vec<_> = world.live.keys().filter_map(|u| world.core.jobs.get(u)).collect();
     assert!(world.live.is_empty(), "seed {seed}: never done: {stuck:#?} {}", world.core.fleet_line());
-    assert!(world.answered_by_holders > 20, "seed {seed}: {}", world.answered_by_holders);
+    assert!(world.answered_by_lessees > 20, "seed {seed}: {}", world.answered_by_lessees);
     let broken = world.gangs.len() as u64 - world.gangs_done;
     [world.starts, world.finished, world.gangs_done, broken, world.orders_of_former_leaders]
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -39,7 +39,7 @@
     job_writes: usize,
     /// Tasks never get past their fetch.
     fetching: bool,
-    /// The holder that all reports come through.
+    /// The lessee that all reports come through.
     via: Option<usize>,
 }
 
@@ -344,10 +344,10 @@
     assert_eq!(fleet.width(1), 40);
 }
 
-/// A holder heard the leader no more while the leader still heard it: what the leader told machines through
+/// A lessee heard the leader no more while the leader still heard it: what the leader told machines through
 /// it was lost, they seemed deaf, and 141 live machines were deleted.
 #[test]
-fn machines_that_do_not_hear_us_through_a_holder_are_not_deaf() {
+fn machines_that_do_not_hear_us_through_a_lessee_are_not_deaf() {
     let mut fleet = Fleet::new(12);
     fleet.core.config.block_lease = 14 * SECOND;
     fleet.via = Some(1);
@@ -358,10 +358,10 @@
     assert!(fleet.deleted.is_empty());
 }
 
-/// The first machines to be missed after a holder was lost were less than a quarter of its block, and were
+/// The first machines to be missed after a lessee was lost were less than a quarter of its block, and were
 /// given up one by one as they fell due: 122 live machines.
 #[test]
-fn a_lost_holder_does_not_take_its_block_with_it() {
+fn a_lost_lessee_does_not_take_its_block_with_it() {
     let mut fleet = Fleet::new(MACHINES);
     fleet.core.config.block_lease = 14 * SECOND;
     fleet.via = Some(1);
@@ -487,7 +487,7 @@
     fleet.core = Core::new(fleet.core.config.clone(), fleet.now);
     let records = vec![("1-1".to_string(), (0..16).map(known).collect())];
     fleet.step(vec![Command::Load { jobs: vec![], records }]);
-    // Four of sixteen are dead, and all the others report to a holder.
+    // Four of sixteen are dead, and all the others report to a lessee.
     (fleet.machines, fleet.via, fleet.seq) = (12, Some(1), 0);
     (0..4).for_each(|_| fleet.report());
     assert_eq!(fleet.deleted, (12..16).map(name).collect());
