--- a/src/api.rs
+++ b/src/api.rs
@@ -161,7 +161,7 @@
         self.over.lock().ok()?.known.get(&job_id).cloned()
     }
 
-    /// That a job is cancelled is told only once whoever relies on our silence holds it (`knowledge`).
+    /// That a job is cancelled is told only once whoever relies on our silence holds it (`cancellation_log`).
     async fn may_tell(&self, job_id: JobId, state: &JobState) -> Result<(), Refusal> {
         if state.status != JobStatus::Cancelled {
             return Ok(());
--- a/src/knowledge.rs
+++ b/src/cancellation_log.rs
@@ -53,12 +53,12 @@
 }
 
 #[derive(Debug)]
-pub struct Knowledge {
+pub struct CancellationLog {
     me: usize,
     life: u64,
     started: u64,
-    /// How long workers may be kept alive beyond what is known (`limits::alone`, and the state lease).
-    alone: u64,
+    /// How long workers may be kept alive beyond what is known (`limits::longest_autonomy`, and the state lease).
+    longest_autonomy: u64,
     /// How long a cancellation is remembered: beyond `cancel_s` nothing hangs on it.
     kept: u64,
     members: Vec<Member>,
@@ -72,15 +72,15 @@
     read: u64,
 }
 
-impl Knowledge {
-    pub fn new(members: usize, me: usize, life: u64, now: u64, alone: u64, kept: u64) -> Self {
+impl CancellationLog {
+    pub fn new(members: usize, me: usize, life: u64, now: u64, longest_autonomy: u64, kept: u64) -> Self {
         // An earlier life may have promised to be quiet right before it ended.
         let member = Member { quiet_until: now + limits::QUIET, ..Member::default() };
-        Knowledge {
+        CancellationLog {
             me,
             life,
             started: now,
-            alone: alone + limits::LOCK_LEASE_MS * 1_000,
+            longest_autonomy: longest_autonomy + limits::LOCK_LEASE_MS * 1_000,
             kept,
             members: vec![member; members],
             own: VecDeque::new(),
@@ -112,7 +112,7 @@
         if known == 0 {
             0
         } else {
-            known + shortened(self.alone)
+            known + shortened(self.longest_autonomy)
         }
     }
 
@@ -281,5 +281,5 @@
 }
 
 #[cfg(test)]
-#[path = "knowledge_tests.rs"]
+#[path = "cancellation_log_tests.rs"]
 mod tests;
--- a/src/knowledge_tests.rs
+++ b/src/cancellation_log_tests.rs
@@ -3,12 +3,12 @@
 
 const SECOND: u64 = limits::SECOND;
 const NOW: u64 = 1 << 45;
-const ALONE: u64 = 10 * SECOND;
+const AUTONOMY: u64 = 10 * SECOND;
 const KEPT: u64 = 80 * SECOND;
 
-fn pair() -> (Knowledge, Knowledge) {
-    let mut a = Knowledge::new(2, 0, 70, NOW, ALONE, KEPT);
-    let mut b = Knowledge::new(2, 1, 71, NOW, ALONE, KEPT);
+fn pair() -> (CancellationLog, CancellationLog) {
+    let mut a = CancellationLog::new(2, 0, 70, NOW, AUTONOMY, KEPT);
+    let mut b = CancellationLog::new(2, 1, 71, NOW, AUTONOMY, KEPT);
     for node in [&mut a, &mut b] {
         node.read(NOW + SECOND, NOW + SECOND, true, &[JobId(1), JobId(2)], &[]);
     }
@@ -18,8 +18,8 @@
 /// One heartbeat of `to` that `from` answers.
 fn say(
     now: u64,
-    from: (&mut Knowledge, usize, u64),
-    to: (&mut Knowledge, usize, u64),
+    from: (&mut CancellationLog, usize, u64),
+    to: (&mut CancellationLog, usize, u64),
     lost: bool,
 ) -> Vec<JobId> {
     from.0.heartbeat(to.1, to.2, true, now);
@@ -69,7 +69,7 @@
     say(NOW + 2 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), false);
     assert_eq!(b.by_members(), NOW + 2 * SECOND);
     // Another life of the member does not know what the last one confirmed before it ended.
-    let mut a = Knowledge::new(2, 0, 72, NOW + 4 * SECOND, ALONE, KEPT);
+    let mut a = CancellationLog::new(2, 0, 72, NOW + 4 * SECOND, AUTONOMY, KEPT);
     b.heartbeat(0, 72, true, NOW);
     say(NOW + 5 * SECOND, (&mut a, 0, 72), (&mut b, 1, 71), false);
     assert_eq!(b.by_members(), NOW + 2 * SECOND);
@@ -90,7 +90,7 @@
     say(NOW + 22 * SECOND, (&mut b, 1, 71), (&mut a, 0, 70), true);
     assert_eq!(a.confirm(NOW + 22 * SECOND, JobId(1)), (false, true));
     // Its next life keeps the promise, so that no gap is left.
-    let mut a = Knowledge::new(2, 0, 72, NOW + 28 * SECOND, ALONE, KEPT);
+    let mut a = CancellationLog::new(2, 0, 72, NOW + 28 * SECOND, AUTONOMY, KEPT);
     assert_eq!(a.confirm(NOW + 29 * SECOND, JobId(2)), (true, false));
     b.heartbeat(0, 72, true, NOW);
     say(NOW + 29 * SECOND, (&mut a, 0, 72), (&mut b, 1, 71), false);
@@ -124,8 +124,8 @@
 
 #[test]
 fn without_a_reading_in_this_life_nothing_is_known() {
-    let mut b = Knowledge::new(2, 1, 71, NOW, ALONE, KEPT);
-    let mut a = Knowledge::new(2, 0, 70, NOW, ALONE, KEPT);
+    let mut b = CancellationLog::new(2, 1, 71, NOW, AUTONOMY, KEPT);
+    let mut a = CancellationLog::new(2, 0, 70, NOW, AUTONOMY, KEPT);
     b.heartbeat(0, 70, true, NOW);
     say(NOW + 2 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), true);
     assert_eq!(b.keeps_until(), 0);
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -4,10 +4,10 @@
 //! majority of controllers. Either suffices to act; both must be gone before another may take over.
 //! Every deadline counts from when the request was sent and is shortened for drift; the granting
 //! side counts from receipt and lengthens it. Without the state lease a leader acts only for a bounded time
-//! after the moment up to which it knows of every cancellation (`knowledge`), and so do all who keep workers alive.
+//! after the moment up to which it knows of every cancellation (`cancellation_log`), and so do all who keep workers alive.
 
+use crate::cancellation_log::{Attestation, CancellationLog};
 use crate::core::model::JobId;
-use crate::knowledge::{Attestation, Knowledge};
 use crate::limits::{self, lengthened, shortened};
 use crate::protocol::records::Epoch;
 use rand::rngs::SmallRng;
@@ -23,7 +23,7 @@
     pub workers: u32,
     /// Machines that a leader counts as up; not told to peers.
     pub machines: u32,
-    /// It attests what it knows of cancellations and takes others' word for it (`knowledge`); earlier versions don't.
+    /// It attests what it knows of cancellations and takes others' word for it (`cancellation_log`); earlier versions don't.
     pub attests: bool,
 }
 
@@ -185,11 +185,11 @@
     unreached_since: Option<u64>,
     /// A worker has checked in with this leader since it was elected.
     reached: bool,
-    alone_until: u64,
+    autonomous_until: u64,
     /// How long workers may be kept alive without hearing of cancellations.
-    alone: u64,
+    longest_autonomy: u64,
     /// Which cancellations are known here, and up to when all of them.
-    pub knowledge: Knowledge,
+    pub cancellations: CancellationLog,
     /// Up to when others may take what this node attested for proof of what it confirmed.
     attested_until: u64,
     /// Since when the lock is seen free under this version of the epoch, the state service never lost.
@@ -204,12 +204,12 @@
         me: usize,
         incarnation: u64,
         now: u64,
-        (alone, kept): (u64, u64),
+        (longest_autonomy, kept): (u64, u64),
         seed: u64,
     ) -> Self {
         Leadership {
             me,
-            knowledge: Knowledge::new(names.len(), me, incarnation, now, alone, kept),
+            cancellations: CancellationLog::new(names.len(), me, incarnation, now, longest_autonomy, kept),
             // An earlier life may have promised to be quiet right before it ended.
             attested_until: now + limits::QUIET,
             peers: vec![Peer::default(); names.len()],
@@ -238,8 +238,8 @@
             status: Status { state_age: u64::MAX, ..Status::default() },
             unreached_since: None,
             reached: false,
-            alone_until: now,
-            alone,
+            autonomous_until: now,
+            longest_autonomy,
             unlocked: None,
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -297,15 +297,15 @@
     /// job's tasks alive for as long as it is cut.
     fn care_until(&self, now: u64) -> u64 {
         let granted = self.majority_until(self.own_word(now), |p| p.granted).min(now + limits::GRANT);
-        granted.max(self.promises_until(now)).min(self.knowledge.keeps_until())
+        granted.max(self.promises_until(now)).min(self.cancellations.keeps_until())
     }
 
     /// Until when a leader may act by its peers alone. What it read of the state service counts no longer than
     /// its lock does: a peer takes over by the time for which it has seen the lock free.
     fn alone_from(&self, lease_until: u64) -> u64 {
         let locked = lease_until.saturating_sub(limits::LOCK_LEASE_MS * 1_000);
-        let read = self.knowledge.by_state().min(locked);
-        self.knowledge.bound(read.max(self.knowledge.by_members()))
+        let read = self.cancellations.by_state().min(locked);
+        self.cancellations.bound(read.max(self.cancellations.by_members()))
     }
 
     /// How long a lessee that this leader has heard may go on by itself.
@@ -313,15 +313,15 @@
         if !self.is_leader() {
             return 0;
         }
-        self.knowledge.keeps_until().saturating_sub(now).min(self.alone)
+        self.cancellations.keeps_until().saturating_sub(now).min(self.longest_autonomy)
     }
 
     /// The last time at which a lease keeper may have kept workers alive beside this leader: until now
     /// while it has no majority's grants, and until it got them back otherwise.
-    pub fn alone_until(&self, now: u64) -> u64 {
+    pub fn autonomous_until(&self, now: u64) -> u64 {
         let backed = self.majority_until(self.own_word(now), |p| p.granted) > now;
         if backed {
-            self.alone_until
+            self.autonomous_until
         } else {
             now
         }
@@ -330,7 +330,7 @@
     /// What a peer is told of our state service. An earlier version takes it for proof, once all members lack
     /// it, that nothing is cancelled without it: it is told so only where that is true.
     pub fn told_state_age(&self, now: u64, to: usize, state_age: u64) -> u64 {
-        let blind = !self.peers[to].status.attests && !self.knowledge.may_be_taken_blindly(now);
+        let blind = !self.peers[to].status.attests && !self.cancellations.may_be_taken_blindly(now);
         if blind {
             state_age.min(limits::STATE_LOST - 1)
         } else {
@@ -477,7 +477,7 @@
             actions.extend(permit.map(|permit| Action::Release { permit }));
             // Counted from when it surely acted: it may have stood still since.
             let acted = self.majority_until(self.own_word(now), |p| p.granted).max(lease_until).min(now);
-            let keep_until = (acted + shortened(self.alone)).min(self.knowledge.keeps_until());
+            let keep_until = (acted + shortened(self.longest_autonomy)).min(self.cancellations.keeps_until());
             actions.push(Action::Deposed { keep_until });
         }
         self.role = Role::Follower;
@@ -529,7 +529,7 @@
         if matches!(self.role, Role::Taking { .. }) || calm || now < self.campaign_due {
             return;
         }
-        let may_care = now + limits::GRANT < self.knowledge.keeps_until();
+        let may_care = now + limits::GRANT < self.cancellations.keeps_until();
         let outage = self.state_lost() && self.token > 0 && !self.peer_has_state(now) && may_care;
         if !(readable || outage) || self.grant_out.is_some_and(|(_, until)| now < until) {
             return;
@@ -558,7 +558,7 @@
     /// version believes a peer's word, and a grant's time.
     fn acted_by_peers_until(&self, unlocked: u64) -> u64 {
         let attested = self.attested_until + limits::LOCK_LEASE_MS * 1_000;
-        unlocked.max(attested) + lengthened(self.alone) + limits::PEER_WORD + limits::GRANT
+        unlocked.max(attested) + lengthened(self.longest_autonomy) + limits::PEER_WORD + limits::GRANT
     }
 
     fn state_lost(&self) -> bool {
@@ -613,7 +613,7 @@
         life: u64,
         attestation: &Attestation,
     ) -> (Vec<JobId>, Vec<Action>) {
-        let (over, news) = self.knowledge.attested(now, from, life, attestation);
+        let (over, news) = self.cancellations.attested(now, from, life, attestation);
         let mut actions = Vec::new();
         // Answered only where it brought news: two members that do not take each other's attestations, of other
         // lives say, answered one another for ever, and every copy doubled what was under way (the network test).
@@ -626,7 +626,7 @@
     /// A job that is about to be told as cancelled; whether that is news, and whether it may be told. The others
     /// hear of it at once.
     pub fn confirm(&mut self, now: u64, job_id: JobId) -> (bool, bool, Vec<Action>) {
-        let (news, may) = self.knowledge.confirm(now, job_id);
+        let (news, may) = self.cancellations.confirm(now, job_id);
         let mut actions = Vec::new();
         if news || !may {
             (0..self.names.len()).for_each(|to| self.attest(now, to, &mut actions));
@@ -636,7 +636,7 @@
 
     fn attest(&mut self, now: u64, to: usize, actions: &mut Vec<Action>) {
         let lost = self.status.state_age >= limits::QUIET_AFTER;
-        if let Some(attestation) = self.knowledge.attest_to(now, to, lost).filter(|_| to != self.me) {
+        if let Some(attestation) = self.cancellations.attest_to(now, to, lost).filter(|_| to != self.me) {
             // It proves nothing beyond the heartbeat that it answers, the promise to be quiet aside.
             let quiet = if lost { limits::QUIET } else { 0 };
             self.attested_until = self.attested_until.max(self.peers[to].beat + quiet);
@@ -660,7 +660,7 @@
         self.peers[from].status = status;
         if let Message::Heartbeat { sent, .. } = message {
             self.peers[from].beat = now;
-            self.knowledge.heartbeat(from, life, status.attests, sent);
+            self.cancellations.heartbeat(from, life, status.attests, sent);
             self.attest(now, from, &mut actions);
         }
         match message {
@@ -672,7 +672,7 @@
                     _ => false,
                 };
                 if current && echo <= now {
-                    self.alone_until = self.alone_until(now);
+                    self.autonomous_until = self.autonomous_until(now);
                     let until = echo + shortened(limits::GRANT);
                     self.peers[from].granted = self.peers[from].granted.max(until);
                 }
@@ -777,7 +777,7 @@
                 self.peers.iter_mut().for_each(|p| (p.granted, p.promised) = (0, 0));
                 self.may_resume = false;
                 self.reached = false;
-                self.alone_until = now;
+                self.autonomous_until = now;
                 let given = [self.grant_out, self.promise_out].into_iter().flatten();
                 let others = given.filter(|(to, _)| *to != self.me).map(|(_, until)| until);
                 self.bound_until = others.max().unwrap_or(0);
--- a/src/leadership_tests.rs
+++ b/src/leadership_tests.rs
@@ -8,11 +8,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1_000;
-const ALONE: u64 = 10 * limits::SECOND;
+const AUTONOMY: u64 = 10 * limits::SECOND;
 /// Of workers.
 const LEASE: u64 = 10 * limits::SECOND;
-/// By then a cancelled job's tasks must be gone: `limits::alone` solved for it.
-const CANCEL: u64 = ALONE + LEASE + limits::LOCK_LEASE_MS * 1_000 + limits::LEASE_MARGIN + limits::SECOND;
+/// By then a cancelled job's tasks must be gone: `limits::longest_autonomy` solved for it.
+const CANCEL: u64 = AUTONOMY + LEASE + limits::LOCK_LEASE_MS * 1_000 + limits::LEASE_MARGIN + limits::SECOND;
 const KEPT: u64 = 2 * CANCEL;
 
 /// The state service, as far as leadership uses it.
@@ -145,7 +145,7 @@
     cancels: u32,
     /// Leases that leaders counted as over, and answers that lessees and lease keepers gave by themselves.
     proofs: u64,
-    alone_answers: u64,
+    autonomous_answers: u64,
     tokens: Vec<(u64, usize, u64)>,
     led: BTreeMap<u64, (usize, u64)>,
     led_time: u64,
@@ -172,7 +172,7 @@
             told: BTreeMap::new(),
             cancels: 0,
             proofs: 0,
-            alone_answers: 0,
+            autonomous_answers: 0,
             tokens: Vec::new(),
             led: BTreeMap::new(),
             led_time: 0,
@@ -191,7 +191,7 @@
         let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
         let now = base + (self.now as f64 * rate) as u64;
         let incarnation = self.rng.random();
-        let leadership = Leadership::new(names, me, incarnation, now, (ALONE, KEPT), self.rng.random());
+        let leadership = Leadership::new(names, me, incarnation, now, (AUTONOMY, KEPT), self.rng.random());
         let (block, ledger) = (Block::new(8), Ledger::default());
         let (state_answered, live_due, read) = (0, 0, 0);
         let old = self.nodes.get(me).is_some_and(|node| node.old);
@@ -248,7 +248,7 @@
                 }
                 Action::Elected { token, .. } => {
                     self.tokens.push((token, node, self.now));
-                    let floor = self.local(node) + lengthened(ALONE);
+                    let floor = self.local(node) + lengthened(AUTONOMY);
                     let ledger = Ledger { token, elected: self.now, floor, ..Ledger::default() };
                     self.nodes[node].ledger = ledger;
                     // It loads before it knows anything by its own reading.
@@ -354,7 +354,7 @@
                 }
                 let now = self.local(node);
                 let live: Vec<JobId> = live.into_iter().collect();
-                self.nodes[node].leadership.knowledge.read(now, sent, true, &live, &[]);
+                self.nodes[node].leadership.cancellations.read(now, sent, true, &live, &[]);
                 self.nodes[node].state_answered = now;
                 self.nodes[node].read = now;
             }
@@ -600,7 +600,7 @@
         }
         if let Some(token) = self.nodes[node].leadership.lease_keeper(now) {
             let stops = keeps?;
-            self.alone_answers += 1;
+            self.autonomous_answers += 1;
             return Some((token, job_ids(stops)));
         }
         let followed = self.nodes[node].leadership.followed(now);
@@ -609,7 +609,7 @@
         }
         if let Some(stops) = keeps {
             if let Some(token) = self.nodes[node].block.answers(now, &report, followed.is_some()) {
-                self.alone_answers += 1;
+                self.autonomous_answers += 1;
                 return Some((token, job_ids(stops)));
             }
         }
@@ -633,35 +633,35 @@
 
     /// What `Hub::keeps` says, of versions that have it.
     fn keeps(&self, node: usize, report: &Report) -> Option<Vec<Order>> {
-        let (now, knowledge) = (self.local(node), &self.nodes[node].leadership.knowledge);
+        let (now, cancellations) = (self.local(node), &self.nodes[node].leadership.cancellations);
         if self.cancels == 0 {
             return Some(Vec::new());
         }
-        (now + limits::GUARD < knowledge.keeps_until()).then(|| knowledge.stops(report)).flatten()
+        (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(report)).flatten()
     }
 
     /// What a leader that has loaded the jobs answers.
     fn leads(&self, node: usize, report: &Report) -> Option<Vec<Order>> {
-        let (now, knowledge) = (self.local(node), &self.nodes[node].leadership.knowledge);
+        let (now, cancellations) = (self.local(node), &self.nodes[node].leadership.cancellations);
         if self.cancels == 0 {
             return Some(Vec::new());
         }
         // It stops what it has no job for, as the core does.
-        let known = |id: &TaskId| knowledge.is_live(id.job_id);
+        let known = |id: &TaskId| cancellations.is_live(id.job_id);
         let foreign = report.tasks.iter().filter(|t| !known(&t.id));
         let foreign = foreign.map(|t| Order::Stop { id: t.id, attempt: t.attempt, grace_s: 0.0 });
-        (now < knowledge.keeps_until()).then(|| knowledge.with_stops(foreign.collect(), report))
+        (now < cancellations.keeps_until()).then(|| cancellations.with_stops(foreign.collect(), report))
     }
 
     /// A leader that counts a lease as over is right.
     fn check_proofs(&mut self) {
         let Some(leader) = self.leader().filter(|n| self.up(*n)) else { return };
         let now = self.local(leader);
-        let kept = self.nodes[leader].leadership.alone_until(now);
+        let kept = self.nodes[leader].leadership.autonomous_until(now);
         let ledger = &mut self.nodes[leader].ledger;
         ledger.floor = ledger.floor.max(kept);
         let lease = lengthened(LEASE) + limits::LEASE_MARGIN;
-        let open = ledger.lessees.values().filter(|(_, at)| now < at + lengthened(ALONE) + lease);
+        let open = ledger.lessees.values().filter(|(_, at)| now < at + lengthened(AUTONOMY) + lease);
         let covered = open.map(|(covered, _)| *covered).min().unwrap_or(u64::MAX);
         for (w, worker) in self.workers.iter().enumerate() {
             let (answered, when) = ledger.answered.get(&w).copied().unwrap_or((0, ledger.elected));
@@ -689,7 +689,7 @@
         if let (Some((leader, _)), Some(keeper)) = (acting.first(), keeping.first()) {
             // A leader beside a lease keeper must know that it may be one of two.
             let now = self.local(*leader);
-            let alone = self.nodes[*leader].leadership.alone_until(now);
+            let alone = self.nodes[*leader].leadership.autonomous_until(now);
             assert!(
                 alone >= now,
                 "leader {leader} trusts leases beside lease keeper {keeper} at {}",
@@ -957,7 +957,8 @@
             world.run(time);
             world.trouble();
         }
-        (proofs, alone, told) = (proofs + world.proofs, alone + world.alone_answers, told + world.told.len());
+        (proofs, alone, told) =
+            (proofs + world.proofs, alone + world.autonomous_answers, told + world.told.len());
     }
     // Leases did end and were counted, and workers were kept alive without a leader, or nothing was tested.
     assert!(proofs > 500 && alone > 5_000 && told > 500, "{proofs} proofs, {alone} answers, {told} told");
@@ -1053,10 +1054,10 @@
         world.run(2 * limits::SECOND);
         let now = world.local(leader);
         let told = |state_age| world.nodes[leader].leadership.told_state_age(now, other, state_age);
-        let recently = world.nodes[leader].leadership.knowledge.may_be_taken_blindly(now);
+        let recently = world.nodes[leader].leadership.cancellations.may_be_taken_blindly(now);
         assert_eq!(told(limits::STATE_LOST) >= limits::STATE_LOST, recently);
         world.state_down = true;
-        world.run(ALONE + 6 * limits::SECOND);
+        world.run(AUTONOMY + 6 * limits::SECOND);
         assert_eq!(world.leader(), None, "seed {seed}");
     }
 }
@@ -1067,7 +1068,7 @@
 fn a_resumed_leader_does_not_count_its_own_word_while_its_grant_to_another_runs() {
     let names = ["a", "b", "c"].map(String::from).to_vec();
     let begun = 1 << 45;
-    let mut node = Leadership::new(names, 0, 2, begun, (ALONE, KEPT), 0);
+    let mut node = Leadership::new(names, 0, 2, begun, (AUTONOMY, KEPT), 0);
     let now = begun + 2 * limits::GRANT;
     let granted = node.message(now, 1, 7, Status::default(), Message::Heartbeat { token: 5, sent: 9 });
     assert!(granted.contains(&Action::Send(1, Message::Grant { token: 5, echo: 9 })));
@@ -1077,10 +1078,10 @@
     node.store(now, StoreAnswer::Won { permit: 1, entry: 4, lease_sent: now });
     node.message(now + 1, 2, 8, Status::default(), Message::Grant { token: 6, echo: now });
     let soon = now + limits::SECOND;
-    assert_eq!(node.alone_until(soon), soon, "a lease_keeper may keep workers alive beside it");
+    assert_eq!(node.autonomous_until(soon), soon, "a lease_keeper may keep workers alive beside it");
     let later = now + lengthened(limits::GRANT) + 1;
     node.message(later, 2, 8, Status::default(), Message::Grant { token: 6, echo: later });
-    assert!(node.alone_until(later + 1) <= later, "its word counts again");
+    assert!(node.autonomous_until(later + 1) <= later, "its word counts again");
 }
 
 /// Jobs are cancelled in the seconds in which a controller's work changes hands: it ends, for long or for a moment,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,11 +5,11 @@
 
 pub mod api;
 pub mod blocks;
+pub mod cancellation_log;
 pub mod cli;
 pub mod cloud;
 pub mod core;
 pub mod http;
-pub mod knowledge;
 pub mod leadership;
 pub mod limits;
 pub mod live;
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -45,7 +45,7 @@
 /// the user was told. Taken off besides: the state lease, by which the leader could not miss it longer, the
 /// lateness of a worker's own end, and a second on the way. Stops go straight to the workers, so that what a
 /// cut holds back of them was told when it began.
-pub fn alone(cancel_s: f64, lease_s: f64) -> u64 {
+pub fn longest_autonomy(cancel_s: f64, lease_s: f64) -> u64 {
     micros(cancel_s - lease_s).saturating_sub(LOCK_LEASE_MS * 1_000 + LEASE_MARGIN + SECOND)
 }
 
--- a/src/live.rs
+++ b/src/live.rs
@@ -2,7 +2,7 @@
 //! share its answer: the state service returns what changed since the copy was made, so the copy is then
 //! at least as new as every answer that was given before. A read for each poll would not fit the limit
 //! on requests. What changed is passed on too, with the time from which it counts: who keeps workers alive must
-//! know which jobs were cancelled (`knowledge`), so that the copy is brought up to date without polls as well.
+//! know which jobs were cancelled (`cancellation_log`), so that the copy is brought up to date without polls as well.
 
 use crate::core::model::JobId;
 use crate::limits;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,8 +1,8 @@
 //! Frames between controllers: a fixed layout each, read in place.
 
+use crate::cancellation_log::Attestation;
 use crate::core::model::{Cause, JobId, Report, ReportedTask, TaskId, TaskStatus};
 use crate::core::Order;
-use crate::knowledge::Attestation;
 use crate::leadership::{Message, Status};
 use crate::limits;
 use std::net::SocketAddr;
--- a/src/server.rs
+++ b/src/server.rs
@@ -163,9 +163,9 @@
 
     let now = clock.now();
     let workers = &deployment.workers;
-    let alone = limits::alone(workers.cancel_s, workers.lease_s);
+    let longest_autonomy = limits::longest_autonomy(workers.cancel_s, workers.lease_s);
     let (seed, kept) = (sender.incarnation, limits::cancelled_kept(workers.cancel_s));
-    let leadership = Leadership::new(names, me, sender.incarnation, now, (alone, kept), seed);
+    let leadership = Leadership::new(names, me, sender.incarnation, now, (longest_autonomy, kept), seed);
     let hub = Hub {
         config: Config {
             token: 0,
@@ -181,7 +181,7 @@
             rentals_at_once: limits::rentals_at_once(deployment.cloud.rps),
             block_lease: match settings.members.len() {
                 0 => 0,
-                _ => alone,
+                _ => longest_autonomy,
             },
         },
         settings,
@@ -376,7 +376,7 @@
                     commands.extend(over.into_iter().map(Command::JobRemoved));
                 }
                 Event::Live(Reading { sent, whole, added, removed }) => {
-                    let over = self.leadership.knowledge.read(now, sent, whole, &added, &removed);
+                    let over = self.leadership.cancellations.read(now, sent, whole, &added, &removed);
                     commands.extend(over.into_iter().map(Command::JobRemoved));
                 }
                 Event::Cancelled(job_id, to) => {
@@ -428,11 +428,11 @@
 
     /// What the state service says of a job may come later than a member's word that it is cancelled.
     fn unless_over(&self, command: Command) -> Option<Command> {
-        let knowledge = &self.leadership.knowledge;
+        let cancellations = &self.leadership.cancellations;
         match command {
-            Command::JobAdded(job) if knowledge.is_over(job.spec.job_id) => None,
+            Command::JobAdded(job) if cancellations.is_over(job.spec.job_id) => None,
             Command::Load { mut jobs, records } => {
-                jobs.retain(|job| !knowledge.is_over(job.spec.job_id));
+                jobs.retain(|job| !cancellations.is_over(job.spec.job_id));
                 Some(Command::Load { jobs, records })
             }
             command => Some(command),
@@ -442,7 +442,7 @@
     /// Answers those who want to tell a user of a cancellation, as soon as it may be told.
     fn tell_confirmed(&mut self, now: u64) {
         for (job_id, to) in std::mem::take(&mut self.confirming) {
-            let (_, may) = self.leadership.knowledge.confirm(now, job_id);
+            let (_, may) = self.leadership.cancellations.confirm(now, job_id);
             if may {
                 let _ = to.send(true);
             } else if !to.is_closed() {
@@ -453,8 +453,8 @@
 
     /// An answer of this node's own that keeps a worker alive: the stops that it bears, or None if it may not.
     fn keeps(&self, now: u64, report: &Report) -> Option<Vec<Order>> {
-        let knowledge = &self.leadership.knowledge;
-        (now + limits::GUARD < knowledge.keeps_until()).then(|| knowledge.stops(report)).flatten()
+        let cancellations = &self.leadership.cancellations;
+        (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(report)).flatten()
     }
 
     // ---- blocks ----
@@ -471,7 +471,7 @@
         let fresh = |stamp: u64| stamp <= now && now < stamp + limits::RELAY_FRESH;
         match payload {
             Payload::Report { id, stamp, report } => {
-                if !leads || !fresh(stamp) || now >= self.leadership.knowledge.keeps_until() {
+                if !leads || !fresh(stamp) || now >= self.leadership.cancellations.keeps_until() {
                     // A lease keeper keeps workers alive whichever way they come.
                     let care = self.leadership.lease_keeper(now).zip(self.keeps(now, &report));
                     let (token, orders) = care.unzip();
@@ -495,7 +495,7 @@
                 let Some(PassedOn { to, report, .. }) = self.passed_on.remove(&id) else { return };
                 let reply = match token {
                     Some(token) => {
-                        let orders = self.leadership.knowledge.with_stops(orders, &report);
+                        let orders = self.leadership.cancellations.with_stops(orders, &report);
                         self.block.passed(now, report, token, keep);
                         CheckinReply::Orders(CheckinAnswer::new(token, &orders))
                     }
@@ -611,14 +611,14 @@
             return self.hold(now, report, to);
         }
         self.next_reply += 1;
-        let stops = self.leadership.knowledge.with_stops(Vec::new(), &report);
+        let stops = self.leadership.cancellations.with_stops(Vec::new(), &report);
         self.replies.insert(self.next_reply, ReplyTo::Worker(to, stops));
         commands.push(Command::Checkin { reply: self.next_reply, report, via: None });
     }
 
     fn step(&mut self, now: u64, commands: Vec<Command>) {
         let Some(core) = &mut self.core else { return };
-        core.kept_alive_until(self.leadership.alone_until(now));
+        core.kept_alive_until(self.leadership.autonomous_until(now));
         core.out_of_touch(now, self.leadership.out_of_touch(now));
         let effects = core.step(now, commands);
         if now >= self.summary_due {
@@ -871,7 +871,7 @@
         let Some(to) = self.replies.remove(&reply) else { return };
         // Checked again at the last moment: the round may have taken long.
         let now = self.clock.now();
-        let known = now < self.leadership.knowledge.keeps_until();
+        let known = now < self.leadership.cancellations.keeps_until();
         let token = self.leadership.authority(now).filter(|_| known);
         let (to, stops) = match to {
             ReplyTo::Worker(to, stops) => (to, stops),
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -2,9 +2,9 @@
 //! (`tests/golden`, written by its own code) are read here, and what is sent here is laid out as production
 //! reads it.
 
+use dockpier::cancellation_log::Attestation;
 use dockpier::core::model::*;
 use dockpier::core::Order;
-use dockpier::knowledge::Attestation;
 use dockpier::leadership::{Message, Status};
 use dockpier::peer::{decode, encode, Payload, Sender};
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
