--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -84,9 +84,9 @@
     /// Machines that are lost, failed to boot, or are silent or deaf while the others are not.
     fn delete_lost(&mut self) {
         let now = self.now;
-        let mut back = self.silent_to_give_up();
-        // One in a dark zone may be up and unheard, and holds an image for when the zone is back.
-        let may_go = |m: &&Machine| !m.deleting && !self.silence.zone_dark(&m.zone);
+        let mut back = self.machines_to_declare_dead();
+        // One in an unreachable zone may be up and unheard, and holds an image for when the zone is back.
+        let may_go = |m: &&Machine| !m.deleting && !self.failure_detector.zone_unreachable(&m.zone);
         for machine in self.machines.values().filter(may_go) {
             let never_up = machine.phase == Phase::Expected && now >= machine.boot_give_up;
             if never_up || machine.phase == Phase::Lost {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod consolidate;
 pub mod elastic;
+pub mod failure_detection;
 pub mod fleet;
 pub mod gang;
 pub mod model;
@@ -11,7 +12,6 @@
 pub mod plan;
 pub mod records;
 pub mod reports;
-pub mod silence;
 pub mod teams;
 
 use crate::limits;
@@ -243,7 +243,7 @@
     kept_alive: u64,
     /// When each lessee was last out of touch: what reports through it may come another way for a while.
     out_of_touch: BTreeMap<usize, u64>,
-    silence: silence::Silence,
+    failure_detector: failure_detection::FailureDetector,
     lessees: BTreeMap<usize, Lessee>,
     /// Work of a job on average, as of the last round.
     typical_work: f64,
@@ -279,7 +279,7 @@
             reconciled: false,
             kept_alive: now + limits::lengthened(block_lease),
             out_of_touch: BTreeMap::new(),
-            silence: silence::Silence::default(),
+            failure_detector: failure_detection::FailureDetector::default(),
             lessees: BTreeMap::new(),
             typical_work: 0.0,
             effects: Vec::new(),
@@ -534,7 +534,7 @@
             && machine.recall_at.is_none()
             && machine.foreign.is_empty()
             && machine.no_room_until <= self.now
-            && !self.silence.zone_dark(&machine.zone)
+            && !self.failure_detector.zone_unreachable(&machine.zone)
             && machine.unheard < limits::UNHEARD_DEAF
             && self.now < machine.heard + limits::silent(self.config.workers.report_s)
     }
@@ -562,7 +562,7 @@
             return;
         }
         self.expire_due = self.now + limits::EXPIRE_EVERY;
-        self.look_at_silence();
+        self.update_reachability();
         let lease = limits::worker_lease(self.config.workers.lease_s);
         let now = self.now;
         let alive = self.started.max(self.kept_alive);
--- a/src/core/plan.rs
+++ b/src/core/plan.rs
@@ -66,7 +66,7 @@
 }
 
 impl Core {
-    /// Takes up the plan. Machines in a dark zone, booting or not, help nobody until it is back, so that none
+    /// Takes up the plan. Machines in an unreachable zone, booting or not, help nobody until it is back, so that none
     /// is counted on or rented there.
     pub fn begin_plan(&mut self) {
         let queue = self.jobs.values().filter(|j| !j.over && !j.waiting.is_empty());
@@ -89,7 +89,8 @@
             *plan.count.entry(offer.clone()).or_default() += n;
         }
         for (offer, n) in plan.count.clone() {
-            if let Some(machine_type) = self.types.get(&offer.0).filter(|_| !self.silence.zone_dark(&offer.1))
+            if let Some(machine_type) =
+                self.types.get(&offer.0).filter(|_| !self.failure_detector.zone_unreachable(&offer.1))
             {
                 plan.add(&offer, machine_type.has, false, n);
             }
@@ -148,7 +149,7 @@
     ) -> Vec<(f64, Offer)> {
         let mut offers = Vec::new();
         for t in self.types.values().filter(|t| job_type(&t.name)) {
-            for z in t.zones.iter().filter(|z| zone(z) && !self.silence.zone_dark(z)) {
+            for z in t.zones.iter().filter(|z| zone(z) && !self.failure_detector.zone_unreachable(z)) {
                 if let (true, Some(price)) = (spot, t.spot_price) {
                     offers.push((price, (t.name.clone(), z.clone(), true)));
                 }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -120,7 +120,7 @@
 /// two machines) is silent: when more are, the fault may well be on our side.
 pub const SILENT_SHARE: f64 = 0.25;
 /// The same of the machines that report one way, which may be at fault although others are heard by it.
-pub const SILENT_WAY_SHARE: f64 = 0.5;
+pub const SILENT_ROUTE_SHARE: f64 = 0.5;
 
 /// Reports running without a trace of the answer before them, after which a machine is deaf: it gets no
 /// new tasks and is deleted. One lost answer is ordinary.
@@ -128,7 +128,7 @@
 /// No report at all through one node, or from one zone, for this long and three times the mean interval
 /// between them means that it is lost: lessees tell whom they answered once a second, and machines that all
 /// reported at once (a cut has ended) next do so three quarters of an interval later at the earliest.
-pub fn way_silent(report: u64) -> u64 {
+pub fn route_silent(report: u64) -> u64 {
     (report / 4 * 3 + 500_000).max(1_500_000)
 }
 /// This many machines silent at the same time point to our own connection.
