--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -19,10 +19,10 @@
 /// Free room per machine as a round fills it, and what all jobs of the round ask for alike: worked out
 /// once a round, since a look at every machine for every job does not scale.
 #[derive(Clone)]
-pub struct Room {
+pub struct FreeCapacity {
     /// Machines with room for the smallest waiting task; the others take nobody.
     free: BTreeMap<String, Resources>,
-    /// Room that stops under way will give, by machine.
+    /// FreeCapacity that stops under way will give, by machine.
     pending: BTreeMap<String, Resources>,
     /// Tasks of each job that were told to stop.
     stopping: BTreeMap<JobId, u32>,
@@ -37,14 +37,14 @@
     pub(super) teams: TeamUsage,
 }
 
-impl Room {
+impl FreeCapacity {
     fn take(&mut self, machine: &Machine, needs: &Resources) {
         let free = self.free.entry(machine.name.clone()).or_insert_with(|| machine.free());
         *free = free.minus(needs);
     }
 
     /// The room there will be once every stop under way is confirmed.
-    fn soon(&self, machines: &BTreeMap<String, Machine>) -> Room {
+    fn soon(&self, machines: &BTreeMap<String, Machine>) -> FreeCapacity {
         let mut soon = self.clone();
         for (name, pending) in &self.pending {
             if let Some(machine) = machines.get(name) {
@@ -144,11 +144,11 @@
     }
 
     /// What the jobs of a round have in common, and the machines with room for any of them.
-    fn room(&mut self, order: &[JobId], probes: &mut usize) -> Room {
+    fn capacity(&mut self, order: &[JobId], steps: &mut usize) -> FreeCapacity {
         self.note_unreconciled();
         let jobs = || order.iter().filter_map(|job_id| self.jobs.get(job_id));
         let least = jobs().filter(|j| !j.waiting.is_empty()).map(|j| j.spec.needs).reduce(|a, b| a.least(&b));
-        let mut room = Room {
+        let mut capacity = FreeCapacity {
             free: BTreeMap::new(),
             pending: BTreeMap::new(),
             stopping: BTreeMap::new(),
@@ -162,10 +162,10 @@
             teams: self.team_usage(),
         };
         for machine in self.machines.values() {
-            *probes += 1;
+            *steps += 1;
             for (id, task) in &machine.tasks {
                 if task.stopping.is_some() {
-                    *room.stopping.entry(id.job_id).or_default() += 1;
+                    *capacity.stopping.entry(id.job_id).or_default() += 1;
                 }
             }
             if !self.usable(machine) {
@@ -173,46 +173,46 @@
             }
             let free = machine.free();
             if least.is_some_and(|least| least.fits(&free)) {
-                room.free.insert(machine.name.clone(), free);
+                capacity.free.insert(machine.name.clone(), free);
             }
             let pending = machine.free_soon(self.now).minus(&free);
             if pending != Resources::default() {
-                room.pending.insert(machine.name.clone(), pending);
+                capacity.pending.insert(machine.name.clone(), pending);
             }
         }
-        room
+        capacity
     }
 
-    /// One round within its budget of probes. What it could not reach is taken up by the next round.
+    /// One round within its budget of decision steps. What it could not reach is taken up by the next round.
     pub fn round(&mut self) {
         self.note_typical_work();
         let order = self.order();
-        let mut probes = 0;
-        let mut room = self.room(&order, &mut probes);
+        let mut steps = 0;
+        let mut capacity = self.capacity(&order, &mut steps);
         // The look at every machine is the fixed price of a round; the budget is for the jobs.
         let jobs = limits::ROUND_JOBS * self.machines.len();
-        let budget = probes + self.config.round_probes.max(jobs);
+        let budget = steps + self.config.round_steps.max(jobs);
         let start = self.cursor.and_then(|job_id| order.iter().position(|u| *u == job_id)).unwrap_or(0);
         self.cursor = None;
         for job_id in &order[start..] {
-            if probes >= budget {
+            if steps >= budget {
                 self.cursor = Some(*job_id);
                 debug!(job = %job_id, "round out of budget, goes on here");
                 break;
             }
-            probes += 1;
-            self.consider(*job_id, false, &mut room, &mut probes);
+            steps += 1;
+            self.consider(*job_id, false, &mut capacity, &mut steps);
         }
-        // Room that no job outside the gap takes would lie idle: it goes to those inside.
+        // FreeCapacity that no job outside the gap takes would lie idle: it goes to those inside.
         for job_id in order {
             let in_gap = self.jobs.get(&job_id).is_some_and(|j| j.waits_for == GAP && !j.waiting.is_empty());
-            if in_gap && probes < budget && !room.free.is_empty() {
-                self.consider(job_id, true, &mut room, &mut probes);
+            if in_gap && steps < budget && !capacity.free.is_empty() {
+                self.consider(job_id, true, &mut capacity, &mut steps);
             }
         }
-        self.probes += probes as u64;
+        self.steps += steps as u64;
         let idle = if self.cursor.is_some() { 0 } else { limits::ROUND_IDLE };
-        let rest = limits::round_rest(probes, self.config.cpu_share);
+        let rest = limits::round_rest(steps, self.config.cpu_share);
         self.round_from = self.now + rest;
         self.round_due = self.now + rest.max(idle);
     }
@@ -226,7 +226,7 @@
         }
     }
 
-    fn consider(&mut self, job_id: JobId, leftover: bool, room: &mut Room, probes: &mut usize) {
+    fn consider(&mut self, job_id: JobId, leftover: bool, capacity: &mut FreeCapacity, steps: &mut usize) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         if job.waiting.is_empty() {
             return;
@@ -242,9 +242,9 @@
         let held = job.places.len() as u32;
         // A gang starts only whole.
         if job.spec.kind == Kind::Gang && held > 0 {
-            return self.mend_gang(job_id, room, probes);
+            return self.mend_gang(job_id, capacity, steps);
         }
-        let running = held.saturating_sub(room.stopping.get(&job_id).copied().unwrap_or(0));
+        let running = held.saturating_sub(capacity.stopping.get(&job_id).copied().unwrap_or(0));
         let fresh = held == 0;
         // Width is kept without regard to the gap; growth beyond it waits for the gap to pass.
         let target = if fresh || leftover || !self.in_gap(job) {
@@ -256,7 +256,7 @@
         if want == 0 {
             return self.wait(job_id, GAP);
         }
-        let want = want.min(self.team_room(job, &room.teams));
+        let want = want.min(self.team_room(job, &capacity.teams));
         // What only its wait for a beginning has earned is a beginning; more comes by its plain rank.
         let hurried = !leftover
             && job.spec.kind == Kind::Array
@@ -268,7 +268,7 @@
             return self.wait(job_id, "team limit");
         }
         let patient = self.now < job.arrived.max(job.rescaled) + limits::FETCH_PATIENCE;
-        let found = self.find(job, want, patient, room, probes);
+        let found = self.find(job, want, patient, capacity, steps);
         if !found.is_empty() && held + found.len() as u32 >= job.admission().min(held + want) {
             if found.len() as u32 + running > job.width {
                 let now = self.now;
@@ -279,7 +279,7 @@
             }
             let attempt = self.next_attempt();
             for machine in found {
-                self.assign(job_id, &machine, attempt, room);
+                self.assign(job_id, &machine, attempt, capacity);
             }
             if self.jobs.get(&job_id).is_none_or(|j| j.waiting.is_empty()) {
                 return;
@@ -296,9 +296,9 @@
         let held = job.places.len() as u32;
         let missing = job.minimum().saturating_sub(held).max(1).min(job.waiting.len() as u32);
         let service = job.spec.kind == Kind::Service;
-        if !self.shrink_for(job_id, missing, room, probes) && service && missing > 1 {
+        if !self.shrink_for(job_id, missing, capacity, steps) && service && missing > 1 {
             // Its replicas serve each by itself: one is better than none.
-            self.shrink_for(job_id, 1, room, probes);
+            self.shrink_for(job_id, 1, capacity, steps);
         }
     }
 
@@ -306,11 +306,18 @@
     /// that is best stays best until it is full, since each task only makes it fuller; so the candidates
     /// are weighed once, and the zones are compared by their best ones. `now`: only places where its image
     /// is, or can be fetched at once.
-    pub fn find(&self, job: &Job, want: u32, now: bool, room: &Room, probes: &mut usize) -> Vec<String> {
-        *probes += room.free.len();
+    pub fn find(
+        &self,
+        job: &Job,
+        want: u32,
+        now: bool,
+        capacity: &FreeCapacity,
+        steps: &mut usize,
+    ) -> Vec<String> {
+        *steps += capacity.free.len();
         let mut zones = ZoneCount::of(job, &self.machines);
         let pinned = if job.spec.one_zone && job.places.is_empty() {
-            match self.best_zone(job, room) {
+            match self.best_zone(job, capacity) {
                 Some(zone) => Some(zone),
                 None => return Vec::new(),
             }
@@ -318,9 +325,9 @@
             None
         };
         let needs = &job.spec.needs;
-        let mut reserve = self.reserve_room(room, job);
+        let mut reserve = self.reserve_room(capacity, job);
         let mut by_zone: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
-        for (name, free) in &room.free {
+        for (name, free) in &capacity.free {
             let Some(machine) = self.machines.get(name).filter(|_| needs.fits(free)) else { continue };
             if !place::allowed(job, machine)
                 || machine.surplus && job.spec.spot
@@ -343,7 +350,7 @@
             by_zone.entry(&machine.zone).or_default().push(candidate);
         }
         for candidates in by_zone.values_mut() {
-            *probes += candidates.len();
+            *steps += candidates.len();
             // The best one last, where it is taken from.
             candidates.sort_unstable_by(|a, b| {
                 (b.base, b.emptiness, &b.machine.name).cmp(&(a.base, a.emptiness, &a.machine.name))
@@ -352,7 +359,7 @@
         let critical = job.spec.priority == Priority::Critical;
         let mut found = Vec::new();
         while (found.len() as u32) < want {
-            *probes += 1;
+            *steps += 1;
             let open = by_zone.iter().filter(|(zone, _)| zones.allows(job, zone));
             let best = open
                 .filter_map(|(zone, candidates)| candidates.last().map(|c| (*zone, c)))
@@ -381,11 +388,11 @@
 
     /// The zone with most places for a job whose tasks must share one; for a gang the one where the last of its
     /// tasks starts first.
-    fn best_zone(&self, job: &Job, room: &Room) -> Option<String> {
+    fn best_zone(&self, job: &Job, capacity: &FreeCapacity) -> Option<String> {
         let mut zones: BTreeMap<&str, Vec<(i64, i64, i64)>> = BTreeMap::new();
         let tasks = i64::from(job.spec.tasks);
         let gang = job.spec.kind == Kind::Gang;
-        for (name, free) in &room.free {
+        for (name, free) in &capacity.free {
             if let Some(machine) = self.machines.get(name).filter(|m| place::allowed(job, m)) {
                 let places = job.spec.needs.count_in(free).min(tasks);
                 if places > 0 {
@@ -412,21 +419,27 @@
 
     /// Stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots.
     /// Returns whether that room is under way.
-    fn shrink_for(&mut self, job_id: JobId, missing: u32, room: &mut Room, probes: &mut usize) -> bool {
+    fn shrink_for(
+        &mut self,
+        job_id: JobId,
+        missing: u32,
+        capacity: &mut FreeCapacity,
+        steps: &mut usize,
+    ) -> bool {
         let Some(job) = self.jobs.get(&job_id) else { return false };
         let needs = job.spec.needs;
-        // Room that stops under way will free counts as found, so that nobody shrinks twice for it.
-        let soon = room.soon(&self.machines);
+        // FreeCapacity that stops under way will free counts as found, so that nobody shrinks twice for it.
+        let soon = capacity.soon(&self.machines);
         // So does room whose machine is fetching for somebody else.
-        let coming = self.find(job, missing, false, &soon, probes);
+        let coming = self.find(job, missing, false, &soon, steps);
         if coming.len() as u32 >= missing {
             // Hold the room for this job: nobody later in the round may take it.
-            coming.iter().filter_map(|m| self.machines.get(m)).for_each(|m| room.take(m, &needs));
+            coming.iter().filter_map(|m| self.machines.get(m)).for_each(|m| capacity.take(m, &needs));
             self.wait(job_id, "stops or a fetch under way");
             return true;
         }
-        let may_any = room.lowest.is_some_and(|lowest| lowest < job.spec.priority)
-            || self.within_guarantee(&job.spec.team, &needs, &room.teams);
+        let may_any = capacity.lowest.is_some_and(|lowest| lowest < job.spec.priority)
+            || self.within_guarantee(&job.spec.team, &needs, &capacity.teams);
         if !may_any {
             self.wait(job_id, "no free slot, and nobody below it runs");
             return false;
@@ -438,11 +451,11 @@
             Priority::Critical => &[(true, true), (false, true), (false, false)],
             _ => &[(true, true)],
         };
-        let order = room.yielding.get_or_insert_with(|| self.yielding()).clone();
+        let order = capacity.yielding.get_or_insert_with(|| self.yielding()).clone();
         let chosen = stages.iter().find_map(|(gap, minimum)| {
             let mut soon = soon.clone();
-            let stops = self.victims(job, missing, &order, &mut soon, (*gap, *minimum), probes);
-            let targets = self.find(job, missing, false, &soon, probes);
+            let stops = self.victims(job, missing, &order, &mut soon, (*gap, *minimum), steps);
+            let targets = self.find(job, missing, false, &soon, steps);
             (targets.len() as u32 >= missing).then_some((stops, targets))
         });
         let Some((mut stops, targets)) = chosen else {
@@ -451,7 +464,7 @@
         };
         // Stops on machines that the newcomer ends up not using would be for nothing.
         stops.retain(|(name, _)| targets.contains(name));
-        targets.iter().filter_map(|m| self.machines.get(m)).for_each(|m| room.take(m, &needs));
+        targets.iter().filter_map(|m| self.machines.get(m)).for_each(|m| capacity.take(m, &needs));
         for (machine, id) in stops {
             debug!(task = %id, machine, newcomer = %job_id, "shrink");
             self.decided(format!("stop {id} on {machine} for {job_id}"));
@@ -460,10 +473,10 @@
             if let Some(victim) = self.jobs.get_mut(&id.job_id) {
                 victim.rescaled = now;
                 victim.width = victim.width.saturating_sub(1).max(victim.minimum());
-                let freed = room.pending.entry(machine.clone()).or_default();
+                let freed = capacity.pending.entry(machine.clone()).or_default();
                 *freed = freed.plus(&victim.spec.needs);
-                room.teams.stop(&victim.spec.team, &victim.spec.needs);
-                *room.stopping.entry(id.job_id).or_default() += 1;
+                capacity.teams.stop(&victim.spec.team, &victim.spec.needs);
+                *capacity.stopping.entry(id.job_id).or_default() += 1;
             }
             self.stop(&machine, id, grace);
         }
@@ -478,13 +491,13 @@
         job: &Job,
         missing: u32,
         order: &[JobId],
-        soon: &mut Room,
+        soon: &mut FreeCapacity,
         (gap, minimum): (bool, bool),
-        probes: &mut usize,
+        steps: &mut usize,
     ) -> Vec<(String, TaskId)> {
         let mut stops = Vec::new();
         for victim in order.iter().filter_map(|v| self.jobs.get(v)) {
-            *probes += 1;
+            *steps += 1;
             if victim.places.is_empty() || gap && self.in_gap(victim) {
                 continue;
             }
@@ -498,7 +511,7 @@
             // Each stop brings the victim's team nearer to its guarantee.
             while running.len() as u32 > floor && self.may_preempt(job, victim, &soon.teams) {
                 let Some((_, id, name)) = running.pop() else { break };
-                *probes += 1;
+                *steps += 1;
                 let Some(machine) = self.machines.get(name).filter(|m| self.usable(m)) else { continue };
                 // A stop that cannot help the newcomer would be for nothing.
                 if !place::allowed(job, machine) {
@@ -508,7 +521,7 @@
                 *free = free.plus(&victim.spec.needs);
                 soon.teams.stop(&victim.spec.team, &victim.spec.needs);
                 stops.push((name.to_string(), id));
-                if self.find(job, missing, false, soon, probes).len() as u32 >= missing {
+                if self.find(job, missing, false, soon, steps).len() as u32 >= missing {
                     return stops;
                 }
             }
@@ -535,31 +548,31 @@
         guaranteed && !victim_guaranteed || higher && !protected
     }
 
-    pub fn assign(&mut self, job_id: JobId, machine: &str, attempt: u64, room: &mut Room) {
+    pub fn assign(&mut self, job_id: JobId, machine: &str, attempt: u64, capacity: &mut FreeCapacity) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let Some(task) = job.waiting.pop_first() else { return };
         job.places.entry(task).or_default().push(machine.into());
         let (needs, image) = (job.spec.needs, job.spec.image.clone());
-        room.teams.add(&job.spec.team, &needs);
+        capacity.teams.add(&job.spec.team, &needs);
         if let Some(machine) = self.machines.get(machine) {
-            room.take(machine, &needs);
+            capacity.take(machine, &needs);
         }
         self.place_on(machine, TaskId { job_id, task }, needs, image, attempt);
     }
 
-    /// Room held back in each zone for critical services, against everyone else's tasks.
-    fn reserve_room(&self, room: &Room, job: &Job) -> Reserve {
+    /// FreeCapacity held back in each zone for critical services, against everyone else's tasks.
+    fn reserve_room(&self, capacity: &FreeCapacity, job: &Job) -> Reserve {
         let mut reserve = Reserve { shape: None, spare: BTreeMap::new() };
-        let Some(shape) = room.shape else { return reserve };
+        let Some(shape) = capacity.shape else { return reserve };
         if job.spec.priority == Priority::Critical {
             return reserve;
         }
-        for (name, free) in &room.free {
+        for (name, free) in &capacity.free {
             if let Some(machine) = self.machines.get(name).filter(|m| !m.spot) {
                 *reserve.spare.entry(machine.zone.clone()).or_default() += shape.count_in(free);
             }
         }
-        reserve.spare.values_mut().for_each(|n| *n -= room.kept);
+        reserve.spare.values_mut().for_each(|n| *n -= capacity.kept);
         reserve.shape = Some(shape);
         reserve
     }
--- a/src/core/gang.rs
+++ b/src/core/gang.rs
@@ -1,7 +1,7 @@
 //! Gangs: tasks that run together or not at all. They find one another by their attempt number, wait for one
 //! another, start together and end together; the operators' page on gangs (`docs/design.md`) has the details.
 
-use super::elastic::Room;
+use super::elastic::FreeCapacity;
 use super::model::{Job, JobId, Kind, Machine, TaskStatus};
 use super::Core;
 use crate::limits;
@@ -41,17 +41,17 @@
     }
 
     /// A gang of which something is placed and something waits.
-    pub fn mend_gang(&mut self, job_id: JobId, room: &mut Room, probes: &mut usize) {
+    pub fn mend_gang(&mut self, job_id: JobId, capacity: &mut FreeCapacity, steps: &mut usize) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         match self.stage(job) {
             Stage::Waiting { attempt } => {
                 let now = self.now;
                 let missing = job.waiting.len() as u32;
-                let may = self.team_room(job, &room.teams) >= missing;
-                let found = if may { self.find(job, missing, false, room, probes) } else { Vec::new() };
+                let may = self.team_room(job, &capacity.teams) >= missing;
+                let found = if may { self.find(job, missing, false, capacity, steps) } else { Vec::new() };
                 if found.len() as u32 == missing {
                     for machine in found {
-                        self.assign(job_id, &machine, attempt, room);
+                        self.assign(job_id, &machine, attempt, capacity);
                     }
                     // The next task that it loses has its own time.
                     if let Some(job) = self.jobs.get_mut(&job_id) {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -29,7 +29,7 @@
     pub teams: Vec<Team>,
     pub zones: Vec<String>,
     pub list_lag_s: f64,
-    pub round_probes: usize,
+    pub round_steps: usize,
     /// The share of a processor core that this process has.
     pub cpu_share: f64,
     /// Puts and deletes a second that the state service allows all nodes together.
@@ -230,7 +230,7 @@
     round_from: u64,
     news: bool,
     /// Probes of all rounds so far: what a test bounds instead of time.
-    pub probes: u64,
+    pub steps: u64,
     /// Check-ins whose reports brought news: answered by the next round, which may have a start for them.
     held: Vec<(u64, String)>,
     expire_due: u64,
@@ -271,7 +271,7 @@
             round_due: 0,
             round_from: 0,
             news: true,
-            probes: 0,
+            steps: 0,
             held: Vec::new(),
             expire_due: 0,
             unreconciled: BTreeSet::new(),
--- a/src/core/plan.rs
+++ b/src/core/plan.rs
@@ -101,18 +101,18 @@
     /// Goes on within a budget; rents and returns machines when the queue is through. Returns whether it is.
     pub fn go_on_planning(&mut self) -> bool {
         let Some(mut plan) = self.fleet.plan.take() else { return true };
-        let mut probes = 0;
-        while probes < self.config.round_probes {
+        let mut steps = 0;
+        while steps < self.config.round_steps {
             let Some(job_id) = plan.queue.next() else {
-                self.probes += probes as u64;
+                self.steps += steps as u64;
                 self.carry_out_plan(plan);
                 return true;
             };
             if let Some(job) = self.jobs.get(&job_id).filter(|j| !j.over) {
-                self.plan_job(job, &mut plan, &mut probes);
+                self.plan_job(job, &mut plan, &mut steps);
             }
         }
-        self.probes += probes as u64;
+        self.steps += steps as u64;
         self.fleet.plan = Some(plan);
         false
     }
@@ -160,13 +160,13 @@
         offers
     }
 
-    fn plan_job(&self, job: &Job, plan: &mut Plan, probes: &mut usize) {
+    fn plan_job(&self, job: &Job, plan: &mut Plan, steps: &mut usize) {
         let needs = &job.spec.needs;
         let mut zones = ZoneCount::of(job, &self.machines);
         let most = self.team_room(job, &plan.teams);
         let mut left = (job.waiting.len() as u32).min(most);
         // What is coming, machines in use and with the least room first.
-        *probes += 1 + plan.coming.len();
+        *steps += 1 + plan.coming.len();
         plan.coming.retain(|g| g.count > 0);
         let fits = |g: &Group| {
             needs.fits(&g.room) && job.spec.allows_type(&g.offer.0) && (!g.offer.2 || job.spec.spot)
@@ -189,7 +189,7 @@
             fits && !(job.spec.spot && !o.2 && patient) && !self.refused(o)
         });
         while left > 0 {
-            *probes += offers.len();
+            *steps += offers.len();
             // Equal prices: the zone with fewer of the job's tasks, then the one with fewer machines.
             let load = |o: &Offer| plan.count.get(o).copied().unwrap_or(0);
             let open = offers.iter().filter(|(_, o)| zones.room(job, &o.1) > 0);
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -144,22 +144,22 @@
 
 // ---- decisions ----
 
-/// Placement probes of one round of decisions; the next round goes on where this one stopped.
-/// 4,000 probes take about 2 ms on a full core.
-pub const ROUND_PROBES: usize = 4_000;
+/// Decision steps of one round of decisions; the next round goes on where this one stopped.
+/// 4,000 decision steps take about 2 ms on a full core.
+pub const ROUND_STEPS: usize = 4_000;
 /// At least so many jobs are considered in a round, each with a look at every machine: at 1,900 machines the
-/// probes above would do for two, and a queue of hundreds would take half a minute.
+/// decision steps above would do for two, and a queue of hundreds would take half a minute.
 pub const ROUND_JOBS: usize = 4;
-/// What a probe costs in microseconds of a full core, a margin included, and the share of this process's
+/// What a decision step costs in microseconds of a full core, a margin included, and the share of this process's
 /// processor time that rounds may take: after a round the next one waits until it is paid for.
-pub const PROBE_COST: f64 = 0.4;
+pub const STEP_COST: f64 = 0.4;
 pub const ROUND_SHARE: f64 = 0.3;
 /// Rounds are never further apart than this while there is news: check-ins wait for them.
 pub const ROUND_REST_MOST: u64 = 300_000;
 
-/// The rest after a round of so many probes.
-pub fn round_rest(probes: usize, cpu_share: f64) -> u64 {
-    let cost = probes as f64 * PROBE_COST / (cpu_share.clamp(0.001, 1.0) * ROUND_SHARE);
+/// The rest after a round of so many decision steps.
+pub fn round_rest(steps: usize, cpu_share: f64) -> u64 {
+    let cost = steps as f64 * STEP_COST / (cpu_share.clamp(0.001, 1.0) * ROUND_SHARE);
     (cost as u64).min(ROUND_REST_MOST)
 }
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -174,7 +174,7 @@
             teams: deployment.teams.clone(),
             zones: deployment.zones.clone(),
             list_lag_s: deployment.cloud.list_lag_s,
-            round_probes: limits::ROUND_PROBES,
+            round_steps: limits::ROUND_STEPS,
             cpu_share: deployment.resources.cpu,
             write_rps: deployment.state.write_rps,
             record_machines: limits::record_machines(deployment.state.value_kb),
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -225,7 +225,7 @@
 #[test]
 fn a_round_over_its_budget_goes_on_where_it_stopped() {
     let mut bed = Bed::new(6, 0.0);
-    bed.core.config.round_probes = 3;
+    bed.core.config.round_steps = 3;
     let batch = (1..7u64).map(|job_id| {
         let spec = spec(job_id, Kind::Array, Priority::Low, 1);
         Command::JobAdded(StoredJob { spec, entry: job_id, age: 0, done: BTreeSet::new() })
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The core at the size of the grown deployments: work bounded by counted probes, not by a clock, and
+//! The core at the size of the grown deployments: work bounded by counted decision steps, not by a clock, and
 //! troubles told apart that look alike on a handful of machines.
 
 mod common;
@@ -232,17 +232,17 @@
     let placed: usize = fleet.running.values().map(BTreeMap::len).sum();
     assert_eq!(placed, 250 * 4 + 70 * 30);
 
-    let calm = fleet.core.probes;
+    let calm = fleet.core.steps;
     fleet.report();
     let idle_rounds = 4 * SECOND / limits::ROUND_IDLE + 1;
     let each = 2 * MACHINES as u64 + 320;
-    assert!(fleet.core.probes - calm <= idle_rounds * each, "{} probes", fleet.core.probes - calm);
+    assert!(fleet.core.steps - calm <= idle_rounds * each, "{} steps", fleet.core.steps - calm);
 
-    let before = fleet.core.probes;
+    let before = fleet.core.steps;
     fleet.now += SECOND;
     fleet.submit(spec(600, Kind::Array, Priority::Normal, 150));
-    let used = fleet.core.probes - before;
-    assert!(used <= 10 * MACHINES as u64, "{used} probes for one arrival");
+    let used = fleet.core.steps - before;
+    assert!(used <= 10 * MACHINES as u64, "{used} steps for one arrival");
     (0..2).for_each(|_| fleet.report());
     assert_eq!(fleet.width(600), 150);
 }
@@ -262,13 +262,13 @@
     }
     // Ten tasks fill two machines and half of a third, and the halves are filled by the next.
     assert_eq!(fleet.rented, 1_000);
-    let before = fleet.core.probes;
+    let before = fleet.core.steps;
     for _ in 0..10 {
         fleet.now += SECOND;
         fleet.step(Vec::new());
     }
-    let plans = fleet.core.probes - before;
-    assert!(plans <= 10 * 400 * 12, "{plans} probes in ten plans and rounds");
+    let plans = fleet.core.steps - before;
+    assert!(plans <= 10 * 400 * 12, "{plans} steps in ten plans and rounds");
 }
 
 /// The state service takes 30 changes a second where three arrays arrive in one: the floor is the submission,
