--- a/src/api.rs
+++ b/src/api.rs
@@ -281,7 +281,7 @@
         let _turn = self.admit(&self.changes)?;
         self.may_ask(2)?;
         let (live, over) = (store::live(job_id), store::over(job_id));
-        let Some((value, entry)) = self.store.get(&live, limits::POLL_TIMEOUT).await? else {
+        let Some((value, version)) = self.store.get(&live, limits::POLL_TIMEOUT).await? else {
             let state = self.read_over(job_id).await?.ok_or(Refusal::NoSuchJob)?;
             return Ok(json(StatusCode::OK, &state));
         };
@@ -289,7 +289,7 @@
         let record = store::write(&over, FinalRecord { status: JobStatus::Cancelled, tasks })
             .map_err(|e| Refusal::Later(e.to_string()))?;
         let then = vec![record, store::remove(&live)];
-        match self.store.commit(vec![store::compare(&live, entry)], then).await {
+        match self.store.commit(vec![store::compare(&live, version)], then).await {
             Committed::Done { .. } => {
                 info!(job = %job_id, "cancelled");
                 let state = JobState::without_counts(job_id, JobStatus::Cancelled);
--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -125,7 +125,7 @@
     fn yielding(&self) -> Arc<[JobId]> {
         let running = self.jobs.values().filter(|j| !j.over && !j.places.is_empty());
         let mut order: Vec<_> = running
-            .map(|j| (self.plain_rank(j, 1.0), std::cmp::Reverse((j.arrived, j.entry)), j.spec.job_id))
+            .map(|j| (self.plain_rank(j, 1.0), std::cmp::Reverse((j.arrived, j.version)), j.spec.job_id))
             .collect();
         order.sort();
         order.into_iter().map(|(_, _, job_id)| job_id).collect()
@@ -137,7 +137,7 @@
             .jobs
             .values()
             .filter(|j| !j.over && (!j.waiting.is_empty() || !j.places.is_empty()))
-            .map(|j| (std::cmp::Reverse(self.rank(j)), j.arrived, j.entry, j.spec.job_id))
+            .map(|j| (std::cmp::Reverse(self.rank(j)), j.arrived, j.version, j.spec.job_id))
             .collect();
         order.sort();
         order.into_iter().map(|(_, _, _, job_id)| job_id).collect()
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub struct StoredJob {
     pub spec: JobSpec,
-    pub entry: u64,
+    pub version: u64,
     /// Time since its submission, in microseconds.
     pub age: u64,
     pub done: BTreeSet<u32>,
@@ -174,13 +174,13 @@
     },
     CommitDone {
         job_id: JobId,
-        entry: u64,
+        version: u64,
         tasks: BTreeSet<u32>,
         all_done: BTreeSet<u32>,
     },
     Finish {
         job_id: JobId,
-        entry: u64,
+        version: u64,
         tasks: u32,
         /// Keys of finished tasks to remove with it.
         chunks: Vec<u32>,
@@ -416,7 +416,7 @@
         }
         debug!(job = %job_id, tasks = stored.spec.tasks, inherited, "job known");
         let arrived = self.now.saturating_sub(stored.age);
-        let job = Job::new(stored.spec, stored.entry, arrived, inherited, stored.done);
+        let job = Job::new(stored.spec, stored.version, arrived, inherited, stored.done);
         self.jobs.insert(job_id, job);
     }
 
--- a/src/core/model.rs
+++ b/src/core/model.rs
@@ -334,7 +334,7 @@
     /// When it was submitted: ages and order of arrival count from here.
     pub arrived: u64,
     /// Version of its record.
-    pub entry: u64,
+    pub version: u64,
     /// It may have been started by an earlier leader.
     pub inherited: bool,
     pub waiting: BTreeSet<u32>,
@@ -367,13 +367,13 @@
 }
 
 impl Job {
-    pub fn new(spec: JobSpec, entry: u64, arrived: u64, inherited: bool, done: BTreeSet<u32>) -> Self {
+    pub fn new(spec: JobSpec, version: u64, arrived: u64, inherited: bool, done: BTreeSet<u32>) -> Self {
         let waiting = (0..spec.tasks).filter(|t| !done.contains(t)).collect();
         let stored = done.iter().map(|t| t / crate::limits::DONE_CHUNK).collect();
         Job {
             spec,
             arrived,
-            entry,
+            version,
             inherited,
             waiting,
             places: BTreeMap::new(),
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -211,8 +211,8 @@
                 return false;
             }
             job.committing = true;
-            let (entry, tasks) = (job.entry, job.spec.tasks);
-            self.effects.push(Effect::Finish { job_id, entry, tasks, chunks });
+            let (version, tasks) = (job.version, job.spec.tasks);
+            self.effects.push(Effect::Finish { job_id, version, tasks, chunks });
         }
         true
     }
@@ -234,8 +234,8 @@
                 return false;
             }
             job.committing = true;
-            let (entry, tasks, all_done) = (job.entry, job.uncommitted.clone(), job.done.clone());
-            self.effects.push(Effect::CommitDone { job_id, entry, tasks, all_done });
+            let (version, tasks, all_done) = (job.version, job.uncommitted.clone(), job.done.clone());
+            self.effects.push(Effect::CommitDone { job_id, version, tasks, all_done });
         }
         true
     }
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -63,19 +63,19 @@
     /// and, unless `over_lock`, the lock is absent.
     TakeOver {
         token: u64,
-        entry: u64,
+        version: u64,
         over_lock: bool,
     },
     Renew {
-        permit: u64,
+        lease: u64,
     },
     /// End the state lease, best effort.
     Release {
-        permit: u64,
+        lease: u64,
     },
     Elected {
         token: u64,
-        entry: u64,
+        version: u64,
     },
     /// It may keep its workers alive until then, as any lessee.
     Deposed {
@@ -90,16 +90,16 @@
         locked: bool,
     },
     Won {
-        permit: u64,
-        entry: u64,
+        lease: u64,
+        version: u64,
         lease_sent: u64,
     },
     /// Refused, or without an answer (then the lease, if any, is to be ended).
     Lost {
-        permit: Option<u64>,
+        lease: Option<u64>,
     },
     Renewed {
-        permit: u64,
+        lease: u64,
         sent: u64,
         alive: bool,
     },
@@ -132,7 +132,7 @@
     },
     Leader {
         token: u64,
-        permit: Option<u64>,
+        lease: Option<u64>,
         lease_until: u64,
         elected: u64,
     },
@@ -407,11 +407,11 @@
     }
 
     fn lead(&mut self, now: u64, actions: &mut Vec<Action>) {
-        let Role::Leader { token, permit, elected, .. } = self.role else { return };
-        if let (true, Some(permit)) = (now >= self.renew_due, permit) {
+        let Role::Leader { token, lease, elected, .. } = self.role else { return };
+        if let (true, Some(lease)) = (now >= self.renew_due, lease) {
             self.renew_due = now + limits::RENEW;
-            actions.push(Action::Renew { permit });
-        } else if permit.is_none() && now >= self.probe_due && !self.probing {
+            actions.push(Action::Renew { lease });
+        } else if lease.is_none() && now >= self.probe_due && !self.probing {
             self.probe(now, limits::PROBE_CALM, actions);
         }
         // Refused by the state service while a peer is served: that peer can do more.
@@ -473,8 +473,8 @@
     }
 
     fn step_down(&mut self, now: u64, actions: &mut Vec<Action>) {
-        if let Role::Leader { permit, lease_until, .. } = self.role {
-            actions.extend(permit.map(|permit| Action::Release { permit }));
+        if let Role::Leader { lease, lease_until, .. } = self.role {
+            actions.extend(lease.map(|lease| Action::Release { lease }));
             // Counted from when it surely acted: it may have stood still since.
             let acted = self.majority_until(self.own_word(now), |p| p.granted).max(lease_until).min(now);
             let keep_until = (acted + shortened(self.longest_autonomy)).min(self.cancellations.keeps_until());
@@ -541,9 +541,9 @@
         if !self.amnesiac(now) {
             self.promise_out = Some((self.me, now + lengthened(limits::GRANT)));
         }
-        if let (Some((entry, since)), true) = (self.unlocked, readable) {
+        if let (Some((version, since)), true) = (self.unlocked, readable) {
             if now >= self.acted_by_peers_until(since) {
-                return self.take(entry, By::Time, actions);
+                return self.take(version, By::Time, actions);
             }
         }
         self.campaigning = true;
@@ -591,17 +591,17 @@
         if self.locked {
             return;
         }
-        let entry = self.epoch.as_ref().map_or(0, |(_, entry)| *entry);
-        self.take(entry, By::Promises, actions);
+        let version = self.epoch.as_ref().map_or(0, |(_, version)| *version);
+        self.take(version, By::Promises, actions);
     }
 
-    fn take(&mut self, entry: u64, by: By, actions: &mut Vec<Action>) {
+    fn take(&mut self, version: u64, by: By, actions: &mut Vec<Action>) {
         let known = self.epoch.as_ref().map_or(0, |(epoch, _)| epoch.token);
         let token = known.max(self.token) + 1;
         self.campaigning = false;
         self.role = Role::Taking { token, by };
         info!(token, ?by, "taking over");
-        actions.push(Action::TakeOver { token, entry, over_lock: by == By::Resuming });
+        actions.push(Action::TakeOver { token, version, over_lock: by == By::Resuming });
     }
 
     /// What a member attests of cancellations. Returns the jobs that turned out to be over. A user may be waiting
@@ -755,9 +755,9 @@
         let mut actions = Vec::new();
         match answer {
             StoreAnswer::Probed { epoch, locked } => self.probed(now, epoch, locked, &mut actions),
-            StoreAnswer::Won { permit, entry, lease_sent } => {
+            StoreAnswer::Won { lease, version, lease_sent } => {
                 let Role::Taking { token, by } = self.role else {
-                    actions.push(Action::Release { permit });
+                    actions.push(Action::Release { lease });
                     return actions;
                 };
                 let lease_until = lease_sent + shortened(limits::LOCK_LEASE_MS * 1_000);
@@ -766,14 +766,14 @@
                 if !promised || lease_until <= now + limits::GUARD {
                     info!("won too late, starting over");
                     self.role = Role::Follower;
-                    actions.push(Action::Release { permit });
+                    actions.push(Action::Release { lease });
                     return actions;
                 }
                 info!(token, "leading");
                 self.token = self.token.max(token);
                 let epoch = Epoch { token, node: self.names[self.me].clone(), incarnation: self.incarnation };
-                self.epoch = Some((epoch, entry));
-                self.role = Role::Leader { token, permit: Some(permit), lease_until, elected: now };
+                self.epoch = Some((epoch, version));
+                self.role = Role::Leader { token, lease: Some(lease), lease_until, elected: now };
                 self.peers.iter_mut().for_each(|p| (p.granted, p.promised) = (0, 0));
                 self.may_resume = false;
                 self.reached = false;
@@ -785,18 +785,18 @@
                 self.leader = None;
                 self.renew_due = now + limits::RENEW;
                 self.heartbeat_due = now;
-                actions.push(Action::Elected { token, entry });
+                actions.push(Action::Elected { token, version });
             }
-            StoreAnswer::Lost { permit } => {
-                actions.extend(permit.map(|permit| Action::Release { permit }));
+            StoreAnswer::Lost { lease } => {
+                actions.extend(lease.map(|lease| Action::Release { lease }));
                 if matches!(self.role, Role::Taking { .. }) {
                     self.role = Role::Follower;
                     self.probe_due = now;
                 }
             }
-            StoreAnswer::Renewed { permit, sent, alive } => {
-                if let Role::Leader { permit: own, lease_until, .. } = &mut self.role {
-                    if *own == Some(permit) {
+            StoreAnswer::Renewed { lease, sent, alive } => {
+                if let Role::Leader { lease: own, lease_until, .. } = &mut self.role {
+                    if *own == Some(lease) {
                         if alive {
                             let until = sent + shortened(limits::LOCK_LEASE_MS * 1_000);
                             *lease_until = (*lease_until).max(until);
@@ -829,12 +829,12 @@
         // Another's epoch: this leader has been followed.
         self.epoch = epoch;
         self.locked = locked;
-        let entry = self.epoch.as_ref().map_or(0, |(_, entry)| *entry);
-        let since = self.unlocked.filter(|(at, _)| *at == entry).map_or(now, |(_, since)| since);
-        self.unlocked = (!locked).then_some((entry, since));
+        let version = self.epoch.as_ref().map_or(0, |(_, version)| *version);
+        let since = self.unlocked.filter(|(at, _)| *at == version).map_or(now, |(_, since)| since);
+        self.unlocked = (!locked).then_some((version, since));
         self.probed = true;
         self.probed_at = now;
-        if let Role::Leader { permit: None, .. } = self.role {
+        if let Role::Leader { lease: None, .. } = self.role {
             // The lock is lost while peers still grant: take it anew under a new token.
             if !locked {
                 self.step_down(now, actions);
@@ -843,14 +843,14 @@
             return;
         }
         let resume = match &self.epoch {
-            Some((epoch, entry)) if epoch.node == self.names[self.me] => {
-                (epoch.incarnation != self.incarnation).then_some(*entry)
+            Some((epoch, version)) if epoch.node == self.names[self.me] => {
+                (epoch.incarnation != self.incarnation).then_some(*version)
             }
             _ => None,
         };
         // The epoch names this very node before it restarted: that process is dead, and nobody acts.
-        if let (Some(entry), true, Role::Follower) = (resume, self.may_resume, &self.role) {
-            self.take(entry, By::Resuming, actions);
+        if let (Some(version), true, Role::Follower) = (resume, self.may_resume, &self.role) {
+            self.take(version, By::Resuming, actions);
         }
     }
 }
--- a/src/leadership_tests.rs
+++ b/src/leadership_tests.rs
@@ -20,10 +20,10 @@
 struct FakeStore {
     revision: u64,
     epoch: Option<(Epoch, u64)>,
-    /// Permit that the lock hangs on, and when it ends.
+    /// Lease that the lock hangs on, and when it ends.
     lock: Option<u64>,
-    permits: BTreeMap<u64, u64>,
-    next_permit: u64,
+    leases: BTreeMap<u64, u64>,
+    next_lease: u64,
     /// Live jobs.
     live: BTreeSet<JobId>,
     next_job: u64,
@@ -31,8 +31,8 @@
 
 impl FakeStore {
     fn expire(&mut self, now: u64) {
-        self.permits.retain(|_, until| *until > now);
-        if self.lock.is_some_and(|p| !self.permits.contains_key(&p)) {
+        self.leases.retain(|_, until| *until > now);
+        if self.lock.is_some_and(|p| !self.leases.contains_key(&p)) {
             self.lock = None;
         }
     }
@@ -299,31 +299,31 @@
             Action::Probe => {
                 StoreAnswer::Probed { epoch: self.store.epoch.clone(), locked: self.store.lock.is_some() }
             }
-            Action::TakeOver { token, entry, over_lock } => {
+            Action::TakeOver { token, version, over_lock } => {
                 let at = self.store.epoch.as_ref().map_or(0, |(_, e)| *e);
-                if at != entry || !over_lock && self.store.lock.is_some() {
-                    return StoreAnswer::Lost { permit: None };
+                if at != version || !over_lock && self.store.lock.is_some() {
+                    return StoreAnswer::Lost { lease: None };
                 }
                 self.store.revision += 1;
-                self.store.next_permit += 1;
-                let permit = self.store.next_permit;
-                self.store.permits.insert(permit, self.now + limits::LOCK_LEASE_MS * 1000);
-                self.store.lock = Some(permit);
+                self.store.next_lease += 1;
+                let lease = self.store.next_lease;
+                self.store.leases.insert(lease, self.now + limits::LOCK_LEASE_MS * 1000);
+                self.store.lock = Some(lease);
                 let names = ["a", "b", "c"];
                 let incarnation = self.nodes[node].leadership.incarnation;
                 let epoch = Epoch { token, node: names[node].into(), incarnation };
                 self.store.epoch = Some((epoch, self.store.revision));
-                StoreAnswer::Won { permit, entry: self.store.revision, lease_sent: sent }
+                StoreAnswer::Won { lease, version: self.store.revision, lease_sent: sent }
             }
-            Action::Renew { permit } => {
-                let alive = self.store.permits.contains_key(&permit);
+            Action::Renew { lease } => {
+                let alive = self.store.leases.contains_key(&lease);
                 if alive {
-                    self.store.permits.insert(permit, self.now + limits::LOCK_LEASE_MS * 1000);
+                    self.store.leases.insert(lease, self.now + limits::LOCK_LEASE_MS * 1000);
                 }
-                StoreAnswer::Renewed { permit, sent, alive }
+                StoreAnswer::Renewed { lease, sent, alive }
             }
-            Action::Release { permit } => {
-                self.store.permits.remove(&permit);
+            Action::Release { lease } => {
+                self.store.leases.remove(&lease);
                 StoreAnswer::Failed
             }
             _ => StoreAnswer::Failed,
@@ -388,7 +388,7 @@
                 let lost = !self.served(node);
                 let answer = match answer {
                     StoreAnswer::Won { .. } | StoreAnswer::Lost { .. } if lost => {
-                        StoreAnswer::Lost { permit: None }
+                        StoreAnswer::Lost { lease: None }
                     }
                     _ if lost => StoreAnswer::Failed,
                     answer => answer,
@@ -1075,7 +1075,7 @@
     let epoch = Epoch { token: 5, node: "a".into(), incarnation: 1 };
     let probed = StoreAnswer::Probed { epoch: Some((epoch, 3)), locked: true };
     assert!(matches!(node.store(now, probed)[..], [Action::TakeOver { token: 6, over_lock: true, .. }]));
-    node.store(now, StoreAnswer::Won { permit: 1, entry: 4, lease_sent: now });
+    node.store(now, StoreAnswer::Won { lease: 1, version: 4, lease_sent: now });
     node.message(now + 1, 2, 8, Status::default(), Message::Grant { token: 6, echo: now });
     let soon = now + limits::SECOND;
     assert_eq!(node.autonomous_until(soon), soon, "a lease_keeper may keep workers alive beside it");
--- a/src/server.rs
+++ b/src/server.rs
@@ -195,7 +195,7 @@
         incarnation: sender.incarnation,
         outgoing,
         core: None,
-        entry: 0,
+        version: 0,
         versions: RecordVersions::default(),
         replies: BTreeMap::new(),
         next_reply: 0,
@@ -296,7 +296,7 @@
     outgoing: Vec<Option<mpsc::Sender<Payload>>>,
     core: Option<Core>,
     /// Version of the epoch that every transaction of this leader rests on.
-    entry: u64,
+    version: u64,
     versions: RecordVersions,
     replies: BTreeMap<u64, ReplyTo>,
     next_reply: u64,
@@ -666,21 +666,23 @@
                         }
                     }
                 }),
-                Action::TakeOver { token, entry, over_lock } => {
+                Action::TakeOver { token, version, over_lock } => {
                     let epoch =
                         Epoch { token, node: self.settings.node_name.clone(), incarnation: self.incarnation };
                     self.ask_store(move |store| async move {
-                        match store.take_over(&epoch, entry, over_lock).await {
-                            Ok((permit, entry, lease_sent)) => StoreAnswer::Won { permit, entry, lease_sent },
-                            Err(permit) => StoreAnswer::Lost { permit },
+                        match store.take_over(&epoch, version, over_lock).await {
+                            Ok((lease, version, lease_sent)) => {
+                                StoreAnswer::Won { lease, version, lease_sent }
+                            }
+                            Err(lease) => StoreAnswer::Lost { lease },
                         }
                     });
                 }
-                Action::Renew { permit } => {
+                Action::Renew { lease } => {
                     let sent = self.clock.now();
                     self.ask_store(move |store| async move {
-                        match store.extend(permit).await {
-                            Ok(alive) => StoreAnswer::Renewed { permit, sent, alive },
+                        match store.extend(lease).await {
+                            Ok(alive) => StoreAnswer::Renewed { lease, sent, alive },
                             Err(error) => {
                                 debug!(%error, "renewal");
                                 StoreAnswer::Failed
@@ -688,11 +690,11 @@
                         }
                     });
                 }
-                Action::Release { permit } => {
+                Action::Release { lease } => {
                     let store = self.store.clone();
-                    tokio::spawn(async move { store.release(permit).await });
+                    tokio::spawn(async move { store.release(lease).await });
                 }
-                Action::Elected { token, entry } => self.elected(token, entry),
+                Action::Elected { token, version } => self.elected(token, version),
                 Action::Deposed { keep_until } => {
                     // Its workers are a block now like any other's.
                     self.block.led(self.config.token, keep_until);
@@ -712,11 +714,11 @@
         });
     }
 
-    fn elected(&mut self, token: u64, entry: u64) {
+    fn elected(&mut self, token: u64, version: u64) {
         self.deposed();
         let now = self.clock.now();
         self.config.token = token;
-        self.entry = entry;
+        self.version = version;
         self.versions = RecordVersions::default();
         let mut core = Core::new(self.config.clone(), now);
         let types = Command::Types(self.types.values().cloned().collect());
@@ -735,7 +737,7 @@
                 self.store.clone(),
                 events.clone(),
                 token,
-                entry,
+                version,
                 self.versions.clone(),
             )),
             tokio::spawn(drive_cloud(self.cloud.clone(), events.clone(), queue, token, rps, self.gate())),
@@ -777,7 +779,7 @@
 
     fn carry_out(&mut self, effect: Effect) {
         let store = self.store.clone();
-        let leads = store::compare(store::EPOCH, self.entry);
+        let leads = store::compare(store::EPOCH, self.version);
         match effect {
             Effect::Answer { reply, orders, keep } => self.answer(reply, orders, keep),
             Effect::Wake { node, machine } => {
@@ -802,27 +804,27 @@
                     }
                 });
             }
-            Effect::CommitDone { job_id, entry, tasks, all_done } => {
+            Effect::CommitDone { job_id, version, tasks, all_done } => {
                 let most = self.settings.deployment.state.txn_ops;
                 let versions = self.versions.clone();
                 self.ask(async move {
                     let (tasks, changes) = done_changes(job_id, tasks, &all_done, most);
-                    let when = vec![leads, store::compare(&store::live(job_id), entry)];
+                    let when = vec![leads, store::compare(&store::live(job_id), version)];
                     let outcome = settle(versions.commit(&store, when, changes).await).await;
                     Command::Committed { job_id, tasks, outcome }
                 });
             }
-            Effect::Finish { job_id, entry, tasks, mut chunks } => {
+            Effect::Finish { job_id, version, tasks, mut chunks } => {
                 // What does not fit the transaction is removed after it: readers ask for the job first.
                 let fit = self.settings.deployment.state.txn_ops.saturating_sub(2);
                 let rest = chunks.split_off(fit.min(chunks.len()));
-                let epoch = self.entry;
+                let epoch = self.version;
                 self.ask(async move {
                     let over = FinalRecord { status: JobStatus::Done, tasks };
                     let mut changes: Vec<_> = store::write(&store::over(job_id), over).into_iter().collect();
                     changes.push(store::remove(&store::live(job_id)));
                     changes.extend(chunks.iter().map(|chunk| store::remove(&store::done(job_id, *chunk))));
-                    let when = vec![leads, store::compare(&store::live(job_id), entry)];
+                    let when = vec![leads, store::compare(&store::live(job_id), version)];
                     let outcome = settle(store.commit(when, changes).await).await;
                     if outcome == Outcome::Done {
                         info!(job = %job_id, "done");
@@ -955,7 +957,7 @@
         Ok((spec, accepted_ms)) => {
             let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
             let age = age_ms.min(limits::AGE_MOST_MS) * 1_000;
-            Some(StoredJob { spec, entry: record.version, age, done: BTreeSet::new() })
+            Some(StoredJob { spec, version: record.version, age, done: BTreeSet::new() })
         }
         Err(error) => {
             warn!(key = record.key, error, "unreadable job record: skipped");
@@ -1024,7 +1026,7 @@
     store: Store,
     events: mpsc::Sender<Event>,
     token: u64,
-    entry: u64,
+    version: u64,
     versions: RecordVersions,
 ) {
     let send = |command| events.send(Event::Core(token, command));
@@ -1034,7 +1036,7 @@
             Ok(Loaded { jobs, records, orphans, revision }) => {
                 known.extend(jobs.iter().map(|j| j.spec.job_id));
                 let _ = send(Command::Load { jobs, records }).await;
-                tokio::spawn(sweep(store.clone(), orphans, entry));
+                tokio::spawn(sweep(store.clone(), orphans, version));
                 break revision;
             }
             Err(error) => {
@@ -1089,9 +1091,9 @@
 }
 
 /// Removes what cancelled jobs left behind, slowly enough to stay clear of the write limit.
-async fn sweep(store: Store, orphans: Vec<String>, entry: u64) {
+async fn sweep(store: Store, orphans: Vec<String>, version: u64) {
     for key in orphans {
-        let _ = store.commit(vec![store::compare(store::EPOCH, entry)], vec![store::remove(&key)]).await;
+        let _ = store.commit(vec![store::compare(store::EPOCH, version)], vec![store::remove(&key)]).await;
         tokio::time::sleep(Duration::from_millis(limits::STATE_PAUSE_MS)).await;
     }
 }
--- a/tests/core_rules.rs
+++ b/tests/core_rules.rs
@@ -202,7 +202,7 @@
     reported: BTreeMap<String, Vec<Report>>,
     orders_of_former_leaders: u64,
     replies: BTreeMap<u64, String>,
-    entry: u64,
+    version: u64,
     machines_made: u64,
     starts: u64,
     finished: u64,
@@ -239,7 +239,7 @@
             reported: BTreeMap::new(),
             orders_of_former_leaders: 0,
             replies: BTreeMap::new(),
-            entry: 0,
+            version: 0,
             machines_made: 0,
             starts: 0,
             finished: 0,
@@ -248,10 +248,10 @@
 
     fn submit(&mut self, job_id: u64) {
         let spec = job(&mut self.rng, job_id, &self.deployment);
-        self.entry += 1;
-        self.live.insert(spec.job_id, (self.entry, BTreeSet::new()));
+        self.version += 1;
+        self.live.insert(spec.job_id, (self.version, BTreeSet::new()));
         self.specs.insert(spec.job_id, spec.clone());
-        let stored = StoredJob { spec, entry: self.entry, age: 0, done: BTreeSet::new() };
+        let stored = StoredJob { spec, version: self.version, age: 0, done: BTreeSet::new() };
         self.later.push((self.now + STEP, Command::JobAdded(stored)));
     }
 
@@ -280,9 +280,9 @@
         let jobs = self
             .live
             .iter()
-            .map(|(job_id, (entry, done))| StoredJob {
+            .map(|(job_id, (version, done))| StoredJob {
                 spec: self.specs[job_id].clone(),
-                entry: *entry,
+                version: *version,
                 age: 0,
                 done: done.clone(),
             })
@@ -485,8 +485,8 @@
             } else if let Some(at) = hold {
                 self.held.push((at, None, report));
             } else {
-                let reply = (self.token << 40) | (self.entry << 20) | (self.replies.len() as u64 + 1);
-                self.entry += 1;
+                let reply = (self.token << 40) | (self.version << 20) | (self.replies.len() as u64 + 1);
+                self.version += 1;
                 if let Some(node) = via {
                     let lessee = &mut self.lessees[node];
                     let cut = now < lessee.cut_until;
@@ -523,8 +523,8 @@
                 if lessee.block.answers(now, &report, !cut).is_some() || cut {
                     continue;
                 }
-                self.entry += 1;
-                reply = self.entry << 40;
+                self.version += 1;
+                reply = self.version << 40;
                 self.passed_on.insert(reply, (node, report.clone()));
             }
             batch.push(Command::Checkin { reply, report, via: at });
@@ -590,9 +590,9 @@
                 self.held_orders.push((at, machine, self.token, session, orders));
                 self.deliver_held_orders();
             }
-            Effect::CommitDone { job_id, entry, tasks, .. } => {
+            Effect::CommitDone { job_id, version, tasks, .. } => {
                 let outcome = match self.live.get_mut(&job_id) {
-                    Some((at, done)) if *at == entry => {
+                    Some((at, done)) if *at == version => {
                         done.extend(tasks.iter().copied());
                         Outcome::Done
                     }
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -138,8 +138,8 @@
     }
 
     fn submit(&mut self, spec: JobSpec) {
-        let entry = spec.job_id.0;
-        self.step(vec![Command::JobAdded(StoredJob { spec, entry, age: 0, done: BTreeSet::new() })]);
+        let version = spec.job_id.0;
+        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, done: BTreeSet::new() })]);
         (0..3).for_each(|_| self.report());
     }
 
@@ -228,7 +228,7 @@
     bed.core.config.round_steps = 3;
     let batch = (1..7u64).map(|job_id| {
         let spec = spec(job_id, Kind::Array, Priority::Low, 1);
-        Command::JobAdded(StoredJob { spec, entry: job_id, age: 0, done: BTreeSet::new() })
+        Command::JobAdded(StoredJob { spec, version: job_id, age: 0, done: BTreeSet::new() })
     });
     bed.step(batch.collect());
     (0..4).for_each(|_| bed.report());
@@ -305,7 +305,7 @@
     // The next leader: four machines are on record, three of them report.
     bed.core = Core::new(bed.core.config.clone(), bed.now);
     let job =
-        StoredJob { spec: spec(1, Kind::Array, Priority::Low, 2), entry: 1, age: 0, done: BTreeSet::new() };
+        StoredJob { spec: spec(1, Kind::Array, Priority::Low, 2), version: 1, age: 0, done: BTreeSet::new() };
     let load = Command::Load { jobs: vec![job], records: vec![("1-1".into(), (0..4).map(known).collect())] };
     bed.step(vec![Command::Types(types()), load]);
     let begun = bed.now;
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -42,7 +42,7 @@
 fn gang() -> StoredJob {
     let spec =
         JobSpec { checkpoint_s: 20.0, save_s: 3.0, one_zone: true, ..spec(1, Kind::Gang, Priority::High, 3) };
-    StoredJob { spec, entry: 1, age: 0, done: BTreeSet::new() }
+    StoredJob { spec, version: 1, age: 0, done: BTreeSet::new() }
 }
 
 impl Bed {
@@ -203,7 +203,7 @@
     // Nothing else is free: one place is lost, and others are taken.
     let job = StoredJob {
         spec: spec(2, Kind::Array, Priority::Critical, 2),
-        entry: 2,
+        version: 2,
         age: 0,
         done: BTreeSet::new(),
     };
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -195,8 +195,8 @@
     }
 
     fn submit(&mut self, spec: JobSpec) {
-        let entry = spec.job_id.0;
-        self.step(vec![Command::JobAdded(StoredJob { spec, entry, age: 0, done: BTreeSet::new() })]);
+        let version = spec.job_id.0;
+        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, done: BTreeSet::new() })]);
     }
 
     /// All that runs of the job ends by itself, and is reported so.
--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -139,8 +139,8 @@
     }
 
     fn submit(&mut self, spec: JobSpec) {
-        let entry = spec.job_id.0;
-        self.step(vec![Command::JobAdded(StoredJob { spec, entry, age: 0, done: BTreeSet::new() })]);
+        let version = spec.job_id.0;
+        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, done: BTreeSet::new() })]);
     }
 
     /// The next leader knows the machines' records and these jobs.
@@ -158,8 +158,8 @@
         };
         let records = vec![("1-1".to_string(), self.machines.iter().map(machine).collect())];
         let stored = |spec: JobSpec| {
-            let entry = spec.job_id.0;
-            StoredJob { spec, entry, age: 0, done: BTreeSet::new() }
+            let version = spec.job_id.0;
+            StoredJob { spec, version, age: 0, done: BTreeSet::new() }
         };
         let jobs = jobs.into_iter().map(stored).collect();
         self.step(vec![Command::Types(vec![machine_type()]), Command::Load { jobs, records }]);
