--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -1,8 +1,8 @@
 //! A controller's block: the workers that report to it.
 //!
 //! The lessee passes on what changes and answers by itself, under the leader's token and without commands,
-//! the reports that say nothing new. Once a second it tells the leader whom it answered, and each such word
-//! that the leader confirms lets it go on for a block lease: counted by the lessee from when it sent the word,
+//! the reports that say nothing new. Once a second it tells the leader whom it answered, and each such heartbeat
+//! that the leader confirms lets it go on for a block lease: counted by the lessee from when it sent the heartbeat,
 //! by the leader from when it got it. While it hears no leader, a lessee answers whoever shows the last token,
 //! so that a zone that is cut off lives on as a whole, whichever node its workers reported to before. The
 //! leader always knows until when somebody may have kept a worker alive.
@@ -14,7 +14,7 @@
 /// The last report of a machine that the leader knows.
 struct Kept {
     session: u64,
-    seq: u64,
+    sequence: u64,
     tasks: Vec<ReportedTask>,
     /// The leader has something to tell it: the next report is passed on whatever it says.
     woken: bool,
@@ -31,10 +31,10 @@
     Back(u64),
 }
 
-/// Word for the leader of the machines answered here.
-pub struct Word {
+/// BlockHeartbeat for the leader of the machines answered here.
+pub struct BlockHeartbeat {
     pub id: u64,
-    /// It names every machine answered since the last word that was confirmed.
+    /// It names every machine answered since the last heartbeat that was confirmed.
     pub whole: bool,
     /// None was confirmed yet: it says nothing of what an earlier life of this lessee answered.
     pub fresh: bool,
@@ -50,7 +50,7 @@
     until: u64,
     kept: HashMap<String, Kept>,
     away: HashMap<String, Away>,
-    /// Machines answered here that the leader has not confirmed, and the first word to name them.
+    /// Machines answered here that the leader has not confirmed, and the first heartbeat to name them.
     answered: BTreeMap<String, u64>,
     /// Words without confirmation: number, when, which machines.
     told: VecDeque<(u64, u64, Vec<String>)>,
@@ -63,7 +63,7 @@
         Block { most, ..Block::default() }
     }
 
-    /// A leader is about. Until it confirms a word of ours nobody is answered without it; what an earlier one
+    /// A leader is about. Until it confirms a heartbeat of ours nobody is answered without it; what an earlier one
     /// leased may still keep workers alive elsewhere.
     pub fn follow(&mut self, token: u64) {
         if token > self.token {
@@ -84,7 +84,7 @@
             return None;
         }
         let kept = self.kept.get(&report.machine);
-        if kept.is_some_and(|k| (report.session, report.seq) <= (k.session, k.seq)) {
+        if kept.is_some_and(|k| (report.session, report.sequence) <= (k.session, k.sequence)) {
             // A copy: nobody waits for the answer.
             return Some(self.token);
         }
@@ -95,7 +95,7 @@
             return None;
         }
         if let Some(kept) = self.kept.get_mut(&report.machine).filter(|_| unchanged) {
-            (kept.seq, kept.at) = (report.seq, now);
+            (kept.sequence, kept.at) = (report.sequence, now);
         }
         self.answered.insert(report.machine.clone(), self.next + 1);
         Some(self.token)
@@ -127,8 +127,8 @@
         }
         self.away.remove(&report.machine);
         if keep && self.kept.len() < self.most {
-            let Report { machine, session, seq, tasks, .. } = report;
-            self.kept.insert(machine, Kept { session, seq, tasks, woken: false, at: now });
+            let Report { machine, session, sequence, tasks, .. } = report;
+            self.kept.insert(machine, Kept { session, sequence, tasks, woken: false, at: now });
         } else {
             self.kept.remove(&report.machine);
         }
@@ -142,9 +142,9 @@
         }
     }
 
-    /// Word for the leader, once in a while. It repeats what was not confirmed: a frame may be lost with its
-    /// connection, and the leader concludes from a word that nobody else was answered here before it.
-    pub fn tell(&mut self, now: u64) -> Option<Word> {
+    /// BlockHeartbeat for the leader, once in a while. It repeats what was not confirmed: a frame may be lost with its
+    /// connection, and the leader concludes from a heartbeat that nobody else was answered here before it.
+    pub fn tell(&mut self, now: u64) -> Option<BlockHeartbeat> {
         if now < self.tell_due {
             return None;
         }
@@ -163,7 +163,7 @@
         if self.told.len() > limits::BLOCK_UNCONFIRMED {
             self.told.pop_front();
         }
-        Some(Word { id: self.next, whole, fresh: self.until == 0, machines })
+        Some(BlockHeartbeat { id: self.next, whole, fresh: self.until == 0, machines })
     }
 
     /// The leader has taken note: our lease runs on from when it was told.
@@ -190,7 +190,7 @@
 
     const LEASE: u64 = 20 * SECOND;
 
-    fn report(seq: u64, tasks: u32) -> Report {
+    fn report(sequence: u64, tasks: u32) -> Report {
         let task = |task| ReportedTask {
             id: TaskId { job_id: JobId(1), task },
             attempt: 1,
@@ -203,7 +203,7 @@
             zone: "a".into(),
             spot: false,
             session: 1,
-            seq,
+            sequence,
             token: 4,
             notice_s: None,
             tasks: (0..tasks).map(task).collect(),
@@ -214,9 +214,9 @@
     fn block() -> Block {
         let mut block = Block::new(8);
         block.follow(4);
-        let word = block.tell(SECOND).unwrap();
+        let heartbeat = block.tell(SECOND).unwrap();
         assert_eq!(block.answers(SECOND, &report(1, 2), true), None);
-        block.confirmed(word.id, LEASE);
+        block.confirmed(heartbeat.id, LEASE);
         assert_eq!(block.answers(SECOND, &report(1, 2), true), None);
         block.passed(SECOND, report(1, 2), 4, true);
         block
@@ -267,17 +267,17 @@
     fn a_lease_runs_on_from_when_the_leader_was_told_and_only_if_it_confirmed() {
         let mut block = block();
         assert!(block.answers(3 * SECOND, &report(2, 2), true).is_some());
-        let word = block.tell(4 * SECOND).unwrap();
-        assert!(word.whole);
-        assert_eq!(word.machines, ["m-1"]);
+        let heartbeat = block.tell(4 * SECOND).unwrap();
+        assert!(heartbeat.whole);
+        assert_eq!(heartbeat.machines, ["m-1"]);
         let late = SECOND + LEASE;
         assert_eq!(block.answers(late, &report(3, 2), true), None, "not confirmed");
-        block.confirmed(word.id, LEASE);
+        block.confirmed(heartbeat.id, LEASE);
         assert_eq!(block.answers(late, &report(4, 2), true), Some(4));
         assert_eq!(block.answers(4 * SECOND + LEASE, &report(5, 2), true), None);
     }
 
-    /// The leader takes a word as proof that nobody else was answered before it: what it has not confirmed
+    /// The leader takes a heartbeat as proof that nobody else was answered before it: what it has not confirmed
     /// must be in the next one, since a frame may be lost with its connection.
     #[test]
     fn a_word_names_whoever_was_answered_since_the_last_one_that_was_confirmed() {
@@ -286,7 +286,7 @@
         let lost = block.tell(3 * SECOND).unwrap();
         let next = block.tell(5 * SECOND).unwrap();
         assert_eq!((lost.machines, &next.machines), (vec!["m-1".to_string()], &vec!["m-1".to_string()]));
-        // Answered again after that word left: the confirmation does not cover it.
+        // Answered again after that heartbeat left: the confirmation does not cover it.
         assert!(block.answers(5 * SECOND, &report(3, 2), true).is_some());
         block.confirmed(next.id, LEASE);
         let last = block.tell(7 * SECOND).unwrap();
@@ -299,10 +299,10 @@
     fn a_new_leader_hears_of_every_machine_anew() {
         let mut block = block();
         block.follow(5);
-        let report = |seq| Report { token: 5, ..report(seq, 2) };
+        let report = |sequence| Report { token: 5, ..report(sequence, 2) };
         assert_eq!(block.answers(2 * SECOND, &report(2), false), None, "its lease was the last leader's");
-        let word = block.tell(2 * SECOND).unwrap();
-        block.confirmed(word.id, LEASE);
+        let heartbeat = block.tell(2 * SECOND).unwrap();
+        block.confirmed(heartbeat.id, LEASE);
         assert_eq!(block.answers(2 * SECOND, &report(2), true), None);
         // An answer of the last leader's that was under way leases nothing any more.
         block.passed(2 * SECOND, report(2), 4, true);
--- a/src/cancellation_log_tests.rs
+++ b/src/cancellation_log_tests.rs
@@ -38,7 +38,7 @@
         zone: String::new(),
         spot: false,
         session: 1,
-        seq: 1,
+        sequence: 1,
         token: 1,
         notice_s: None,
         tasks: job_ids.iter().map(task).collect(),
--- a/src/core/model.rs
+++ b/src/core/model.rs
@@ -157,7 +157,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cause {
+pub enum ExitReason {
     Done,
     Stopped,
     Error,
@@ -172,7 +172,7 @@
     Fetching,
     Running,
     Saving,
-    Exited(Cause),
+    Exited(ExitReason),
 }
 
 /// A worker's report.
@@ -184,7 +184,7 @@
     pub zone: String,
     pub spot: bool,
     pub session: u64,
-    pub seq: u64,
+    pub sequence: u64,
     pub token: u64,
     pub notice_s: Option<f64>,
     pub tasks: Vec<ReportedTask>,
@@ -202,7 +202,7 @@
 pub struct Placed {
     pub attempt: u64,
     pub needs: Resources,
-    /// (session, seq) of the report whose answer bore the start; None until the answer is made.
+    /// (session, sequence) of the report whose answer bore the start; None until the answer is made.
     pub sent: Option<(u64, u64)>,
     /// Whether a report has listed it.
     pub seen: bool,
@@ -236,7 +236,7 @@
     pub has: Resources,
     pub phase: Phase,
     pub session: u64,
-    pub seq: u64,
+    pub sequence: u64,
     /// A report has stated this leader's token: the task list is exact.
     pub reconciled: bool,
     /// Its record is in the state service, so that a later leader knows to wait for it.
@@ -258,7 +258,7 @@
     /// The task list of the newest report, to tell an unchanged one by.
     pub listed: Vec<ReportedTask>,
     /// Exited tasks still listed: (task, attempt) -> cause.
-    pub exited: BTreeMap<(TaskId, u64), Cause>,
+    pub exited: BTreeMap<(TaskId, u64), ExitReason>,
     /// Tasks of jobs that this leader does not know, to be stopped: (task, attempt).
     pub foreign: BTreeSet<(TaskId, u64)>,
     pub images: BTreeSet<String>,
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -22,7 +22,7 @@
             has,
             phase: Phase::Expected,
             session: 0,
-            seq: 0,
+            sequence: 0,
             reconciled: false,
             recorded: false,
             inherited: false,
@@ -70,13 +70,13 @@
         if let Some(machine) = self.machines.get_mut(&report.machine) {
             let unchanged = checkin
                 && report.session == machine.session
-                && report.seq > machine.seq
+                && report.sequence > machine.sequence
                 && report.token == token
                 && report.notice_s.is_none()
                 && machine.calm()
                 && report.tasks == machine.listed;
             if unchanged {
-                machine.seq = report.seq;
+                machine.sequence = report.sequence;
                 machine.heard = now;
                 machine.unheard = 0;
                 return Taken::Unchanged;
@@ -93,7 +93,7 @@
         let expected = self.machines.contains_key(&report.machine);
         let machine = self.machine(&stored);
         // Held messages arrive late and out of order: only the newest list counts.
-        if (report.session, report.seq) <= (machine.session, machine.seq) {
+        if (report.session, report.sequence) <= (machine.session, machine.sequence) {
             debug!(machine = report.machine, "late report ignored");
             return Taken::Late;
         }
@@ -113,7 +113,7 @@
         }
         let Some(machine) = self.machines.get_mut(&report.machine) else { return Taken::Late };
         machine.session = report.session;
-        machine.seq = report.seq;
+        machine.sequence = report.sequence;
         machine.address = report.address;
         machine.recall_at = report.notice_s.map(|s| now + limits::micros(s));
         machine.reconciled |= report.token == token;
@@ -136,7 +136,7 @@
             }
         }
         let listed = self.take_listed(&report.machine, &report.tasks);
-        self.drop_unlisted(&report.machine, &listed, (report.session, report.seq), checkin);
+        self.drop_unlisted(&report.machine, &listed, (report.session, report.sequence), checkin);
         if report.notice_s.is_some() {
             self.drain_for_notice(&report.machine);
         }
@@ -156,9 +156,9 @@
         let mut exited = BTreeSet::new();
         let mut foreign = BTreeSet::new();
         for task in tasks {
-            if let TaskStatus::Exited(cause) = task.status {
+            if let TaskStatus::Exited(reason) = task.status {
                 exited.insert((task.id, task.attempt));
-                self.take_exit(name, task.id, task.attempt, cause);
+                self.take_exit(name, task.id, task.attempt, reason);
                 continue;
             }
             living.insert((task.id, task.attempt));
@@ -230,15 +230,15 @@
         }
     }
 
-    fn take_exit(&mut self, name: &str, id: TaskId, attempt: u64, cause: Cause) {
+    fn take_exit(&mut self, name: &str, id: TaskId, attempt: u64, reason: ExitReason) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let news = machine.exited.insert((id, attempt), cause).is_none();
+        let news = machine.exited.insert((id, attempt), reason).is_none();
         let held = machine.tasks.get(&id).is_some_and(|t| t.attempt == attempt);
         let intended = machine.tasks.get(&id).is_some_and(|t| t.stopping.is_some());
         if held {
             let ran = machine.tasks.remove(&id).and_then(|t| t.runs_since).map(|since| now - since);
-            if let (Cause::Done, Some(ran)) = (cause, ran) {
+            if let (ExitReason::Done, Some(ran)) = (reason, ran) {
                 self.judge_speed(name, id.job_id, ran);
             }
             self.unplace(name, id);
@@ -246,12 +246,12 @@
         if !news {
             return;
         }
-        debug!(task = %id, machine = name, ?cause, "ended");
-        if cause != Cause::Done && cause != Cause::Stopped {
-            info!(task = %id, machine = name, ?cause, "task did not run to its end");
+        debug!(task = %id, machine = name, ?reason, "ended");
+        if reason != ExitReason::Done && reason != ExitReason::Stopped {
+            info!(task = %id, machine = name, ?reason, "task did not run to its end");
         }
-        match cause {
-            Cause::Done => {
+        match reason {
+            ExitReason::Done => {
                 if let Some(job) = self.jobs.get_mut(&id.job_id).filter(|j| !j.over && id.task < j.spec.tasks)
                 {
                     // The tasks of a gang complete together: its record must not wait for the report of a
@@ -271,14 +271,14 @@
                     }
                 }
             }
-            Cause::Error | Cause::Unknown if !intended => {
+            ExitReason::Error | ExitReason::Unknown if !intended => {
                 if let Some(job) = self.jobs.get_mut(&id.job_id) {
                     // A job that fails everywhere must not loop hot.
                     job.errors += 1;
                     let pause = limits::JOB_PAUSE << (job.errors - 1).min(10);
                     job.paused_until = now + pause.min(limits::JOB_PAUSE_MAX);
                 }
-                if let Some(machine) = self.machines.get_mut(name).filter(|_| cause == Cause::Error) {
+                if let Some(machine) = self.machines.get_mut(name).filter(|_| reason == ExitReason::Error) {
                     machine.errors.insert(id.job_id);
                     if machine.errors.len() as u32 >= limits::MACHINE_ERRORS && !machine.draining {
                         warn!(machine = name, "tasks of different jobs fail on it: replacing it");
@@ -290,12 +290,12 @@
                 }
             }
             // Stopped, or it found its mates gone or never come: the attempt is over for all of a gang.
-            Cause::Stopped => {
+            ExitReason::Stopped => {
                 if let Some(job) = self.jobs.get_mut(&id.job_id).filter(|j| j.spec.kind == Kind::Gang) {
                     job.ended_attempt = job.ended_attempt.max(attempt);
                 }
             }
-            Cause::NoRoom | Cause::Busy => {
+            ExitReason::NoRoom | ExitReason::Busy => {
                 if let Some(machine) = self.machines.get_mut(name) {
                     machine.no_room_until = now + limits::NO_ROOM_PAUSE;
                 }
@@ -404,16 +404,16 @@
             reconciled_and_recorded = machine.reconciled && machine.recorded;
         }
         let machine = &self.machines[name];
-        for ((id, attempt), cause) in &machine.exited {
+        for ((id, attempt), reason) in &machine.exited {
             // The result on the worker is the only one until ours is committed.
             let job = self.jobs.get(&id.job_id);
-            let kept = *cause == Cause::Done && job.is_some_and(|j| j.uncommitted.contains(&id.task));
+            let kept = *reason == ExitReason::Done && job.is_some_and(|j| j.uncommitted.contains(&id.task));
             if !kept {
                 orders.push(Order::Forget { id: *id, attempt: *attempt });
             }
         }
         if let Some(machine) = self.machines.get_mut(name).filter(|_| reconciled_and_recorded) {
-            let newest = (machine.session, machine.seq);
+            let newest = (machine.session, machine.sequence);
             for (id, placed) in &mut machine.tasks {
                 if placed.sent.is_none() && !placed.seen && placed.stopping.is_none() {
                     placed.sent = Some(newest);
--- a/src/leadership_tests.rs
+++ b/src/leadership_tests.rs
@@ -2,7 +2,7 @@
 //! crashes with amnesia, state outages and refusals, in virtual time with fixed seeds.
 
 use super::*;
-use crate::blocks::{Block, Word};
+use crate::blocks::{Block, BlockHeartbeat};
 use crate::core::model::{JobId, Report, ReportedTask, TaskId, TaskStatus};
 use crate::core::Order;
 use std::collections::{BTreeMap, BTreeSet};
@@ -85,7 +85,7 @@
     session: u64,
     /// When this session began.
     since: u64,
-    seq: u64,
+    sequence: u64,
     token: u64,
     lease_until: u64,
     report_due: u64,
@@ -500,7 +500,8 @@
             let now = self.local(node);
             let Some((leader, token, stamp)) = self.nodes[node].leadership.followed(now) else { continue };
             self.nodes[node].block.follow(token);
-            let Some(Word { id, whole, fresh: anew, machines }) = self.nodes[node].block.tell(now) else {
+            let Some(BlockHeartbeat { id, whole, fresh: anew, machines }) = self.nodes[node].block.tell(now)
+            else {
                 continue;
             };
             let at_leader = self.local(leader);
@@ -537,7 +538,7 @@
         }
         let (node, home) = (self.workers[w].node, self.workers[w].home);
         self.workers[w].report_due = self.now + self.rng.random_range(750 * MS..1_250 * MS);
-        self.workers[w].seq += 1;
+        self.workers[w].sequence += 1;
         let held = self.cut_between(node, home);
         // Late in the judgement, what the last answer should have done.
         for (job_id, told) in &self.told {
@@ -579,7 +580,7 @@
             zone: String::new(),
             spot: false,
             session: worker.session,
-            seq: worker.seq,
+            sequence: worker.sequence,
             token: worker.token,
             notice_s: None,
             tasks: worker.tasks.iter().map(task).collect(),
@@ -934,7 +935,7 @@
                 home,
                 session: 1,
                 since: 0,
-                seq: 0,
+                sequence: 0,
                 token: 0,
                 lease_until,
                 report_due: 0,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,7 +1,7 @@
 //! Frames between controllers: a fixed layout each, read in place.
 
 use crate::cancellation_log::Attestation;
-use crate::core::model::{Cause, JobId, Report, ReportedTask, TaskId, TaskStatus};
+use crate::core::model::{ExitReason, JobId, Report, ReportedTask, TaskId, TaskStatus};
 use crate::core::Order;
 use crate::leadership::{Message, Status};
 use crate::limits;
@@ -50,7 +50,7 @@
 #[repr(C)]
 struct ReportLine {
     session: U64,
-    seq: U64,
+    sequence: U64,
     token: U64,
     /// Microseconds until the cloud takes the machine; all ones: no notice.
     notice: U64,
@@ -178,12 +178,12 @@
         TaskStatus::Fetching => 0,
         TaskStatus::Running => 1,
         TaskStatus::Saving => 2,
-        TaskStatus::Exited(Cause::Done) => 3,
-        TaskStatus::Exited(Cause::Stopped) => 4,
-        TaskStatus::Exited(Cause::Error) => 5,
-        TaskStatus::Exited(Cause::NoRoom) => 6,
-        TaskStatus::Exited(Cause::Busy) => 7,
-        TaskStatus::Exited(Cause::Unknown) => 8,
+        TaskStatus::Exited(ExitReason::Done) => 3,
+        TaskStatus::Exited(ExitReason::Stopped) => 4,
+        TaskStatus::Exited(ExitReason::Error) => 5,
+        TaskStatus::Exited(ExitReason::NoRoom) => 6,
+        TaskStatus::Exited(ExitReason::Busy) => 7,
+        TaskStatus::Exited(ExitReason::Unknown) => 8,
     }
 }
 
@@ -192,12 +192,12 @@
         0 => TaskStatus::Fetching,
         1 => TaskStatus::Running,
         2 => TaskStatus::Saving,
-        3 => TaskStatus::Exited(Cause::Done),
-        4 => TaskStatus::Exited(Cause::Stopped),
-        5 => TaskStatus::Exited(Cause::Error),
-        6 => TaskStatus::Exited(Cause::NoRoom),
-        7 => TaskStatus::Exited(Cause::Busy),
-        8 => TaskStatus::Exited(Cause::Unknown),
+        3 => TaskStatus::Exited(ExitReason::Done),
+        4 => TaskStatus::Exited(ExitReason::Stopped),
+        5 => TaskStatus::Exited(ExitReason::Error),
+        6 => TaskStatus::Exited(ExitReason::NoRoom),
+        7 => TaskStatus::Exited(ExitReason::Busy),
+        8 => TaskStatus::Exited(ExitReason::Unknown),
         _ => return None,
     })
 }
@@ -208,7 +208,7 @@
     let notice = report.notice_s.map_or(NO_NOTICE, limits::micros);
     let line = ReportLine {
         session: report.session.into(),
-        seq: report.seq.into(),
+        sequence: report.sequence.into(),
         token: report.token.into(),
         notice: notice.into(),
         tasks: (report.tasks.len() as u32).into(),
@@ -273,7 +273,7 @@
         zone,
         spot: line.spot != 0,
         session: line.session.get(),
-        seq: line.seq.get(),
+        sequence: line.sequence.get(),
         token: line.token.get(),
         notice_s: (notice != NO_NOTICE).then_some(notice as f64 / limits::SECOND as f64),
         tasks,
@@ -633,7 +633,7 @@
             zone: "a".into(),
             spot: true,
             session: 2,
-            seq: 88,
+            sequence: 88,
             token: 41,
             notice_s: Some(12.5),
             tasks: (0..9)
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,6 +1,6 @@
 //! What workers report and are told.
 
-use crate::core::model::{Cause, JobId, Report, ReportedTask, TaskId, TaskStatus};
+use crate::core::model::{ExitReason, JobId, Report, ReportedTask, TaskId, TaskStatus};
 use crate::core::Order;
 use serde::{Deserialize, Serialize};
 
@@ -62,13 +62,15 @@
         match (self.status.as_str(), self.reason.as_deref()) {
             ("fetching" | "waiting", _) => TaskStatus::Fetching,
             ("flushing", _) => TaskStatus::Saving,
-            ("exited", Some("done")) => TaskStatus::Exited(Cause::Done),
+            ("exited", Some("done")) => TaskStatus::Exited(ExitReason::Done),
             // A gang's task whose mates are gone or never came has not failed.
-            ("exited", Some("halted" | "mates_gone" | "incomplete")) => TaskStatus::Exited(Cause::Stopped),
-            ("exited", Some("no_room")) => TaskStatus::Exited(Cause::NoRoom),
-            ("exited", Some("in_use")) => TaskStatus::Exited(Cause::Busy),
-            ("exited", Some("unknown")) => TaskStatus::Exited(Cause::Unknown),
-            ("exited", _) => TaskStatus::Exited(Cause::Error),
+            ("exited", Some("halted" | "mates_gone" | "incomplete")) => {
+                TaskStatus::Exited(ExitReason::Stopped)
+            }
+            ("exited", Some("no_room")) => TaskStatus::Exited(ExitReason::NoRoom),
+            ("exited", Some("in_use")) => TaskStatus::Exited(ExitReason::Busy),
+            ("exited", Some("unknown")) => TaskStatus::Exited(ExitReason::Unknown),
+            ("exited", _) => TaskStatus::Exited(ExitReason::Error),
             // A state we do not know still occupies its machine.
             _ => TaskStatus::Running,
         }
@@ -109,7 +111,7 @@
             zone: checkin.zone,
             spot: checkin.spot,
             session: checkin.session,
-            seq: checkin.sequence,
+            sequence: checkin.sequence,
             token: checkin.token,
             notice_s: checkin.notice_s.filter(|s| s.is_finite() && *s >= 0.0),
             tasks,
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,7 +1,7 @@
 //! Wires everything up: the queue of events into leadership and core, their effects out.
 
 use crate::api::{self, Api, Health, Summary, Types};
-use crate::blocks::{Block, Word};
+use crate::blocks::{Block, BlockHeartbeat};
 use crate::cloud::{self, Cloud};
 use crate::core::model::{JobId, Report};
 use crate::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob, StoredMachine};
@@ -516,7 +516,7 @@
         let followed = self.leadership.followed(now);
         if let Some((leader, token, stamp)) = followed {
             self.block.follow(token);
-            if let Some(Word { id, whole, fresh, machines }) = self.block.tell(now) {
+            if let Some(BlockHeartbeat { id, whole, fresh, machines }) = self.block.tell(now) {
                 self.send(leader, Payload::Heard { id, stamp, whole, fresh, machines });
             }
         }
--- a/tests/core_rules.rs
+++ b/tests/core_rules.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use dockpier::blocks::{Block, Word};
+use dockpier::blocks::{Block, BlockHeartbeat};
 use dockpier::core::model::*;
 use dockpier::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob, StoredMachine};
 use dockpier::limits::{self, SECOND};
@@ -123,7 +123,7 @@
     attempt: u64,
     /// When its image is there, of a gang's task; when it ends, of any other.
     ends: u64,
-    exited: Option<Cause>,
+    exited: Option<ExitReason>,
 }
 
 /// An attempt of a gang that has started.
@@ -155,7 +155,7 @@
     /// The lessee that it reports to; None: the leader.
     via: Option<usize>,
     session: u64,
-    seq: u64,
+    sequence: u64,
     token: u64,
     lease_until: u64,
     next_report: u64,
@@ -377,19 +377,19 @@
                 }
             }
         }
-        let mut exits: Vec<(String, TaskId, Cause)> = Vec::new();
+        let mut exits: Vec<(String, TaskId, ExitReason)> = Vec::new();
         for (key, members) in alive {
             let whole = members.len() as u32 == self.specs[&key.0].tasks && !hanging.contains(&key);
-            let all = |cause| members.iter().map(move |(name, id)| (name.clone(), *id, cause));
+            let all = |reason| members.iter().map(move |(name, id)| (name.clone(), *id, reason));
             if let Some(run) = self.gangs.get_mut(&key) {
                 if whole && now >= run.ends {
                     self.completed.entry(key.0).or_default().extend(members.iter().map(|(_, id)| id.task));
                     self.gangs_done += 1;
-                    exits.extend(all(Cause::Done));
+                    exits.extend(all(ExitReason::Done));
                 } else if whole {
                     run.missing = None;
                 } else if now >= *run.missing.get_or_insert(now) + GANG_PEER {
-                    exits.extend(all(Cause::Stopped));
+                    exits.extend(all(ExitReason::Stopped));
                 }
                 continue;
             }
@@ -399,13 +399,13 @@
                 self.gangs.insert(key, GangRun { ends, missing: None });
             } else {
                 let tired = members.iter().filter(|m| now >= ready(m) + GANG_WAIT);
-                exits.extend(tired.map(|(name, id)| (name.clone(), *id, Cause::Stopped)));
+                exits.extend(tired.map(|(name, id)| (name.clone(), *id, ExitReason::Stopped)));
             }
         }
-        for (name, id, cause) in exits {
+        for (name, id, reason) in exits {
             let Some(worker) = self.workers.get_mut(&name).filter(|w| now >= w.up_at) else { continue };
             if let Some(task) = worker.tasks.get_mut(&id) {
-                task.exited = Some(cause);
+                task.exited = Some(reason);
                 worker.next_report = now;
             }
         }
@@ -428,7 +428,7 @@
             }
             for (id, task) in worker.tasks.iter_mut().filter(|(_, t)| t.exited.is_none()) {
                 if now >= task.ends && self.specs[&id.job_id].kind == Kind::Array {
-                    task.exited = Some(Cause::Done);
+                    task.exited = Some(ExitReason::Done);
                     self.completed.entry(id.job_id).or_default().insert(id.task);
                     worker.next_report = now;
                 }
@@ -437,7 +437,7 @@
                 continue;
             }
             worker.next_report = now + jitter;
-            worker.seq += 1;
+            worker.sequence += 1;
             let report = Report {
                 machine: name.clone(),
                 address: String::new(),
@@ -445,7 +445,7 @@
                 zone: worker.zone.clone(),
                 spot: worker.spot,
                 session: worker.session,
-                seq: worker.seq,
+                sequence: worker.sequence,
                 token: worker.token,
                 notice_s: None,
                 tasks: worker
@@ -539,7 +539,7 @@
                 continue;
             }
             lessee.block.follow(token);
-            if let Some(Word { id, whole, fresh, machines }) = lessee.block.tell(now) {
+            if let Some(BlockHeartbeat { id, whole, fresh, machines }) = lessee.block.tell(now) {
                 // A word may be lost with its connection, and so may its confirmation: the next one repeats it.
                 if self.rng.random_bool(0.1) {
                     continue;
@@ -639,7 +639,7 @@
                         leader_cut_until: 0,
                         via: [None, Some(0), Some(1)][self.machines_made as usize % 3],
                         session: 1,
-                        seq: 0,
+                        sequence: 0,
                         token: 0,
                         lease_until: up_at + limits::micros(LEASE_S),
                         next_report: up_at,
@@ -678,7 +678,7 @@
                     let Some(worker) = self.workers.get_mut(name) else { return };
                     if let Some(task) = worker.tasks.get_mut(id).filter(|t| t.attempt == *attempt) {
                         if task.exited.is_none() {
-                            task.exited = Some(Cause::Stopped);
+                            task.exited = Some(ExitReason::Stopped);
                             worker.next_report = self.now;
                         }
                     }
@@ -718,7 +718,7 @@
         let used = worker.tasks.iter().filter(|(_, t)| t.exited.is_none()).count();
         assert!(used < 2, "started without room: {id} on {name}");
         let sick = self.now < worker.sick_until;
-        let exited = if completed { Some(Cause::Done) } else { sick.then_some(Cause::Error) };
+        let exited = if completed { Some(ExitReason::Done) } else { sick.then_some(ExitReason::Error) };
         // A gang's task waits for its image at first.
         let gang = spec.kind == Kind::Gang;
         let runs = if gang { self.now + self.rng.random_range(0..4) * SECOND } else { runs };
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -36,7 +36,7 @@
 struct Bed {
     core: Core,
     now: u64,
-    seq: u64,
+    sequence: u64,
     machines: usize,
     running: BTreeMap<String, BTreeMap<TaskId, u64>>,
     /// Tasks that have run to their end and are not reaped yet.
@@ -55,7 +55,7 @@
         let mut bed = Bed {
             core: Core::new(config, SECOND),
             now: SECOND,
-            seq: 0,
+            sequence: 0,
             machines,
             running: BTreeMap::new(),
             ended: BTreeSet::new(),
@@ -96,7 +96,7 @@
 
     /// Every worker reports and carries out what it is told.
     fn report(&mut self) {
-        self.seq += 1;
+        self.sequence += 1;
         for i in 0..self.machines {
             let machine = format!("m-{i:06}");
             let listed = self.running.entry(machine.clone()).or_default();
@@ -104,7 +104,8 @@
                 .iter()
                 .map(|(id, attempt)| {
                     let ended = self.ended.contains(id);
-                    let status = if ended { TaskStatus::Exited(Cause::Done) } else { TaskStatus::Running };
+                    let status =
+                        if ended { TaskStatus::Exited(ExitReason::Done) } else { TaskStatus::Running };
                     ReportedTask { id: *id, attempt: *attempt, status }
                 })
                 .collect();
@@ -115,7 +116,7 @@
                 zone: "a".into(),
                 spot: false,
                 session: 1,
-                seq: self.seq,
+                sequence: self.sequence,
                 token: 1,
                 notice_s: None,
                 tasks,
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -12,7 +12,7 @@
 struct Bed {
     core: Core,
     now: u64,
-    seq: u64,
+    sequence: u64,
     token: u64,
     silent: BTreeSet<usize>,
     notice: BTreeMap<usize, f64>,
@@ -51,7 +51,7 @@
         let mut bed = Bed {
             core: Core::new(config, SECOND),
             now: SECOND,
-            seq: 0,
+            sequence: 0,
             token: 1,
             silent: BTreeSet::new(),
             notice: BTreeMap::new(),
@@ -101,7 +101,7 @@
                 Order::Stop { id, attempt, grace_s } => {
                     let lives = |t: &&mut (u64, TaskStatus)| !matches!(t.1, TaskStatus::Exited(_));
                     if let Some(task) = on.get_mut(&id).filter(|t| t.0 == attempt).filter(lives) {
-                        task.1 = TaskStatus::Exited(Cause::Stopped);
+                        task.1 = TaskStatus::Exited(ExitReason::Stopped);
                         self.stops.push((id, grace_s));
                     }
                 }
@@ -111,7 +111,7 @@
     }
 
     fn report(&mut self) {
-        self.seq += 1;
+        self.sequence += 1;
         for machine in (0..MACHINES).filter(|m| !self.silent.contains(m)).collect::<Vec<_>>() {
             let on = self.on.entry(machine).or_default();
             let tasks = on.iter().map(|(id, (attempt, status))| ReportedTask {
@@ -126,7 +126,7 @@
                 zone: "a".into(),
                 spot: false,
                 session: 1,
-                seq: self.seq,
+                sequence: self.sequence,
                 token: self.token,
                 notice_s: self.notice.get(&machine).copied(),
                 tasks: tasks.collect(),
@@ -240,7 +240,7 @@
     bed.silent.insert(hangs);
     // The others notice.
     for (_, on) in bed.on.iter_mut().filter(|(m, _)| **m != hangs) {
-        on.values_mut().for_each(|t| t.1 = TaskStatus::Exited(Cause::Stopped));
+        on.values_mut().for_each(|t| t.1 = TaskStatus::Exited(ExitReason::Stopped));
     }
     bed.reports(3);
     assert_eq!(bed.living().len(), 1, "the one that hangs");
@@ -255,7 +255,7 @@
     let before = bed.attempts();
     let (machine, task, _) = bed.living()[0];
     let id = TaskId { job_id: GANG, task };
-    bed.on.get_mut(&machine).unwrap().get_mut(&id).unwrap().1 = TaskStatus::Exited(Cause::Stopped);
+    bed.on.get_mut(&machine).unwrap().get_mut(&id).unwrap().1 = TaskStatus::Exited(ExitReason::Stopped);
     bed.reports(4);
     assert_eq!((bed.living().len(), bed.attempts().len()), (3, 1));
     assert!(bed.attempts().is_disjoint(&before), "a worker forgets no attempt that gave up");
@@ -267,7 +267,7 @@
     let mut bed = Bed::new();
     bed.set(TaskStatus::Running);
     bed.report();
-    bed.set(TaskStatus::Exited(Cause::Done));
+    bed.set(TaskStatus::Exited(ExitReason::Done));
     let machines: Vec<usize> = bed.living().iter().map(|(m, ..)| *m).collect();
     assert!(machines.is_empty());
     let others: Vec<usize> =
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -25,7 +25,7 @@
 struct Fleet {
     core: Core,
     now: u64,
-    seq: u64,
+    sequence: u64,
     machines: usize,
     running: BTreeMap<String, BTreeMap<TaskId, u64>>,
     deaf: BTreeSet<String>,
@@ -80,7 +80,7 @@
         let mut fleet = Fleet {
             core: Core::new(config, SECOND),
             now: SECOND,
-            seq: 0,
+            sequence: 0,
             machines,
             running: BTreeMap::new(),
             deaf: BTreeSet::new(),
@@ -156,7 +156,7 @@
 
     /// All machines report within four seconds, in batches as they come.
     fn report(&mut self) {
-        self.seq += 1;
+        self.sequence += 1;
         let batches = 40;
         for batch in 0..batches {
             self.now += 4 * SECOND / batches as u64;
@@ -172,7 +172,7 @@
         let tasks = self.running.get(&machine).into_iter().flatten();
         let status = if self.fetching { TaskStatus::Fetching } else { TaskStatus::Running };
         let status = |id: &TaskId| match self.done.contains(&id.job_id) {
-            true => TaskStatus::Exited(Cause::Done),
+            true => TaskStatus::Exited(ExitReason::Done),
             false => status,
         };
         let report =
@@ -185,9 +185,9 @@
             zone: ["a", "b"][i % 2].into(),
             spot: false,
             session: 1,
-            seq: self.seq,
+            sequence: self.sequence,
             // The first report of all states no token yet.
-            token: u64::from(self.seq > 1),
+            token: u64::from(self.sequence > 1),
             notice_s: None,
             tasks,
         };
@@ -313,7 +313,7 @@
         failed: false,
         age_s: 1.0,
     }])]);
-    fleet.seq = 0;
+    fleet.sequence = 0;
     (0..4).for_each(|_| fleet.report());
     assert!(fleet.deleted.is_empty());
     assert_eq!(fleet.width(1), 1);
@@ -488,7 +488,7 @@
     let records = vec![("1-1".to_string(), (0..16).map(known).collect())];
     fleet.step(vec![Command::Load { jobs: vec![], records }]);
     // Four of sixteen are dead, and all the others report to a lessee.
-    (fleet.machines, fleet.via, fleet.seq) = (12, Some(1), 0);
+    (fleet.machines, fleet.via, fleet.sequence) = (12, Some(1), 0);
     (0..4).for_each(|_| fleet.report());
     assert_eq!(fleet.deleted, (12..16).map(name).collect());
 }
--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -20,7 +20,7 @@
     core: Core,
     config: Config,
     now: u64,
-    seq: u64,
+    sequence: u64,
     token: u64,
     machines: BTreeSet<usize>,
     tasks: BTreeMap<usize, BTreeMap<TaskId, u64>>,
@@ -58,7 +58,7 @@
             core: Core::new(config.clone(), SECOND),
             config,
             now: SECOND,
-            seq: 0,
+            sequence: 0,
             token: 1,
             machines: (0..machines).collect(),
             tasks: BTreeMap::new(),
@@ -119,7 +119,7 @@
             zone: "a".into(),
             spot: false,
             session: 1,
-            seq: self.seq,
+            sequence: self.sequence,
             token: self.token,
             notice_s: None,
             tasks: tasks.collect(),
@@ -129,7 +129,7 @@
 
     fn reports(&mut self, rounds: usize) {
         for _ in 0..rounds {
-            self.seq += 1;
+            self.sequence += 1;
             self.now += SECOND;
             for machine in self.machines.clone() {
                 self.report(machine);
