--- a/src/api.rs
+++ b/src/api.rs
@@ -1,6 +1,7 @@
 //! What users and workers ask, over HTTP. No decisions here: users' requests are decided by transactions of the
 //! state service, check-ins by the owner of the state.
 
+use crate::controller::{CheckinReply, Event};
 use crate::core::model::{JobId, JobSpec, Kind, MachineType, Resources};
 use crate::core::Core;
 use crate::http::wall_ms;
@@ -10,7 +11,6 @@
 use crate::protocol::records::{FinalRecord, LiveRecord};
 use crate::protocol::users::{JobState, JobStatus, Submission};
 use crate::protocol::workers::{Checkin, Redirect};
-use crate::server::{CheckinReply, Event};
 use crate::settings::Team;
 use crate::store::{self, Committed, Store, StoreError};
 use poem::http::{header, StatusCode};
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -66,7 +66,7 @@
         }
     };
     start_logging();
-    match crate::server::run(settings, operator) {
+    match crate::controller::run(settings, operator) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!(%error, "stopped");
--- /dev/null
+++ b/src/controller/checkins.rs
@@ -0,0 +1,208 @@
+//! Workers' check-ins: answered by the leader's core, by this node as the lessee of a block, by a lease keeper, or
+//! sent elsewhere; and the frames about them between leader and lessees.
+
+use super::Controller;
+use crate::blocks::BlockHeartbeat;
+use crate::core::model::Report;
+use crate::core::{Command, Order};
+use crate::limits;
+use crate::peer::{self, Payload};
+use crate::protocol::workers::{Checkin, CheckinAnswer};
+use tokio::sync::oneshot;
+use tracing::{debug, warn};
+
+pub enum CheckinReply {
+    Orders(CheckinAnswer),
+    Elsewhere(Option<String>),
+    Malformed,
+}
+
+/// Where the answer to a check-in goes.
+pub(super) enum ReplyTo {
+    /// With the stops that it must not leave without.
+    Worker(oneshot::Sender<CheckinReply>, Vec<Order>),
+    /// To the lessee that passed it on, under its number.
+    Lessee(usize, u64),
+}
+
+/// A report on its way to the leader.
+pub(super) struct PassedOn {
+    pub(super) to: oneshot::Sender<CheckinReply>,
+    pub(super) report: Report,
+    pub(super) sent: u64,
+}
+
+impl Controller {
+    /// An answer of this node's own that keeps a worker alive: the stops that it bears, or None if it may not.
+    pub(super) fn keeps(&self, now: u64, report: &Report) -> Option<Vec<Order>> {
+        let cancellations = &self.leadership.cancellations;
+        (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(report)).flatten()
+    }
+
+    /// A frame of the leader's to a lessee, or of a lessee's to the leader.
+    pub(super) fn block_frame(
+        &mut self,
+        now: u64,
+        from: usize,
+        payload: Payload,
+        commands: &mut Vec<Command>,
+    ) {
+        let leads = self.leadership.authority(now).is_some() && self.core.is_some();
+        // Stamps of other leaders' heartbeats lie outside every window: clocks start at random points.
+        let fresh = |stamp: u64| stamp <= now && now < stamp + limits::RELAY_FRESH;
+        match payload {
+            Payload::Report { id, stamp, report } => {
+                if !leads || !fresh(stamp) || now >= self.leadership.cancellations.keeps_until() {
+                    // A lease keeper keeps workers alive whichever way they come.
+                    let care = self.leadership.lease_keeper(now).zip(self.keeps(now, &report));
+                    let (token, orders) = care.unzip();
+                    let orders = orders.unwrap_or_default();
+                    self.send(from, Payload::Reply { id, token, keep: false, orders });
+                    return;
+                }
+                self.checkins.push_back(now);
+                self.next_reply += 1;
+                self.replies.insert(self.next_reply, ReplyTo::Lessee(from, id));
+                commands.push(Command::Checkin { reply: self.next_reply, report, via: Some(from) });
+            }
+            Payload::Heard { id, stamp, whole, fresh: anew, machines } if leads && fresh(stamp) => {
+                self.checkins.push_back(now);
+                let covers = whole.then_some(stamp);
+                commands.push(Command::Heard { node: from, machines, covers, fresh: anew });
+                let lease_ms = (self.leadership.block_lease(now) / 1_000) as u32;
+                self.send(from, Payload::Confirmed { id, lease_ms });
+            }
+            Payload::Reply { id, token, keep, orders } => {
+                let Some(PassedOn { to, report, .. }) = self.passed_on.remove(&id) else { return };
+                let reply = match token {
+                    Some(token) => {
+                        let orders = self.leadership.cancellations.with_stops(orders, &report);
+                        self.block.passed(now, report, token, keep);
+                        CheckinReply::Orders(CheckinAnswer::new(token, &orders))
+                    }
+                    None => CheckinReply::Elsewhere(None),
+                };
+                let _ = to.send(reply);
+            }
+            Payload::Wake(machines) => self.block.wake(&machines),
+            Payload::Confirmed { id, lease_ms } => {
+                self.block.confirmed(id, (u64::from(lease_ms) * 1_000).min(self.config.block_lease));
+            }
+            _ => {}
+        }
+    }
+
+    /// What a lessee does as time passes: tells the leader whom it answered, and gives up waiting for it.
+    pub(super) fn keep_block(&mut self, now: u64) {
+        let followed = self.leadership.followed(now);
+        if let Some((leader, token, stamp)) = followed {
+            self.block.follow(token);
+            if let Some(BlockHeartbeat { id, whole, fresh, machines }) = self.block.tell(now) {
+                self.send(leader, Payload::Heard { id, stamp, whole, fresh, machines });
+            }
+        }
+        while let Some(entry) = self.passed_on.first_entry() {
+            if now < entry.get().sent + limits::RELAY_PATIENCE {
+                return;
+            }
+            let PassedOn { to, report, .. } = entry.remove();
+            let reply = self.holds(now, &report, false);
+            let _ = to.send(reply.unwrap_or(CheckinReply::Elsewhere(None)));
+        }
+    }
+
+    /// The answer of this node as a lessee, if it may answer by itself.
+    pub(super) fn holds(&mut self, now: u64, report: &Report, leader_heard: bool) -> Option<CheckinReply> {
+        let stops = self.keeps(now, report)?;
+        let token = self.block.answers(now, report, leader_heard)?;
+        Some(CheckinReply::Orders(CheckinAnswer::new(token, &stops)))
+    }
+
+    /// A check-in at a node that does not lead: answered by itself, passed on, or sent elsewhere.
+    pub(super) fn hold(&mut self, now: u64, report: Report, to: oneshot::Sender<CheckinReply>) {
+        let followed = self.leadership.followed(now);
+        if let Some((_, token, _)) = followed {
+            self.block.follow(token);
+        }
+        if let Some(reply) = self.holds(now, &report, followed.is_some()) {
+            let _ = to.send(reply);
+            return;
+        }
+        if let Some((leader, token, stamp)) = followed {
+            if report.token <= token && peer::carries(&report) {
+                self.next_reply += 1;
+                let id = self.next_reply;
+                if self.send(leader, Payload::Report { id, stamp, report: report.clone() }) {
+                    self.passed_on.insert(id, PassedOn { to, report, sent: now });
+                    return;
+                }
+            }
+        }
+        // A node that has forgotten everything learns the last token from the workers.
+        let actions = self.leadership.seen_token(report.token, now);
+        self.act(actions);
+        let leader = self.leadership.leader_name(now).map(str::to_string);
+        debug!(machine = report.machine, leader, "check-in sent elsewhere");
+        let _ = to.send(CheckinReply::Elsewhere(leader));
+    }
+
+    pub(super) fn checkin(
+        &mut self,
+        now: u64,
+        checkin: Checkin,
+        to: oneshot::Sender<CheckinReply>,
+        commands: &mut Vec<Command>,
+    ) {
+        self.checkins.push_back(now);
+        let report = match Report::try_from(checkin) {
+            Ok(report) => report,
+            Err(error) => {
+                warn!(%error, "report dropped");
+                let _ = to.send(CheckinReply::Malformed);
+                return;
+            }
+        };
+        let leads = self.leadership.authority(now).filter(|_| self.core.is_some());
+        // Before the jobs are loaded a leader knows no more than a lease keeper: the worker's lease runs on, and
+        // there is nobody to say what it should do but stop what is cancelled.
+        let loaded = self.core.as_ref().is_some_and(|core| core.loaded);
+        let cares = if loaded { None } else { leads }.or_else(|| self.leadership.lease_keeper(now));
+        if let Some(token) = cares {
+            let reply = match self.keeps(now, &report) {
+                Some(stops) => CheckinReply::Orders(CheckinAnswer::new(token, &stops)),
+                None => CheckinReply::Elsewhere(None),
+            };
+            // The worker may have given up meanwhile.
+            let _ = to.send(reply);
+            return;
+        }
+        if leads.is_none() {
+            return self.hold(now, report, to);
+        }
+        self.next_reply += 1;
+        let stops = self.leadership.cancellations.with_stops(Vec::new(), &report);
+        self.replies.insert(self.next_reply, ReplyTo::Worker(to, stops));
+        commands.push(Command::Checkin { reply: self.next_reply, report, via: None });
+    }
+
+    pub(super) fn answer(&mut self, reply: u64, orders: Vec<Order>, keep: bool) {
+        let Some(to) = self.replies.remove(&reply) else { return };
+        // Checked again at the last moment: the round may have taken long.
+        let now = self.clock.now();
+        let known = now < self.leadership.cancellations.keeps_until();
+        let token = self.leadership.authority(now).filter(|_| known);
+        let (to, stops) = match to {
+            ReplyTo::Worker(to, stops) => (to, stops),
+            ReplyTo::Lessee(node, id) => {
+                self.send(node, Payload::Reply { id, token, keep, orders });
+                return;
+            }
+        };
+        let missing = stops.iter().filter(|stop| !orders.contains(stop));
+        let reply = match token {
+            Some(token) => CheckinReply::Orders(CheckinAnswer::new(token, orders.iter().chain(missing))),
+            None => CheckinReply::Elsewhere(None),
+        };
+        let _ = to.send(reply);
+    }
+}
--- /dev/null
+++ b/src/controller/effects.rs
@@ -0,0 +1,158 @@
+//! Carries out what the core decides: answers, direct commands, transactions, requests to the cloud.
+
+use super::cloud_driver::{CloudRequest, Gate};
+use super::finished_tasks::done_changes;
+use super::live_jobs::sweep;
+use super::{Controller, Event};
+use crate::core::model::JobId;
+use crate::core::{Command, Effect, Order, Outcome, StoredMachine};
+use crate::limits;
+use crate::peer::Payload;
+use crate::protocol::records::{FinalRecord, MachineRecord};
+use crate::protocol::state_service::Condition;
+use crate::protocol::users::JobStatus;
+use crate::protocol::workers::{DirectCommands, WorkerCommand};
+use crate::store::{self, Committed};
+use crate::worker;
+use std::collections::BTreeSet;
+use std::time::Duration;
+use tracing::{debug, info};
+
+/// Puts and deletes of a job's last transaction besides its finished tasks: its final state, its live record.
+const FINAL_CHANGES: usize = 2;
+
+impl Controller {
+    /// Runs something for the core of the present token and hands it the outcome.
+    fn ask<F>(&self, future: F)
+    where
+        F: std::future::Future<Output = Command> + Send + 'static,
+    {
+        let (events, token) = (self.events.clone(), self.config.token);
+        tokio::spawn(async move {
+            let _ = events.send(Event::Core(token, future.await)).await;
+        });
+    }
+
+    /// Carries out one effect of the core.
+    pub(super) fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::Answer { reply, orders, keep } => self.answer(reply, orders, keep),
+            Effect::Wake { node, machine } => {
+                self.send(node, Payload::Wake(vec![machine]));
+            }
+            Effect::Direct { machine, address, session, orders } => {
+                self.send_direct(&machine, address, session, &orders);
+            }
+            Effect::CommitDone { job_id, version, tasks, all_done } => {
+                self.commit_done(job_id, version, tasks, all_done);
+            }
+            Effect::Finish { job_id, version, tasks, chunks } => self.finish(job_id, version, tasks, chunks),
+            Effect::Record { key, machines } => self.record(key, machines),
+            Effect::Rent { request, machine_type, zone, spot, count } => {
+                self.cloud_request(CloudRequest::Rent { request, machine_type, zone, spot, count });
+            }
+            Effect::Delete(names) => self.cloud_request(CloudRequest::Delete(names)),
+            Effect::Deposed(token) => {
+                let actions = self.leadership.seen_token(token, self.clock.now());
+                self.act(actions);
+            }
+        }
+    }
+
+    /// Every transaction of a leader rests on its epoch.
+    fn while_leading(&self) -> Condition {
+        store::compare(store::EPOCH, self.version)
+    }
+
+    fn send_direct(&self, machine: &str, address: String, session: u64, orders: &[Order]) {
+        let Some(token) = self.leadership.authority(self.clock.now()) else { return };
+        let commands = orders.iter().map(WorkerCommand::from).collect();
+        let commands = DirectCommands { token, session, commands };
+        // The next report brings the stops as well.
+        let Ok(turn) = self.orders.clone().try_acquire_owned() else { return };
+        let (http, events, gate) = (self.workers.clone(), self.events.clone(), self.gate());
+        debug!(machine, stops = commands.commands.len(), "direct stops");
+        tokio::spawn(async move {
+            let answer = match gate.open() {
+                true => worker::send_commands(&http, &address, &commands).await,
+                false => None,
+            };
+            drop(turn);
+            if let Some(report) = answer {
+                let _ = events.send(Event::Core(token, Command::OrdersAnswered(report))).await;
+            }
+        });
+    }
+
+    fn commit_done(&self, job_id: JobId, version: u64, tasks: BTreeSet<u32>, all_done: BTreeSet<u32>) {
+        let most = self.settings.deployment.state.txn_ops;
+        let (store, versions, leads) = (self.store.clone(), self.versions.clone(), self.while_leading());
+        self.ask(async move {
+            let (tasks, changes) = done_changes(job_id, tasks, &all_done, most);
+            let conditions = vec![leads, store::compare(&store::live(job_id), version)];
+            let outcome = outcome_of(versions.commit(&store, conditions, changes).await).await;
+            Command::Committed { job_id, tasks, outcome }
+        });
+    }
+
+    fn finish(&self, job_id: JobId, version: u64, tasks: u32, mut chunks: Vec<u32>) {
+        // What does not fit the transaction is removed after it: readers ask for the job first.
+        let fit = self.settings.deployment.state.txn_ops.saturating_sub(FINAL_CHANGES);
+        let rest = chunks.split_off(fit.min(chunks.len()));
+        let (store, epoch, leads) = (self.store.clone(), self.version, self.while_leading());
+        self.ask(async move {
+            let record = FinalRecord { status: JobStatus::Done, tasks };
+            let mut changes: Vec<_> = store::write(&store::over(job_id), record).into_iter().collect();
+            changes.push(store::remove(&store::live(job_id)));
+            changes.extend(chunks.iter().map(|chunk| store::remove(&store::done(job_id, *chunk))));
+            let conditions = vec![leads, store::compare(&store::live(job_id), version)];
+            let outcome = outcome_of(store.commit(conditions, changes).await).await;
+            if outcome == Outcome::Done {
+                info!(job = %job_id, "done");
+                let rest = rest.into_iter().map(|chunk| store::done(job_id, chunk)).collect();
+                tokio::spawn(sweep(store, rest, epoch));
+            }
+            Command::Finished { job_id, outcome }
+        });
+    }
+
+    fn record(&self, key: String, machines: Vec<StoredMachine>) {
+        let (store, versions, leads) = (self.store.clone(), self.versions.clone(), self.while_leading());
+        self.ask(async move {
+            let path = format!("{}{key}", store::FLEET);
+            let records: Vec<MachineRecord> = machines.into_iter().map(MachineRecord::from).collect();
+            let change = if records.is_empty() {
+                vec![store::remove(&path)]
+            } else {
+                store::write(&path, records).into_iter().collect()
+            };
+            let outcome = outcome_of(versions.commit(&store, vec![leads], change).await).await;
+            Command::Recorded { key, outcome }
+        });
+    }
+
+    pub(super) fn gate(&self) -> Gate {
+        Gate { clock: self.clock, until: self.acts_until.clone() }
+    }
+
+    fn cloud_request(&self, request: CloudRequest) {
+        if let Some(queue) = &self.cloud_queue {
+            let _ = queue.send(request);
+        }
+    }
+}
+
+/// What the core needs to know of a transaction. A failed one is reported after a pause, so that a
+/// service in trouble is not asked hot and an outage ends without a stampede.
+async fn outcome_of(committed: Committed) -> Outcome {
+    if !matches!(committed, Committed::Done { .. }) {
+        let pause = limits::STATE_PAUSE_MS;
+        let pause = pause + rand::random_range(0..=pause);
+        tokio::time::sleep(Duration::from_millis(pause)).await;
+    }
+    match committed {
+        Committed::Done { .. } => Outcome::Done,
+        Committed::Conflict | Committed::Refused => Outcome::Refused,
+        Committed::Unknown => Outcome::Unknown,
+    }
+}
--- /dev/null
+++ b/src/controller/leading.rs
@@ -0,0 +1,144 @@
+//! Carries out what leadership decides: messages, requests to the state service, the beginning and the end of this
+//! node's own leadership.
+
+use super::checkins::{CheckinReply, ReplyTo};
+use super::cloud_driver::{drive_cloud, list_machines};
+use super::live_jobs::follow_jobs;
+use super::{Controller, Event};
+use crate::core::{Command, Core};
+use crate::leadership::{Action, Message, StoreAnswer};
+use crate::peer::Payload;
+use crate::protocol::records::Epoch;
+use crate::record_versions::RecordVersions;
+use crate::store::Store;
+use tokio::sync::mpsc;
+use tracing::debug;
+
+impl Controller {
+    /// Carries out actions of leadership in order.
+    pub(super) fn act(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send(to, message) => self.send_message(to, message),
+                Action::Attest(to, attestation) => {
+                    self.send(to, Payload::Attestation(attestation));
+                }
+                Action::Probe => self.ask_store(probe),
+                Action::TakeOver { token, version, over_lock } => self.take_over(token, version, over_lock),
+                Action::Renew { lease } => self.renew(lease),
+                Action::Release { lease } => {
+                    let store = self.store.clone();
+                    tokio::spawn(async move { store.release(lease).await });
+                }
+                Action::Elected { token, version } => self.elected(token, version),
+                Action::Deposed { keep_until } => {
+                    // Its workers are a block now like any other's.
+                    self.block.led(self.config.token, keep_until);
+                    self.deposed();
+                }
+            }
+        }
+    }
+
+    fn send_message(&mut self, to: usize, message: Message) {
+        let now = self.clock.now();
+        let mut status = self.status(now);
+        status.state_age = self.leadership.told_state_age(now, to, status.state_age);
+        // A full queue means a peer that does not answer; later messages replace this one.
+        self.send(to, Payload::Leadership(status, message));
+    }
+
+    fn take_over(&self, token: u64, version: u64, over_lock: bool) {
+        let node = self.settings.node_name.clone();
+        let epoch = Epoch { token, node, incarnation: self.incarnation };
+        self.ask_store(move |store| async move {
+            match store.take_over(&epoch, version, over_lock).await {
+                Ok((lease, version, lease_sent)) => StoreAnswer::Won { lease, version, lease_sent },
+                Err(lease) => StoreAnswer::Lost { lease },
+            }
+        });
+    }
+
+    fn renew(&self, lease: u64) {
+        let sent = self.clock.now();
+        self.ask_store(move |store| async move {
+            match store.extend(lease).await {
+                Ok(alive) => StoreAnswer::Renewed { lease, sent, alive },
+                Err(error) => {
+                    debug!(%error, "renewal");
+                    StoreAnswer::Failed
+                }
+            }
+        });
+    }
+
+    fn ask_store<F>(&self, ask: impl FnOnce(Store) -> F)
+    where
+        F: std::future::Future<Output = StoreAnswer> + Send + 'static,
+    {
+        let (events, future) = (self.events.clone(), ask(self.store.clone()));
+        tokio::spawn(async move {
+            let _ = events.send(Event::Store(future.await)).await;
+        });
+    }
+
+    fn elected(&mut self, token: u64, version: u64) {
+        self.deposed();
+        let now = self.clock.now();
+        self.config.token = token;
+        self.version = version;
+        self.versions = RecordVersions::default();
+        let mut core = Core::new(self.config.clone(), now);
+        let types = Command::Types(self.types.values().cloned().collect());
+        let effects = core.step(now, vec![types]);
+        self.core = Some(core);
+        for effect in effects {
+            self.carry_out(effect);
+        }
+        let (to, queue) = mpsc::unbounded_channel();
+        self.cloud_queue = Some(to);
+        let events = self.events.clone();
+        let rps = self.settings.deployment.cloud.rps;
+        let lag = self.settings.deployment.cloud.list_lag_s;
+        self.leading = vec![
+            tokio::spawn(follow_jobs(
+                self.store.clone(),
+                events.clone(),
+                token,
+                version,
+                self.versions.clone(),
+            )),
+            tokio::spawn(drive_cloud(self.cloud.clone(), events.clone(), queue, token, rps, self.gate())),
+            tokio::spawn(list_machines(self.cloud.clone(), events, token, lag)),
+        ];
+    }
+
+    fn deposed(&mut self) {
+        self.leading.drain(..).for_each(|task| task.abort());
+        self.cloud_queue = None;
+        if let Some(mut core) = self.core.take() {
+            core.write_usage();
+        }
+        self.config.token = 0;
+        for (_, to) in std::mem::take(&mut self.replies) {
+            match to {
+                ReplyTo::Worker(to, _) => {
+                    let _ = to.send(CheckinReply::Elsewhere(None));
+                }
+                ReplyTo::Lessee(node, id) => {
+                    self.send(node, Payload::Reply { id, token: None, keep: false, orders: Vec::new() });
+                }
+            }
+        }
+    }
+}
+
+async fn probe(store: Store) -> StoreAnswer {
+    match store.epoch().await {
+        Ok((epoch, locked)) => StoreAnswer::Probed { epoch, locked },
+        Err(error) => {
+            debug!(%error, "probe");
+            StoreAnswer::Failed
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/live_jobs.rs
@@ -0,0 +1,190 @@
+//! What a leader reads from the state service: jobs, finished tasks and machine records when it begins, and the jobs
+//! that users submit and cancel from then on.
+
+use super::finished_tasks::decode_bits;
+use super::Event;
+use crate::core::model::JobId;
+use crate::core::{Command, StoredJob, StoredMachine};
+use crate::http::wall_ms;
+use crate::limits;
+use crate::protocol::records::{LiveRecord, MachineRecord};
+use crate::protocol::state_service::{ChangeEvent, Record};
+use crate::record_versions::RecordVersions;
+use crate::store::{self, Store};
+use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tracing::{debug, warn};
+
+fn stored_job(record: &Record) -> Option<StoredJob> {
+    let live: Result<LiveRecord, _> = serde_json::from_value(record.value.clone());
+    let checked = live.map_err(|e| e.to_string()).and_then(|l| Ok((l.submission.check()?, l.accepted_ms)));
+    match checked {
+        Ok((spec, accepted_ms)) => {
+            let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
+            let age = age_ms.min(limits::AGE_MOST_MS) * 1_000;
+            Some(StoredJob { spec, version: record.version, age, done: BTreeSet::new() })
+        }
+        Err(error) => {
+            warn!(key = record.key, error, "unreadable job record: skipped");
+            None
+        }
+    }
+}
+
+/// Everything a new leader reads: jobs, finished tasks, machines; and where to follow from.
+struct Loaded {
+    jobs: Vec<StoredJob>,
+    records: Vec<(String, Vec<StoredMachine>)>,
+    /// Keys of finished tasks whose job is over.
+    orphans: Vec<String>,
+    revision: u64,
+}
+
+async fn load(store: &Store, versions: &RecordVersions) -> Result<Loaded, store::StoreError> {
+    let (live, revision) = store.list(store::LIVE).await?;
+    let (done, _) = store.list(store::DONE).await?;
+    let (fleet, _) = store.list(store::FLEET).await?;
+    done.iter().chain(&fleet).for_each(|record| versions.note(&record.key, record.version));
+    let mut jobs: HashMap<JobId, StoredJob> =
+        live.iter().filter_map(stored_job).map(|job| (job.spec.job_id, job)).collect();
+    let mut orphans = Vec::new();
+    for record in done {
+        let mut parts = record.key.split('/').skip(1);
+        let job_id = parts.next().and_then(JobId::parse);
+        let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
+        let Some(job) = job_id.and_then(|job_id| jobs.get_mut(&job_id)) else {
+            orphans.push(record.key);
+            continue;
+        };
+        let (Some(chunk), Some(bits)) = (chunk, record.value.as_str()) else {
+            warn!(key = record.key, "unreadable record of finished tasks: skipped");
+            continue;
+        };
+        let tasks = job.spec.tasks;
+        job.done.extend(
+            decode_bits(bits).map(|t| t + chunk.saturating_mul(limits::DONE_CHUNK)).filter(|t| *t < tasks),
+        );
+    }
+    let records = fleet
+        .into_iter()
+        .filter_map(|record| {
+            let key = record.key.strip_prefix(store::FLEET)?.to_string();
+            match serde_json::from_value::<Vec<MachineRecord>>(record.value) {
+                Ok(machines) => Some((key, machines.into_iter().map(StoredMachine::from).collect())),
+                Err(error) => {
+                    warn!(key = record.key, %error, "unreadable machine record: skipped");
+                    None
+                }
+            }
+        })
+        .collect();
+    Ok(Loaded { jobs: jobs.into_values().collect(), records, orphans, revision })
+}
+
+async fn pause() {
+    let pause = limits::STATE_PAUSE_MS;
+    tokio::time::sleep(Duration::from_millis(rand::random_range(pause..=2 * pause))).await;
+}
+
+/// Loads the jobs and follows what users commit through any node.
+pub(super) async fn follow_jobs(
+    store: Store,
+    events: mpsc::Sender<Event>,
+    token: u64,
+    epoch: u64,
+    versions: RecordVersions,
+) {
+    let mut follower = Follower { store, events, token, known: BTreeSet::new() };
+    let mut revision = follower.load(epoch, &versions).await;
+    loop {
+        match follower.store.follow(store::LIVE, revision, limits::WATCH_MS).await {
+            Ok(Some(log)) => {
+                revision = revision.max(log.revision);
+                for event in log.events {
+                    follower.take(event).await;
+                }
+            }
+            Ok(None) => match follower.read_again().await {
+                Some(read) => revision = read,
+                None => pause().await,
+            },
+            Err(error) => {
+                debug!(%error, "following jobs");
+                pause().await;
+            }
+        }
+    }
+}
+
+/// Keeps the core of one leadership up to date with the live jobs.
+struct Follower {
+    store: Store,
+    events: mpsc::Sender<Event>,
+    token: u64,
+    /// The jobs that the core was told of.
+    known: BTreeSet<JobId>,
+}
+
+impl Follower {
+    async fn send(&self, command: Command) {
+        // The owner of the state has ended with the process.
+        let _ = self.events.send(Event::Core(self.token, command)).await;
+    }
+
+    /// Reads everything, as often as it takes; returns the revision to follow from.
+    async fn load(&mut self, epoch: u64, versions: &RecordVersions) -> u64 {
+        loop {
+            match load(&self.store, versions).await {
+                Ok(Loaded { jobs, records, orphans, revision }) => {
+                    self.known.extend(jobs.iter().map(|job| job.spec.job_id));
+                    self.send(Command::Load { jobs, records }).await;
+                    tokio::spawn(sweep(self.store.clone(), orphans, epoch));
+                    return revision;
+                }
+                Err(error) => {
+                    warn!(%error, "cannot load yet");
+                    pause().await;
+                }
+            }
+        }
+    }
+
+    /// The log does not go back far enough: reads the live jobs again.
+    async fn read_again(&mut self) -> Option<u64> {
+        let (records, revision) = self.store.list(store::LIVE).await.ok()?;
+        let jobs: Vec<_> = records.iter().filter_map(stored_job).collect();
+        let listed: BTreeSet<JobId> = jobs.iter().map(|job| job.spec.job_id).collect();
+        for job_id in self.known.difference(&listed) {
+            self.send(Command::JobRemoved(*job_id)).await;
+        }
+        for job in jobs {
+            self.send(Command::JobAdded(job)).await;
+        }
+        self.known = listed;
+        Some(revision)
+    }
+
+    async fn take(&mut self, event: ChangeEvent) {
+        if let Some(key) = event.written {
+            let record = Record { key, value: event.value, version: event.version };
+            if let Some(job) = stored_job(&record) {
+                self.known.insert(job.spec.job_id);
+                self.send(Command::JobAdded(job)).await;
+            }
+        } else if let Some(key) = event.removed {
+            if let Some(job_id) = key.strip_prefix(store::LIVE).and_then(JobId::parse) {
+                self.known.remove(&job_id);
+                self.send(Command::JobRemoved(job_id)).await;
+            }
+        }
+    }
+}
+
+/// Removes what cancelled jobs left behind, slowly enough to stay clear of the write limit.
+pub(super) async fn sweep(store: Store, orphans: Vec<String>, version: u64) {
+    for key in orphans {
+        let _ = store.commit(vec![store::compare(store::EPOCH, version)], vec![store::remove(&key)]).await;
+        tokio::time::sleep(Duration::from_millis(limits::STATE_PAUSE_MS)).await;
+    }
+}
--- /dev/null
+++ b/src/controller/mod.rs
@@ -0,0 +1,258 @@
+//! The owner of a controller's state: one queue of events, taken in batches, into leadership and core; their effects
+//! out. Each module beside this one carries out one kind of work for it.
+
+mod checkins;
+mod cloud_driver;
+mod effects;
+mod finished_tasks;
+mod health;
+mod leading;
+mod live_jobs;
+mod start;
+
+pub use checkins::CheckinReply;
+pub use start::{run, ServeError};
+
+use crate::api::{Health, Summary, Types};
+use crate::blocks::Block;
+use crate::cloud::Cloud;
+use crate::core::model::JobId;
+use crate::core::{Command, Config, Core};
+use crate::http::{Clock, Http};
+use crate::leadership::{Leadership, StoreAnswer};
+use crate::limits;
+use crate::live::Reading;
+use crate::peer::{Payload, Received};
+use crate::protocol::workers::Checkin;
+use crate::record_versions::RecordVersions;
+use crate::settings::Settings;
+use crate::store::Store;
+use checkins::{PassedOn, ReplyTo};
+use cloud_driver::CloudRequest;
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch, Semaphore};
+use tokio::task::JoinHandle;
+use tracing::info;
+
+/// Who leads, and what the leader sees; empty on the others.
+#[derive(serde::Serialize)]
+pub struct NodeView {
+    pub node: String,
+    pub leader: Option<String>,
+    pub token: u64,
+    #[serde(flatten)]
+    pub core: Option<crate::core::overview::Overview>,
+}
+
+pub enum Event {
+    Overview(oneshot::Sender<NodeView>),
+    Checkin(Checkin, oneshot::Sender<CheckinReply>),
+    Peer(Received),
+    /// The live jobs were read.
+    Live(Reading),
+    /// A user is to be told that the job is cancelled; the answer is whether that may be told now.
+    Cancelled(JobId, oneshot::Sender<bool>),
+    Store(StoreAnswer),
+    /// For the core of this token, and no other.
+    Core(u64, Command),
+    Types(Types),
+}
+
+/// The one owner of this process's state.
+pub(crate) struct Controller {
+    config: Config,
+    settings: Settings,
+    clock: Clock,
+    /// For commands to workers' addresses.
+    workers: Http,
+    orders: Arc<Semaphore>,
+    store: Store,
+    cloud: Cloud,
+    events: mpsc::Sender<Event>,
+    leadership: Leadership,
+    incarnation: u64,
+    outgoing: Vec<Option<mpsc::Sender<Payload>>>,
+    core: Option<Core>,
+    /// Version of the epoch that every transaction of this leader rests on.
+    version: u64,
+    versions: RecordVersions,
+    replies: BTreeMap<u64, ReplyTo>,
+    next_reply: u64,
+    /// The workers that report here while another node leads.
+    block: Block,
+    passed_on: BTreeMap<u64, PassedOn>,
+    /// Tasks that only run while this node leads.
+    leading: Vec<JoinHandle<()>>,
+    cloud_queue: Option<mpsc::UnboundedSender<CloudRequest>>,
+    summary: watch::Sender<Summary>,
+    health: Arc<Health>,
+    types: Types,
+    /// When workers checked in lately.
+    checkins: VecDeque<u64>,
+    /// Until when rentals, deletions and orders may leave.
+    acts_until: Arc<AtomicU64>,
+    summary_due: u64,
+    report_due: u64,
+    /// Cancellations that members must hold before they are told.
+    confirming: Vec<(JobId, oneshot::Sender<bool>)>,
+}
+
+/// A check-in and where its answer goes.
+type WaitingCheckin = (Checkin, oneshot::Sender<CheckinReply>);
+
+/// What a batch of events asks for beyond what leadership carried out at once.
+#[derive(Default)]
+struct Batch {
+    /// For the core, in order.
+    commands: Vec<Command>,
+    /// Answered once leadership has taken in the whole batch.
+    checkins: Vec<WaitingCheckin>,
+}
+
+impl Controller {
+    async fn run(mut self, mut queue: mpsc::Receiver<Event>) {
+        let mut batch = Vec::with_capacity(limits::BATCH);
+        loop {
+            let wait = Duration::from_millis(100);
+            // A timeout is a tick without news.
+            let _ = tokio::time::timeout(wait, queue.recv_many(&mut batch, limits::BATCH)).await;
+            self.turn(std::mem::take(&mut batch));
+        }
+    }
+
+    /// Takes a batch of events and does what is due.
+    fn turn(&mut self, events: Vec<Event>) {
+        let now = self.clock.now();
+        let mut batch = Batch::default();
+        for event in events {
+            self.take(now, event, &mut batch);
+        }
+        let status = self.status(now);
+        let actions = self.leadership.tick(now, status);
+        self.act(actions);
+        self.acts_until.store(self.leadership.acts_until(now).0, Ordering::Relaxed);
+        self.judge_health(now);
+        self.tell_confirmed(now);
+        let Batch { mut commands, checkins } = batch;
+        for (checkin, to) in checkins {
+            self.checkin(now, checkin, to, &mut commands);
+        }
+        self.step(now, commands);
+        self.keep_block(now);
+    }
+
+    fn take(&mut self, now: u64, event: Event, batch: &mut Batch) {
+        match event {
+            Event::Checkin(checkin, to) => batch.checkins.push((checkin, to)),
+            Event::Overview(to) => {
+                let _ = to.send(self.view(now));
+            }
+            Event::Peer(received) => self.take_frame(now, received, batch),
+            Event::Live(reading) => {
+                let Reading { sent, whole, added, removed } = reading;
+                let over = self.leadership.cancellations.read(now, sent, whole, &added, &removed);
+                batch.commands.extend(over.into_iter().map(Command::JobRemoved));
+            }
+            Event::Cancelled(job_id, to) => {
+                let (news, _, actions) = self.leadership.confirm(now, job_id);
+                self.act(actions);
+                if news {
+                    batch.commands.push(Command::JobRemoved(job_id));
+                }
+                self.confirming.push((job_id, to));
+            }
+            Event::Store(answer) => {
+                let actions = self.leadership.store(now, answer);
+                self.act(actions);
+            }
+            Event::Core(token, command) => {
+                if token == self.config.token {
+                    batch.commands.extend(self.unless_over(command));
+                }
+            }
+            Event::Types(types) => {
+                batch.commands.push(Command::Types(types.values().cloned().collect()));
+                self.types = types;
+            }
+        }
+    }
+
+    fn take_frame(&mut self, now: u64, received: Received, batch: &mut Batch) {
+        let Received { from, incarnation, payload } = received;
+        match payload {
+            Payload::Leadership(status, message) => {
+                let actions = self.leadership.message(now, from, incarnation, status, message);
+                self.act(actions);
+            }
+            Payload::Attestation(attestation) => {
+                let (over, actions) = self.leadership.attested(now, from, incarnation, &attestation);
+                self.act(actions);
+                batch.commands.extend(over.into_iter().map(Command::JobRemoved));
+            }
+            Payload::Summary(lines) => {
+                if !self.leadership.is_leader() {
+                    let lines = lines.into_iter().map(|(job, done, running)| (JobId(job), (done, running)));
+                    self.summary.send_replace(Arc::new(lines.collect()));
+                }
+            }
+            payload => self.block_frame(now, from, payload, &mut batch.commands),
+        }
+    }
+
+    /// What the state service says of a job may come later than a member's word that it is cancelled.
+    fn unless_over(&self, command: Command) -> Option<Command> {
+        let cancellations = &self.leadership.cancellations;
+        match command {
+            Command::JobAdded(job) if cancellations.is_over(job.spec.job_id) => None,
+            Command::Load { mut jobs, records } => {
+                jobs.retain(|job| !cancellations.is_over(job.spec.job_id));
+                Some(Command::Load { jobs, records })
+            }
+            command => Some(command),
+        }
+    }
+
+    /// Answers those who want to tell a user of a cancellation, as soon as it may be told.
+    fn tell_confirmed(&mut self, now: u64) {
+        for (job_id, to) in std::mem::take(&mut self.confirming) {
+            let (_, may) = self.leadership.cancellations.confirm(now, job_id);
+            if may {
+                let _ = to.send(true);
+            } else if !to.is_closed() {
+                self.confirming.push((job_id, to));
+            }
+        }
+    }
+
+    pub(super) fn send(&self, node: usize, payload: Payload) -> bool {
+        // A full queue means a peer that does not answer; later frames make up for this one.
+        self.outgoing.get(node).is_some_and(|to| to.as_ref().is_some_and(|to| to.try_send(payload).is_ok()))
+    }
+
+    fn step(&mut self, now: u64, commands: Vec<Command>) {
+        let Some(core) = &mut self.core else { return };
+        core.kept_alive_until(self.leadership.autonomous_until(now));
+        core.out_of_touch(now, self.leadership.out_of_touch(now));
+        let effects = core.step(now, commands);
+        if now >= self.summary_due {
+            self.summary_due = now + limits::SECOND;
+            let lines = core.summary();
+            let own = lines.iter().map(|(u, d, r)| (*u, (*d, *r))).collect();
+            self.summary.send_replace(Arc::new(own));
+            let lines: Vec<_> = lines.into_iter().map(|(u, d, r)| (u.0, d, r)).collect();
+            for to in self.outgoing.iter().flatten() {
+                let _ = to.try_send(Payload::Summary(lines.clone()));
+            }
+        }
+        if now >= self.report_due {
+            self.report_due = now + 10 * limits::SECOND;
+            info!(token = self.config.token, "{}", core.fleet_line());
+        }
+        for effect in effects {
+            self.carry_out(effect);
+        }
+    }
+}
--- a/src/leadership_tests.rs
+++ b/src/leadership_tests.rs
@@ -632,7 +632,7 @@
         None
     }
 
-    /// What `Hub::keeps` says, of versions that have it.
+    /// What `Controller::keeps` says, of versions that have it.
     fn keeps(&self, node: usize, report: &Report) -> Option<Vec<Order>> {
         let (now, cancellations) = (self.local(node), &self.nodes[node].leadership.cancellations);
         if self.cancels == 0 {
--- a/src/live.rs
+++ b/src/live.rs
@@ -4,9 +4,9 @@
 //! on requests. What changed is passed on too, with the time from which it counts: who keeps workers alive must
 //! know which jobs were cancelled (`cancellation_log`), so that the copy is brought up to date without polls as well.
 
+use crate::controller::Event;
 use crate::core::model::JobId;
 use crate::limits;
-use crate::server::Event;
 use crate::store::{self, Store, StoreError};
 use std::collections::HashSet;
 use std::sync::Arc;
