--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -18,8 +18,6 @@
     tasks: Vec<ReportedTask>,
     /// The leader has something to tell it: the next report is passed on whatever it says.
     woken: bool,
-    /// It has free capacity: its reports may wait for a command.
-    wait: bool,
     /// When it was last answered.
     at: u64,
 }
@@ -122,28 +120,20 @@
         }
     }
 
-    /// The leader has answered a report that was passed on. `keep`: what says nothing new need not be; `wait`: and
-    /// may wait for a command.
-    pub fn passed(&mut self, now: u64, report: Report, token: u64, keep: bool, wait: bool) {
+    /// The leader has answered a report that was passed on. `keep`: what says nothing new need not be.
+    pub fn passed(&mut self, now: u64, report: Report, token: u64, keep: bool) {
         if token != self.token {
             return;
         }
         self.away.remove(&report.machine);
         if keep && self.kept.len() < self.most {
             let Report { machine, session, sequence, tasks, .. } = report;
-            self.kept.insert(machine, Kept { session, sequence, tasks, woken: false, wait, at: now });
+            self.kept.insert(machine, Kept { session, sequence, tasks, woken: false, at: now });
         } else {
             self.kept.remove(&report.machine);
         }
     }
 
-    /// Whether this report, the newest of its machine, may wait for a command. A copy may not: nobody waits for its
-    /// answer, and it would take the place of a report whose answer is waited for.
-    pub fn may_wait(&self, report: &Report) -> bool {
-        let newest = |kept: &Kept| (kept.session, kept.sequence) == (report.session, report.sequence);
-        self.kept.get(&report.machine).is_some_and(|kept| kept.wait && !kept.woken && newest(kept))
-    }
-
     pub fn wake(&mut self, machines: &[String]) {
         for name in machines {
             if let Some(kept) = self.kept.get_mut(name) {
@@ -228,7 +218,7 @@
         assert_eq!(block.answers(SECOND, &report(1, 2), true), None);
         block.confirmed(heartbeat.id, LEASE);
         assert_eq!(block.answers(SECOND, &report(1, 2), true), None);
-        block.passed(SECOND, report(1, 2), 4, true, false);
+        block.passed(SECOND, report(1, 2), 4, true);
         block
     }
 
@@ -315,7 +305,7 @@
         block.confirmed(heartbeat.id, LEASE);
         assert_eq!(block.answers(2 * SECOND, &report(2), true), None);
         // An answer of the last leader's that was under way leases nothing any more.
-        block.passed(2 * SECOND, report(2), 4, true, false);
+        block.passed(2 * SECOND, report(2), 4, true);
         assert_eq!(block.answers(2 * SECOND, &report(3), true), None);
     }
 
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -32,22 +32,6 @@
     pub(super) sent: u64,
 }
 
-/// A report of this node's block that waits for a command (`core::open_reports`).
-pub(super) struct OpenReport {
-    to: oneshot::Sender<CheckinReply>,
-    report: Report,
-    until: u64,
-}
-
-/// What the node that passed a report on may do with the next ones that say nothing new.
-#[derive(Clone, Copy)]
-pub(super) struct ReplyLeave {
-    /// Answer them by itself.
-    pub(super) keep: bool,
-    /// Let them wait for a command.
-    pub(super) wait: bool,
-}
-
 impl Controller {
     /// An answer of this node's own that keeps a worker alive: the stops that it bears, or None if it may not.
     pub(super) fn keeps(&self, now: u64, report: &Report) -> Option<Vec<Order>> {
@@ -73,7 +57,7 @@
                     let care = self.leadership.lease_keeper(now).zip(self.keeps(now, &report));
                     let (token, orders) = care.unzip();
                     let orders = orders.unwrap_or_default();
-                    self.send(from, Payload::Reply { id, token, keep: false, wait: false, orders });
+                    self.send(from, Payload::Reply { id, token, keep: false, orders });
                     return;
                 }
                 self.checkins.push_back(now);
@@ -88,25 +72,19 @@
                 let lease_ms = (self.leadership.block_lease(now) / 1_000) as u32;
                 self.send(from, Payload::Confirmed { id, lease_ms });
             }
-            Payload::Reply { id, token, keep, wait, orders } => {
+            Payload::Reply { id, token, keep, orders } => {
                 let Some(PassedOn { to, report, .. }) = self.passed_on.remove(&id) else { return };
                 let reply = match token {
                     Some(token) => {
                         let orders = self.leadership.cancellations.with_stops(orders, &report);
-                        let may_wait = keep && wait;
-                        self.block.passed(now, report, token, keep, may_wait);
+                        self.block.passed(now, report, token, keep);
                         CheckinReply::Orders(CheckinAnswer::new(token, &orders))
                     }
                     None => CheckinReply::Elsewhere(None),
                 };
                 let _ = to.send(reply);
             }
-            Payload::Wake(machines) => {
-                self.block.wake(&machines);
-                for machine in machines {
-                    self.close_open_report(now, &machine);
-                }
-            }
+            Payload::Wake(machines) => self.block.wake(&machines),
             Payload::Confirmed { id, lease_ms } => {
                 self.block.confirmed(id, (u64::from(lease_ms) * 1_000).min(self.config.block_lease));
             }
@@ -123,7 +101,6 @@
                 self.send(leader, Payload::Heard { id, stamp, whole, fresh, machines });
             }
         }
-        self.answer_open_reports(now, followed.is_some());
         while let Some(entry) = self.passed_on.first_entry() {
             if now < entry.get().sent + limits::RELAY_PATIENCE {
                 return;
@@ -148,17 +125,19 @@
             self.block.follow(token);
         }
         if let Some(reply) = self.holds(now, &report, followed.is_some()) {
-            let nothing_to_say = matches!(&reply, CheckinReply::Orders(answer) if answer.commands.is_empty());
-            if followed.is_some() && nothing_to_say && self.may_wait(&report) {
-                let until = now + self.config.report_wait;
-                // Nobody waits for the answer to an earlier one.
-                self.open_reports.insert(report.machine.clone(), OpenReport { to, report, until });
-                return;
-            }
             let _ = to.send(reply);
             return;
         }
-        let Some((report, to)) = self.pass_on(now, report, to) else { return };
+        if let Some((leader, token, stamp)) = followed {
+            if report.token <= token && peer::carries(&report) {
+                self.next_reply += 1;
+                let id = self.next_reply;
+                if self.send(leader, Payload::Report { id, stamp, report: report.clone() }) {
+                    self.passed_on.insert(id, PassedOn { to, report, sent: now });
+                    return;
+                }
+            }
+        }
         // A node that has forgotten everything learns the last token from the workers.
         let actions = self.leadership.seen_token(report.token, now);
         self.act(actions);
@@ -167,53 +146,6 @@
         let _ = to.send(CheckinReply::Elsewhere(leader));
     }
 
-    fn may_wait(&self, report: &Report) -> bool {
-        let open = self.open_reports.get(&report.machine);
-        let copy = open.is_some_and(|open| open.report.sequence == report.sequence);
-        !copy && self.block.may_wait(report)
-    }
-
-    /// Passes a report on to the leader; gives it back where that can't be done.
-    fn pass_on(
-        &mut self,
-        now: u64,
-        report: Report,
-        to: oneshot::Sender<CheckinReply>,
-    ) -> Option<(Report, oneshot::Sender<CheckinReply>)> {
-        let Some((leader, token, stamp)) = self.leadership.followed(now) else { return Some((report, to)) };
-        if report.token > token || !peer::carries(&report) {
-            return Some((report, to));
-        }
-        self.next_reply += 1;
-        let id = self.next_reply;
-        if !self.send(leader, Payload::Report { id, stamp, report: report.clone() }) {
-            return Some((report, to));
-        }
-        self.passed_on.insert(id, PassedOn { to, report, sent: now });
-        None
-    }
-
-    /// The leader has something to tell the machine: the report that waits goes to it now.
-    fn close_open_report(&mut self, now: u64, machine: &str) {
-        let Some(OpenReport { to, report, .. }) = self.open_reports.remove(machine) else { return };
-        if let Some((report, to)) = self.pass_on(now, report, to) {
-            let reply = self.holds(now, &report, false);
-            let _ = to.send(reply.unwrap_or(CheckinReply::Elsewhere(None)));
-        }
-    }
-
-    /// Answers the reports that have waited long enough, and all of them when no leader is heard any more.
-    fn answer_open_reports(&mut self, now: u64, leader_heard: bool) {
-        let due = |open: &OpenReport| now >= open.until || !leader_heard;
-        let machines: Vec<String> =
-            self.open_reports.iter().filter(|(_, open)| due(open)).map(|(name, _)| name.clone()).collect();
-        for machine in machines {
-            let Some(OpenReport { to, report, .. }) = self.open_reports.remove(&machine) else { continue };
-            let reply = self.holds(now, &report, leader_heard);
-            let _ = to.send(reply.unwrap_or(CheckinReply::Elsewhere(None)));
-        }
-    }
-
     pub(super) fn checkin(
         &mut self,
         now: u64,
@@ -253,7 +185,7 @@
         commands.push(Command::Checkin { reply: self.next_reply, report, via: None });
     }
 
-    pub(super) fn answer(&mut self, reply: u64, orders: Vec<Order>, leave: ReplyLeave) {
+    pub(super) fn answer(&mut self, reply: u64, orders: Vec<Order>, keep: bool) {
         let Some(to) = self.replies.remove(&reply) else { return };
         // Checked again at the last moment: the round may have taken long.
         let now = self.clock.now();
@@ -262,8 +194,7 @@
         let (to, stops) = match to {
             ReplyTo::Worker(to, stops) => (to, stops),
             ReplyTo::Lessee(node, id) => {
-                let ReplyLeave { keep, wait } = leave;
-                self.send(node, Payload::Reply { id, token, keep, wait, orders });
+                self.send(node, Payload::Reply { id, token, keep, orders });
                 return;
             }
         };
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,6 +1,5 @@
 //! Carries out what the core decides: answers, direct commands, transactions, requests to the cloud.
 
-use super::checkins::ReplyLeave;
 use super::cloud_driver::{CloudRequest, Gate};
 use super::finished_tasks::done_changes;
 use super::live_jobs::sweep;
@@ -37,9 +36,7 @@
     /// Carries out one effect of the core.
     pub(super) fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { reply, orders, keep, wait } => {
-                self.answer(reply, orders, ReplyLeave { keep, wait });
-            }
+            Effect::Answer { reply, orders, keep } => self.answer(reply, orders, keep),
             Effect::Wake { node, machine } => {
                 self.send(node, Payload::Wake(vec![machine]));
             }
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -126,10 +126,7 @@
                     let _ = to.send(CheckinReply::Elsewhere(None));
                 }
                 ReplyTo::Lessee(node, id) => {
-                    self.send(
-                        node,
-                        Payload::Reply { id, token: None, keep: false, wait: false, orders: Vec::new() },
-                    );
+                    self.send(node, Payload::Reply { id, token: None, keep: false, orders: Vec::new() });
                 }
             }
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -27,7 +27,7 @@
 use crate::record_versions::RecordVersions;
 use crate::settings::Settings;
 use crate::store::Store;
-use checkins::{OpenReport, PassedOn, ReplyTo};
+use checkins::{PassedOn, ReplyTo};
 use cloud_driver::CloudRequest;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -84,8 +84,6 @@
     /// The workers that report here while another node leads.
     block: Block,
     passed_on: BTreeMap<u64, PassedOn>,
-    /// Reports of this node's block that wait for a command, by machine.
-    open_reports: BTreeMap<String, OpenReport>,
     /// Tasks that only run while this node leads.
     leading: Vec<JoinHandle<()>>,
     cloud_queue: Option<mpsc::UnboundedSender<CloudRequest>>,
--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -186,7 +186,6 @@
     /// One round within its budget of decision steps. What it could not reach is taken up by the next round.
     pub fn round(&mut self) {
         self.note_typical_work();
-        self.note_smallest_task();
         let order = self.order();
         let mut steps = 0;
         let mut capacity = self.capacity(&order, &mut steps);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -7,7 +7,6 @@
 pub mod fleet;
 pub mod gang;
 pub mod model;
-pub mod open_reports;
 pub mod overview;
 pub mod place;
 pub mod plan;
@@ -41,8 +40,6 @@
     pub rentals_at_once: usize,
     /// For how long a lessee may go on by itself, in microseconds; 0: there are no others.
     pub block_lease: u64,
-    /// How much later a report that says nothing new may be answered, in microseconds (`limits::report_wait`).
-    pub report_wait: u64,
 }
 
 /// A job as the state service has it.
@@ -162,8 +159,6 @@
         orders: Vec<Order>,
         /// The node that passed the report on may answer the next ones by itself if they say nothing new.
         keep: bool,
-        /// And it may let them wait for a command, since the machine has free capacity.
-        wait: bool,
     },
     /// A lessee is to pass this machine's next report on.
     Wake {
@@ -207,13 +202,6 @@
     Deposed(u64),
 }
 
-impl Effect {
-    /// The answer to a report for whose commands nobody waits.
-    fn nothing_to_say(reply: u64) -> Self {
-        Effect::Answer { reply, orders: Vec::new(), keep: false, wait: false }
-    }
-}
-
 /// What this leader knows of a lessee.
 #[derive(Debug, Default, Clone, Copy)]
 struct Lessee {
@@ -245,7 +233,6 @@
     pub steps: u64,
     /// Check-ins whose reports brought news: answered by the next round, which may have a start for them.
     held: Vec<(u64, String)>,
-    open_reports: open_reports::OpenReports,
     expire_due: u64,
     /// Kinds of machine (type, zone, spot) of which earlier leaders' have not all reported.
     unreconciled: BTreeSet<fleet::Offer>,
@@ -286,7 +273,6 @@
             news: true,
             steps: 0,
             held: Vec::new(),
-            open_reports: open_reports::OpenReports::default(),
             expire_due: 0,
             unreconciled: BTreeSet::new(),
             attempts: 0,
@@ -330,9 +316,9 @@
         let held = self.news && self.loaded;
         let replies = if held { Vec::new() } else { std::mem::take(&mut self.held) };
         for (reply, machine) in replies {
-            self.answer_or_wait(reply, &machine);
+            let (orders, keep) = self.answer(&machine);
+            self.effects.push(Effect::Answer { reply, orders, keep });
         }
-        self.answer_open_reports();
         std::mem::take(&mut self.effects)
     }
 
@@ -394,18 +380,18 @@
         if let Some(machine) = self.machines.get_mut(&name).filter(|_| taken != Taken::Late) {
             machine.comes_by(via, now);
         }
-        if taken != Taken::Late {
-            self.close_open_report(&name);
-        }
         match taken {
             Taken::News => {
                 self.news = true;
                 self.held.push((reply, name));
             }
-            Taken::Unchanged => self.answer_or_wait(reply, &name),
+            Taken::Unchanged => {
+                let (orders, keep) = self.answer(&name);
+                self.effects.push(Effect::Answer { reply, orders, keep });
+            }
             // A copy, or a machine that is gone: nobody waits for commands, and no lease hangs on it.
             Taken::Late => {
-                self.effects.push(Effect::nothing_to_say(reply));
+                self.effects.push(Effect::Answer { reply, orders: Vec::new(), keep: false });
             }
         }
     }
--- a/src/leadership_tests.rs
+++ b/src/leadership_tests.rs
@@ -622,7 +622,7 @@
             if let Some(stops) = self.leads(leader, &report).filter(|_| leads && loaded) {
                 self.nodes[leader].ledger.answered.insert(w, (at_leader, self.now));
                 let keep = stops.is_empty();
-                self.nodes[node].block.passed(now, report, token, keep, false);
+                self.nodes[node].block.passed(now, report, token, keep);
                 return Some((token, job_ids(stops)));
             }
         }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -354,17 +354,7 @@
 /// Connecting to anything here: round trips are a few milliseconds.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// A worker gives an answer 4 s; later ones are useless.
-pub const CHECKIN_TIMEOUT: Duration = Duration::from_millis(3_500);
-
-/// A report that says nothing new, of a machine with free capacity, is answered up to this much later (a long
-/// poll), so that a start that is decided meanwhile reaches it at once. The next report is due three quarters of an
-/// interval after this one at the earliest and must not be put off; and with the time that a report may take on its
-/// way from a lessee to the leader the worker must still be waiting.
-pub fn report_wait(report_s: f64) -> u64 {
-    micros(report_s * 0.6).min(REPORT_WAIT_MOST)
-}
-/// With `RELAY_PATIENCE` after it, within `CHECKIN_TIMEOUT`.
-const REPORT_WAIT_MOST: u64 = 1_900_000;
+pub const CHECKIN_TIMEOUT: Duration = Duration::from_secs(3);
 /// Idle user and worker connections are closed after this, so that dead ones free their socket.
 pub const IDLE_CONNECTION: Duration = Duration::from_secs(60);
 /// Share of the state service's request limit that one node spends on users' requests.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -15,8 +15,6 @@
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
 /// The last digits are the version of these layouts.
-/// Of a reply's flags: the reports may wait for a command. The lowest bit is leave to answer them.
-const REPLY_WAIT: u32 = 2;
 const MAGIC: u32 = 0x444b_5003;
 
 /// The head of every frame; `length` bytes follow it.
@@ -139,8 +137,6 @@
         id: u64,
         token: Option<u64>,
         keep: bool,
-        /// They may wait for a command.
-        wait: bool,
         orders: Vec<Order>,
     },
     /// Machines whose next report is to be passed on.
@@ -377,11 +373,10 @@
             (head.kind, head.stamp, head.state_age) = (REPORT, (*id).into(), (*stamp).into());
             write_report(report, &mut body);
         }
-        Payload::Reply { id, token, keep, wait, orders } => {
+        Payload::Reply { id, token, keep, orders } => {
             (head.kind, head.stamp) = (REPLY, (*id).into());
             head.token = token.unwrap_or(0).into();
-            // An earlier version takes whatever is not 0 for leave to answer, and lets nothing wait.
-            head.workers = (u32::from(*keep) | if *wait { REPLY_WAIT } else { 0 }).into();
+            head.workers = u32::from(*keep).into();
             orders.iter().for_each(|order| body.extend_from_slice(order_line(order).as_bytes()));
         }
         Payload::Wake(machines) => {
@@ -461,8 +456,7 @@
             let lines = <[OrderLine]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
             let orders = lines.iter().map(order_of).collect::<Result<_, _>>()?;
             let token = (token > 0).then_some(token);
-            let flags = head.workers.get();
-            Payload::Reply { id: stamp, token, keep: flags != 0, wait: flags & REPLY_WAIT != 0, orders }
+            Payload::Reply { id: stamp, token, keep: head.workers.get() != 0, orders }
         }
         WAKE => Payload::Wake(read_names(rest)?),
         HEARD => {
@@ -655,10 +649,9 @@
             Order::Stop { id, attempt: 5, grace_s: 4.5 },
             Order::Forget { id, attempt: 4 },
         ];
-        let reply = Payload::Reply { id: 9, token: Some(41), keep: true, wait: true, orders: orders.clone() };
+        let reply = Payload::Reply { id: 9, token: Some(41), keep: true, orders: orders.clone() };
         let reply = encode(sender, 2, &reply);
-        let Payload::Reply { id: 9, token: Some(41), keep: true, wait: true, orders: back } =
-            decode(&reply).unwrap().3
+        let Payload::Reply { id: 9, token: Some(41), keep: true, orders: back } = decode(&reply).unwrap().3
         else {
             panic!()
         };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,7 +26,6 @@
         record_machines: 3,
         rentals_at_once: 10,
         block_lease: 0,
-        report_wait: 0,
     }
 }
 
--- a/tests/core_rules.rs
+++ b/tests/core_rules.rs
@@ -79,7 +79,6 @@
         teams: deployment.teams.clone(),
         zones: deployment.zones.clone(),
         block_lease: BLOCK_LEASE,
-        report_wait: limits::report_wait(1.0),
         ..common::config()
     }
 }
@@ -556,13 +555,13 @@
     fn carry_out(&mut self, effect: Effect) {
         let soon = self.now + self.rng.random_range(1..3) * STEP;
         match effect {
-            Effect::Answer { reply, orders, keep, wait } => {
+            Effect::Answer { reply, orders, keep } => {
                 if let Some((node, report)) = self.passed_on.remove(&reply) {
                     let lessee = &mut self.lessees[node];
                     if self.now < lessee.cut_until {
                         return;
                     }
-                    lessee.block.passed(self.now, report, self.token, keep, wait);
+                    lessee.block.passed(self.now, report, self.token, keep);
                 }
                 // Nobody waits for the answer to a copy.
                 let Some(name) = self.replies.remove(&reply) else { return };
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -68,7 +68,7 @@
         ("release", leadership(Message::Release { token: 4, successor: 1 })),
         ("summary", Payload::Summary(vec![(412, 3, 1), (413, 0, 0)])),
         ("report", Payload::Report { id: 9, stamp: 11, report }),
-        ("reply", Payload::Reply { id: 9, token: Some(41), keep: true, wait: false, orders }),
+        ("reply", Payload::Reply { id: 9, token: Some(41), keep: true, orders }),
         ("wake", Payload::Wake(machines.clone())),
         ("heard", Payload::Heard { id: 3, stamp: 4, whole: true, fresh: false, machines }),
         ("confirmed", Payload::Confirmed { id: 3, lease_ms: 20_000 }),
