--- a/src/core/consolidate.rs
+++ b/src/core/consolidate.rs
@@ -19,8 +19,12 @@
     /// first, as far as the other machines have room for what runs on them and for what waits.
     pub fn mark_surplus(&mut self) {
         self.machines.values_mut().for_each(|m| m.surplus = false);
-        let Some(shape) = self.critical_shape() else { return };
-        let elastic = self.largest(|j| j.spec.spot).unwrap_or(shape);
+        // Without critical services nothing is held back for them, and ordinary machines are needed only for work
+        // that may not use spot machines: a deployment of arrays alone kept its ordinary machines for ever.
+        let fixed = self.critical_shape().or_else(|| self.largest(|j| !j.spec.spot));
+        let elastic = self.largest(|j| j.spec.spot);
+        let Some(elastic) = elastic.or(fixed) else { return };
+        let shape = fixed.unwrap_or(elastic);
         let mut candidates: Vec<(usize, String)> = Vec::new();
         for zone in &self.config.zones {
             candidates.extend(self.beyond_need(zone, &shape));
