--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -33,6 +33,8 @@
     lowest: Option<Priority>,
     /// In which order jobs yield, worked out when somebody asks for it.
     yielding: Option<Arc<[JobId]>>,
+    /// Some job may not use spot machines.
+    fixed_work: bool,
     /// What each team uses.
     pub(super) teams: TeamUsage,
 }
@@ -159,6 +161,7 @@
                 .map(|j| j.spec.priority)
                 .min(),
             yielding: None,
+            fixed_work: self.jobs.values().any(|j| !j.over && !j.spec.spot),
             teams: self.team_usage(),
         };
         for machine in self.machines.values() {
@@ -336,7 +339,7 @@
             {
                 continue;
             }
-            let (mut base, emptiness) = place::cost(job, machine, free);
+            let (mut base, emptiness) = place::cost(job, machine, free, capacity.fixed_work);
             // All of a gang wait for the last of them: machines whose next report is due come first.
             if job.spec.kind == Kind::Gang {
                 base[2] += 2 * self.report_due_s(machine);
--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -61,13 +61,14 @@
 }
 
 /// Smaller is better. Work that may use spot machines leaves the ordinary ones to those that may
-/// not; a warm image saves the fetch; full machines are filled first so that others empty. The first
-/// part stays the same for every further task of the job that is put there.
-pub fn cost(job: &Job, machine: &Machine, room: &Resources) -> ([i64; 3], i64) {
-    let kind = i64::from(job.spec.spot && !machine.spot);
+/// not, where there are any (`fixed_work`); a warm image saves the fetch; full machines are filled first so that
+/// others empty. The first part stays the same for every further task of the job that is put there.
+pub fn cost(job: &Job, machine: &Machine, room: &Resources, fixed_work: bool) -> ([i64; 3], i64) {
+    let dearer = job.spec.spot && !machine.spot;
+    let kind = i64::from(dearer && fixed_work);
     let cold = machine.fetches(&job.spec.image);
-    let surplus = i64::from(machine.surplus);
-    ([kind, cold, surplus], emptiness(job, room))
+    let last_resort = i64::from(machine.surplus) + i64::from(dearer);
+    ([kind, cold, last_resort], emptiness(job, room))
 }
 
 /// What a task would leave of the room.
