--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -332,7 +332,10 @@
         let mut by_zone: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
         for (name, free) in &capacity.free {
             let Some(machine) = self.machines.get(name).filter(|_| needs.fits(free)) else { continue };
+            // One under suspicion has nowhere else to go.
+            let failed_here = !job.is_suspected() && job.failed_on.contains(name);
             if !place::allowed(job, machine)
+                || failed_here
                 || machine.surplus && job.spec.spot
                 || machine.slow_until > self.now && job.spec.kind != Kind::Service
                 || pinned.as_ref().is_some_and(|z| *z != machine.zone)
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -4,6 +4,7 @@
 pub mod consolidate;
 pub mod elastic;
 pub mod failure_detection;
+pub mod faults;
 pub mod fleet;
 pub mod gang;
 pub mod model;
--- a/src/core/model.rs
+++ b/src/core/model.rs
@@ -354,7 +354,10 @@
     pub rescaled: u64,
     /// The width that it was last given.
     pub width: u32,
-    pub errors: u32,
+    /// How often it failed while it was under suspicion: each time it waits twice as long.
+    pub failures: u32,
+    /// Machines on which its tasks failed since one of them last finished.
+    pub failed_on: BTreeSet<String>,
     pub paused_until: u64,
     /// Run times of its finished tasks: sum in microseconds, and how many.
     pub ran: (u64, u64),
@@ -385,7 +388,8 @@
             over: false,
             rescaled: 0,
             width: 0,
-            errors: 0,
+            failures: 0,
+            failed_on: BTreeSet::new(),
             paused_until: 0,
             ran: (0, 0),
             ended_attempt: 0,
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -267,27 +267,12 @@
                         job.waiting.retain(|task| !ended.contains(task));
                         job.uncommitted.extend(ended);
                         job.uncommitted_since.get_or_insert(now);
-                        job.errors = 0;
                     }
                 }
+                self.note_success(id.job_id);
             }
             ExitReason::Error | ExitReason::Unknown if !intended => {
-                if let Some(job) = self.jobs.get_mut(&id.job_id) {
-                    // A job that fails everywhere must not loop hot.
-                    job.errors += 1;
-                    let pause = limits::JOB_PAUSE << (job.errors - 1).min(10);
-                    job.paused_until = now + pause.min(limits::JOB_PAUSE_MAX);
-                }
-                if let Some(machine) = self.machines.get_mut(name).filter(|_| reason == ExitReason::Error) {
-                    machine.errors.insert(id.job_id);
-                    if machine.errors.len() as u32 >= limits::MACHINE_ERRORS && !machine.draining {
-                        warn!(machine = name, "tasks of different jobs fail on it: replacing it");
-                        machine.draining = true;
-                    } else {
-                        // Other machines first: mostly the machine is at fault.
-                        machine.no_room_until = now + limits::NO_ROOM_PAUSE;
-                    }
-                }
+                self.note_failure(name, id.job_id, reason == ExitReason::Error);
             }
             // Stopped, or it found its mates gone or never come: the attempt is over for all of a gang.
             ExitReason::Stopped => {
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -180,8 +180,11 @@
 pub const FETCH_PATIENCE: u64 = 40_000_000;
 /// Room of a stop that is not confirmed this long after its grace is not counted on any more.
 pub const STOP_PATIENCE: u64 = 4_000_000;
-/// Errors of different jobs on one machine after which it is replaced.
-pub const MACHINE_ERRORS: u32 = 2;
+/// Failures of so many jobs on one machine, none of them under suspicion itself, after which it is replaced.
+pub const MACHINE_ERRORS: usize = 2;
+/// A job of which nothing has finished is under suspicion once it has failed on so many machines: two faulty ones
+/// in a row are chance where one in thirty is faulty, three hardly.
+pub const JOB_FAULT_MACHINES: usize = 3;
 /// First pause of a job whose task failed; doubles up to the longest.
 pub const JOB_PAUSE: u64 = 2_000_000;
 pub const JOB_PAUSE_MAX: u64 = 60_000_000;
