--- /dev/null
+++ b/src/blocks_tests.rs
@@ -0,0 +1,133 @@
+//! Tests of `blocks`.
+
+use super::*;
+use crate::core::model::{JobId, TaskId, TaskStatus};
+use crate::limits::SECOND;
+
+const LEASE: u64 = 20 * SECOND;
+
+fn report(sequence: u64, tasks: u32) -> Report {
+    let task = |task| ReportedTask {
+        id: TaskId { job_id: JobId(1), task },
+        attempt: 1,
+        status: TaskStatus::Running,
+    };
+    Report {
+        machine: "m-1".into(),
+        address: String::new(),
+        machine_type: "m".into(),
+        zone: "a".into(),
+        spot: false,
+        session: 1,
+        sequence,
+        token: 4,
+        notice_s: None,
+        tasks: (0..tasks).map(task).collect(),
+    }
+}
+
+/// A lessee whose lease runs from one second on.
+fn block() -> Block {
+    let mut block = Block::new(8);
+    block.follow(4);
+    let heartbeat = block.tell(SECOND).unwrap();
+    assert_eq!(block.answers(SECOND, &report(1, 2), true), None);
+    block.confirmed(heartbeat.id, LEASE);
+    assert_eq!(block.answers(SECOND, &report(1, 2), true), None);
+    block.passed(SECOND, report(1, 2), 4, true);
+    block
+}
+
+#[test]
+fn only_what_says_nothing_new_is_answered_without_the_leader() {
+    let mut block = block();
+    assert_eq!(block.answers(2 * SECOND, &report(2, 2), true), Some(4));
+    assert_eq!(block.answers(3 * SECOND, &report(3, 3), true), None, "a new task");
+    assert_eq!(block.answers(3 * SECOND, &Report { notice_s: Some(9.0), ..report(3, 2) }, true), None);
+    assert_eq!(block.answers(3 * SECOND, &Report { session: 2, ..report(1, 2) }, true), None);
+    // A worker that has seen a later leader's token would drop ours and sit here without a lease.
+    assert_eq!(block.answers(3 * SECOND, &Report { token: 5, ..report(3, 2) }, true), None);
+    block.wake(&["m-1".into()]);
+    assert_eq!(block.answers(3 * SECOND, &report(3, 2), true), None, "the leader has something for it");
+}
+
+#[test]
+fn without_a_leader_workers_live_on_until_the_block_lease_ends() {
+    let mut block = block();
+    assert_eq!(block.answers(3 * SECOND, &report(2, 2), false), Some(4));
+    // With news it tries the other nodes once: perhaps they hear the leader.
+    assert_eq!(block.answers(3 * SECOND, &report(3, 3), false), None);
+    // Behind a cut it hung at both of them, four seconds each and a second's pause; sent away again at
+    // once it would lose its lease.
+    assert_eq!(block.answers(14 * SECOND, &report(4, 3), false), Some(4));
+    assert_eq!(block.answers(17 * SECOND, &report(5, 3), false), Some(4));
+    // What changed meanwhile is passed on as soon as there is a leader.
+    assert_eq!(block.answers(18 * SECOND, &report(6, 3), true), None);
+    assert_eq!(block.answers(SECOND + LEASE, &report(7, 2), false), None);
+}
+
+/// Two thirds of a cut zone's workers had reported to nodes outside it, and came to the one inside, which
+/// did not know them and let their leases run out.
+#[test]
+fn without_a_leader_workers_that_come_from_other_nodes_are_kept_alive_too() {
+    let mut block = block();
+    let stranger = Report { machine: "m-2".into(), ..report(9, 1) };
+    assert_eq!(block.answers(2 * SECOND, &stranger, true), None, "the leader decides while it is heard");
+    assert_eq!(block.answers(8 * SECOND, &stranger, false), Some(4));
+    // Its token must be ours: one that has seen none, or an earlier one, holds nothing that we may keep.
+    assert_eq!(block.answers(8 * SECOND, &Report { token: 3, ..stranger }, false), None);
+    assert_eq!(block.tell(9 * SECOND).unwrap().machines, ["m-2"]);
+}
+
+#[test]
+fn a_lease_runs_on_from_when_the_leader_was_told_and_only_if_it_confirmed() {
+    let mut block = block();
+    assert!(block.answers(3 * SECOND, &report(2, 2), true).is_some());
+    let heartbeat = block.tell(4 * SECOND).unwrap();
+    assert!(heartbeat.whole);
+    assert_eq!(heartbeat.machines, ["m-1"]);
+    let late = SECOND + LEASE;
+    assert_eq!(block.answers(late, &report(3, 2), true), None, "not confirmed");
+    block.confirmed(heartbeat.id, LEASE);
+    assert_eq!(block.answers(late, &report(4, 2), true), Some(4));
+    assert_eq!(block.answers(4 * SECOND + LEASE, &report(5, 2), true), None);
+}
+
+/// The leader takes a heartbeat as proof that nobody else was answered before it: what it has not confirmed
+/// must be in the next one, since a frame may be lost with its connection.
+#[test]
+fn a_word_names_whoever_was_answered_since_the_last_one_that_was_confirmed() {
+    let mut block = block();
+    assert!(block.answers(2 * SECOND, &report(2, 2), true).is_some());
+    let lost = block.tell(3 * SECOND).unwrap();
+    let next = block.tell(5 * SECOND).unwrap();
+    assert_eq!((lost.machines, &next.machines), (vec!["m-1".to_string()], &vec!["m-1".to_string()]));
+    // Answered again after that heartbeat left: the confirmation does not cover it.
+    assert!(block.answers(5 * SECOND, &report(3, 2), true).is_some());
+    block.confirmed(next.id, LEASE);
+    let last = block.tell(7 * SECOND).unwrap();
+    assert_eq!(last.machines, ["m-1"]);
+    block.confirmed(last.id, LEASE);
+    assert!(block.tell(9 * SECOND).unwrap().machines.is_empty());
+}
+
+#[test]
+fn a_new_leader_hears_of_every_machine_anew() {
+    let mut block = block();
+    block.follow(5);
+    let report = |sequence| Report { token: 5, ..report(sequence, 2) };
+    assert_eq!(block.answers(2 * SECOND, &report(2), false), None, "its lease was the last leader's");
+    let heartbeat = block.tell(2 * SECOND).unwrap();
+    block.confirmed(heartbeat.id, LEASE);
+    assert_eq!(block.answers(2 * SECOND, &report(2), true), None);
+    // An answer of the last leader's that was under way leases nothing any more.
+    block.passed(2 * SECOND, report(2), 4, true);
+    assert_eq!(block.answers(2 * SECOND, &report(3), true), None);
+}
+
+#[test]
+fn a_copy_counts_for_nothing() {
+    let mut block = block();
+    assert_eq!(block.answers(2 * SECOND, &report(1, 2), true), Some(4));
+    assert!(block.tell(4 * SECOND).unwrap().machines.is_empty(), "the machine was not heard");
+}
--- /dev/null
+++ b/src/peer_tests.rs
@@ -0,0 +1,89 @@
+//! Tests of `peer`.
+
+use super::*;
+
+#[test]
+fn frames_survive_the_trip_and_garbage_does_not() {
+    let sender = Sender { node: 2, incarnation: 77 };
+    let status = Status { state_age: 5, workers: 9, machines: 0, attests: true };
+    for message in [
+        Message::Heartbeat { token: 4, sent: 11 },
+        Message::Grant { token: 4, echo: 11 },
+        Message::PromiseRequest { sent: 3 },
+        Message::Promise { echo: 3 },
+        Message::Release { token: 4, successor: 1 },
+    ] {
+        let bytes = encode(sender, 6, &Payload::Leadership(status, message));
+        let (node, incarnation, sequence, payload) = decode(&bytes).unwrap();
+        assert_eq!((node, incarnation, sequence), (2, 77, 6));
+        assert!(matches!(payload, Payload::Leadership(s, m) if s == status && m == message));
+        assert!(decode(&bytes[..bytes.len() - 1]).is_err());
+    }
+    let bytes = encode(sender, 1, &Payload::Summary(vec![(412, 3, 1), (413, 0, 0)]));
+    assert!(matches!(decode(&bytes).unwrap().3, Payload::Summary(l) if l == [(412, 3, 1), (413, 0, 0)]));
+    for (at, wrong) in [(8, 99), (0, bytes[0] ^ 1), (4, bytes[4] + 1)] {
+        let mut bytes = bytes.clone();
+        bytes[at] = wrong;
+        assert!(decode(&bytes).is_err(), "byte {at}");
+    }
+}
+
+#[test]
+fn reports_and_orders_survive_the_trip_and_any_cut_of_them_is_refused() {
+    let sender = Sender { node: 1, incarnation: 7 };
+    let id = TaskId { job_id: JobId(412), task: 3 };
+    let report = Report {
+        machine: "m-000231".into(),
+        address: "10.1.0.232:9000".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 2,
+        sequence: 88,
+        token: 41,
+        notice_s: Some(12.5),
+        tasks: (0..9).map(|code| ReportedTask { id, attempt: 5, status: status_of(code).unwrap() }).collect(),
+    };
+    assert!(carries(&report));
+    let bytes = encode(sender, 1, &Payload::Report { id: 9, stamp: 11, report: report.clone() });
+    let Payload::Report { id: 9, stamp: 11, report: back } = decode(&bytes).unwrap().3 else { panic!() };
+    assert_eq!(format!("{back:?}"), format!("{report:?}"));
+    let orders = vec![
+        Order::Start { id, attempt: 6 },
+        Order::Stop { id, attempt: 5, grace_s: 4.5 },
+        Order::Forget { id, attempt: 4 },
+    ];
+    let reply = Payload::Reply { id: 9, token: Some(41), keep: true, orders: orders.clone() };
+    let reply = encode(sender, 2, &reply);
+    let Payload::Reply { id: 9, token: Some(41), keep: true, orders: back } = decode(&reply).unwrap().3
+    else {
+        panic!()
+    };
+    assert_eq!(back, orders);
+    let heard = Payload::Heard {
+        id: 3,
+        stamp: 4,
+        whole: true,
+        fresh: false,
+        machines: vec!["m-1".into(), "m-22".into()],
+    };
+    let heard = encode(sender, 3, &heard);
+    assert!(matches!(decode(&heard).unwrap().3, Payload::Heard { machines, .. } if machines.len() == 2));
+    // A frame whose head promises less than its body holds is refused as well as a short one.
+    for whole in [bytes, reply, heard] {
+        for cut in size_of::<Head>()..whole.len() {
+            let mut part = whole[..cut].to_vec();
+            let length = (cut - size_of::<Head>()) as u32;
+            part[4..8].copy_from_slice(&length.to_le_bytes());
+            let shorter = decode(&part);
+            let fewer = matches!(
+                &shorter,
+                Ok((.., Payload::Reply { orders, .. })) if orders.len() < 3
+            ) || matches!(
+                &shorter,
+                Ok((.., Payload::Heard { machines, .. })) if machines.len() < 2
+            );
+            assert!(shorter.is_err() || fewer, "cut at {cut}");
+        }
+    }
+}
--- /dev/null
+++ b/src/settings_tests.rs
@@ -0,0 +1,40 @@
+//! Tests of `settings`.
+
+use super::*;
+
+#[test]
+fn operator_file_names_the_line() {
+    let file = Path::new("op.scm");
+    let good = Operator::parse("((rescale-gap-s 4)\n (reserve-services 3))", file).unwrap();
+    assert_eq!((good.rescale_gap_s, good.reserve_services, good.idle_s), (4.0, 3, 25.0));
+    for (text, says) in [
+        ("((idle-s 4)\n (nonsense 1))", "op.scm: line 2: unknown key `nonsense`"),
+        ("((idle-s -1))", "op.scm: line 1: `idle-s` must be 0 or more"),
+        ("((reserve-services 1.5))", "whole number"),
+        ("((idle-s", "line 1"),
+        ("7", "expected a list"),
+    ] {
+        let error = Operator::parse(text, file).unwrap_err().to_string();
+        assert!(error.contains(says), "{text}: {error}");
+    }
+}
+
+#[test]
+fn settings_name_the_field() {
+    let text = r#"{"node_name":"a","site":"z","public_addr":"127.0.0.1:1","peer_bind":"127.0.0.1:2",
+        "external":{"cloud":"127.0.0.1:3","state":"127.0.0.1:4"},
+        "deployment":{"zones":["z"],"teams":[{"name":"t"}],
+        "workers":{"report_s":1.0,"lease_s":10.0,"cancel_s":40.0},
+        "state":{"rps":150,"write_rps":40,"value_kb":8,"txn_ops":12},"cloud":{"rps":2,"list_lag_s":8}}}"#;
+    let file = Path::new("s.json");
+    assert!(Settings::parse(text, file).is_ok());
+    for (from, to, says) in [
+        ("\"lease_s\":10.0", "\"lease_s\":0.5", "deployment.workers.lease_s"),
+        ("\"rps\":150", "\"rps\":\"x\"", "deployment.state.rps"),
+        ("127.0.0.1:4", "nowhere", "external.state"),
+        ("\"zones\":[\"z\"]", "\"zones\":[]", "deployment.zones"),
+    ] {
+        let error = Settings::parse(&text.replace(from, to), file).unwrap_err().to_string();
+        assert!(error.contains(says), "{says}: {error}");
+    }
+}
--- a/tests/core_rules.rs
+++ b/tests/core_rules.rs
@@ -26,6 +26,8 @@
     boot_s: std::ops::Range<u64>,
     /// Arrays of three priorities, so that they preempt one another.
     mixed_priorities: bool,
+    /// Some jobs are critical services.
+    services: bool,
     /// How long a write to the state service may take, in steps.
     write_steps: std::ops::Range<u64>,
 }
@@ -39,6 +41,7 @@
             machines: 14,
             boot_s: 3..8,
             mixed_priorities: false,
+            services: true,
             write_steps: 1..3,
         }
     }
@@ -60,6 +63,12 @@
         }
     }
 
+    /// So many zones, and nothing critical.
+    fn without_services(zones: usize) -> Self {
+        let zones = ["a", "b", "c", "d", "e"][..zones].iter().map(|zone| zone.to_string()).collect();
+        Deployment { zones, services: false, ..Deployment::of_one_team(0.0) }
+    }
+
     /// Machines are up within two seconds, and writes lag for up to four.
     fn of_quick_machines() -> Self {
         Deployment { boot_s: 0..2, write_steps: 1..40, ..Deployment::of_one_team(0.0) }
@@ -95,7 +104,7 @@
 }
 
 fn job(rng: &mut SmallRng, job_id: u64, deployment: &Deployment) -> JobSpec {
-    let service = rng.random_bool(0.3);
+    let service = deployment.services && rng.random_bool(0.3);
     let kinds = [Kind::Array, Kind::Array, Kind::Gang];
     let kind = if service { Kind::Service } else { kinds[rng.random_range(0..3)] };
     let lower = [Priority::Low, Priority::Normal, Priority::High];
@@ -909,6 +918,13 @@
     play_all(200..240, Deployment::of_four_teams());
 }
 
+/// What is derived from critical services, from two zones or from GPUs must be nothing where there are none.
+#[test]
+fn one_zone_or_five_without_services_are_served_like_two_with_them() {
+    play_all(400..415, Deployment::without_services(1));
+    play_all(420..435, Deployment::without_services(5));
+}
+
 #[test]
 fn machines_that_are_up_at_once_are_known_to_the_next_leader_though_writes_lag() {
     play_all(300..330, Deployment::of_quick_machines());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The limits that the state service will have.
+//! The platform's settings: the limits that the state service will have, teams.
 
 use dockpier::settings::Settings;
 use std::path::Path;
@@ -39,3 +39,29 @@
         assert!(error.contains(says), "{says}: {error}");
     }
 }
+
+fn with_teams(teams: &str) -> Result<Settings, String> {
+    let text = SETTINGS.replace("NEXT", "").replace(r#"[{"name":"t"}]"#, teams);
+    Settings::parse(&text, Path::new("s.json")).map_err(|e| e.to_string())
+}
+
+#[test]
+fn teams_that_contradict_themselves_name_the_field() {
+    for good in [
+        r#"[{"name":"t","cpus":700.0,"cpus_max":2500.0},{"name":"u"}]"#,
+        r#"[{"name":"t","cpus":700.0,"cpus_max":0.0,"gpus":2.0,"gpus_max":2.0}]"#,
+    ] {
+        assert!(with_teams(good).is_ok(), "{good}: {:?}", with_teams(good).err());
+    }
+    for (teams, says) in [
+        (r#"[{"name":"t"},{"name":"u"},{"name":"t"}]"#, "deployment.teams.name"),
+        (r#"[{"name":""}]"#, "deployment.teams.name"),
+        (r#"[{"name":"t","cpus":8.0,"cpus_max":4.0}]"#, "guarantee must not be above its limit"),
+        (r#"[{"name":"t","gpus":2.5,"gpus_max":2.0}]"#, "guarantee must not be above its limit"),
+        (r#"[{"name":"t","cpus_max":-1.0}]"#, "deployment.teams"),
+        (r#"[]"#, "deployment.teams"),
+    ] {
+        let error = with_teams(teams).unwrap_err();
+        assert!(error.contains("deployment.teams") && error.contains(says), "{teams}: {error}");
+    }
+}
