--- /dev/null
+++ b/tests/clusters/cluster.rs
@@ -0,0 +1,208 @@
+//! Machines of four slots whose workers report once a second.
+
+use crate::common;
+use dockpier::core::model::*;
+use dockpier::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob, StoredMachine};
+use dockpier::limits::SECOND;
+use dockpier::settings::{Operator, Team};
+use std::collections::{BTreeMap, BTreeSet};
+
+const SLOTS: f64 = 4.0;
+
+/// A task on a worker.
+struct Running {
+    attempt: u64,
+    /// The report after which it came.
+    since: u64,
+}
+
+pub struct Cluster {
+    pub core: Core,
+    config: Config,
+    now: u64,
+    sequence: u64,
+    token: u64,
+    /// Machines that are there and report.
+    pub machines: BTreeSet<usize>,
+    tasks: BTreeMap<usize, BTreeMap<TaskId, Running>>,
+    /// Machines that no command reaches.
+    pub unreachable: BTreeSet<usize>,
+    /// Machines on which every task fails, and jobs of which every task fails.
+    pub faulty_machines: BTreeSet<usize>,
+    pub faulty_jobs: BTreeSet<u64>,
+    /// For how many reports a task runs; `None`: for ever.
+    pub runs: Option<u64>,
+    pub deleted: BTreeSet<String>,
+    /// Starts, by job.
+    pub starts: BTreeMap<u64, usize>,
+}
+
+pub fn machine_name(machine: usize) -> String {
+    format!("m-{machine:06}")
+}
+
+fn machine_type() -> MachineType {
+    MachineType {
+        name: "m".into(),
+        has: Resources::offered(SLOTS, SLOTS, SLOTS),
+        price: 1.0,
+        spot_price: None,
+        boot_s: 60.0,
+        zones: vec!["a".into()],
+    }
+}
+
+fn stored(spec: JobSpec) -> StoredJob {
+    let version = spec.job_id.0;
+    StoredJob { spec, version, age: 0, done: BTreeSet::new() }
+}
+
+impl Cluster {
+    pub fn new(machines: usize, teams: Vec<Team>) -> Cluster {
+        // Machines without work are kept: here they are there to be looked at.
+        let operator = Operator { idle_s: 3_600.0, ..Operator::default() };
+        let config = Config { operator, teams, zones: vec!["a".into()], ..common::config() };
+        let mut cluster = Cluster {
+            core: Core::new(config.clone(), SECOND),
+            config,
+            now: SECOND,
+            sequence: 0,
+            token: 1,
+            machines: (0..machines).collect(),
+            tasks: BTreeMap::new(),
+            unreachable: BTreeSet::new(),
+            faulty_machines: BTreeSet::new(),
+            faulty_jobs: BTreeSet::new(),
+            runs: None,
+            deleted: BTreeSet::new(),
+            starts: BTreeMap::new(),
+        };
+        cluster.load(Vec::new(), Vec::new());
+        cluster.reports(3);
+        cluster
+    }
+
+    fn load(&mut self, jobs: Vec<StoredJob>, records: Vec<(String, Vec<StoredMachine>)>) {
+        self.step(vec![Command::Types(vec![machine_type()]), Command::Load { jobs, records }]);
+    }
+
+    /// The state service and the cloud carry out everything at once.
+    pub fn step(&mut self, batch: Vec<Command>) {
+        let mut answers = Vec::new();
+        for effect in self.core.step(self.now, batch) {
+            match effect {
+                Effect::Record { key, .. } => {
+                    answers.push(Command::Recorded { key, outcome: Outcome::Done });
+                }
+                Effect::CommitDone { job_id, tasks, .. } => {
+                    answers.push(Command::Committed { job_id, tasks, outcome: Outcome::Done });
+                }
+                Effect::Finish { job_id, .. } => {
+                    answers.push(Command::Finished { job_id, outcome: Outcome::Done });
+                }
+                Effect::Delete(machines) => {
+                    self.deleted.extend(machines.iter().cloned());
+                    answers.push(Command::Deleted { machines, outcome: Outcome::Done });
+                }
+                Effect::Answer { reply, orders, .. } => self.carry_out(reply as usize, orders),
+                _ => {}
+            }
+        }
+        if !answers.is_empty() {
+            self.step(answers);
+        }
+    }
+
+    fn carry_out(&mut self, machine: usize, orders: Vec<Order>) {
+        if self.unreachable.contains(&machine) {
+            return;
+        }
+        let tasks = self.tasks.entry(machine).or_default();
+        for order in orders {
+            match order {
+                Order::Start { id, attempt } => {
+                    tasks.insert(id, Running { attempt, since: self.sequence });
+                    *self.starts.entry(id.job_id.0).or_default() += 1;
+                }
+                Order::Stop { id, .. } | Order::Forget { id, .. } => {
+                    tasks.remove(&id);
+                }
+            }
+        }
+    }
+
+    fn status(&self, machine: usize, id: &TaskId, task: &Running) -> TaskStatus {
+        if self.faulty_machines.contains(&machine) || self.faulty_jobs.contains(&id.job_id.0) {
+            return TaskStatus::Exited(ExitReason::Error);
+        }
+        match self.runs {
+            Some(runs) if self.sequence >= task.since + runs => TaskStatus::Exited(ExitReason::Done),
+            _ => TaskStatus::Running,
+        }
+    }
+
+    fn report(&mut self, machine: usize) {
+        let tasks = self.tasks.get(&machine).into_iter().flatten();
+        let tasks = tasks.map(|(id, task)| ReportedTask {
+            id: *id,
+            attempt: task.attempt,
+            status: self.status(machine, id, task),
+        });
+        let report = Report {
+            machine: machine_name(machine),
+            address: String::new(),
+            machine_type: "m".into(),
+            zone: "a".into(),
+            spot: false,
+            session: 1,
+            sequence: self.sequence,
+            token: self.token,
+            notice_s: None,
+            tasks: tasks.collect(),
+        };
+        self.step(vec![Command::Checkin { reply: machine as u64, report, via: None }]);
+    }
+
+    pub fn reports(&mut self, rounds: usize) {
+        for _ in 0..rounds {
+            self.sequence += 1;
+            self.now += SECOND;
+            for machine in self.machines.clone() {
+                if !self.deleted.contains(&machine_name(machine)) {
+                    self.report(machine);
+                }
+            }
+            self.step(Vec::new());
+        }
+    }
+
+    pub fn submit(&mut self, spec: JobSpec) {
+        self.step(vec![Command::JobAdded(stored(spec))]);
+    }
+
+    /// The next leader knows the machines' records, and no jobs.
+    pub fn change_leader(&mut self) {
+        self.token += 1;
+        self.now += 4 * SECOND;
+        self.core = Core::new(Config { token: self.token, ..self.config.clone() }, self.now);
+        let machine = |machine: &usize| StoredMachine {
+            name: machine_name(*machine),
+            machine_type: "m".into(),
+            zone: "a".into(),
+            spot: false,
+            address: String::new(),
+            images: BTreeSet::new(),
+        };
+        let records = vec![("1-1".to_string(), self.machines.iter().map(machine).collect())];
+        self.load(Vec::new(), records);
+    }
+
+    /// Tasks of the job on workers.
+    pub fn running(&self, id: u64) -> usize {
+        self.tasks.values().flat_map(|tasks| tasks.keys()).filter(|task| task.job_id == JobId(id)).count()
+    }
+
+    pub fn is_known(&self, id: u64) -> bool {
+        self.core.jobs.contains_key(&JobId(id))
+    }
+}
--- /dev/null
+++ b/tests/clusters/main.rs
@@ -0,0 +1,8 @@
+//! The core with a small cluster of workers that carry out what they are told: teams, and tasks that fail.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod cluster;
+mod faults;
+mod teams;
