--- a/src/core/teams.rs
+++ b/src/core/teams.rs
@@ -57,8 +57,14 @@
         self.team(name).is_some_and(|team| team.cpus_max > 0.0 || team.gpus_max > 0.0)
     }
 
-    /// Counts what every team uses now: a look at every task, so once a round and not once a job.
+    /// Counts what every team uses now: a look at every task, so once a round and not once a job, and not at all
+    /// where no team has a guarantee or a limit.
     pub(super) fn team_usage(&self) -> TeamUsage {
+        let counts =
+            |team: &Team| [team.cpus, team.cpus_max, team.gpus, team.gpus_max].iter().any(|n| *n > 0.0);
+        if !self.config.teams.iter().any(counts) {
+            return TeamUsage::default();
+        }
         let mut usage = TeamUsage { unaccounted: Some(Resources::default()), ..TeamUsage::default() };
         let mut last: Option<(JobId, &str)> = None;
         for machine in self.machines.values() {
