--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -31,7 +31,7 @@
     Back(u64),
 }
 
-/// BlockHeartbeat for the leader of the machines answered here.
+/// A heartbeat for the leader of the machines answered here.
 pub struct BlockHeartbeat {
     pub id: u64,
     /// It names every machine answered since the last heartbeat that was confirmed.
@@ -142,7 +142,7 @@
         }
     }
 
-    /// BlockHeartbeat for the leader, once in a while. It repeats what was not confirmed: a frame may be lost with its
+    /// A heartbeat for the leader, once in a while. It repeats what was not confirmed: a frame may be lost with its
     /// connection, and the leader concludes from a heartbeat that nobody else was answered here before it.
     pub fn tell(&mut self, now: u64) -> Option<BlockHeartbeat> {
         if now < self.tell_due {
--- a/src/core/elastic.rs
+++ b/src/core/elastic.rs
@@ -22,7 +22,7 @@
 pub struct FreeCapacity {
     /// Machines with room for the smallest waiting task; the others take nobody.
     free: BTreeMap<String, Resources>,
-    /// FreeCapacity that stops under way will give, by machine.
+    /// Room that stops under way will give, by machine.
     pending: BTreeMap<String, Resources>,
     /// Tasks of each job that were told to stop.
     stopping: BTreeMap<JobId, u32>,
@@ -206,7 +206,7 @@
             steps += 1;
             self.consider(*job_id, false, &mut capacity, &mut steps);
         }
-        // FreeCapacity that no job outside the gap takes would lie idle: it goes to those inside.
+        // Room that no job outside the gap takes would lie idle: it goes to those inside.
         for job_id in order {
             let in_gap = self.jobs.get(&job_id).is_some_and(|j| j.waits_for == GAP && !j.waiting.is_empty());
             if in_gap && steps < budget && !capacity.free.is_empty() {
@@ -434,7 +434,7 @@
     ) -> bool {
         let Some(job) = self.jobs.get(&job_id) else { return false };
         let needs = job.spec.needs;
-        // FreeCapacity that stops under way will free counts as found, so that nobody shrinks twice for it.
+        // Room that stops under way will free counts as found, so that nobody shrinks twice for it.
         let soon = capacity.soon(&self.machines);
         // So does room whose machine is fetching for somebody else.
         let coming = self.find(job, missing, false, &soon, steps);
@@ -566,7 +566,7 @@
         self.place_on(machine, TaskId { job_id, task }, needs, image, attempt);
     }
 
-    /// FreeCapacity held back in each zone for critical services, against everyone else's tasks.
+    /// Room held back in each zone for critical services, against everyone else's tasks.
     fn reserve_room(&self, capacity: &FreeCapacity, job: &Job) -> Reserve {
         let mut reserve = Reserve { shape: None, spare: BTreeMap::new() };
         let Some(shape) = capacity.shape else { return reserve };
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -114,7 +114,7 @@
         machines: Vec<String>,
         /// Up to then it has answered nobody else; None: the list may be cut short.
         covers: Option<u64>,
-        /// Its first words: an earlier life may have answered anybody until now.
+        /// Its first heartbeats: an earlier life may have answered anybody until now.
         fresh: bool,
     },
     /// A worker's report in answer to a direct command.
