--- /dev/null
+++ b/crates/dockpier-virtual-fleet/examples/transcript/effects.rs
@@ -0,0 +1,101 @@
+//! The core's effects as lines: the kind and every field.
+
+use crate::output::{Line, Transcript};
+use crate::{drain_records, words};
+use dockpier::core::cold_start::{ColdStartReport, Phase};
+use dockpier::core::{Effect, Order};
+
+/// Writes an effect, and after it one line for each of its orders.
+pub fn write(out: &mut Transcript, at: u64, effect: &Effect) {
+    out.write(at, line(effect));
+    if let Effect::Answer { orders, .. } | Effect::Direct { orders, .. } = effect {
+        write_orders(out, at, orders);
+    }
+}
+
+/// Writes one line for each order.
+pub fn write_orders(out: &mut Transcript, at: u64, orders: &[Order]) {
+    orders.iter().for_each(|o| out.write(at, order(o)));
+}
+
+fn order(order: &Order) -> Line {
+    let of = |kind, id, attempt: u64| Line::new(kind).with("task", words::task(id)).with("attempt", attempt);
+    match order {
+        Order::Start { id, attempt } => of("start", id, *attempt),
+        Order::Stop { id, attempt, grace_s } => of("stop", id, *attempt).amount("grace_s", *grace_s),
+        Order::Forget { id, attempt } => of("forget", id, *attempt),
+    }
+}
+
+fn line(effect: &Effect) -> Line {
+    match effect {
+        Effect::Answer { reply, renewal, orders, keep } => Line::new("answer")
+            .with("reply", reply)
+            .with("renewal", words::renewal(renewal.as_ref()))
+            .with("keep", keep)
+            .with("orders", orders.len()),
+        Effect::Wake { node, machine } => Line::new("wake").with("node", node).with("machine", machine),
+        Effect::Direct { machine, address, session, orders } => Line::new("direct")
+            .with("machine", machine)
+            .with("address", address)
+            .with("session", session)
+            .with("orders", orders.len()),
+        Effect::CommitDone { job_id, version, tasks, all_done } => Line::new("commit-done")
+            .with("job", job_id.0)
+            .with("version", version)
+            .list("tasks", tasks)
+            .list("all_done", all_done),
+        Effect::Finish { job_id, version, tasks, chunks } => Line::new("finish")
+            .with("job", job_id.0)
+            .with("version", version)
+            .with("tasks", tasks)
+            .list("chunks", chunks),
+        Effect::Record { key, machines } => {
+            Line::new("record").with("key", key).list("machines", machines.iter().map(words::stored_machine))
+        }
+        Effect::Rent { request, name, machine_type, zone, spot, count } => Line::new("rent")
+            .with("request", request)
+            .optional("name", name.as_ref())
+            .with("type", machine_type)
+            .with("zone", zone)
+            .with("spot", spot)
+            .with("count", count),
+        Effect::Delete(machines) => Line::new("delete").list("machines", machines),
+        Effect::WriteDrain { key, value } => drain_records::line(key, value),
+        Effect::ReadJob { job_id } => Line::new("read-job").with("job", job_id.0),
+        Effect::WriteColdStart(report) => cold_start(report),
+        Effect::Deposed(token) => Line::new("deposed").with("token", token),
+    }
+}
+
+fn cold_start(report: &ColdStartReport) -> Line {
+    let phase = match report.phase {
+        Phase::Reconciling => "reconciling",
+        Phase::Restarting => "restarting",
+        Phase::Ended => "ended",
+    };
+    let (machines, verdicts) = (&report.machines, &report.verdicts);
+    Line::new("cold-start")
+        .with("phase", phase)
+        .with("token", report.token)
+        .with("began", report.began_ms)
+        .with("updated", report.updated_ms)
+        .optional("reconciled_after", report.reconciled_after_ms)
+        .optional("ended_after", report.ended_after_ms)
+        .with("heard", machines.heard)
+        .with("gone", machines.gone)
+        .with("unheard", machines.unheard)
+        .with("running", verdicts.running)
+        .with("finished_unrecorded", verdicts.finished_unrecorded)
+        .with("missing", verdicts.missing)
+        .with("twice", verdicts.twice)
+        .with("already_finished", verdicts.already_finished)
+        .with("unknown_job", verdicts.unknown_job)
+        .with("cannot_know_yet", verdicts.cannot_know_yet)
+        .with("orders", report.orders)
+        .with("not_ordered", report.not_ordered)
+        .with("waits_for", report.waits_for.replace(' ', "_"))
+        .optional("until", report.until_ms)
+        .list("unheard_machines", &report.unheard)
+        .list("unknown_tasks", &report.unknown_tasks)
+}
--- /dev/null
+++ b/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
@@ -0,0 +1,84 @@
+//! Actions of leadership, and the answers of its public queries, as lines.
+
+use crate::output::Line;
+use dockpier::cancellation_log::Attestation;
+use dockpier::core::model::JobId;
+use dockpier::leadership::{Action, Leadership, Message};
+
+/// So many of the newest jobs are asked about.
+const JOBS_ASKED: u64 = 10;
+
+/// An action of a node.
+pub fn action(node: usize, action: &Action) -> Line {
+    let of = |kind| Line::new(kind).with("node", node);
+    match action {
+        Action::Send(to, what) => message(node, *to, what),
+        Action::Attest(to, what) => attestation(of("attest").with("to", to), what),
+        Action::Probe => of("probe"),
+        Action::TakeOver { token, version, over_lock } => {
+            of("take-over").with("token", token).with("version", version).with("over_lock", over_lock)
+        }
+        Action::Renew { lease } => of("renew").with("lease", lease),
+        Action::Release { lease } => of("release-lease").with("lease", lease),
+        Action::Elected { token, version } => of("elected").with("token", token).with("version", version),
+        Action::Deposed { keep_until } => of("steps-down").with("keep_until", keep_until),
+    }
+}
+
+fn message(node: usize, to: usize, message: &Message) -> Line {
+    let of = |kind| Line::new(kind).with("node", node).with("to", to);
+    match message {
+        Message::Heartbeat { token, sent } => of("heartbeat").with("token", token).with("sent", sent),
+        Message::Grant { token, echo } => of("grant").with("token", token).with("echo", echo),
+        Message::PromiseRequest { sent } => of("promise-request").with("sent", sent),
+        Message::Promise { echo } => of("promise").with("echo", echo),
+        Message::Release { token, successor } => {
+            of("release").with("token", token).with("successor", successor)
+        }
+    }
+}
+
+fn attestation(line: Line, attestation: &Attestation) -> Line {
+    line.with("life", attestation.to)
+        .with("echo", attestation.echo)
+        .with("age", attestation.age)
+        .with("quiet", attestation.quiet)
+        .with("held", attestation.held)
+        .with("last", attestation.last)
+        .list("cancelled", &attestation.cancelled)
+}
+
+/// What a node answers to the public queries at this moment of its clock.
+pub fn queries(node: usize, now: u64, leadership: &Leadership) -> Line {
+    let (until, token) = leadership.acts_until(now);
+    let followed = leadership.followed(now);
+    Line::new("queries")
+        .with("node", node)
+        .with("leads", leadership.is_leader())
+        .optional("authority", leadership.authority(now))
+        .with("acts_until", until)
+        .optional("acts_with", token)
+        .optional("lease_keeper", leadership.lease_keeper(now))
+        .with("block_lease", leadership.block_lease(now))
+        .with("autonomous_until", leadership.autonomous_until(now))
+        .optional("leader_name", leadership.leader_name(now))
+        .list("followed", followed.map(|(leader, token, stamp)| format!("{leader}:{token}:{stamp}")))
+        .list("out_of_touch", leadership.out_of_touch(now))
+        .with("peer_has_state", leadership.peer_has_state(now))
+        .with("hears_a_peer", leadership.hears_a_peer(now))
+        .list("told_state_age", (0..3).map(|to| leadership.told_state_age(now, to, 9_000_000)))
+}
+
+/// What a node knows of cancellations at this moment of its clock; `last_job` is the newest job.
+pub fn cancellations(node: usize, now: u64, leadership: &Leadership, last_job: u64) -> Line {
+    let log = &leadership.cancellations;
+    let jobs = last_job.saturating_sub(JOBS_ASKED)..=last_job;
+    Line::new("cancellations")
+        .with("node", node)
+        .with("by_members", log.by_members())
+        .with("by_state", log.by_state())
+        .with("keeps_until", log.keeps_until())
+        .with("blindly", log.may_be_taken_blindly(now))
+        .list("over", jobs.clone().filter(|number| log.is_over(JobId(*number))))
+        .list("live", jobs.filter(|number| log.is_live(JobId(*number))))
+}
--- /dev/null
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -0,0 +1,336 @@
+//! Part one, second driver: the core as a leader with two lessees. Workers report to any of three controllers; the
+//! lessees are real blocks, which pass reports on (`Checkin` with `via`) and tell whom they answered (`Heard`).
+
+mod events;
+
+use crate::output::{Line, Transcript};
+use crate::worker::Worker;
+use crate::{draw, effects, words};
+use dockpier::blocks::{Block, BlockAnswer};
+use dockpier::core::cold_start::JobReading;
+use dockpier::core::model::{JobId, Kind, MachineType, Report, Resources, TaskId};
+use dockpier::core::{Command, Config, Core, Effect, ListedMachine, Outcome, StoredJob, StoredMachine};
+use dockpier::limits::{self, SECOND};
+use dockpier::settings::{Operator, Team, Workers};
+use dockpier_virtual_fleet::MACHINE_TYPE;
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use std::collections::{BTreeMap, BTreeSet};
+
+const STEP: u64 = SECOND / 10;
+const LASTS: u64 = 100 * SECOND;
+const BLOCK_LEASE: u64 = 8 * SECOND;
+const LEASE: u64 = 12 * SECOND;
+const SLOTS: f64 = 4.0;
+/// The type of machines with twice the slots.
+const LARGE: &str = "l";
+const MACHINES_MOST: usize = 16;
+/// Where the leader runs; the others are lessees.
+const LEADER: usize = 0;
+
+/// A controller that is not the leader.
+struct Lessee {
+    block: Block,
+    /// It and the leader don't reach each other until then.
+    cut_until: u64,
+}
+
+struct Day<'a> {
+    core: Core,
+    config: Config,
+    rng: SmallRng,
+    out: &'a mut Transcript,
+    now: u64,
+    lessees: Vec<Lessee>,
+    workers: BTreeMap<String, Worker>,
+    jobs: BTreeMap<JobId, StoredJob>,
+    records: BTreeMap<String, Vec<StoredMachine>>,
+    /// Reports that wait for the leader's answer, with the lessee that passed them on.
+    waiting: BTreeMap<u64, (Option<usize>, Report)>,
+    /// The newest report, and how it came.
+    newest: Option<(Option<usize>, Report)>,
+    later: Vec<(u64, Command)>,
+    replies: u64,
+    made: usize,
+    submitted: u64,
+    listed_at: u64,
+}
+
+/// Plays the leader's and the lessees' day of a seed.
+pub fn play(seed: u64, out: &mut Transcript) {
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x1e55_ee55);
+    let config = config(&mut rng);
+    let now = SECOND;
+    let lessee = |incarnation| Lessee { block: Block::new(6, incarnation), cut_until: 0 };
+    let mut day = Day {
+        core: Core::new(config.clone(), now),
+        config,
+        lessees: vec![lessee(rng.random()), lessee(rng.random())],
+        rng,
+        out,
+        now,
+        workers: BTreeMap::new(),
+        jobs: BTreeMap::new(),
+        records: BTreeMap::new(),
+        waiting: BTreeMap::new(),
+        newest: None,
+        later: Vec::new(),
+        replies: 0,
+        made: 0,
+        submitted: 0,
+        listed_at: 0,
+    };
+    for number in 0..8 {
+        let zone = day.config.zones[number % 3].clone();
+        let machine_type = if number < 6 { MACHINE_TYPE } else { LARGE };
+        day.make_machine((machine_type.into(), zone, number == 7), 0);
+    }
+    day.load();
+    while day.now < LASTS {
+        day.step();
+    }
+}
+
+fn config(rng: &mut SmallRng) -> Config {
+    let team = |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
+    let report_s = draw::one_of(rng, &[0.5, 1.0, 2.0]);
+    Config {
+        token: 1,
+        operator: Operator { reserve_services: 0, ..Operator::default() },
+        workers: Workers { report_s, lease_s: 12.0, cancel_s: 60.0, gang_wait_s: 30.0, gang_peer_s: 6.0 },
+        teams: ["t", "u", "v"].map(team).to_vec(),
+        zones: vec!["a".into(), "b".into(), "c".into()],
+        list_lag_s: 3.0,
+        round_steps: limits::ROUND_STEPS,
+        cpu_share: 1.0,
+        write_rps: 50.0,
+        record_machines: 8,
+        value_most: 4_096,
+        rentals_at_once: 4,
+        block_lease: BLOCK_LEASE,
+    }
+}
+
+impl Day<'_> {
+    /// A machine of this type, in this zone, spot or not.
+    fn make_machine(&mut self, kind: (String, String, bool), boots: u64) -> String {
+        self.made += 1;
+        let name = format!("m-{:03}", self.made);
+        let up_at = self.now + boots + self.made as u64 % 10 * STEP;
+        self.workers.insert(name.clone(), Worker::new(name.clone(), kind, self.made % 3, up_at));
+        name
+    }
+
+    fn machine_type(&self, name: &str, slots: f64, price: f64) -> MachineType {
+        MachineType {
+            name: name.into(),
+            has: Resources::offered(slots, slots, slots),
+            price,
+            spot_price: Some(price / 3.0),
+            boot_s: 4.0,
+            fetch_gb_per_s: 0.5,
+            zones: self.config.zones.clone(),
+        }
+    }
+
+    fn load(&mut self) {
+        let types =
+            vec![self.machine_type(MACHINE_TYPE, SLOTS, 1.0), self.machine_type(LARGE, 2.0 * SLOTS, 1.9)];
+        let jobs = self.jobs.values().cloned().collect();
+        let records = self.records.iter().map(|(key, machines)| (key.clone(), machines.clone())).collect();
+        self.decide(vec![Command::Types(types), Command::Load { jobs, records }]);
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        let now = self.now;
+        if self.rng.random_ratio(1, 25) {
+            self.event();
+        }
+        self.workers.retain(|_, worker| !worker.is_taken(now));
+        self.work();
+        let (due, later): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.later).into_iter().partition(|(at, _)| *at <= now);
+        self.later = later;
+        let mut batch: Vec<Command> = due.into_iter().map(|(_, command)| command).collect();
+        let names: Vec<String> = self.workers.keys().cloned().collect();
+        batch.extend(names.iter().filter_map(|name| self.report(name)));
+        batch.extend((0..self.lessees.len()).filter_map(|lessee| self.heartbeat(lessee)));
+        if now >= self.listed_at + 4 * SECOND {
+            self.listed_at = now;
+            batch.push(Command::Listed(self.list()));
+        }
+        self.decide(batch);
+    }
+
+    fn work(&mut self) {
+        let jobs = &self.jobs;
+        let runs = |id: TaskId| match jobs.get(&id.job_id) {
+            Some(job) if job.spec.kind != Kind::Service => limits::micros(job.spec.estimate_s / 3.0),
+            _ => u64::MAX,
+        };
+        self.workers.values_mut().for_each(|worker| worker.work(self.now, LEASE, runs));
+    }
+
+    /// A worker's report: answered by its lessee, or a command for the leader.
+    fn report(&mut self, name: &str) -> Option<Command> {
+        let now = self.now;
+        let worker = self.workers.get_mut(name).filter(|worker| worker.reports(now))?;
+        worker.report_due = now + limits::micros(self.config.workers.report_s);
+        let report = worker.report(now);
+        if worker.node == LEADER {
+            return Some(self.checkin(None, report));
+        }
+        let (node, Lessee { block, cut_until }) = (worker.node, &mut self.lessees[worker.node - 1]);
+        let cut = now < *cut_until;
+        let line = Line::new("block").with("node", node).with("machine", name);
+        match block.answers(now, &report, !cut) {
+            BlockAnswer::Renews(token, renewal) => {
+                worker.answered(now, token, &[]);
+                let renewal = words::renewal(Some(&renewal));
+                self.out
+                    .write(now, line.with("does", "renews").with("token", token).with("renewal", renewal));
+                None
+            }
+            BlockAnswer::Copy => {
+                self.out.write(now, line.with("does", "copy"));
+                None
+            }
+            BlockAnswer::NotOurs if cut => {
+                self.out.write(now, line.with("does", "sends-away"));
+                worker.node = (worker.node + 1) % 3;
+                None
+            }
+            BlockAnswer::NotOurs => {
+                self.out.write(now, line.with("does", "passes-on"));
+                Some(self.checkin(Some(node), report))
+            }
+        }
+    }
+
+    fn checkin(&mut self, via: Option<usize>, report: Report) -> Command {
+        self.replies += 1;
+        self.newest = Some((via, report.clone()));
+        self.waiting.insert(self.replies, (via, report.clone()));
+        Command::Checkin { reply: self.replies, report, via }
+    }
+
+    /// A lessee's heartbeat; it or its confirmation may be lost.
+    fn heartbeat(&mut self, lessee: usize) -> Option<Command> {
+        let now = self.now;
+        let (lost, unconfirmed) = (self.rng.random_bool(0.08), self.rng.random_bool(0.08));
+        let Lessee { block, cut_until } = &mut self.lessees[lessee];
+        let heartbeat = block.tell(now)?;
+        let line = Line::new("block-heartbeat")
+            .with("node", lessee + 1)
+            .with("whole", heartbeat.whole)
+            .with("fresh", heartbeat.fresh)
+            .list("machines", &heartbeat.machines);
+        self.out.write(now, line);
+        if lost || now < *cut_until {
+            return None;
+        }
+        if !unconfirmed {
+            block.confirmed(heartbeat.id, BLOCK_LEASE);
+        }
+        // What it covers lies some way back.
+        let covers = heartbeat.whole.then(|| now.saturating_sub(2 * STEP));
+        let (machines, fresh) = (heartbeat.machines, heartbeat.fresh);
+        Some(Command::Heard { node: lessee + 1, machines, covers, fresh })
+    }
+
+    fn list(&self) -> Vec<ListedMachine> {
+        let listed = self.workers.values().map(|worker| StoredMachine {
+            name: worker.name.clone(),
+            machine_type: worker.machine_type.clone(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
+            address: String::new(),
+            images: BTreeSet::new(),
+        });
+        listed.map(|machine| ListedMachine { machine, failed: false, age_s: 1_000.0 }).collect()
+    }
+
+    fn decide(&mut self, batch: Vec<Command>) {
+        let effects = self.core.step(self.now, batch);
+        for effect in &effects {
+            effects::write(self.out, self.now, effect);
+        }
+        effects.into_iter().for_each(|effect| self.carry_out(effect));
+    }
+
+    fn answer_later(&mut self, command: Command) {
+        self.later.push((self.now + STEP, command));
+    }
+
+    fn carry_out(&mut self, effect: Effect) {
+        let (now, token) = (self.now, self.config.token);
+        let outcome = self.outcome();
+        // Without an answer it is carried out all the same.
+        let carried_out = outcome != Outcome::Refused;
+        match effect {
+            Effect::Answer { reply, renewal, orders, keep } => {
+                let Some((via, report)) = self.waiting.remove(&reply) else { return };
+                if let Some(worker) = self.workers.get_mut(&report.machine).filter(|_| renewal.is_some()) {
+                    worker.answered(now, token, &orders);
+                }
+                if let Some(via) = via {
+                    self.lessees[via - 1].block.passed(now, report, token, keep);
+                }
+            }
+            Effect::Wake { node, machine } => self.lessees[node - 1].block.wake(&[machine]),
+            Effect::Direct { machine, session, orders, .. } => {
+                let Some(worker) = self.workers.get_mut(&machine) else { return };
+                if worker.take_direct(now, session, &orders) {
+                    let report = worker.report(now);
+                    self.answer_later(Command::OrdersAnswered(report));
+                }
+            }
+            Effect::Record { key, machines } => {
+                if carried_out {
+                    self.records.insert(key.clone(), machines);
+                }
+                self.answer_later(Command::Recorded { key, outcome });
+            }
+            Effect::CommitDone { job_id, tasks, .. } => {
+                if let Some(job) = self.jobs.get_mut(&job_id).filter(|_| carried_out) {
+                    job.done.extend(&tasks);
+                }
+                self.answer_later(Command::Committed { job_id, tasks, outcome });
+            }
+            Effect::Finish { job_id, .. } => {
+                self.jobs.remove(&job_id);
+                self.answer_later(Command::Finished { job_id, outcome: Outcome::Done });
+            }
+            Effect::Rent { request, machine_type, zone, spot, count, .. } => {
+                self.rent(request, (machine_type, zone, spot), count, outcome);
+            }
+            Effect::Delete(machines) => {
+                self.workers.retain(|name, _| !carried_out || !machines.contains(name));
+                self.answer_later(Command::Deleted { machines, outcome });
+            }
+            Effect::ReadJob { job_id } => {
+                let command = Command::JobRead { job_id, sent: now, reading: JobReading::Absent };
+                self.answer_later(command);
+            }
+            Effect::WriteDrain { .. } | Effect::WriteColdStart(_) | Effect::Deposed(_) => {}
+        }
+    }
+
+    fn outcome(&mut self) -> Outcome {
+        match self.rng.random_range(0..100) {
+            0..=87 => Outcome::Done,
+            88..=94 => Outcome::Refused,
+            _ => Outcome::Unknown,
+        }
+    }
+
+    fn rent(&mut self, request: u64, kind: (String, String, bool), count: u32, outcome: Outcome) {
+        let free = MACHINES_MOST.saturating_sub(self.workers.len()).min(count as usize);
+        let outcome = if free == 0 { Outcome::Refused } else { outcome };
+        let made = if outcome == Outcome::Refused { 0 } else { free };
+        let made: Vec<String> = (0..made).map(|_| self.make_machine(kind.clone(), 4 * SECOND)).collect();
+        let machines = (outcome == Outcome::Done).then_some(made);
+        self.answer_later(Command::Rented { request, machines, outcome });
+    }
+}
--- /dev/null
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees/events.rs
@@ -0,0 +1,115 @@
+//! What happens to the leader, its lessees and their workers, drawn by the seed.
+
+use super::{Day, SLOTS};
+use crate::draw;
+use crate::output::Line;
+use crate::worker::Worker;
+use dockpier::blocks::Block;
+use dockpier::core::model::JobId;
+use dockpier::core::{Command, Core, StoredJob};
+use dockpier::limits::SECOND;
+use rand::Rng;
+use std::collections::BTreeSet;
+
+impl Day<'_> {
+    /// Something happens.
+    pub(super) fn event(&mut self) {
+        let until = self.now + self.rng.random_range(SECOND..20 * SECOND);
+        let lessee = self.rng.random_range(0..self.lessees.len());
+        match self.rng.random_range(0..18) {
+            0..=4 => self.submit(),
+            5 | 6 => self.cancel(),
+            7 | 8 => self.move_worker(),
+            9 => self.with_worker("worker-silent", |worker| worker.silent_until = until),
+            10 => self.with_worker("worker-notice", |worker| worker.notice(until)),
+            11 | 12 => {
+                self.out
+                    .write(self.now, Line::new("lessee-cut").with("node", lessee + 1).with("until", until));
+                self.lessees[lessee].cut_until = until;
+                self.core.out_of_touch(self.now, std::iter::once(lessee + 1));
+            }
+            13 => {
+                self.out.write(self.now, Line::new("lessee-restarts").with("node", lessee + 1));
+                self.lessees[lessee].block = Block::new(6, self.rng.random());
+                self.lessees[lessee].block.follow(self.config.token);
+            }
+            14 => self.core.kept_alive_until(self.now),
+            15 => self.report_twice(),
+            16 => self.report_higher_token(),
+            _ => self.change_leader(),
+        }
+    }
+
+    fn submit(&mut self) {
+        if self.jobs.len() >= 8 {
+            return self.cancel();
+        }
+        self.submitted += 1;
+        let spec = draw::spec(&mut self.rng, self.submitted, &self.config.zones, SLOTS);
+        let stored = StoredJob { version: spec.job_id.0, spec, age: 0, done: BTreeSet::new() };
+        self.out.write(self.now, Line::new("submit").with("job", stored.spec.job_id.0));
+        self.jobs.insert(stored.spec.job_id, stored.clone());
+        self.decide(vec![Command::JobAdded(stored)]);
+    }
+
+    fn cancel(&mut self) {
+        let jobs: Vec<JobId> = self.jobs.keys().copied().collect();
+        if jobs.is_empty() {
+            return;
+        }
+        let job_id = draw::one_of(&mut self.rng, &jobs);
+        self.out.write(self.now, Line::new("cancel").with("job", job_id.0));
+        self.jobs.remove(&job_id);
+        self.decide(vec![Command::JobRemoved(job_id)]);
+    }
+
+    fn with_worker(&mut self, kind: &'static str, change: impl FnOnce(&mut Worker)) {
+        let names: Vec<String> = self.workers.keys().cloned().collect();
+        if names.is_empty() {
+            return;
+        }
+        let name = draw::one_of(&mut self.rng, &names);
+        self.out.write(self.now, Line::new(kind).with("machine", &name));
+        if let Some(worker) = self.workers.get_mut(&name) {
+            change(worker);
+        }
+    }
+
+    fn move_worker(&mut self) {
+        let node = self.rng.random_range(0..3);
+        self.with_worker("worker-moves", |worker| worker.node = node);
+    }
+
+    /// The newest report comes a second time, another way.
+    fn report_twice(&mut self) {
+        let Some((via, report)) = self.newest.clone() else { return };
+        self.out.write(self.now, Line::new("report-twice").with("machine", &report.machine));
+        let via = if via.is_some() { None } else { Some(1) };
+        let command = self.checkin(via, report);
+        self.decide(vec![command]);
+    }
+
+    /// A worker shows a token that this leader does not have: it is deposed.
+    fn report_higher_token(&mut self) {
+        let Some(worker) = self.workers.values_mut().next() else { return };
+        let mut report = worker.report(self.now);
+        report.token = self.config.token + 1;
+        let command = self.checkin(None, report);
+        self.decide(vec![command]);
+    }
+
+    fn change_leader(&mut self) {
+        self.config.token += 1;
+        self.out.write(self.now, Line::new("change-leader").with("token", self.config.token));
+        self.core = Core::new(self.config.clone(), self.now);
+        self.waiting.clear();
+        self.later.clear();
+        if let Some((via, report)) = self.newest.take() {
+            // It is answered before the new leader has loaded what is stored.
+            let command = self.checkin(via, report);
+            self.decide(vec![command]);
+        }
+        self.lessees.iter_mut().for_each(|lessee| lessee.block.follow(self.config.token));
+        self.load();
+    }
+}
--- /dev/null
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network.rs
@@ -0,0 +1,317 @@
+//! Part two: leadership, blocks and cancellations of three controllers in a simulated network, with drifting clocks,
+//! messages that are held, repeated and lost, crashes with loss of memory, cuts, and outages of the state service.
+
+mod clients;
+mod troubles;
+
+use crate::election_lines;
+use crate::key_value_store::{KeyValueStore, Request};
+use crate::output::{Line, Transcript};
+use clients::Worker;
+use dockpier::blocks::Block;
+use dockpier::cancellation_log::Attestation;
+use dockpier::core::model::JobId;
+use dockpier::leadership::{Action, Leadership, Message, Status, StoreAnswer};
+use dockpier::limits::SECOND;
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use std::collections::BTreeMap;
+
+const MS: u64 = 1_000;
+const STEP: u64 = 10 * MS;
+const NODES: usize = 3;
+const NAMES: [&str; NODES] = ["a", "b", "c"];
+const LASTS: u64 = 45 * SECOND;
+/// How long workers may be kept alive without hearing of cancellations, and how long those are remembered.
+const AUTONOMY: u64 = 10 * SECOND;
+const REMEMBERED: u64 = 50 * SECOND;
+/// How often the public queries are asked.
+const ASKED_EVERY: u64 = SECOND;
+
+/// What is under way.
+enum Wire {
+    Message { from: usize, to: usize, life: u64, status: Status, message: Message },
+    Attestation { from: usize, to: usize, life: u64, attestation: Attestation },
+    ToStore { node: usize, life: u64, action: Action, sent: u64 },
+    FromStore { node: usize, life: u64, answer: StoreAnswer },
+    Live { node: usize, life: u64, sent: u64, live: Vec<JobId> },
+    Cancelled { node: usize, life: u64, job_id: JobId },
+}
+
+struct Node {
+    leadership: Leadership,
+    block: Block,
+    /// The life of its process.
+    life: u64,
+    /// Its clock: base + true time * rate.
+    base: u64,
+    rate: f64,
+    down_until: Option<u64>,
+    state_answered: u64,
+    live_due: u64,
+    /// The token that it last led with.
+    led: u64,
+    /// An earlier version, which attests nothing.
+    old: bool,
+}
+
+struct World<'a> {
+    now: u64,
+    rng: SmallRng,
+    out: &'a mut Transcript,
+    store: KeyValueStore,
+    nodes: Vec<Node>,
+    wires: BTreeMap<(u64, u64), Wire>,
+    serial: u64,
+    state_down_until: u64,
+    /// A node that the state service refuses.
+    refused: Option<(usize, u64)>,
+    /// Nodes cut off from the others, whether from the state service too, and until when.
+    cut: Option<(Vec<usize>, bool, u64)>,
+    /// A node that stands still while its clock runs on.
+    frozen: Option<(usize, u64)>,
+    /// A node that no worker reaches.
+    unreached: Option<(usize, u64)>,
+    workers: Vec<Worker>,
+}
+
+/// Plays the network of a seed.
+pub fn play(seed: u64, out: &mut Transcript) {
+    let mut world = World {
+        now: 0,
+        rng: SmallRng::seed_from_u64(seed ^ 0x1ead_0e55),
+        out,
+        store: KeyValueStore::default(),
+        nodes: Vec::new(),
+        wires: BTreeMap::new(),
+        serial: 0,
+        state_down_until: 0,
+        refused: None,
+        cut: None,
+        frozen: None,
+        unreached: None,
+        workers: (0..4).map(Worker::new).collect(),
+    };
+    let old = world.rng.random_bool(0.2).then(|| world.rng.random_range(0..NODES));
+    for node in 0..NODES {
+        let fresh = world.fresh(node, old == Some(node));
+        world.nodes.push(fresh);
+    }
+    while world.now < LASTS {
+        world.step();
+    }
+}
+
+impl World<'_> {
+    /// A process that has just started.
+    fn fresh(&mut self, me: usize, old: bool) -> Node {
+        let names = NAMES.map(String::from).to_vec();
+        let base = self.rng.random_range(1 << 32..1 << 36);
+        let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
+        let now = base + (self.now as f64 * rate) as u64;
+        let life = self.rng.random();
+        let seed = self.rng.random();
+        Node {
+            leadership: Leadership::new(names, me, life, now, (AUTONOMY, REMEMBERED), seed),
+            block: Block::new(8, life),
+            life,
+            base,
+            rate,
+            down_until: None,
+            state_answered: 0,
+            live_due: 0,
+            led: 0,
+            old,
+        }
+    }
+
+    /// The clock of a node.
+    fn local(&self, node: usize) -> u64 {
+        self.nodes[node].base + (self.now as f64 * self.nodes[node].rate) as u64
+    }
+
+    fn note(&mut self, line: Line) {
+        self.out.write(self.now, line);
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.end_troubles();
+        if self.rng.random_ratio(1, 500) {
+            self.trouble();
+        }
+        while let Some(entry) = self.wires.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            let wire = entry.remove();
+            self.deliver(wire);
+        }
+        for node in 0..NODES {
+            self.tick(node);
+        }
+        self.run_jobs();
+        self.run_lessees();
+        self.run_workers();
+        if self.now % ASKED_EVERY == 0 {
+            self.ask();
+        }
+    }
+
+    fn tick(&mut self, node: usize) {
+        if self.is_frozen(node) || self.nodes[node].down_until.is_some_and(|until| self.now < until) {
+            return;
+        }
+        if self.nodes[node].down_until.is_some() {
+            let old = self.nodes[node].old;
+            self.nodes[node] = self.fresh(node, old);
+        }
+        let (now, status) = (self.local(node), self.status(node));
+        let actions = self.nodes[node].leadership.tick(now, status);
+        self.act(node, actions);
+    }
+
+    fn status(&self, node: usize) -> Status {
+        let reached = self.unreached.is_none_or(|(unreached, _)| unreached != node);
+        let state_age = self.local(node).saturating_sub(self.nodes[node].state_answered);
+        let workers = if reached { 3 } else { 0 };
+        Status { state_age, workers, machines: 3, attests: !self.nodes[node].old }
+    }
+
+    fn ask(&mut self) {
+        for node in (0..NODES).filter(|node| self.is_up(*node)).collect::<Vec<_>>() {
+            let now = self.local(node);
+            let leadership = &self.nodes[node].leadership;
+            self.out.write(self.now, election_lines::queries(node, now, leadership));
+            self.out
+                .write(self.now, election_lines::cancellations(node, now, leadership, self.store.last_job));
+        }
+    }
+
+    // ---- what is under way ----
+
+    fn delay(&mut self) -> u64 {
+        if self.rng.random_bool(0.02) {
+            return self.rng.random_range(100 * MS..900 * MS);
+        }
+        self.rng.random_range(MS..12 * MS)
+    }
+
+    fn send(&mut self, delay: u64, wire: Wire) {
+        self.serial += 1;
+        self.wires.insert((self.now + delay, self.serial), wire);
+    }
+
+    /// Sends to a peer: lost, repeated, or held back by a cut until its end.
+    fn send_to_peer(&mut self, from: usize, to: usize, wire: impl Fn() -> Wire) {
+        if self.rng.random_bool(0.02) {
+            return;
+        }
+        let held = self.cut_between(from, to).map_or(0, |until| until.saturating_sub(self.now));
+        let copies = if self.rng.random_bool(0.05) { 2 } else { 1 };
+        for _ in 0..copies {
+            let delay = held + self.delay();
+            self.send(delay, wire());
+        }
+    }
+
+    fn act(&mut self, node: usize, actions: Vec<Action>) {
+        for action in actions {
+            self.out.write(self.now, election_lines::action(node, &action));
+            let life = self.nodes[node].life;
+            match action {
+                Action::Send(to, message) => {
+                    let status = self.status(node);
+                    let wire = || Wire::Message { from: node, to, life, status, message };
+                    self.send_to_peer(node, to, wire);
+                }
+                Action::Attest(to, attestation) => {
+                    let wire =
+                        || Wire::Attestation { from: node, to, life, attestation: attestation.clone() };
+                    self.send_to_peer(node, to, wire);
+                }
+                Action::Elected { token, .. } => self.nodes[node].led = token,
+                Action::Deposed { keep_until } => {
+                    let token = self.nodes[node].led;
+                    self.nodes[node].block.led(token, keep_until);
+                }
+                action => self.ask_store(node, action),
+            }
+        }
+    }
+
+    fn ask_store(&mut self, node: usize, action: Action) {
+        let (life, sent, delay) = (self.nodes[node].life, self.local(node), self.delay());
+        let served = self.is_served(node);
+        if !served && !matches!(action, Action::TakeOver { .. }) {
+            return self.send(delay, Wire::FromStore { node, life, answer: StoreAnswer::Failed });
+        }
+        // A transaction that is held back is carried out late.
+        let held = if served { 0 } else { self.rng.random_range(0..20 * SECOND) };
+        self.send(delay + held, Wire::ToStore { node, life, action, sent });
+    }
+
+    fn deliver(&mut self, wire: Wire) {
+        match wire {
+            Wire::Message { to, .. } | Wire::Attestation { to, .. } | Wire::FromStore { node: to, .. }
+                if self.is_frozen(to) =>
+            {
+                // What arrives meanwhile is there when it goes on.
+                self.send(STEP, wire);
+            }
+            Wire::Message { from, to, life, status, message } if self.is_up(to) => {
+                let now = self.local(to);
+                let actions = self.nodes[to].leadership.message(now, from, life, status, message);
+                self.act(to, actions);
+            }
+            Wire::Attestation { from, to, life, attestation } if self.is_up(to) => {
+                let now = self.local(to);
+                let (over, actions) = self.nodes[to].leadership.attested(now, from, life, &attestation);
+                self.note_over("attested-over", to, over);
+                self.act(to, actions);
+            }
+            Wire::ToStore { node, life, action, sent } => {
+                let request = Request { name: NAMES[node], incarnation: life, sent };
+                let answer = self.store.carry_out(self.now, action, request);
+                let delay = self.delay();
+                self.send(delay, Wire::FromStore { node, life, answer });
+            }
+            Wire::FromStore { node, life, answer } if self.is_up(node) && self.nodes[node].life == life => {
+                self.take_answer(node, answer);
+            }
+            Wire::Live { node, life, sent, live }
+                if self.is_served(node) && self.nodes[node].life == life =>
+            {
+                self.take_live(node, sent, &live);
+            }
+            Wire::Cancelled { node, life, job_id }
+                if self.is_served(node) && self.nodes[node].life == life =>
+            {
+                self.confirm(node, job_id);
+            }
+            _ => {}
+        }
+    }
+
+    fn take_answer(&mut self, node: usize, answer: StoreAnswer) {
+        let (now, served) = (self.local(node), self.is_served(node));
+        let answer = match answer {
+            StoreAnswer::Won { .. } | StoreAnswer::Lost { .. } if !served => {
+                StoreAnswer::Lost { lease: None }
+            }
+            _ if !served => StoreAnswer::Failed,
+            answer => answer,
+        };
+        if !matches!(answer, StoreAnswer::Failed) {
+            self.nodes[node].state_answered = now;
+        }
+        let actions = self.nodes[node].leadership.store(now, answer);
+        self.act(node, actions);
+    }
+
+    /// Jobs that turned out to be over come in no order: theirs is made one.
+    fn note_over(&mut self, kind: &'static str, node: usize, over: Vec<JobId>) {
+        let mut numbers: Vec<u64> = over.into_iter().map(|job_id| job_id.0).collect();
+        numbers.sort_unstable();
+        if !numbers.is_empty() {
+            self.note(Line::new(kind).with("node", node).list("jobs", numbers));
+        }
+    }
+}
--- /dev/null
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
@@ -0,0 +1,242 @@
+//! Users, lessees and workers around the three controllers: jobs are submitted and cancelled, blocks answer reports
+//! and tell the leader of it.
+
+use super::{Wire, World, NODES};
+use crate::output::Line;
+use crate::{effects, words};
+use dockpier::blocks::BlockAnswer;
+use dockpier::core::model::{JobId, Report, ReportedTask, TaskId, TaskStatus};
+use dockpier::core::Order;
+use dockpier::limits::{self, SECOND};
+use rand::Rng;
+use std::collections::BTreeSet;
+
+/// The lease of a worker.
+const LEASE: u64 = 10 * SECOND;
+/// Jobs that are live at the same time.
+const JOBS_MOST: usize = 5;
+
+/// A worker with a task of each of its jobs.
+pub(super) struct Worker {
+    name: String,
+    node: usize,
+    session: u64,
+    sequence: u64,
+    token: u64,
+    lease_until: u64,
+    report_due: u64,
+    jobs: BTreeSet<JobId>,
+}
+
+impl Worker {
+    pub(super) fn new(number: usize) -> Self {
+        Worker {
+            name: format!("w-{number}"),
+            node: number % NODES,
+            session: 1,
+            sequence: 0,
+            token: 0,
+            lease_until: LEASE,
+            report_due: 0,
+            jobs: BTreeSet::new(),
+        }
+    }
+
+    fn report(&mut self) -> Report {
+        self.sequence += 1;
+        let task = |job_id: &JobId| ReportedTask {
+            id: TaskId { job_id: *job_id, task: 0 },
+            attempt: 1,
+            status: TaskStatus::Running,
+        };
+        Report {
+            machine: self.name.clone(),
+            address: String::new(),
+            machine_type: String::new(),
+            zone: String::new(),
+            spot: false,
+            session: self.session,
+            sequence: self.sequence,
+            token: self.token,
+            notice_s: None,
+            tasks: self.jobs.iter().map(task).collect(),
+        }
+    }
+}
+
+impl World<'_> {
+    // ---- jobs ----
+
+    /// Jobs come and are cancelled, and every node reads which are live.
+    pub(super) fn run_jobs(&mut self) {
+        for node in (0..NODES).filter(|node| self.is_served(*node)).collect::<Vec<_>>() {
+            let (now, life) = (self.local(node), self.nodes[node].life);
+            if now >= self.nodes[node].live_due {
+                self.nodes[node].live_due = now + SECOND;
+                let (delay, live) = (2 * self.delay(), self.store.live.iter().copied().collect());
+                self.send(delay, Wire::Live { node, life, sent: now, live });
+            }
+            if self.rng.random_ratio(1, 300) {
+                self.submit_or_cancel(node);
+            }
+        }
+    }
+
+    fn submit_or_cancel(&mut self, node: usize) {
+        let job_id = self.store.add_job();
+        for worker in &mut self.workers {
+            worker.jobs.insert(job_id);
+        }
+        if self.store.live.len() <= JOBS_MOST {
+            return;
+        }
+        if let Some(job_id) = self.store.live.pop_first() {
+            let (life, delay) = (self.nodes[node].life, self.delay());
+            self.send(delay, Wire::Cancelled { node, life, job_id });
+        }
+    }
+
+    pub(super) fn take_live(&mut self, node: usize, sent: u64, live: &[JobId]) {
+        let now = self.local(node);
+        let over = self.nodes[node].leadership.cancellations.read(now, sent, true, live, &[]);
+        self.nodes[node].state_answered = now;
+        self.note_over("read-over", node, over);
+    }
+
+    /// A user is to be told that the job is cancelled, and asks again where it may not be told yet.
+    pub(super) fn confirm(&mut self, node: usize, job_id: JobId) {
+        let (now, life) = (self.local(node), self.nodes[node].life);
+        let (news, may, actions) = self.nodes[node].leadership.confirm(now, job_id);
+        let line = Line::new("confirm").with("node", node).with("job", job_id.0);
+        self.note(line.with("news", news).with("may", may));
+        self.act(node, actions);
+        if !may {
+            self.send(SECOND, Wire::Cancelled { node, life, job_id });
+        }
+    }
+
+    // ---- lessees ----
+
+    /// Lessees tell the leader whom they answered; heartbeats and confirmations may be lost.
+    pub(super) fn run_lessees(&mut self) {
+        for node in (0..NODES).filter(|node| self.is_up(*node)).collect::<Vec<_>>() {
+            let now = self.local(node);
+            let Some((leader, token, _)) = self.nodes[node].leadership.followed(now) else { continue };
+            self.nodes[node].block.follow(token);
+            let Some(heartbeat) = self.nodes[node].block.tell(now) else { continue };
+            let line = Line::new("network-block-heartbeat").with("node", node).with("id", heartbeat.id);
+            let line = line.with("whole", heartbeat.whole).with("fresh", heartbeat.fresh);
+            self.note(line.list("machines", &heartbeat.machines));
+            let lost = self.rng.random_bool(0.1);
+            if lost || !self.leads(leader, token) || self.cut_between(node, leader).is_some() {
+                continue;
+            }
+            let lease = self.nodes[leader].leadership.block_lease(self.local(leader));
+            let own = self.nodes[node].block.confirmed(heartbeat.id, lease);
+            self.note(Line::new("block-confirmed").with("node", node).with("lease", lease).with("own", own));
+        }
+    }
+
+    fn leads(&self, node: usize, token: u64) -> bool {
+        self.is_up(node) && self.nodes[node].leadership.authority(self.local(node)) == Some(token)
+    }
+
+    // ---- workers ----
+
+    pub(super) fn run_workers(&mut self) {
+        let mut workers = std::mem::take(&mut self.workers);
+        workers.iter_mut().for_each(|worker| self.run_worker(worker));
+        self.workers = workers;
+    }
+
+    fn run_worker(&mut self, worker: &mut Worker) {
+        if self.now >= worker.lease_until {
+            worker.session += 1;
+            worker.jobs.clear();
+            worker.lease_until = self.now + LEASE;
+        }
+        if self.now < worker.report_due {
+            return;
+        }
+        worker.report_due = self.now + self.rng.random_range(SECOND * 3 / 4..SECOND * 5 / 4);
+        let report = worker.report();
+        let answer = if self.is_up(worker.node) { self.answer(worker.node, report) } else { None };
+        match answer {
+            Some((token, stops)) if token >= worker.token => {
+                worker.token = token;
+                worker.lease_until = self.now + LEASE;
+                worker.jobs.retain(|job_id| !stops.contains(job_id));
+            }
+            Some(_) => {}
+            None => worker.node = (worker.node + 1) % NODES,
+        }
+    }
+
+    /// What a node answers a report with: the token, and the jobs whose tasks it stops.
+    fn answer(&mut self, node: usize, report: Report) -> Option<(u64, BTreeSet<JobId>)> {
+        let now = self.local(node);
+        let keeps = self.keeps(node, &report);
+        let known = keeps.as_ref().map_or("none".to_string(), |stops| stops.len().to_string());
+        let line = Line::new("report").with("node", node).with("machine", &report.machine);
+        let line = line.with("token", report.token).with("stops", known);
+        let leadership = &self.nodes[node].leadership;
+        if let Some(token) = leadership.authority(now) {
+            let orders = leadership.cancellations.with_stops(Vec::new(), &report);
+            return self.answered(line.with("by", "leader"), token, orders);
+        }
+        if let Some((token, stops)) = leadership.lease_keeper(now).zip(keeps.clone()) {
+            return self.answered(line.with("by", "lease-keeper"), token, stops);
+        }
+        let followed = leadership.followed(now);
+        let answer = self.nodes[node].block.answers(now, &report, followed.is_some());
+        match (answer, keeps) {
+            (BlockAnswer::Renews(token, renewal), Some(stops)) => {
+                let line = line.with("by", "block").with("renewal", words::renewal(Some(&renewal)));
+                return self.answered(line, token, stops);
+            }
+            (BlockAnswer::Copy, _) => self.note(Line::new("report-copy").with("node", node)),
+            _ => {}
+        }
+        self.pass_on(node, report, line)
+    }
+
+    fn answered(&mut self, line: Line, token: u64, orders: Vec<Order>) -> Option<(u64, BTreeSet<JobId>)> {
+        self.note(line.with("answer", token));
+        effects::write_orders(self.out, self.now, &orders);
+        let stopped = orders.iter().filter_map(|order| match order {
+            Order::Stop { id, .. } => Some(id.job_id),
+            _ => None,
+        });
+        Some((token, stopped.collect()))
+    }
+
+    /// The leader that the node follows answers, or nobody does.
+    fn pass_on(&mut self, node: usize, report: Report, line: Line) -> Option<(u64, BTreeSet<JobId>)> {
+        let now = self.local(node);
+        let followed = self.nodes[node].leadership.followed(now);
+        let reached = followed.filter(|(leader, token, _)| {
+            self.leads(*leader, *token) && self.cut_between(node, *leader).is_none()
+        });
+        let Some((leader, token, _)) = reached else {
+            let actions = self.nodes[node].leadership.seen_token(report.token, now);
+            self.act(node, actions);
+            self.note(line.with("by", "nobody"));
+            return None;
+        };
+        let orders = self.nodes[leader].leadership.cancellations.with_stops(Vec::new(), &report);
+        let wakes = self.rng.random_bool(0.1);
+        let machine = report.machine.clone();
+        let block = &mut self.nodes[node].block;
+        block.passed(now, report, token, orders.is_empty());
+        if wakes {
+            block.wake(&[machine]);
+        }
+        self.answered(line.with("by", "relay"), token, orders)
+    }
+
+    /// What a node that may keep workers alive by itself tells one to stop.
+    fn keeps(&self, node: usize, report: &Report) -> Option<Vec<Order>> {
+        let (now, log) = (self.local(node), &self.nodes[node].leadership.cancellations);
+        (now + limits::GUARD < log.keeps_until()).then(|| log.stops(report)).flatten()
+    }
+}
--- /dev/null
+++ b/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
@@ -0,0 +1,174 @@
+//! A worker that reports to one of several controllers: its tasks, its session and its lease.
+
+use dockpier::core::model::{ExitReason, Report, ReportedTask, TaskId, TaskStatus};
+use dockpier::core::Order;
+use dockpier::limits::SECOND;
+use std::collections::BTreeMap;
+
+/// Time in which an image is fetched.
+const FETCH: u64 = 2 * SECOND;
+
+/// A task on a worker.
+struct Task {
+    attempt: u64,
+    status: TaskStatus,
+    /// When it goes on to the next state by itself.
+    until: u64,
+}
+
+/// A worker on its machine.
+pub struct Worker {
+    /// Its machine's name.
+    pub name: String,
+    /// Its machine's type.
+    pub machine_type: String,
+    /// Its zone.
+    pub zone: String,
+    /// It is a spot machine.
+    pub spot: bool,
+    /// The controller that it reports to.
+    pub node: usize,
+    /// When its next report is due.
+    pub report_due: u64,
+    /// It neither reports nor takes orders until then.
+    pub silent_until: u64,
+    /// The highest token that it has been answered with.
+    pub token: u64,
+    /// Its session.
+    pub session: u64,
+    sequence: u64,
+    answered_at: u64,
+    tasks: BTreeMap<TaskId, Task>,
+    notice_at: Option<u64>,
+}
+
+impl Worker {
+    /// A worker that comes up at `up_at`.
+    pub fn new(
+        name: String,
+        (machine_type, zone, spot): (String, String, bool),
+        node: usize,
+        up_at: u64,
+    ) -> Self {
+        Worker {
+            name,
+            machine_type,
+            zone,
+            spot,
+            node,
+            report_due: up_at,
+            silent_until: up_at,
+            token: 0,
+            session: 1,
+            sequence: 0,
+            answered_at: up_at,
+            tasks: BTreeMap::new(),
+            notice_at: None,
+        }
+    }
+
+    /// The cloud announces that it takes the machine then.
+    pub fn notice(&mut self, at: u64) {
+        self.notice_at = Some(at);
+    }
+
+    /// Whether the cloud has taken the machine.
+    pub fn is_taken(&self, now: u64) -> bool {
+        self.notice_at.is_some_and(|at| now >= at)
+    }
+
+    /// Whether a report is due.
+    pub fn reports(&self, now: u64) -> bool {
+        now >= self.report_due.max(self.silent_until)
+    }
+
+    /// Its next report.
+    pub fn report(&mut self, now: u64) -> Report {
+        self.sequence += 1;
+        let tasks = self.tasks.iter();
+        let tasks = tasks.map(|(id, t)| ReportedTask { id: *id, attempt: t.attempt, status: t.status });
+        Report {
+            machine: self.name.clone(),
+            address: String::new(),
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            session: self.session,
+            sequence: self.sequence,
+            token: self.token,
+            notice_s: self.notice_at.map(|at| at.saturating_sub(now) as f64 / SECOND as f64),
+            tasks: tasks.collect(),
+        }
+    }
+
+    /// Time passes: tasks go on, and all end with the lease.
+    pub fn work(&mut self, now: u64, lease: u64, runs: impl Fn(TaskId) -> u64) {
+        if now < self.silent_until {
+            return;
+        }
+        if now > self.answered_at + lease {
+            self.tasks.clear();
+            self.session += 1;
+            self.answered_at = now;
+        }
+        for (id, task) in self.tasks.iter_mut().filter(|(_, task)| now >= task.until) {
+            (task.status, task.until) = match task.status {
+                TaskStatus::Fetching => (TaskStatus::Running, now.saturating_add(runs(*id))),
+                TaskStatus::Running => (TaskStatus::Exited(end_of(*id, task.attempt)), u64::MAX),
+                TaskStatus::Saving => (TaskStatus::Exited(ExitReason::Stopped), u64::MAX),
+                TaskStatus::Exited(reason) => (TaskStatus::Exited(reason), u64::MAX),
+            };
+        }
+    }
+
+    /// A report was answered.
+    pub fn answered(&mut self, now: u64, token: u64, orders: &[Order]) {
+        if now < self.silent_until || token < self.token {
+            return;
+        }
+        (self.token, self.answered_at) = (token, now);
+        orders.iter().for_each(|order| self.take(now, order));
+    }
+
+    /// Orders came straight from the leader. Returns whether it takes them.
+    pub fn take_direct(&mut self, now: u64, session: u64, orders: &[Order]) -> bool {
+        let takes = now >= self.silent_until && session == self.session;
+        if takes {
+            orders.iter().for_each(|order| self.take(now, order));
+        }
+        takes
+    }
+
+    fn take(&mut self, now: u64, order: &Order) {
+        match order {
+            Order::Start { id, attempt } => {
+                let task = Task { attempt: *attempt, status: TaskStatus::Fetching, until: now + FETCH };
+                self.tasks.entry(*id).or_insert(task);
+            }
+            Order::Stop { id, attempt, grace_s } => {
+                let Some(task) = self.tasks.get_mut(id).filter(|task| task.attempt == *attempt) else {
+                    return;
+                };
+                if let TaskStatus::Fetching | TaskStatus::Running = task.status {
+                    let saves = (*grace_s / 2.0 * SECOND as f64) as u64;
+                    (task.status, task.until) = (TaskStatus::Saving, now + saves);
+                }
+            }
+            Order::Forget { id, attempt } => {
+                if self.tasks.get(id).is_some_and(|task| task.attempt == *attempt) {
+                    self.tasks.remove(id);
+                }
+            }
+        }
+    }
+}
+
+/// How a task ends: every now and then it fails, which its numbers decide.
+fn end_of(id: TaskId, attempt: u64) -> ExitReason {
+    match (id.job_id.0 * 31 + u64::from(id.task) * 7 + attempt * 13) % 23 {
+        0 => ExitReason::Error,
+        1 => ExitReason::NoRoom,
+        2 => ExitReason::Busy,
+        _ => ExitReason::Done,
+    }
+}
--- a/crates/dockpier-virtual-fleet/src/lib.rs
+++ b/crates/dockpier-virtual-fleet/src/lib.rs
@@ -87,6 +87,8 @@
     pub history: History,
     /// Effects of the core that tests may look at: the last step's.
     pub last_effects: Vec<Effect>,
+    /// Every effect of the core with its time, in a fleet that keeps them.
+    recorded: Option<Vec<(u64, Effect)>>,
     layout: Layout,
     config: Config,
     now: u64,
@@ -104,6 +106,20 @@
 impl Fleet {
     /// A fleet whose machines are up.
     pub fn new(layout: Layout) -> Self {
+        Self::begin(layout, None)
+    }
+
+    /// The same, and every effect of its core is kept until it is taken (`take_recorded`).
+    pub fn recording(layout: Layout) -> Self {
+        Self::begin(layout, Some(Vec::new()))
+    }
+
+    /// Effects since they were last taken, with the time of their step, in a fleet that keeps them.
+    pub fn take_recorded(&mut self) -> Vec<(u64, Effect)> {
+        self.recorded.as_mut().map(std::mem::take).unwrap_or_default()
+    }
+
+    fn begin(layout: Layout, recorded: Option<Vec<(u64, Effect)>>) -> Self {
         let config = config(&layout);
         let now = SECOND;
         let mut fleet = Fleet {
@@ -111,6 +127,7 @@
             store: Store::default(),
             history: History::default(),
             last_effects: Vec::new(),
+            recorded,
             config,
             now,
             workers: BTreeMap::new(),
@@ -307,6 +324,9 @@
     fn step(&mut self, batch: Vec<Command>) {
         self.core.time_of_day(self.now, DAY_BEGINS + self.now / 1_000);
         let effects = self.core.step(self.now, batch);
+        if let Some(recorded) = &mut self.recorded {
+            recorded.extend(effects.iter().map(|effect| (self.now, effect.clone())));
+        }
         for effect in &effects {
             self.carry_out(effect.clone());
         }
