--- /dev/null
+++ b/tests/pinned_wire/spell.rs
@@ -0,0 +1,122 @@
+//! The domain's values in words of the tests' own, which stay as they are when a type or field gets another name.
+
+use dockpier::core::model::{
+    ExitReason, JobSpec, Kind, MachineType, Priority, Report, Resources, TaskStatus,
+};
+use dockpier::core::{ListedMachine, Outcome};
+use dockpier::protocol::users::{JobState, JobStatus};
+
+/// A job as it was submitted.
+pub fn job(job: &JobSpec) -> String {
+    let kind = match job.kind {
+        Kind::Array => "array",
+        Kind::Gang => "gang",
+        Kind::Service => "service",
+    };
+    let priority = match job.priority {
+        Priority::Low => "low",
+        Priority::Normal => "normal",
+        Priority::High => "high",
+        Priority::Critical => "critical",
+    };
+    let names = format!(
+        "id {} class {:?} team {:?} kind {kind} priority {priority} tasks {}",
+        job.job_id.0, job.class, job.team, job.tasks
+    );
+    let needs = format!("needs {} image {:?} {:?} GB", resources(&job.needs), job.image, job.image_gb);
+    let places = format!(
+        "types {:?} zone {:?} one-zone {} spread {} spot {}",
+        job.types, job.zone, job.one_zone, job.spread, job.spot
+    );
+    let times = format!(
+        "estimate {:?} s checkpoint {:?} s save {:?} s deadline {:?} s",
+        job.estimate_s, job.checkpoint_s, job.save_s, job.deadline_s
+    );
+    [names, needs, places, times].join("; ")
+}
+
+/// Amounts of a machine or task.
+pub fn resources(amounts: &Resources) -> String {
+    format!("{} millicores {} milligpus {} MB", amounts.cpus, amounts.gpus, amounts.memory)
+}
+
+/// A worker's report.
+pub fn report(report: &Report) -> String {
+    let machine = format!(
+        "machine {:?} address {:?} type {:?} zone {:?} spot {}",
+        report.machine, report.address, report.machine_type, report.zone, report.spot
+    );
+    let order = format!(
+        "session {} sequence {} token {} notice {:?} s",
+        report.session, report.sequence, report.token, report.notice_s
+    );
+    let task = |task: &dockpier::core::model::ReportedTask| {
+        let (id, attempt) = (task.id, task.attempt);
+        format!("job {} task {} attempt {attempt} {}", id.job_id.0, id.task, task_status(task.status))
+    };
+    let tasks: Vec<String> = report.tasks.iter().map(task).collect();
+    format!("{machine}; {order}; tasks [{}]", tasks.join(", "))
+}
+
+fn task_status(status: TaskStatus) -> &'static str {
+    match status {
+        TaskStatus::Fetching => "fetching",
+        TaskStatus::Running => "running",
+        TaskStatus::Saving => "saving",
+        TaskStatus::Exited(ExitReason::Done) => "exited: done",
+        TaskStatus::Exited(ExitReason::Stopped) => "exited: stopped",
+        TaskStatus::Exited(ExitReason::Error) => "exited: error",
+        TaskStatus::Exited(ExitReason::NoRoom) => "exited: no room",
+        TaskStatus::Exited(ExitReason::Busy) => "exited: busy",
+        TaskStatus::Exited(ExitReason::Unknown) => "exited: unknown",
+    }
+}
+
+/// A job's state as its user is told.
+pub fn job_state(state: &JobState) -> String {
+    let status = match state.status {
+        JobStatus::Pending => "pending",
+        JobStatus::Running => "running",
+        JobStatus::Done => "done",
+        JobStatus::Cancelled => "cancelled",
+    };
+    format!("id {:?} status {status} done {:?} running {:?}", state.job_id, state.done, state.running)
+}
+
+/// A machine type of the cloud.
+pub fn machine_type(found: &MachineType) -> String {
+    let prices = format!("price {:?} spot price {:?}", found.price, found.spot_price);
+    format!(
+        "type {:?} has {} {prices} boot {:?} s fetch {:?} GB/s zones {:?}",
+        found.name,
+        resources(&found.has),
+        found.boot_s,
+        found.fetch_gb_per_s,
+        found.zones
+    )
+}
+
+/// A machine in the cloud's list.
+pub fn listed_machine(listed: &ListedMachine) -> String {
+    let machine = &listed.machine;
+    format!(
+        "machine {:?} address {:?} type {:?} zone {:?} spot {} images {} failed {} age {:?} s",
+        machine.name,
+        machine.address,
+        machine.machine_type,
+        machine.zone,
+        machine.spot,
+        machine.images.len(),
+        listed.failed,
+        listed.age_s
+    )
+}
+
+/// What became of a request to the cloud.
+pub fn cloud_outcome(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Done => "done",
+        Outcome::Refused => "refused",
+        Outcome::Unknown => "unknown",
+    }
+}
