--- a/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
@@ -7,6 +7,10 @@
 
 /// Time in which an image is fetched.
 const FETCH: u64 = 2 * SECOND;
+/// The same where the fetch is stuck.
+const FETCH_STUCK: u64 = 70 * SECOND;
+/// By so much some tasks end late.
+const STOP_LATE: u64 = 7 * SECOND;
 
 /// A task on a worker.
 struct Task {
@@ -142,7 +146,8 @@
     fn take(&mut self, now: u64, order: &Order) {
         match order {
             Order::Start { id, attempt } => {
-                let task = Task { attempt: *attempt, status: TaskStatus::Fetching, until: now + FETCH };
+                let fetch = if draw_of(*id, *attempt) % 17 == 5 { FETCH_STUCK } else { FETCH };
+                let task = Task { attempt: *attempt, status: TaskStatus::Fetching, until: now + fetch };
                 self.tasks.entry(*id).or_insert(task);
             }
             Order::Stop { id, attempt, grace_s } => {
@@ -150,7 +155,8 @@
                     return;
                 };
                 if let TaskStatus::Fetching | TaskStatus::Running = task.status {
-                    let saves = (*grace_s / 2.0 * SECOND as f64) as u64;
+                    let late = if draw_of(*id, *attempt) % 11 == 3 { STOP_LATE } else { 0 };
+                    let saves = (*grace_s / 2.0 * SECOND as f64) as u64 + late;
                     (task.status, task.until) = (TaskStatus::Saving, now + saves);
                 }
             }
@@ -163,9 +169,17 @@
     }
 }
 
-/// How a task ends: every now and then it fails, which its numbers decide.
+/// A number that a task's attempt always has.
+fn draw_of(id: TaskId, attempt: u64) -> u64 {
+    id.job_id.0 * 31 + u64::from(id.task) * 7 + attempt * 13
+}
+
+/// How a task ends: some jobs fail again and again, and of the others a task every now and then.
 fn end_of(id: TaskId, attempt: u64) -> ExitReason {
-    match (id.job_id.0 * 31 + u64::from(id.task) * 7 + attempt * 13) % 23 {
+    if id.job_id.0 % 5 == 2 && attempt % 7 != 0 {
+        return ExitReason::Error;
+    }
+    match draw_of(id, attempt) % 23 {
         0 => ExitReason::Error,
         1 => ExitReason::NoRoom,
         2 => ExitReason::Busy,
