--- a/crates/dockpier-cold-start-report/src/main.rs
+++ b/crates/dockpier-cold-start-report/src/main.rs
@@ -1,5 +1,5 @@
 //! Measures cold starts: every controller is lost with all workers running, for less and for more than their lease.
-//! Virtual time, real core, stand-ins for everything else. The figures are kept in a Parquet file; the table is made
+//! Virtual time, real scheduler, stand-ins for everything else. The figures are kept in a Parquet file; the table is made
 //! from that file.
 
 mod measure;
--- a/crates/dockpier-cold-start-report/src/measure.rs
+++ b/crates/dockpier-cold-start-report/src/measure.rs
@@ -1,6 +1,6 @@
 //! One cold start of a fleet.
 
-use dockpier::core::model::{JobSpec, Kind};
+use dockpier::scheduler::model::{JobSpec, Kind};
 use dockpier::settings::{ColdStartSettings, Operator};
 use dockpier_virtual_fleet::{job, Fleet, Layout};
 
@@ -86,7 +86,7 @@
         let ordered = fleet.history.ordered();
         (peak, last) = (peak.max(ordered - last), ordered);
         let first = |so_far: f64, now: bool| if so_far.is_nan() && now { seconds(&fleet) } else { so_far };
-        reconciled_s = first(reconciled_s, fleet.core.is_reconciled());
+        reconciled_s = first(reconciled_s, fleet.scheduler.is_reconciled());
         services_s = first(services_s, fleet.history.running_now() >= replicas);
         whole_s = first(whole_s, fleet.history.running_tasks() >= all);
     }
--- a/crates/dockpier-drain-report/src/main.rs
+++ b/crates/dockpier-drain-report/src/main.rs
@@ -1,5 +1,5 @@
 //! Measures how long draining takes against the budgets, and writes an HTML report with plots. Virtual time, real
-//! core, stand-ins for everything else: the figures are simulated, but for the planner's own time.
+//! scheduler, stand-ins for everything else: the figures are simulated, but for the planner's own time.
 
 mod measure;
 mod planner;
--- a/crates/dockpier-drain-report/src/measure.rs
+++ b/crates/dockpier-drain-report/src/measure.rs
@@ -1,6 +1,6 @@
 //! Replaces whole fleets, in steps under budgets and in the plain ways that steps are compared with.
 
-use dockpier::core::model::Kind;
+use dockpier::scheduler::model::Kind;
 use dockpier::settings::{Draining, Operator};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
 use dockpier_drain::request::{DrainId, DrainRequest, Target};
--- a/crates/dockpier-drain-report/src/report.rs
+++ b/crates/dockpier-drain-report/src/report.rs
@@ -29,7 +29,7 @@
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Draining in steps</title><style>\
          body{font-family:sans-serif;max-width:920px;margin:2em auto}table{border-collapse:collapse}\
          td,th{border:1px solid #ccc;padding:.3em .6em;text-align:right}</style></head><body>\
-         <h1>Draining in steps</h1><p>Simulated: the real core in virtual time, with stand-ins for workers, cloud and \
+         <h1>Draining in steps</h1><p>Simulated: the real scheduler in virtual time, with stand-ins for workers, cloud and \
          state service. The planner's times are real ones of the machine that made this page.</p>",
     );
     let mut sizes: Vec<usize> = runs.iter().map(|run| run.machines).collect();
--- a/crates/dockpier-drain/src/lib.rs
+++ b/crates/dockpier-drain/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The crate decides and does nothing else: what it is given is a view of the fleet, what it returns is a choice.
 //! It does no I/O and keeps no clock (times come with every call, in milliseconds of the time of day); only the
-//! solver watches its own time limit. The scheduler's core holds the state, carries choices out under the rules that
+//! solver watches its own time limit. The scheduler's scheduler holds the state, carries choices out under the rules that
 //! it keeps anyway, and writes the records.
 //!
 //! | module | job |
--- a/crates/dockpier-drain/src/stops.rs
+++ b/crates/dockpier-drain/src/stops.rs
@@ -64,7 +64,7 @@
     Wait(Wait),
 }
 
-/// Seconds that a task which saves may run on instead of being stopped: stopped, it would save, wait for its turn
+/// Seconds that a task which saves may run on instead of being stopped, it would save, wait for its turn
 /// and fetch its image before it went on.
 pub const FINISHES_SOON_S: f64 = 20.0;
 
--- a/crates/dockpier-virtual-fleet/examples/transcript/day.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/day.rs
@@ -2,7 +2,7 @@
 
 use crate::output::{Line, Transcript};
 use crate::{draw, effects, words};
-use dockpier::core::model::JobId;
+use dockpier::scheduler::model::JobId;
 use dockpier_virtual_fleet::{Fleet, Layout};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/dockpier-virtual-fleet/examples/transcript/drain_records.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/drain_records.rs
@@ -1,7 +1,7 @@
 //! Records of drains as lines.
 
 use crate::output::Line;
-use dockpier::core::drains::{DrainKey, DrainValue};
+use dockpier::scheduler::drains::{DrainKey, DrainValue};
 use dockpier_drain::budget::{Budget, Cost};
 use dockpier_drain::ledger::{Bucket, Ledger, LedgerRecord};
 use dockpier_drain::progress::{MachineEntry, MachineState};
--- a/crates/dockpier-virtual-fleet/examples/transcript/draw.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/draw.rs
@@ -1,7 +1,7 @@
 //! Random layouts, jobs and drains.
 
-use dockpier::core::model::{JobSpec, Kind, Priority, Resources};
 use dockpier::operator::ColdStartSettings;
+use dockpier::scheduler::model::{JobSpec, Kind, Priority, Resources};
 use dockpier::settings::{Draining, Operator, Team};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
 use dockpier_drain::request::{DrainId, DrainRequest, Target, Wish};
--- a/crates/dockpier-virtual-fleet/examples/transcript/effects.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/effects.rs
@@ -2,8 +2,8 @@
 
 use crate::output::{Line, Transcript};
 use crate::{drain_records, words};
-use dockpier::core::cold_start::{ColdStartReport, Phase};
-use dockpier::core::{Effect, Order};
+use dockpier::scheduler::cold_start::{ColdStartReport, Phase};
+use dockpier::scheduler::{Effect, Order};
 
 /// Writes an effect, and after it one line for each of its orders.
 pub fn write(out: &mut Transcript, at: u64, effect: &Effect) {
--- a/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
@@ -2,8 +2,8 @@
 
 use crate::output::Line;
 use dockpier::cancellation_log::Attestation;
-use dockpier::core::model::JobId;
 use dockpier::leadership::{Action, Leadership, Message};
+use dockpier::scheduler::model::JobId;
 
 /// So many of the newest jobs are asked about.
 const JOBS_ASKED: u64 = 10;
--- a/crates/dockpier-virtual-fleet/examples/transcript/key_value_store.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/key_value_store.rs
@@ -1,9 +1,9 @@
 //! A stand-in for the state service, as far as leadership uses it: epoch, lock, leases and live jobs.
 
-use dockpier::core::model::JobId;
 use dockpier::leadership::{Action, StoreAnswer};
 use dockpier::limits;
 use dockpier::protocol::records::Epoch;
+use dockpier::scheduler::model::JobId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a lease of the lock runs without renewal.
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -7,10 +7,12 @@
 use crate::worker::Worker;
 use crate::{draw, effects, words};
 use dockpier::blocks::{Block, BlockAnswer};
-use dockpier::core::cold_start::JobReading;
-use dockpier::core::model::{JobId, Kind, MachineType, Report, Resources, TaskId};
-use dockpier::core::{Command, Config, Core, Effect, ListedMachine, Outcome, StoredJob, StoredMachine};
 use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::cold_start::JobReading;
+use dockpier::scheduler::model::{JobId, Kind, MachineType, Report, Resources, TaskId};
+use dockpier::scheduler::{
+    Command, Config, Effect, ListedMachine, Outcome, Scheduler, StoredJob, StoredMachine,
+};
 use dockpier::settings::{Operator, Team, Workers};
 use dockpier_virtual_fleet::MACHINE_TYPE;
 use rand::rngs::SmallRng;
@@ -36,7 +38,7 @@
 }
 
 struct Day<'a> {
-    core: Core,
+    core: Scheduler,
     config: Config,
     rng: SmallRng,
     out: &'a mut Transcript,
@@ -63,7 +65,7 @@
     let now = SECOND;
     let lessee = |incarnation| Lessee { block: Block::new(6, incarnation), cut_until: 0 };
     let mut day = Day {
-        core: Core::new(config.clone(), now),
+        core: Scheduler::new(config.clone(), now),
         config,
         lessees: vec![lessee(rng.random()), lessee(rng.random())],
         rng,
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees/events.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees/events.rs
@@ -5,9 +5,9 @@
 use crate::output::Line;
 use crate::worker::Worker;
 use dockpier::blocks::Block;
-use dockpier::core::model::JobId;
-use dockpier::core::{Command, Core, StoredJob};
 use dockpier::limits::SECOND;
+use dockpier::scheduler::model::JobId;
+use dockpier::scheduler::{Command, Scheduler, StoredJob};
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -101,7 +101,7 @@
     fn change_leader(&mut self) {
         self.config.token += 1;
         self.out.write(self.now, Line::new("change-leader").with("token", self.config.token));
-        self.core = Core::new(self.config.clone(), self.now);
+        self.core = Scheduler::new(self.config.clone(), self.now);
         self.waiting.clear();
         self.later.clear();
         if let Some((via, report)) = self.newest.take() {
--- a/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
@@ -5,9 +5,9 @@
 use crate::output::Line;
 use crate::{effects, words};
 use dockpier::blocks::BlockAnswer;
-use dockpier::core::model::{JobId, Report, ReportedTask, TaskId, TaskStatus};
-use dockpier::core::Order;
 use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::model::{JobId, Report, ReportedTask, TaskId, TaskStatus};
+use dockpier::scheduler::Order;
 use rand::Rng;
 use std::collections::BTreeSet;
 
--- a/crates/dockpier-virtual-fleet/examples/transcript/words.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/words.rs
@@ -1,8 +1,8 @@
 //! The transcript's words for what the program names with types of its own.
 
-use dockpier::core::model::{Kind, Priority, TaskId};
-use dockpier::core::StoredMachine;
 use dockpier::lease_renewal::{Grounds, LeaseRenewal};
+use dockpier::scheduler::model::{Kind, Priority, TaskId};
+use dockpier::scheduler::StoredMachine;
 
 /// A task: its job's number and its own.
 pub fn task(id: &TaskId) -> String {
--- a/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
@@ -1,8 +1,8 @@
 //! A worker that reports to one of several controllers: its tasks, its session and its lease.
 
-use dockpier::core::model::{ExitReason, Report, ReportedTask, TaskId, TaskStatus};
-use dockpier::core::Order;
 use dockpier::limits::SECOND;
+use dockpier::scheduler::model::{ExitReason, Report, ReportedTask, TaskId, TaskStatus};
+use dockpier::scheduler::Order;
 use std::collections::BTreeMap;
 
 /// Time in which an image is fetched.
--- a/crates/dockpier-virtual-fleet/src/history.rs
+++ b/crates/dockpier-virtual-fleet/src/history.rs
@@ -1,9 +1,9 @@
 //! What happened on the workers, by their own records.
 
 use crate::worker::Worker;
-use dockpier::core::model::*;
-use dockpier::core::Core;
 use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time for which a replica that had served did not serve.
@@ -117,8 +117,13 @@
         }
     }
 
-    pub(crate) fn observe<'a>(&mut self, now: u64, core: &Core, workers: impl Iterator<Item = &'a Worker>) {
-        for job in core.jobs.values() {
+    pub(crate) fn observe<'a>(
+        &mut self,
+        now: u64,
+        scheduler: &Scheduler,
+        workers: impl Iterator<Item = &'a Worker>,
+    ) {
+        for job in scheduler.jobs.values() {
             let service = job.spec.kind == Kind::Service;
             let facts = JobFacts { service, runs_s: job.spec.estimate_s };
             self.jobs.entry(job.spec.job_id).or_insert(facts);
@@ -134,12 +139,12 @@
             }
         }
         for (job_id, running) in all {
-            if core.jobs.get(&job_id).is_some_and(|job| job.spec.tasks == running) {
+            if scheduler.jobs.get(&job_id).is_some_and(|job| job.spec.tasks == running) {
                 self.complete.insert(job_id);
             }
         }
         for job_id in &self.complete {
-            for zone in &core.config.zones {
+            for zone in &scheduler.config.zones {
                 let key = (*job_id, zone.clone());
                 let here = by_zone.get(&key).copied().unwrap_or(0);
                 let fewest = self.fewest.entry(key).or_insert(here);
--- a/crates/dockpier-virtual-fleet/src/lib.rs
+++ b/crates/dockpier-virtual-fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: the real core as the leader, and stand-ins for workers, cloud and state service that keep
-//! their own records of what happened. Tests and measurements judge by those records, not by the core's.
+//! A fleet in virtual time: the real scheduler as the leader, and stand-ins for workers, cloud and state service that keep
+//! their own records of what happened. Tests and measurements judge by those records, not by the scheduler's.
 
 #![deny(missing_docs)]
 
@@ -11,9 +11,11 @@
 pub use store::Store;
 pub use worker::{Worker, WorkerTask};
 
-use dockpier::core::model::*;
-use dockpier::core::{Command, Config, Core, Effect, ListedMachine, Outcome, StoredJob, StoredMachine};
 use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::{
+    Command, Config, Effect, ListedMachine, Outcome, Scheduler, StoredJob, StoredMachine,
+};
 use dockpier::settings::{Operator, Team, Workers};
 use dockpier_drain::request::{DrainRequest, StoredRequest, Wish};
 use std::collections::{BTreeMap, BTreeSet};
@@ -80,14 +82,14 @@
 /// A leader with everything around it.
 pub struct Fleet {
     /// The leader.
-    pub core: Core,
+    pub scheduler: Scheduler,
     /// The state service.
     pub store: Store,
     /// What happened on the workers.
     pub history: History,
-    /// Effects of the core that tests may look at: the last step's.
+    /// Effects of the scheduler that tests may look at: the last step's.
     pub last_effects: Vec<Effect>,
-    /// Every effect of the core with its time, in a fleet that keeps them.
+    /// Every effect of the scheduler with its time, in a fleet that keeps them.
     recorded: Option<Vec<(u64, Effect)>>,
     layout: Layout,
     config: Config,
@@ -96,7 +98,7 @@
     /// Rentals by name: the same name again rents nothing more.
     rentals: BTreeMap<String, Vec<String>>,
     made: usize,
-    /// Commands that reach the core later.
+    /// Commands that reach the scheduler later.
     later: Vec<(u64, Command)>,
     list_due: u64,
     /// Machines that never come up.
@@ -109,7 +111,7 @@
         Self::begin(layout, None)
     }
 
-    /// The same, and every effect of its core is kept until it is taken (`take_recorded`).
+    /// The same, and every effect of its scheduler is kept until it is taken (`take_recorded`).
     pub fn recording(layout: Layout) -> Self {
         Self::begin(layout, Some(Vec::new()))
     }
@@ -123,7 +125,7 @@
         let config = config(&layout);
         let now = SECOND;
         let mut fleet = Fleet {
-            core: Core::new(config.clone(), now),
+            scheduler: Scheduler::new(config.clone(), now),
             store: Store::default(),
             history: History::default(),
             last_effects: Vec::new(),
@@ -241,7 +243,7 @@
             self.work();
         }
         self.config.token += 1;
-        self.core = Core::new(self.config.clone(), self.now);
+        self.scheduler = Scheduler::new(self.config.clone(), self.now);
         self.load();
     }
 
@@ -287,7 +289,7 @@
         self.step(batch);
         // A look at every task: in a large fleet once a second.
         if self.workers.len() < LARGE || now % SECOND == 0 {
-            self.history.observe(now, &self.core, self.workers.values());
+            self.history.observe(now, &self.scheduler, self.workers.values());
         }
     }
 
@@ -322,8 +324,8 @@
     }
 
     fn step(&mut self, batch: Vec<Command>) {
-        self.core.time_of_day(self.now, DAY_BEGINS + self.now / 1_000);
-        let effects = self.core.step(self.now, batch);
+        self.scheduler.time_of_day(self.now, DAY_BEGINS + self.now / 1_000);
+        let effects = self.scheduler.step(self.now, batch);
         if let Some(recorded) = &mut self.recorded {
             recorded.extend(effects.iter().map(|effect| (self.now, effect.clone())));
         }
--- a/crates/dockpier-virtual-fleet/src/store.rs
+++ b/crates/dockpier-virtual-fleet/src/store.rs
@@ -1,9 +1,9 @@
 //! The state service: what a leader writes, and what the next one reads.
 
-use dockpier::core::cold_start::{ColdStartReport, JobReading};
-use dockpier::core::drains::{DrainKey, DrainValue, LoadedDrains};
-use dockpier::core::model::JobId;
-use dockpier::core::{Command, Effect, Outcome, StoredJob, StoredMachine};
+use dockpier::scheduler::cold_start::{ColdStartReport, JobReading};
+use dockpier::scheduler::drains::{DrainKey, DrainValue, LoadedDrains};
+use dockpier::scheduler::model::JobId;
+use dockpier::scheduler::{Command, Effect, Outcome, StoredJob, StoredMachine};
 use dockpier_drain::ledger::LedgerRecord;
 use dockpier_drain::progress::Chunk;
 use dockpier_drain::request::{DrainId, StoredRequest};
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Carries out a change and says what the core is told of it.
+    /// Carries out a change and says what the scheduler is told of it.
     pub fn carry_out(&mut self, effect: Effect) -> Option<Command> {
         let outcome = match (self.out, self.answers_lost) {
             (true, _) => Outcome::Refused,
--- a/crates/dockpier-virtual-fleet/src/worker.rs
+++ b/crates/dockpier-virtual-fleet/src/worker.rs
@@ -1,9 +1,9 @@
 //! A worker: carries out what it is told, and keeps to its lease.
 
 use crate::history::History;
-use dockpier::core::model::*;
-use dockpier::core::Order;
 use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::Order;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Rate at which workers fetch images.
--- a/src/api.rs
+++ b/src/api.rs
@@ -2,9 +2,6 @@
 //! state service, check-ins by the owner of the state.
 
 use crate::controller::{CheckinReply, Event};
-use crate::core::model::{JobId, JobSpec, Kind, MachineType, Resources};
-use crate::core::overview::PageStart;
-use crate::core::Core;
 use crate::http::wall_ms;
 use crate::limits;
 use crate::live::Live;
@@ -12,6 +9,9 @@
 use crate::protocol::records::{FinalRecord, LiveRecord};
 use crate::protocol::users::{JobState, JobStatus, Submission};
 use crate::protocol::workers::{Checkin, Redirect};
+use crate::scheduler::model::{JobId, JobSpec, Kind, MachineType, Resources};
+use crate::scheduler::overview::PageStart;
+use crate::scheduler::Scheduler;
 use crate::settings::{Draining, Team};
 use crate::store::{self, Committed, Store, StoreError};
 use poem::http::{header, StatusCode};
@@ -242,7 +242,7 @@
         if types.is_empty() {
             return Err(Refusal::Later("machine types not known yet".into()));
         }
-        Ok((!Core::fits_some_type(job, &types)).then(|| "a task fits no allowed machine type".into()))
+        Ok((!Scheduler::fits_some_type(job, &types)).then(|| "a task fits no allowed machine type".into()))
     }
 
     async fn submit(&self, body: Body) -> Result<Response, Refusal> {
--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -7,10 +7,10 @@
 //! so that a zone that is cut off lives on as a whole, whichever node its workers reported to before. The
 //! leader always knows until when somebody may have kept a worker alive.
 
-use crate::core::model::{Report, ReportedTask};
 use crate::lease_renewal::{LeaseRenewal, UnconfirmedAnswers};
 use crate::limits;
 use crate::peer::RequestIds;
+use crate::scheduler::model::{Report, ReportedTask};
 use std::collections::{HashMap, VecDeque};
 
 /// The last report of a machine that the leader knows.
--- a/src/blocks_tests.rs
+++ b/src/blocks_tests.rs
@@ -1,8 +1,8 @@
 //! Tests of `blocks`.
 
 use super::*;
-use crate::core::model::{JobId, TaskId, TaskStatus};
 use crate::limits::SECOND;
+use crate::scheduler::model::{JobId, TaskId, TaskStatus};
 
 const LEASE: u64 = 20 * SECOND;
 
--- a/src/cancellation_log.rs
+++ b/src/cancellation_log.rs
@@ -13,9 +13,9 @@
 //!    know what its earlier life confirmed. One that has no state service promises besides to confirm nothing
 //!    for a while before we hold it, and covers that time too, a restart within it included.
 
-use crate::core::model::{JobId, Report, TaskStatus};
-use crate::core::Order;
 use crate::limits::{self, shortened};
+use crate::scheduler::model::{JobId, Report, TaskStatus};
+use crate::scheduler::Order;
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// What a member attests of the cancellations that it confirmed, in answer to a heartbeat of the receiver's.
--- a/src/cancellation_log_tests.rs
+++ b/src/cancellation_log_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::model::{ReportedTask, TaskId};
+use crate::scheduler::model::{ReportedTask, TaskId};
 
 const SECOND: u64 = limits::SECOND;
 const NOW: u64 = 1 << 45;
--- a/src/client/cold_start.rs
+++ b/src/client/cold_start.rs
@@ -2,7 +2,7 @@
 
 use super::options::ClientOptions;
 use super::{finish, ClientError};
-use crate::core::cold_start::{ColdStartReport, Phase};
+use crate::scheduler::cold_start::{ColdStartReport, Phase};
 use clap::Args;
 use reqwest::Method;
 use std::fmt::Write;
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,10 +1,10 @@
 //! The client of the cloud.
 
-use crate::core::model::{MachineType, Resources};
-use crate::core::{ListedMachine, Outcome, StoredMachine};
 use crate::http::{Answer, CallError, Http};
 use crate::limits;
 use crate::protocol::cloud::{Catalog, MachineList, MachineNames, RentalRequest, FAILED};
+use crate::scheduler::model::{MachineType, Resources};
+use crate::scheduler::{ListedMachine, Outcome, StoredMachine};
 use reqwest::Method;
 use tracing::{debug, warn};
 
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -1,15 +1,15 @@
-//! Workers' check-ins: answered by the leader's core, by this node as the lessee of a block, by a lease keeper, or
+//! Workers' check-ins: answered by the leader's scheduler, by this node as the lessee of a block, by a lease keeper, or
 //! sent elsewhere; and the frames about them between leader and lessees.
 
 use super::frames_ignored::IgnoredFrame;
 use super::Controller;
 use crate::blocks::{BlockAnswer, BlockHeartbeat};
-use crate::core::model::Report;
-use crate::core::{Command, Order};
 use crate::lease_renewal::LeaseRenewal;
 use crate::limits;
 use crate::peer::{self, Payload};
 use crate::protocol::workers::{Checkin, CheckinAnswer};
+use crate::scheduler::model::Report;
+use crate::scheduler::{Command, Order};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
 
@@ -55,7 +55,7 @@
         payload: Payload,
         commands: &mut Vec<Command>,
     ) {
-        let leads = self.leadership.authority(now).is_some() && self.core.is_some();
+        let leads = self.leadership.authority(now).is_some() && self.scheduler.is_some();
         // Stamps of other leaders' heartbeats lie outside every window: clocks start at random points.
         let fresh = |stamp: u64| stamp <= now && now < stamp + limits::RELAY_FRESH;
         match payload {
@@ -200,10 +200,10 @@
                 return;
             }
         };
-        let leads = self.leadership.authority(now).filter(|_| self.core.is_some());
+        let leads = self.leadership.authority(now).filter(|_| self.scheduler.is_some());
         // Before the jobs are loaded a leader knows no more than a lease keeper: the worker's lease runs on, and
         // there is nobody to say what it should do but stop what is cancelled.
-        let loaded = self.core.as_ref().is_some_and(|core| core.loaded);
+        let loaded = self.scheduler.as_ref().is_some_and(|scheduler| scheduler.loaded);
         let unloaded = leads.filter(|_| !loaded).map(|token| (token, LeaseRenewal::before_load()));
         let keeper = || Some((self.leadership.lease_keeper(now)?, LeaseRenewal::by_lease_keeper()));
         if let Some((token, renewal)) = unloaded.or_else(keeper) {
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -3,10 +3,10 @@
 use super::Event;
 use crate::api::Types;
 use crate::cloud::{self, Cloud};
-use crate::core::{Command, ListedMachine, Outcome};
 use crate::http::Clock;
 use crate::limits;
 use crate::protocol::cloud::{Catalog, RentalRequest};
+use crate::scheduler::{Command, ListedMachine, Outcome};
 use crate::settings::CloudLimits;
 use crate::store::{self, Committed, Store};
 use std::collections::VecDeque;
@@ -109,7 +109,7 @@
         let (cloud, events, gate) = (cloud.clone(), events.clone(), gate.clone());
         under_way.spawn(async move {
             let command = ask_cloud(cloud, request, pace, gate).await;
-            let _ = events.send(Event::Core(token, command)).await;
+            let _ = events.send(Event::Scheduler(token, command)).await;
         });
         tokio::time::sleep(pace).await;
     }
@@ -157,7 +157,7 @@
     loop {
         // Half a list would make machines seem missing.
         if let Some(all) = whole_list(&cloud, pace).await {
-            if events.send(Event::Core(token, Command::Listed(all))).await.is_err() {
+            if events.send(Event::Scheduler(token, Command::Listed(all))).await.is_err() {
                 return;
             }
         }
--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -3,11 +3,11 @@
 use super::effects::outcome_of;
 use super::live_jobs::stored_job;
 use super::Controller;
-use crate::core::cold_start::{ColdStartReport, JobReading};
-use crate::core::model::JobId;
-use crate::core::Command;
 use crate::limits;
 use crate::protocol::state_service::Record;
+use crate::scheduler::cold_start::{ColdStartReport, JobReading};
+use crate::scheduler::model::JobId;
+use crate::scheduler::Command;
 use crate::store;
 
 impl Controller {
--- a/src/controller/drain_records.rs
+++ b/src/controller/drain_records.rs
@@ -1,12 +1,12 @@
-//! The leader's drains in the state service: read when it begins, followed from then on, written as the core decides.
+//! The leader's drains in the state service: read when it begins, followed from then on, written as the scheduler decides.
 
 use super::effects::outcome_of;
 use super::live_jobs::pause;
 use super::{Controller, Event};
-use crate::core::drains::{DrainKey, DrainValue};
-use crate::core::Command;
 use crate::drains::records;
 use crate::limits;
+use crate::scheduler::drains::{DrainKey, DrainValue};
+use crate::scheduler::Command;
 use crate::store::{self, Store};
 use tokio::sync::mpsc;
 use tracing::{debug, warn};
@@ -23,7 +23,7 @@
     }
 }
 
-/// Tells the core of this token what operators ask for, whenever that changes.
+/// Tells the scheduler of this token what operators ask for, whenever that changes.
 pub(super) async fn follow_drains(store: Store, events: mpsc::Sender<Event>, token: u64) {
     let mut revision = 0;
     loop {
@@ -31,7 +31,7 @@
             Ok((requests, read)) => {
                 revision = read.max(revision);
                 let command = Command::DrainRequests(requests);
-                if events.send(Event::Core(token, command)).await.is_err() {
+                if events.send(Event::Scheduler(token, command)).await.is_err() {
                     return;
                 }
             }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,17 +1,17 @@
-//! Carries out what the core decides: answers, direct commands, transactions, requests to the cloud.
+//! Carries out what the scheduler decides: answers, direct commands, transactions, requests to the cloud.
 
 use super::cloud_driver::{CloudRequest, Gate};
 use super::finished_tasks::done_changes;
 use super::live_jobs::sweep;
 use super::{Controller, Event};
-use crate::core::model::JobId;
-use crate::core::{Command, Effect, Order, Outcome, StoredMachine};
 use crate::limits;
 use crate::peer::Payload;
 use crate::protocol::records::{FinalRecord, MachineRecord};
 use crate::protocol::state_service::Condition;
 use crate::protocol::users::JobStatus;
 use crate::protocol::workers::{DirectCommands, WorkerCommand};
+use crate::scheduler::model::JobId;
+use crate::scheduler::{Command, Effect, Order, Outcome, StoredMachine};
 use crate::store::{self, Committed};
 use crate::worker;
 use std::collections::BTreeSet;
@@ -22,18 +22,18 @@
 const FINAL_CHANGES: usize = 2;
 
 impl Controller {
-    /// Runs something for the core of the present token and hands it the outcome.
+    /// Runs something for the scheduler of the present token and hands it the outcome.
     pub(super) fn ask<F>(&self, future: F)
     where
         F: std::future::Future<Output = Command> + Send + 'static,
     {
         let (events, token) = (self.events.clone(), self.config.token);
         tokio::spawn(async move {
-            let _ = events.send(Event::Core(token, future.await)).await;
+            let _ = events.send(Event::Scheduler(token, future.await)).await;
         });
     }
 
-    /// Carries out one effect of the core.
+    /// Carries out one effect of the scheduler.
     pub(super) fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Answer { reply, renewal, orders, keep } => self.answer(reply, renewal, orders, keep),
@@ -84,7 +84,7 @@
             };
             drop(turn);
             if let Some(report) = answer {
-                let _ = events.send(Event::Core(token, Command::OrdersAnswered(report))).await;
+                let _ = events.send(Event::Scheduler(token, Command::OrdersAnswered(report))).await;
             }
         });
     }
@@ -147,7 +147,7 @@
     }
 }
 
-/// What the core needs to know of a transaction. A failed one is reported after a pause, so that a
+/// What the scheduler needs to know of a transaction. A failed one is reported after a pause, so that a
 /// service in trouble is not asked hot and an outage ends without a stampede.
 pub(super) async fn outcome_of(committed: Committed) -> Outcome {
     if !matches!(committed, Committed::Done { .. }) {
--- a/src/controller/finished_tasks.rs
+++ b/src/controller/finished_tasks.rs
@@ -1,8 +1,8 @@
 //! How finished tasks are kept in the state service: bits of 4,096 tasks a key, as hexadecimal digits.
 
-use crate::core::model::JobId;
 use crate::limits;
 use crate::protocol::state_service::Change;
+use crate::scheduler::model::JobId;
 use crate::store;
 use std::collections::BTreeSet;
 
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -1,10 +1,10 @@
 //! What this node tells of itself: to the load balancer, to its peers and to operators.
 
 use super::{Controller, NodeView};
-use crate::core::overview::PageStart;
-use crate::core::Core;
 use crate::leadership::Status;
 use crate::limits;
+use crate::scheduler::overview::PageStart;
+use crate::scheduler::Scheduler;
 use std::sync::atomic::Ordering;
 use tracing::info;
 
@@ -17,7 +17,7 @@
         Status {
             state_age: now.saturating_sub(self.store.answered()),
             workers: self.checkins.len() as u32,
-            machines: self.core.as_ref().map_or(0, Core::machines_up),
+            machines: self.scheduler.as_ref().map_or(0, Scheduler::machines_up),
             attests: true,
         }
     }
@@ -41,14 +41,14 @@
             true => Some(node.clone()),
             false => self.leadership.leader_name(now).map(str::to_string),
         };
-        let core = self.core.as_ref().map(|core| core.overview(start));
+        let scheduler = self.scheduler.as_ref().map(|scheduler| scheduler.overview(start));
         NodeView {
             node,
             leader,
             token: self.config.token,
             answers: self.answers,
             frames_ignored: self.frames_ignored.counts(),
-            core,
+            scheduler,
         }
     }
 }
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -6,11 +6,11 @@
 use super::drain_records::follow_drains;
 use super::live_jobs::follow_jobs;
 use super::{Controller, Event};
-use crate::core::{Command, Core};
 use crate::leadership::{Action, Message, StoreAnswer};
 use crate::peer::Payload;
 use crate::protocol::records::Epoch;
 use crate::record_versions::RecordVersions;
+use crate::scheduler::{Command, Scheduler};
 use crate::store::Store;
 use tokio::sync::mpsc;
 use tracing::debug;
@@ -89,10 +89,10 @@
         self.config.token = token;
         self.version = version;
         self.versions = RecordVersions::default();
-        let mut core = Core::new(self.config.clone(), now);
+        let mut scheduler = Scheduler::new(self.config.clone(), now);
         let types = Command::Types(self.types.values().cloned().collect());
-        let effects = core.step(now, vec![types]);
-        self.core = Some(core);
+        let effects = scheduler.step(now, vec![types]);
+        self.scheduler = Some(scheduler);
         for effect in effects {
             self.carry_out(effect);
         }
@@ -122,8 +122,8 @@
     fn deposed(&mut self) {
         self.leading.drain(..).for_each(|task| task.abort());
         self.cloud_queue = None;
-        if let Some(mut core) = self.core.take() {
-            core.write_usage();
+        if let Some(mut scheduler) = self.scheduler.take() {
+            scheduler.write_usage();
         }
         self.config.token = 0;
         for (_, to) in std::mem::take(&mut self.replies) {
--- a/src/controller/live_jobs.rs
+++ b/src/controller/live_jobs.rs
@@ -3,14 +3,14 @@
 
 use super::finished_tasks::decode_bits;
 use super::Event;
-use crate::core::model::JobId;
-use crate::core::{Command, StoredJob, StoredMachine};
 use crate::drains;
 use crate::http::wall_ms;
 use crate::limits;
 use crate::protocol::records::{LiveRecord, MachineRecord};
 use crate::protocol::state_service::{ChangeEvent, Record};
 use crate::record_versions::RecordVersions;
+use crate::scheduler::model::JobId;
+use crate::scheduler::{Command, StoredJob, StoredMachine};
 use crate::settings::Team;
 use crate::store::{self, Store};
 use std::collections::{BTreeSet, HashMap};
@@ -121,19 +121,19 @@
     }
 }
 
-/// Keeps the core of one leadership up to date with the live jobs.
+/// Keeps the scheduler of one leadership up to date with the live jobs.
 struct Follower {
     store: Store,
     events: mpsc::Sender<Event>,
     token: u64,
-    /// The jobs that the core was told of.
+    /// The jobs that the scheduler was told of.
     known: BTreeSet<JobId>,
 }
 
 impl Follower {
     async fn send(&self, command: Command) {
         // The owner of the state has ended with the process.
-        let _ = self.events.send(Event::Core(self.token, command)).await;
+        let _ = self.events.send(Event::Scheduler(self.token, command)).await;
     }
 
     /// Reads everything, as often as it takes; returns the revision to follow from.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! The owner of a controller's state: one queue of events, taken in batches, into leadership and core; their effects
+//! The owner of a controller's state: one queue of events, taken in batches, into leadership and scheduler; their effects
 //! out. Each module beside this one carries out one kind of work for it.
 
 mod checkins;
@@ -19,9 +19,6 @@
 use crate::api::{Health, Summary, Types};
 use crate::blocks::Block;
 use crate::cloud::Cloud;
-use crate::core::model::JobId;
-use crate::core::overview::{Overview, PageStart};
-use crate::core::{Command, Config, Core};
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{wall_ms, Clock, Http};
 use crate::leadership::{Leadership, StoreAnswer};
@@ -31,6 +28,9 @@
 use crate::peer::{Payload, Received, RequestIds};
 use crate::protocol::workers::Checkin;
 use crate::record_versions::RecordVersions;
+use crate::scheduler::model::JobId;
+use crate::scheduler::overview::{Overview, PageStart};
+use crate::scheduler::{Command, Config, Scheduler};
 use crate::settings::Settings;
 use crate::store::Store;
 use checkins::{PassedOn, ReplyTo};
@@ -56,7 +56,7 @@
     /// Frames of peers that nothing followed from.
     pub frames_ignored: FrameCounts,
     #[serde(flatten)]
-    pub core: Option<Overview>,
+    pub scheduler: Option<Overview>,
 }
 
 pub enum Event {
@@ -68,8 +68,8 @@
     /// A user is to be told that the job is cancelled; the answer is whether that may be told now.
     Cancelled(JobId, oneshot::Sender<bool>),
     Store(StoreAnswer),
-    /// For the core of this token, and no other.
-    Core(u64, Command),
+    /// For the scheduler of this token, and no other.
+    Scheduler(u64, Command),
     Types(Types),
 }
 
@@ -87,7 +87,7 @@
     leadership: Leadership,
     incarnation: u64,
     outgoing: Vec<Option<mpsc::Sender<Payload>>>,
-    core: Option<Core>,
+    scheduler: Option<Scheduler>,
     /// Version of the epoch that every transaction of this leader rests on.
     version: u64,
     versions: RecordVersions,
@@ -121,7 +121,7 @@
 /// What a batch of events asks for beyond what leadership carried out at once.
 #[derive(Default)]
 struct Batch {
-    /// For the core, in order.
+    /// For the scheduler, in order.
     commands: Vec<Command>,
     /// Answered once leadership has taken in the whole batch.
     checkins: Vec<WaitingCheckin>,
@@ -183,7 +183,7 @@
                 let actions = self.leadership.store(now, answer);
                 self.act(actions);
             }
-            Event::Core(token, command) => {
+            Event::Scheduler(token, command) => {
                 if token == self.config.token {
                     batch.commands.extend(self.unless_over(command));
                 }
@@ -248,14 +248,14 @@
     }
 
     fn step(&mut self, now: u64, commands: Vec<Command>) {
-        let Some(core) = &mut self.core else { return };
-        core.kept_alive_until(self.leadership.autonomous_until(now));
-        core.out_of_touch(now, self.leadership.out_of_touch(now));
-        core.time_of_day(now, wall_ms());
-        let effects = core.step(now, commands);
+        let Some(scheduler) = &mut self.scheduler else { return };
+        scheduler.kept_alive_until(self.leadership.autonomous_until(now));
+        scheduler.out_of_touch(now, self.leadership.out_of_touch(now));
+        scheduler.time_of_day(now, wall_ms());
+        let effects = scheduler.step(now, commands);
         if now >= self.summary_due {
             self.summary_due = now + limits::SECOND;
-            let lines = core.summary();
+            let lines = scheduler.summary();
             let own = lines.iter().map(|(u, d, r)| (*u, (*d, *r))).collect();
             self.summary.send_replace(Arc::new(own));
             // A job that is not named counts as without a task; a frame holds some four thousand.
@@ -267,8 +267,8 @@
         }
         if now >= self.report_due {
             self.report_due = now + 10 * limits::SECOND;
-            info!(token = self.config.token, "{}", core.fleet_line());
-            self.limit_warnings.judge(core.machines.len(), &self.settings.deployment);
+            info!(token = self.config.token, "{}", scheduler.fleet_line());
+            self.limit_warnings.judge(scheduler.machines.len(), &self.settings.deployment);
         }
         for effect in effects {
             self.carry_out(effect);
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -6,7 +6,6 @@
 use crate::api::{self, Api, ApiSettings, Health, Summary, Types};
 use crate::blocks::Block;
 use crate::cloud::Cloud;
-use crate::core::Config;
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{Clock, Http};
 use crate::leadership::Leadership;
@@ -14,6 +13,7 @@
 use crate::limits::{self, Capacity};
 use crate::peer::{self, Received, RequestIds, Sender};
 use crate::record_versions::RecordVersions;
+use crate::scheduler::Config;
 use crate::settings::{Operator, Settings};
 use crate::store::Store;
 use std::collections::{BTreeMap, VecDeque};
@@ -148,7 +148,7 @@
         leadership,
         incarnation: sender.incarnation,
         outgoing,
-        core: None,
+        scheduler: None,
         version: 0,
         versions: RecordVersions::default(),
         replies: BTreeMap::new(),
--- a/src/drains/records.rs
+++ b/src/drains/records.rs
@@ -1,8 +1,8 @@
 //! Where drains are kept in the state service. A version that does not know these keys leaves them alone.
 
-use crate::core::drains::{DrainKey, LoadedDrains};
 use crate::protocol::state_service::Record;
 use crate::record_versions::RecordVersions;
+use crate::scheduler::drains::{DrainKey, LoadedDrains};
 use crate::settings::Team;
 use crate::store::{Store, StoreError};
 use dockpier_drain::ledger::LedgerRecord;
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -2,8 +2,8 @@
 
 use super::{Action, Leadership, Message, Role, Status};
 use crate::cancellation_log::Attestation;
-use crate::core::model::JobId;
 use crate::limits::{self, lengthened, shortened};
+use crate::scheduler::model::JobId;
 
 impl Leadership {
     /// What a member attests of cancellations. Returns the jobs that turned out to be over. A user may be waiting
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 use crate::blocks::{Block, BlockHeartbeat};
-use crate::core::model::{JobId, Report, ReportedTask, TaskId, TaskStatus};
-use crate::core::Order;
 use crate::limits::lengthened;
+use crate::scheduler::model::{JobId, Report, ReportedTask, TaskId, TaskStatus};
+use crate::scheduler::Order;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -95,7 +95,7 @@
     tasks: BTreeSet<JobId>,
 }
 
-/// What a leader knows of workers' leases: as the core counts them (`Core::expire`).
+/// What a leader knows of workers' leases: as the scheduler counts them (`Scheduler::expire`).
 #[derive(Default)]
 struct Ledger {
     token: u64,
@@ -649,7 +649,7 @@
         if self.cancels == 0 {
             return Some(Vec::new());
         }
-        // It stops what it has no job for, as the core does.
+        // It stops what it has no job for, as the scheduler does.
         let known = |id: &TaskId| cancellations.is_live(id.job_id);
         let foreign = report.tasks.iter().filter(|t| !known(&t.id));
         let foreign = foreign.map(|t| Order::Stop { id: t.id, attempt: t.attempt, grace_s: 0.0 });
--- a/src/lease_renewal.rs
+++ b/src/lease_renewal.rs
@@ -13,7 +13,7 @@
 pub enum Grounds {
     /// The leader noted the answer to the machine.
     Leader,
-    /// A leader that has not loaded its state: leases count from when it has (`Core::load`).
+    /// A leader that has not loaded its state: leases count from when it has (`Scheduler::load`).
     BeforeLoad,
     /// A lease keeper: the next leader counts leases from when it may last have answered
     /// (`Leadership::autonomous_until`).
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! dockpier, an elastic cluster scheduler.
 //!
-//! `core` owns every decision and does no I/O; `leadership` says who may act; the other modules
+//! `scheduler` owns every decision and does no I/O; `leadership` says who may act; the other modules
 //! stand around them and speak to users, workers, the cloud, the state service and the peers.
 
 pub mod api;
@@ -10,7 +10,6 @@
 pub mod client;
 pub mod cloud;
 pub mod controller;
-pub mod core;
 pub mod drains;
 pub mod fleet_limits;
 pub mod http;
@@ -22,6 +21,7 @@
 pub mod peer;
 pub mod protocol;
 pub mod record_versions;
+pub mod scheduler;
 pub mod settings;
 pub mod store;
 pub mod worker;
--- a/src/live.rs
+++ b/src/live.rs
@@ -5,8 +5,8 @@
 //! know which jobs were cancelled (`cancellation_log`), so that the copy is brought up to date without polls as well.
 
 use crate::controller::Event;
-use crate::core::model::JobId;
 use crate::limits;
+use crate::scheduler::model::JobId;
 use crate::store::{self, Store, StoreError};
 use std::collections::HashSet;
 use std::sync::Arc;
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -3,10 +3,10 @@
 use super::layout::*;
 use super::{Payload, Sender};
 use crate::cancellation_log::Attestation;
-use crate::core::model::{ExitReason, JobId, Report, ReportedTask, TaskId, TaskStatus};
-use crate::core::Order;
 use crate::leadership::{Message, Status};
 use crate::limits;
+use crate::scheduler::model::{ExitReason, JobId, Report, ReportedTask, TaskId, TaskStatus};
+use crate::scheduler::Order;
 use zerocopy::little_endian::U64;
 use zerocopy::{FromBytes, IntoBytes};
 
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -11,9 +11,9 @@
 pub use transport::{listen, send_to};
 
 use crate::cancellation_log::Attestation;
-use crate::core::model::Report;
-use crate::core::Order;
 use crate::leadership::{Message, Status};
+use crate::scheduler::model::Report;
+use crate::scheduler::Order;
 
 #[derive(Debug, Clone)]
 pub enum Payload {
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -3,7 +3,7 @@
 use super::codec::status_of;
 use super::layout::Head;
 use super::*;
-use crate::core::model::{JobId, ReportedTask, TaskId};
+use crate::scheduler::model::{JobId, ReportedTask, TaskId};
 
 #[test]
 fn frames_survive_the_trip_and_garbage_does_not() {
--- a/src/protocol/records.rs
+++ b/src/protocol/records.rs
@@ -1,7 +1,7 @@
 //! What is kept in the state service. Earlier versions read and write the same records, so no name here changes.
 
 use super::users::{JobStatus, Submission};
-use crate::core::StoredMachine;
+use crate::scheduler::StoredMachine;
 use serde::{Deserialize, Serialize};
 
 /// `live/<job id>`: a job as submitted, and when, so that its age outlives a change of leader.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,7 +1,7 @@
 //! What users send and are told.
 
-use crate::core::model::{JobId, JobSpec, Kind, Priority, Resources};
 use crate::limits;
+use crate::scheduler::model::{JobId, JobSpec, Kind, Priority, Resources};
 use serde::{Deserialize, Serialize};
 
 /// A job as its user submits it.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,8 +1,8 @@
 //! What workers report and are told.
 
-use crate::core::model::{ExitReason, JobId, Report, ReportedTask, TaskId, TaskStatus};
-use crate::core::Order;
 use crate::lease_renewal::LeaseRenewal;
+use crate::scheduler::model::{ExitReason, JobId, Report, ReportedTask, TaskId, TaskStatus};
+use crate::scheduler::Order;
 use serde::{Deserialize, Serialize};
 
 /// A worker's report.
--- a/src/core/answers.rs
+++ b/src/scheduler/answers.rs
@@ -1,11 +1,11 @@
 //! What workers are told: answers to their reports, and direct stops.
 
 use super::model::*;
-use super::{Core, Effect, Order};
+use super::{Effect, Order, Scheduler};
 use crate::lease_renewal::LeaseRenewal;
 use tracing::debug;
 
-impl Core {
+impl Scheduler {
     pub(super) fn stop_orders(machine: &Machine) -> impl Iterator<Item = Order> + '_ {
         let own = machine.tasks.iter().filter_map(|(id, t)| {
             t.stopping.map(|(_, grace_s)| Order::Stop { id: *id, attempt: t.attempt, grace_s })
--- a/src/core/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -9,7 +9,7 @@
 
 use super::messages::{Effect, StoredJob};
 use super::model::*;
-use super::Core;
+use super::Scheduler;
 use crate::limits;
 use dockpier_reconcile::{Counts, Fact, GoneBy, JobFact, MachineFact, Reconciliation};
 use dockpier_reconcile::{ReportNumber, Reported, ReportedState, TaskKey, Verdict};
@@ -121,7 +121,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Whether tasks of unknown jobs are kept until the store was read after they were reported.
     pub(super) fn keeps_unknown_tasks(&self) -> bool {
         self.config.operator.cold_start.enabled
--- a/src/core/consolidate.rs
+++ b/src/scheduler/consolidate.rs
@@ -4,12 +4,12 @@
 
 use super::model::*;
 use super::place::{self, ZoneCount};
-use super::Core;
+use super::Scheduler;
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-impl Core {
+impl Scheduler {
     /// Work that must have an ordinary machine.
     fn is_fixed(&self, id: &TaskId) -> bool {
         self.jobs.get(&id.job_id).is_none_or(|j| !j.spec.spot)
--- a/src/core/drains/disruption.rs
+++ b/src/scheduler/drains/disruption.rs
@@ -2,13 +2,13 @@
 //! with it. Planned stops are settled with it, losses that nobody planned count against the same budgets.
 
 use super::super::model::{Job, Kind, Machine, Placed, TaskId, TaskStatus};
-use super::super::Core;
+use super::super::Scheduler;
 use super::OpenDisruption;
 use crate::limits;
 use dockpier_drain::budget::Cost;
 use std::collections::BTreeSet;
 
-impl Core {
+impl Scheduler {
     /// Compares who serves with who served, and settles what is over.
     pub(super) fn observe_disruption(&mut self) {
         let serving = self.serving_replicas();
--- a/src/core/drains/emptying.rs
+++ b/src/scheduler/drains/emptying.rs
@@ -2,7 +2,7 @@
 
 use super::super::model::{Job, Kind, Machine, Phase, TaskId, TaskStatus};
 use super::super::place::{self, ZoneCount};
-use super::super::Core;
+use super::super::Scheduler;
 use super::disruption::runs_on;
 use super::holds::KeptRooms;
 use super::{Move, OpenDisruption, PendingStop};
@@ -32,7 +32,7 @@
     late: bool,
 }
 
-impl Core {
+impl Scheduler {
     /// Goes on with every cordoned machine whose state is stored.
     pub(super) fn empty_machines(&mut self) {
         let cordoned_machines = self.cordoned_machines();
--- a/src/core/drains/holds.rs
+++ b/src/scheduler/drains/holds.rs
@@ -4,7 +4,7 @@
 use super::super::elastic::FreeCapacity;
 use super::super::model::{JobId, Machine, Resources, TaskId};
 use super::super::place::{self, ZoneCount};
-use super::super::Core;
+use super::super::Scheduler;
 use crate::limits;
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// What replicas that move, or are about to, need where they go.
     pub(super) fn kept_rooms(&self) -> KeptRooms {
         let mut kept: BTreeMap<String, Resources> = BTreeMap::new();
--- a/src/core/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -1,5 +1,5 @@
 //! Planned draining: the leader carries out what operators ask for, in steps that keep every team's disruption within
-//! its budget. `dockpier_drain` decides; here its decisions meet the rules that the core keeps anyway.
+//! its budget. `dockpier_drain` decides; here its decisions meet the rules that the scheduler keeps anyway.
 //!
 //! A state of a machine is stored before anything is done on the strength of it, and a stop's estimate is stored in
 //! its team's ledger before the stop is told. So a new leader goes on where the last one stopped, and no budget
@@ -16,7 +16,7 @@
 pub use store::{DrainKey, DrainValue, LoadedDrains};
 
 use super::model::TaskId;
-use super::Core;
+use super::Scheduler;
 use crate::limits;
 use dockpier_drain::budget::Budget;
 use dockpier_drain::ledger::{Allowance, DisruptionId, Ledger};
@@ -35,7 +35,7 @@
 }
 
 impl Writing {
-    /// The state service has what the core has.
+    /// The state service has what the scheduler has.
     fn is_stored(&self) -> bool {
         !self.dirty && !self.sent
     }
@@ -185,7 +185,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     fn draining_on(&self) -> bool {
         self.config.operator.draining.enabled
     }
--- a/src/core/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -5,7 +5,7 @@
 
 use super::super::fleet::Offer;
 use super::super::model::Phase;
-use super::super::{Core, Effect, Outcome, StoredMachine};
+use super::super::{Effect, Outcome, Scheduler, StoredMachine};
 use crate::limits;
 use dockpier_drain::progress::MachineState;
 use dockpier_drain::request::DrainId;
@@ -22,7 +22,7 @@
     stored: bool,
 }
 
-impl Core {
+impl Scheduler {
     pub(super) fn advance_replacements(&mut self) {
         for replacing in self.replacements_under_way() {
             if !self.machines.contains_key(&replacing.machine) {
--- a/src/core/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -1,7 +1,7 @@
 //! The next step: which machines are replaced or cordoned now.
 
 use super::super::model::{Job, Kind, Machine, Phase, Resources};
-use super::super::Core;
+use super::super::Scheduler;
 use super::disruption::runs_on;
 use super::holds::KeptRooms;
 use crate::limits;
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use tracing::debug;
 
-impl Core {
+impl Scheduler {
     pub(super) fn take_step(&mut self) {
         let drains = self.drains_going_on();
         if drains.is_empty() {
--- a/src/core/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -1,7 +1,7 @@
 //! What of drains is stored, and how far its writing is. The leader's budget of changes comes first to everything
 //! else: a drain is never urgent.
 
-use super::super::{Core, Effect, Outcome};
+use super::super::{Effect, Outcome, Scheduler};
 use super::{Drain, Drains, TeamDisruption, Writing};
 use crate::limits;
 use dockpier_drain::budget::Cost;
@@ -69,7 +69,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// What was stored when this leader took over; before the jobs are loaded, so that no machine that is being
     /// drained gets work in between.
     pub(in super::super) fn load_drains(&mut self, mut stored: LoadedDrains) {
--- a/src/core/drains/summary.rs
+++ b/src/scheduler/drains/summary.rs
@@ -1,12 +1,12 @@
 //! What operators are told of each drain.
 
-use super::super::Core;
+use super::super::Scheduler;
 use super::Drain;
 use dockpier_drain::budget::Budgets;
 use dockpier_drain::request::Wish;
 use dockpier_drain::status::{DrainState, Summary, Wait, WAITS_MOST};
 
-impl Core {
+impl Scheduler {
     /// Brings the summaries up to date; one that says something new is to be stored.
     pub(super) fn update_summaries(&mut self) {
         let (day, now, token) = (self.day_ms(), self.now, self.config.token);
--- a/src/core/elastic/alike.rs
+++ b/src/scheduler/elastic/alike.rs
@@ -4,8 +4,8 @@
 //! for so many tasks never uses more than so many of a group: those with its image, and those without. What changes
 //! within a round, or is fetching, is looked at one by one.
 
-use crate::core::model::{Job, Kind, Machine, Resources, TaskStatus};
-use crate::core::Core;
+use crate::scheduler::model::{Job, Kind, Machine, Resources, TaskStatus};
+use crate::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -44,7 +44,7 @@
 
 /// Groups machines as they are found.
 pub(super) struct Grouping<'a> {
-    core: &'a Core,
+    scheduler: &'a Scheduler,
     types: BTreeMap<&'a str, usize>,
     zones: BTreeMap<&'a str, usize>,
     groups: BTreeMap<Group, Vec<String>>,
@@ -52,11 +52,11 @@
 }
 
 impl<'a> Grouping<'a> {
-    pub(super) fn new(core: &'a Core) -> Self {
+    pub(super) fn new(scheduler: &'a Scheduler) -> Self {
         Grouping {
-            core,
-            types: core.types.keys().enumerate().map(|(at, name)| (name.as_str(), at)).collect(),
-            zones: core.config.zones.iter().enumerate().map(|(at, name)| (name.as_str(), at)).collect(),
+            scheduler,
+            types: scheduler.types.keys().enumerate().map(|(at, name)| (name.as_str(), at)).collect(),
+            zones: scheduler.config.zones.iter().enumerate().map(|(at, name)| (name.as_str(), at)).collect(),
             groups: BTreeMap::new(),
             single: BTreeSet::new(),
         }
@@ -75,9 +75,9 @@
             zone: *zone,
             spot: machine.spot,
             surplus: machine.surplus,
-            slow: machine.slow_until > self.core.now,
-            drain_kept: self.core.drains.is_kept(&machine.name),
-            drain_targeted: self.core.drains.is_targeted(&machine.name),
+            slow: machine.slow_until > self.scheduler.now,
+            drain_kept: self.scheduler.drains.is_kept(&machine.name),
+            drain_targeted: self.scheduler.drains.is_targeted(&machine.name),
             room,
         };
         self.groups.entry(group).or_default().push(machine.name.clone());
@@ -88,7 +88,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Names among which the best machines for `want` tasks of the job are; `None`: only a look at each tells. Adds
     /// the names looked at.
     pub(super) fn names_to_weigh<'a>(
--- a/src/core/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -1,9 +1,9 @@
 //! Free capacity as a round fills it, and what all jobs of the round ask for alike.
 
 use super::alike::{AlikeMachines, Grouping};
-use crate::core::model::{JobId, Kind, Machine, Priority, Resources};
-use crate::core::teams::TeamUsage;
-use crate::core::Core;
+use crate::scheduler::model::{JobId, Kind, Machine, Priority, Resources};
+use crate::scheduler::teams::TeamUsage;
+use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     /// Some job may not use spot machines.
     pub(super) fixed_work: bool,
     /// What each team uses.
-    pub(in crate::core) teams: TeamUsage,
+    pub(in crate::scheduler) teams: TeamUsage,
 }
 
 impl FreeCapacity {
@@ -47,7 +47,7 @@
     }
 
     /// Only so much of a machine's room is free to everybody.
-    pub(in crate::core) fn limit(&mut self, machine: &Machine, room: Resources) {
+    pub(in crate::scheduler) fn limit(&mut self, machine: &Machine, room: Resources) {
         if self.free.contains_key(&machine.name) {
             self.set(machine, room);
         }
@@ -86,7 +86,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// What the jobs of a round have in common, and the machines with room for any of them.
     pub(super) fn capacity(&mut self, order: &[JobId], steps: &mut usize) -> FreeCapacity {
         self.note_unreconciled();
--- a/src/core/elastic/find.rs
+++ b/src/scheduler/elastic/find.rs
@@ -1,9 +1,9 @@
 //! Machines for the tasks of a job, the best ones first.
 
 use super::capacity::FreeCapacity;
-use crate::core::model::{Job, Kind, Machine, Priority, Resources};
-use crate::core::place::{self, ZoneCount};
-use crate::core::Core;
+use crate::scheduler::model::{Job, Kind, Machine, Priority, Resources};
+use crate::scheduler::place::{self, ZoneCount};
+use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 
 /// A machine that has room for a task, as `find` weighs it.
@@ -16,7 +16,7 @@
     free: Resources,
 }
 
-impl Core {
+impl Scheduler {
     /// Machines for up to `want` tasks of the job, the best ones first; an entry per task. A machine
     /// that is best stays best until it is full, since each task only makes it fuller; so the candidates
     /// are weighed once, and the zones are compared by their best ones. `now`: only places where its image
--- a/src/core/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -13,14 +13,14 @@
 
 pub use capacity::FreeCapacity;
 
-use crate::core::model::{Job, JobId, Kind, TaskId};
-use crate::core::Core;
 use crate::limits;
+use crate::scheduler::model::{Job, JobId, Kind, TaskId};
+use crate::scheduler::Scheduler;
 use tracing::debug;
 
 const GAP: &str = "rescale gap";
 
-impl Core {
+impl Scheduler {
     fn in_gap(&self, job: &Job) -> bool {
         job.rescaled > 0 && self.now < job.rescaled + limits::micros(self.config.operator.rescale_gap_s)
     }
--- a/src/core/elastic/rank.rs
+++ b/src/scheduler/elastic/rank.rs
@@ -1,11 +1,11 @@
 //! Who comes first: aged priority, and the orders in which jobs are served and yield.
 
-use crate::core::model::{Job, JobId, Kind, Priority};
-use crate::core::Core;
 use crate::limits;
+use crate::scheduler::model::{Job, JobId, Kind, Priority};
+use crate::scheduler::Scheduler;
 use std::sync::Arc;
 
-impl Core {
+impl Scheduler {
     /// Aged rank: the priority class plus the share of a class that its age has earned, in thousandths.
     /// Every job ages from its arrival: were only waiting ones to age, a newcomer would pass earlier jobs
     /// that still grow, and a job short of its width would yield after an earlier one that has all.
--- a/src/core/elastic/shrink.rs
+++ b/src/scheduler/elastic/shrink.rs
@@ -1,13 +1,13 @@
 //! Shrinking lower jobs for one that cannot start.
 
 use super::capacity::FreeCapacity;
-use crate::core::model::{Job, JobId, Kind, Priority, Resources, TaskId};
-use crate::core::place;
-use crate::core::teams::TeamUsage;
-use crate::core::Core;
+use crate::scheduler::model::{Job, JobId, Kind, Priority, Resources, TaskId};
+use crate::scheduler::place;
+use crate::scheduler::teams::TeamUsage;
+use crate::scheduler::Scheduler;
 use tracing::debug;
 
-impl Core {
+impl Scheduler {
     /// Stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots.
     /// Returns whether that room is under way.
     pub(super) fn shrink_for(
--- a/src/core/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -1,8 +1,8 @@
 //! Machines weighed by groups against every machine weighed by itself.
 
 use super::*;
-use crate::core::model::*;
-use crate::core::{Command, Config, StoredJob, StoredMachine};
+use crate::scheduler::model::*;
+use crate::scheduler::{Command, Config, StoredJob, StoredMachine};
 use crate::settings::{Operator, Team, Workers};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -72,19 +72,20 @@
 }
 
 /// A fleet of two types in three zones, spot and ordinary, some with images, some fetching, some partly full.
-fn draw_core(rng: &mut SmallRng, machines: usize) -> Core {
+fn draw_scheduler(rng: &mut SmallRng, machines: usize) -> Scheduler {
     let config = config();
     let zones = config.zones.clone();
     let types = vec![machine_type("m", 4.0, &zones), machine_type("n", 8.0, &zones)];
-    let mut core = Core::new(config, limits::SECOND);
-    core.step(limits::SECOND, vec![Command::Types(types), Command::Load { jobs: vec![], records: vec![] }]);
+    let mut scheduler = Scheduler::new(config, limits::SECOND);
+    scheduler
+        .step(limits::SECOND, vec![Command::Types(types), Command::Load { jobs: vec![], records: vec![] }]);
     // Everybody has the first image of some fleets.
     let popular = rng.random_bool(0.5);
     for number in 0..machines {
         let zone = zones[rng.random_range(0..3)].clone();
         let name = format!("m-{number:06}");
         let machine_type = if rng.random_bool(0.7) { "m" } else { "n" };
-        core.machine(&StoredMachine {
+        scheduler.machine(&StoredMachine {
             name: name.clone(),
             machine_type: machine_type.into(),
             zone,
@@ -95,9 +96,9 @@
         let images = (0..4).filter(|image| popular && *image == 0 || rng.random_bool(0.05));
         let images: BTreeSet<String> = images.map(|image| format!("i{image}")).collect();
         for image in &images {
-            core.warm.entry(image.clone()).or_default().insert(name.clone());
+            scheduler.warm.entry(image.clone()).or_default().insert(name.clone());
         }
-        let Some(machine) = core.machines.get_mut(&name) else { continue };
+        let Some(machine) = scheduler.machines.get_mut(&name) else { continue };
         (machine.phase, machine.reconciled, machine.recorded) = (Phase::Up, true, true);
         (machine.heard, machine.images) = (limits::SECOND, images);
         machine.surplus = !machine.spot && rng.random_bool(0.2);
@@ -119,7 +120,7 @@
             machine.tasks.insert(id, placed);
         }
     }
-    core
+    scheduler
 }
 
 #[test]
@@ -128,27 +129,27 @@
     for seed in 0..60 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let machines = rng.random_range(5..260);
-        let mut core = draw_core(&mut rng, machines);
+        let mut scheduler = draw_scheduler(&mut rng, machines);
         let specs: Vec<JobSpec> = (1..12).map(|id| draw_job(&mut rng, id)).collect();
         for spec in specs {
             let version = spec.job_id.0;
-            core.add_job(StoredJob { spec, version, age: 0, done: BTreeSet::new() }, false);
+            scheduler.add_job(StoredJob { spec, version, age: 0, done: BTreeSet::new() }, false);
         }
-        let order: Vec<JobId> = core.jobs.keys().copied().collect();
+        let order: Vec<JobId> = scheduler.jobs.keys().copied().collect();
         let mut steps = 0;
-        let mut grouped = core.capacity(&order, &mut steps);
+        let mut grouped = scheduler.capacity(&order, &mut steps);
         for job_id in order {
             let mut each = grouped.clone();
             let names: Vec<String> = each.free.keys().cloned().collect();
             names.iter().for_each(|name| each.alike.set_apart(name));
-            let job = &core.jobs[&job_id];
+            let job = &scheduler.jobs[&job_id];
             let (want, patient) = (rng.random_range(1..job.spec.tasks + 1), rng.random_bool(0.5));
-            let found = core.find(job, want, patient, &grouped, &mut steps);
-            assert_eq!(found, core.find(job, want, patient, &each, &mut steps), "seed {seed}, {job_id}");
+            let found = scheduler.find(job, want, patient, &grouped, &mut steps);
+            assert_eq!(found, scheduler.find(job, want, patient, &each, &mut steps), "seed {seed}, {job_id}");
             found_any += usize::from(!found.is_empty());
             let needs = job.spec.needs;
             for name in found.iter().take(rng.random_range(0..8)) {
-                grouped.take(&core.machines[name], &needs);
+                grouped.take(&scheduler.machines[name], &needs);
             }
         }
     }
--- a/src/core/exits.rs
+++ b/src/scheduler/exits.rs
@@ -2,11 +2,11 @@
 
 use super::absence::Absence;
 use super::model::*;
-use super::Core;
+use super::Scheduler;
 use crate::limits;
 use tracing::{debug, info, warn};
 
-impl Core {
+impl Scheduler {
     /// A report lists the task as exited.
     pub(super) fn take_exit(&mut self, name: &str, id: TaskId, attempt: u64, reason: ExitReason) {
         let now = self.now;
--- a/src/core/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -6,7 +6,7 @@
 //! live on are told apart first: by zone, by route and by time.
 
 use super::model::*;
-use super::Core;
+use super::Scheduler;
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
@@ -184,7 +184,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     fn patience(&self) -> Patience {
         let report_s = self.config.workers.report_s;
         Patience {
--- a/src/core/faults.rs
+++ b/src/scheduler/faults.rs
@@ -5,7 +5,7 @@
 //! machines is most likely wrong: it waits longer and longer, and condemns no machine.
 
 use super::model::{Job, JobId};
-use super::Core;
+use super::Scheduler;
 use crate::limits;
 use tracing::warn;
 
@@ -16,7 +16,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// A task of the job failed on the machine. `at_run`: it had started; otherwise the worker did not know it.
     pub(super) fn note_failure(&mut self, machine: &str, job_id: JobId, at_run: bool) {
         let now = self.now;
--- a/src/core/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -3,7 +3,7 @@
 use super::absence::Absence;
 use super::model::*;
 use super::plan::Plan;
-use super::{Core, Effect, ListedMachine, Outcome};
+use super::{Effect, ListedMachine, Outcome, Scheduler};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info};
@@ -37,7 +37,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     pub fn fleet_round(&mut self) {
         if self.now < self.fleet.due {
             return;
@@ -230,7 +230,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// For the operators' log: how the fleet stands.
     pub fn fleet_line(&self) -> String {
         let count = |f: &dyn Fn(&Machine) -> bool| self.machines.values().filter(|m| f(m)).count();
--- a/src/core/gang.rs
+++ b/src/scheduler/gang.rs
@@ -3,7 +3,7 @@
 
 use super::elastic::FreeCapacity;
 use super::model::{Job, JobId, Kind, Machine, TaskStatus};
-use super::Core;
+use super::Scheduler;
 use crate::limits;
 use std::collections::BTreeSet;
 
@@ -21,7 +21,7 @@
     Broken,
 }
 
-impl Core {
+impl Scheduler {
     /// Rebuilt from the tasks themselves, so that a new leader that has heard all machines knows as much.
     pub fn stage(&self, job: &Job) -> Stage {
         let mut attempts = BTreeSet::new();
--- a/src/core/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,4 +1,4 @@
-//! What the core is told, and what it decides: commands in, effects out.
+//! What the scheduler is told, and what it decides: commands in, effects out.
 
 use super::cold_start::{ColdStartReport, JobReading};
 use super::drains::{DrainKey, DrainValue, LoadedDrains};
@@ -141,7 +141,7 @@
         key: DrainKey,
         outcome: Outcome,
     },
-    /// What the store has of a job that reports name and the core does not know; the reading left at `sent`.
+    /// What the store has of a job that reports name and the scheduler does not know; the reading left at `sent`.
     JobRead {
         job_id: JobId,
         sent: u64,
@@ -213,7 +213,7 @@
         key: DrainKey,
         value: DrainValue,
     },
-    /// The store is to be asked about a job that reports name and the core does not know.
+    /// The store is to be asked about a job that reports name and the scheduler does not know.
     ReadJob {
         job_id: JobId,
     },
--- a/src/core/mod.rs
+++ b/src/scheduler/mod.rs
@@ -55,7 +55,7 @@
     renewal: Option<LeaseRenewal>,
 }
 
-pub struct Core {
+pub struct Scheduler {
     pub config: Config,
     pub now: u64,
     pub started: u64,
@@ -100,12 +100,12 @@
     effects: Vec<Effect>,
 }
 
-impl Core {
+impl Scheduler {
     pub fn new(config: Config, now: u64) -> Self {
         let writes = records::WriteBudget::new(config.write_rps, now);
         // Lessees may answer as long as that for the last leader.
         let block_lease = config.block_lease;
-        Core {
+        Scheduler {
             config,
             records: records::Records::default(),
             writes,
--- a/src/core/overview.rs
+++ b/src/scheduler/overview.rs
@@ -2,7 +2,7 @@
 //! the use of machines per team and job.
 
 use super::model::*;
-use super::{Core, ReportsIgnored};
+use super::{ReportsIgnored, Scheduler};
 use crate::limits;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -86,7 +86,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Keeps a decision for the overview; the log has it too.
     pub(super) fn decided(&mut self, decision: String) {
         let seconds = (self.now - self.started) / limits::SECOND;
--- a/src/core/placing.rs
+++ b/src/scheduler/placing.rs
@@ -2,10 +2,10 @@
 
 use super::absence::{Absence, LastPlace};
 use super::model::*;
-use super::Core;
+use super::Scheduler;
 use tracing::debug;
 
-impl Core {
+impl Scheduler {
     pub(super) fn stop_all(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let places: Vec<_> = self.placed(job).map(|(id, machine, _)| (id, machine.to_string())).collect();
--- a/src/core/plan.rs
+++ b/src/scheduler/plan.rs
@@ -6,7 +6,7 @@
 use super::model::*;
 use super::place::ZoneCount;
 use super::teams::TeamUsage;
-use super::{Core, Effect};
+use super::{Effect, Scheduler};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
@@ -65,7 +65,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Takes up the plan. Machines in an unreachable zone, booting or not, help nobody until it is back, so that none
     /// is counted on or rented there.
     pub fn begin_plan(&mut self) {
--- a/src/core/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -2,12 +2,12 @@
 
 use super::absence::Absence;
 use super::model::*;
-use super::{fleet, Core};
+use super::{fleet, Scheduler};
 use crate::limits;
 use std::collections::BTreeSet;
 use tracing::info;
 
-impl Core {
+impl Scheduler {
     /// Whether all machines of earlier leaders are accounted for.
     pub fn is_reconciled(&self) -> bool {
         self.reconciled
--- a/src/core/records.rs
+++ b/src/scheduler/records.rs
@@ -4,7 +4,7 @@
 //! are recorded, then finished tasks, then the rest.
 
 use super::model::*;
-use super::{Core, Effect, Outcome, StoredMachine};
+use super::{Effect, Outcome, Scheduler, StoredMachine};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -82,7 +82,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// The machine is to be recorded, or its images changed.
     pub fn record(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
--- a/src/core/reports.rs
+++ b/src/scheduler/reports.rs
@@ -2,13 +2,13 @@
 
 use super::absence::Absence;
 use super::model::*;
-use super::{Core, StoredMachine, Taken};
+use super::{Scheduler, StoredMachine, Taken};
 use crate::lease_renewal::LastAnswer;
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info, warn};
 
-impl Core {
+impl Scheduler {
     /// The machine of this name, made known if it is new.
     pub fn machine(&mut self, stored: &StoredMachine) -> &mut Machine {
         let type_known = self.types.get(&stored.machine_type);
--- a/src/core/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -1,9 +1,9 @@
 //! Places that are kept free for critical services.
 
 use super::model::*;
-use super::Core;
+use super::Scheduler;
 
-impl Core {
+impl Scheduler {
     /// The largest shape among critical jobs: what a reserved place must hold.
     pub(super) fn critical_shape(&self) -> Option<Resources> {
         self.largest(|j| j.spec.priority == Priority::Critical)
--- a/src/core/stale_reports.rs
+++ b/src/scheduler/stale_reports.rs
@@ -1,7 +1,7 @@
 //! Reports of which nothing is taken in: copies, late ones, and check-ins that direct answers have overtaken.
 
 use super::model::*;
-use super::{Core, Taken};
+use super::{Scheduler, Taken};
 use serde::Serialize;
 use tracing::{debug, info};
 
@@ -14,7 +14,7 @@
     pub stale: u64,
 }
 
-impl Core {
+impl Scheduler {
     /// A report older than the newest: its list says nothing. The answer to direct commands may have overtaken a
     /// check-in whose worker waits, and an answer to that renews the worker's lease. While such answers were given
     /// without being noted, tasks were started elsewhere seconds before the lease that they ran under had ended.
--- a/src/core/teams.rs
+++ b/src/scheduler/teams.rs
@@ -1,7 +1,7 @@
 //! Teams: what their tasks use, their limits and their guarantees.
 
 use super::model::{Job, JobId, Machine, Resources};
-use super::Core;
+use super::Scheduler;
 use crate::settings::Team;
 use std::collections::BTreeMap;
 
@@ -48,7 +48,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     fn team(&self, name: &str) -> Option<&Team> {
         self.config.teams.iter().find(|team| team.name == name)
     }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,9 +1,9 @@
 //! The client for commands to workers' own addresses.
 
-use crate::core::model::Report;
 use crate::http::Http;
 use crate::limits;
 use crate::protocol::workers::{Checkin, DirectCommands};
+use crate::scheduler::model::Report;
 use reqwest::Method;
 use tracing::{debug, warn};
 
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -1,9 +1,9 @@
 //! Machines of four slots whose workers report once a second.
 
 use crate::common;
-use dockpier::core::model::*;
-use dockpier::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob, StoredMachine};
 use dockpier::limits::SECOND;
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
 use dockpier::settings::{Operator, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 }
 
 pub struct Cluster {
-    pub core: Core,
+    pub scheduler: Scheduler,
     config: Config,
     now: u64,
     sequence: u64,
@@ -64,7 +64,7 @@
         let operator = Operator { idle_s: 3_600.0, ..Operator::default() };
         let config = Config { operator, teams, zones: vec!["a".into()], ..common::config() };
         let mut cluster = Cluster {
-            core: Core::new(config.clone(), SECOND),
+            scheduler: Scheduler::new(config.clone(), SECOND),
             config,
             now: SECOND,
             sequence: 0,
@@ -90,7 +90,7 @@
     /// The state service and the cloud carry out everything at once.
     pub fn step(&mut self, batch: Vec<Command>) {
         let mut answers = Vec::new();
-        for effect in self.core.step(self.now, batch) {
+        for effect in self.scheduler.step(self.now, batch) {
             match effect {
                 Effect::Record { key, .. } => {
                     answers.push(Command::Recorded { key, outcome: Outcome::Done });
@@ -185,7 +185,7 @@
     pub fn change_leader(&mut self) {
         self.token += 1;
         self.now += 4 * SECOND;
-        self.core = Core::new(Config { token: self.token, ..self.config.clone() }, self.now);
+        self.scheduler = Scheduler::new(Config { token: self.token, ..self.config.clone() }, self.now);
         let machine = |machine: &usize| StoredMachine {
             name: machine_name(*machine),
             machine_type: "m".into(),
@@ -204,6 +204,6 @@
     }
 
     pub fn is_known(&self, id: u64) -> bool {
-        self.core.jobs.contains_key(&JobId(id))
+        self.scheduler.jobs.contains_key(&JobId(id))
     }
 }
--- a/tests/clusters/faults.rs
+++ b/tests/clusters/faults.rs
@@ -2,8 +2,8 @@
 
 use crate::cluster::{machine_name, Cluster};
 use crate::common::{config, spec};
-use dockpier::core::model::*;
-use dockpier::core::Command;
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::Command;
 use std::collections::BTreeSet;
 
 const MACHINES: usize = 12;
@@ -53,7 +53,7 @@
     assert!(
         !cluster.is_known(1),
         "{:?}",
-        cluster.core.jobs.values().map(|j| j.waits_for).collect::<Vec<_>>()
+        cluster.scheduler.jobs.values().map(|j| j.waits_for).collect::<Vec<_>>()
     );
 }
 
--- a/tests/clusters/teams.rs
+++ b/tests/clusters/teams.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::Cluster;
 use crate::common::spec;
-use dockpier::core::model::*;
+use dockpier::scheduler::model::*;
 use dockpier::settings::Team;
 
 fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -1,8 +1,8 @@
 //! Every controller is lost and comes back, in virtual time: what is ordered is counted on the workers.
 
-use dockpier::core::cold_start::{ColdStartReport, JobReading, Phase};
-use dockpier::core::model::*;
-use dockpier::core::Command;
+use dockpier::scheduler::cold_start::{ColdStartReport, JobReading, Phase};
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::Command;
 use dockpier::settings::{ColdStartSettings, Operator, Team};
 use dockpier_virtual_fleet::{job, Fleet, Layout};
 use std::collections::{BTreeMap, BTreeSet};
@@ -199,7 +199,7 @@
     assert_eq!((of(&fleet, 12), of(&fleet, 13)), (20, 20), "stopped before the store was asked");
     // A reading that left before the report proves nothing of it.
     let early = Command::JobRead { job_id: JobId(12), sent: 1, reading: JobReading::Absent };
-    fleet.core.step(fleet.now(), vec![early]);
+    fleet.scheduler.step(fleet.now(), vec![early]);
     fleet.run(3.0);
     assert_eq!(of(&fleet, 12), 20, "stopped on a reading older than the report");
     fleet.store.out = false;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests of the core share.
+//! What the tests of the scheduler share.
 
-use dockpier::core::model::*;
-use dockpier::core::Config;
 use dockpier::limits;
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::Config;
 use dockpier::settings::{Operator, Team, Workers};
 
 /// A leader of one team without limits, in two zones, with no lessees and nothing scarce.
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -1,7 +1,7 @@
 //! Planned draining in virtual time, judged by the workers' own records: budgets, reserved places, no task twice,
 //! every machine replaced once, whatever fails on the way.
 
-use dockpier::core::model::*;
+use dockpier::scheduler::model::*;
 use dockpier::settings::{Draining, Operator, Team};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
 use dockpier_drain::progress::MachineState;
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::spec;
-use dockpier::core::model::*;
-use dockpier::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob, StoredMachine};
 use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
 use dockpier::settings::Operator;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,7 @@
 }
 
 struct Bed {
-    core: Core,
+    scheduler: Scheduler,
     now: u64,
     sequence: u64,
     machines: usize,
@@ -54,7 +54,7 @@
             ..common::config()
         };
         let mut bed = Bed {
-            core: Core::new(config, SECOND),
+            scheduler: Scheduler::new(config, SECOND),
             now: SECOND,
             sequence: 0,
             machines,
@@ -70,7 +70,7 @@
 
     fn step(&mut self, batch: Vec<Command>) -> Vec<Effect> {
         self.now += 100_000;
-        let effects = self.core.step(self.now, batch);
+        let effects = self.scheduler.step(self.now, batch);
         for effect in &effects {
             if let Effect::Delete(names) = effect {
                 self.deleted.extend(names.clone());
@@ -227,7 +227,7 @@
 #[test]
 fn a_round_over_its_budget_goes_on_where_it_stopped() {
     let mut bed = Bed::new(6, 0.0);
-    bed.core.config.round_steps = 3;
+    bed.scheduler.config.round_steps = 3;
     let batch = (1..7u64).map(|job_id| {
         let spec = spec(job_id, Kind::Array, Priority::Low, 1);
         Command::JobAdded(StoredJob { spec, version: job_id, age: 0, done: BTreeSet::new() })
@@ -243,7 +243,7 @@
     let mut bed = Bed::new(4, 0.0);
     bed.submit(spec(1, Kind::Array, Priority::Low, 40));
     let slow = "m-000000".to_string();
-    let judged = |bed: &Bed| bed.core.machines[&slow].slow_until > bed.now;
+    let judged = |bed: &Bed| bed.scheduler.machines[&slow].slow_until > bed.now;
     let mut slow_since = bed.now;
     while !judged(&bed) {
         assert!(bed.now < 120 * SECOND, "never recognised");
@@ -271,9 +271,9 @@
     bed.step(vec![Command::Deleted { machines: vec![gone.clone()], outcome: Outcome::Done }]);
     // The cut ends and delivers what the machine had reported before.
     bed.report();
-    assert!(!bed.core.machines.contains_key(&gone));
-    let places: usize = bed.core.jobs[&JobId(1)].places.values().map(Vec::len).sum();
-    assert_eq!((places, bed.core.jobs[&JobId(1)].waiting.len()), (1, 1));
+    assert!(!bed.scheduler.machines.contains_key(&gone));
+    let places: usize = bed.scheduler.jobs[&JobId(1)].places.values().map(Vec::len).sum();
+    assert_eq!((places, bed.scheduler.jobs[&JobId(1)].waiting.len()), (1, 1));
 }
 
 /// A record that an earlier version made may be larger than the state service takes from now on: written again as
@@ -282,13 +282,13 @@
 fn a_record_that_is_too_large_is_split_and_the_new_ones_are_written_first() {
     let config = Config { token: 2, zones: vec!["a".into()], ..common::config() };
     let most = config.record_machines;
-    let mut core = Core::new(config, SECOND);
+    let mut scheduler = Scheduler::new(config, SECOND);
     let old = (0..3 * most).map(known).collect::<Vec<_>>();
     let mut stored: BTreeMap<String, Vec<StoredMachine>> = [("1-1".to_string(), old)].into();
     let records = vec![("1-1".into(), stored["1-1"].clone())];
     let mut then = vec![Command::Types(types()), Command::Load { jobs: vec![], records }];
     for step in 1..100 {
-        let effects = core.step(SECOND + step * 100_000, std::mem::take(&mut then));
+        let effects = scheduler.step(SECOND + step * 100_000, std::mem::take(&mut then));
         for effect in effects {
             let Effect::Record { key, machines } = effect else { continue };
             assert!(machines.len() <= most, "{key}: {} machines", machines.len());
@@ -305,7 +305,7 @@
 fn a_machine_that_does_not_come_to_a_new_leader_is_deleted_before_its_lease_ends() {
     let mut bed = Bed::new(3, 0.0);
     // The next leader: four machines are on record, three of them report.
-    bed.core = Core::new(bed.core.config.clone(), bed.now);
+    bed.scheduler = Scheduler::new(bed.scheduler.config.clone(), bed.now);
     let job =
         StoredJob { spec: spec(1, Kind::Array, Priority::Low, 2), version: 1, age: 0, done: BTreeSet::new() };
     let load = Command::Load { jobs: vec![job], records: vec![("1-1".into(), (0..4).map(known).collect())] };
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::spec;
-use dockpier::core::model::*;
-use dockpier::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob, StoredMachine};
 use dockpier::limits::SECOND;
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Five machines of one place each, and a gang of three on them.
 struct Bed {
-    core: Core,
+    scheduler: Scheduler,
     now: u64,
     sequence: u64,
     token: u64,
@@ -50,7 +50,7 @@
     fn new() -> Bed {
         let config = Config { zones: vec!["a".into()], record_machines: 6, ..common::config() };
         let mut bed = Bed {
-            core: Core::new(config, SECOND),
+            scheduler: Scheduler::new(config, SECOND),
             now: SECOND,
             sequence: 0,
             token: 1,
@@ -70,7 +70,7 @@
     fn step(&mut self, batch: Vec<Command>) {
         self.now += SECOND / 10;
         let mut then = Vec::new();
-        for effect in self.core.step(self.now, batch) {
+        for effect in self.scheduler.step(self.now, batch) {
             match effect {
                 Effect::Record { key, .. } => then.push(Command::Recorded { key, outcome: Outcome::Done }),
                 Effect::Finish { job_id, .. } => {
@@ -165,8 +165,8 @@
     /// The next leader, which knows what is stored and no more.
     fn change_leader(&mut self) {
         self.token += 1;
-        let config = Config { token: self.token, ..self.core.config.clone() };
-        self.core = Core::new(config, self.now);
+        let config = Config { token: self.token, ..self.scheduler.config.clone() };
+        self.scheduler = Scheduler::new(config, self.now);
         let known = |machine| StoredMachine {
             name: name(machine),
             machine_type: "m".into(),
@@ -318,6 +318,6 @@
         bed.step(vec![Command::JobRemoved(GANG)]);
         bed.reports(3);
         assert_eq!(bed.living().len(), 0, "{status:?}");
-        assert!(!bed.core.jobs.contains_key(&GANG));
+        assert!(!bed.scheduler.jobs.contains_key(&GANG));
     }
 }
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -3,9 +3,9 @@
 
 use super::common::{self, spec};
 use super::stand_ins::{machine_types, outcome, report};
-use dockpier::core::model::*;
-use dockpier::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob};
 use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob};
 use std::collections::{BTreeMap, BTreeSet};
 
 const REPORT_S: f64 = 3.0;
@@ -17,7 +17,7 @@
 
 /// A leader with two machines, on the first of which everything runs. The cloud deletes nothing.
 struct Cluster {
-    core: Core,
+    scheduler: Scheduler,
     now: u64,
     sequences: BTreeMap<String, u64>,
     running: BTreeMap<String, BTreeMap<TaskId, u64>>,
@@ -43,7 +43,7 @@
         };
         let config = Config { workers, operator, zones: vec!["a".into()], ..common::config() };
         let mut cluster = Cluster {
-            core: Core::new(config, SECOND),
+            scheduler: Scheduler::new(config, SECOND),
             now: SECOND,
             sequences: BTreeMap::new(),
             running: BTreeMap::new(),
@@ -68,7 +68,7 @@
     fn step(&mut self, batch: Vec<Command>) {
         self.now += STEP;
         let mut outcomes = Vec::new();
-        for effect in self.core.step(self.now, batch) {
+        for effect in self.scheduler.step(self.now, batch) {
             outcomes.extend(outcome(&effect));
             match effect {
                 Effect::Answer { reply, renewal, orders, .. } => {
@@ -95,7 +95,7 @@
 
     /// Check-ins of which nothing was taken in.
     fn ignored(&self) -> u64 {
-        self.core.overview(&Default::default()).reports_ignored.stale
+        self.scheduler.overview(&Default::default()).reports_ignored.stale
     }
 
     fn carry_out(&mut self, machine: &str, orders: &[Order]) {
--- a/tests/leases/interleavings.rs
+++ b/tests/leases/interleavings.rs
@@ -6,9 +6,9 @@
 use super::common::{self, spec};
 use super::stand_ins::{machine_types, outcome, report};
 use dockpier::blocks::{Block, BlockAnswer, BlockHeartbeat};
-use dockpier::core::model::*;
-use dockpier::core::{Command, Config, Core, Effect, Order, StoredJob};
 use dockpier::limits::SECOND;
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::{Command, Config, Effect, Order, Scheduler, StoredJob};
 use dockpier::settings::{Operator, Workers};
 use std::collections::BTreeMap;
 
@@ -66,7 +66,7 @@
 }
 
 struct World {
-    core: Core,
+    scheduler: Scheduler,
     block: Block,
     now: u64,
     /// The watched worker reports through the lessee.
@@ -137,7 +137,7 @@
             ..common::config()
         };
         let mut world = World {
-            core: Core::new(config, SECOND),
+            scheduler: Scheduler::new(config, SECOND),
             block: Block::new(8, 1),
             now: SECOND,
             by_lessee,
@@ -273,7 +273,7 @@
 
     fn leader(&mut self, batch: Vec<Command>) {
         let mut outcomes = Vec::new();
-        for effect in self.core.step(self.now, batch) {
+        for effect in self.scheduler.step(self.now, batch) {
             outcomes.extend(outcome(&effect));
             match effect {
                 Effect::Answer { reply: 0, orders, .. } => self.answer_empty(&orders),
--- a/tests/leases/stand_ins.rs
+++ b/tests/leases/stand_ins.rs
@@ -1,7 +1,7 @@
 //! A state service that takes every record, a cloud that rents and deletes nothing, and reports.
 
-use dockpier::core::model::*;
-use dockpier::core::{Command, Effect, Outcome};
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::{Command, Effect, Outcome};
 
 /// Machines of two slots in one zone.
 pub fn machine_types() -> Command {
--- a/tests/pinned_state/client_commands.rs
+++ b/tests/pinned_state/client_commands.rs
@@ -8,8 +8,8 @@
 };
 use crate::golden::{self, masked};
 use crate::program::run;
-use dockpier::core::cold_start::Phase;
 use dockpier::drains::view::{DrainList, DrainView, TeamList, TeamView};
+use dockpier::scheduler::cold_start::Phase;
 use dockpier_drain::budget::Budget;
 use dockpier_drain::ledger::{Allowance, Ledger, Totals};
 use dockpier_drain::progress::MachineEntry;
--- a/tests/pinned_state/cold_start_records.rs
+++ b/tests/pinned_state/cold_start_records.rs
@@ -1,7 +1,7 @@
 //! The report of a cold start in the state service, written and read.
 
 use crate::golden;
-use dockpier::core::cold_start::{ColdStartReport, MachineCounts, Phase};
+use dockpier::scheduler::cold_start::{ColdStartReport, MachineCounts, Phase};
 use dockpier::store;
 use dockpier_reconcile::{Counts, Evidence, Verdict};
 
--- a/tests/pinned_state/drain_records.rs
+++ b/tests/pinned_state/drain_records.rs
@@ -4,8 +4,8 @@
     budget, drain_id, ledger_record, machine_entries, stored_requests, summary, waits, LEDGER_AT,
 };
 use crate::golden;
-use dockpier::core::drains::{DrainKey, DrainValue};
 use dockpier::drains::records;
+use dockpier::scheduler::drains::{DrainKey, DrainValue};
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::{Ledger, LedgerRecord, Totals};
 use dockpier_drain::progress::{Chunk, Counts, Progress};
--- a/tests/pinned_state/endpoint.rs
+++ b/tests/pinned_state/endpoint.rs
@@ -6,7 +6,7 @@
 };
 use crate::golden;
 use crate::node_api::NodeApi;
-use dockpier::core::cold_start::Phase;
+use dockpier::scheduler::cold_start::Phase;
 use dockpier::settings::Draining;
 use dockpier_drain::budget::Budgets;
 use dockpier_drain::progress::Chunk;
--- a/tests/pinned_state/job_records.rs
+++ b/tests/pinned_state/job_records.rs
@@ -2,11 +2,11 @@
 
 use crate::domain::{full_submission, machine_records, plain_submission};
 use crate::golden;
-use dockpier::core::model::JobId;
-use dockpier::core::StoredMachine;
 use dockpier::protocol::cloud::{Catalog, CatalogEntry};
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
 use dockpier::protocol::users::{JobKind, JobPriority, JobStatus, Submission};
+use dockpier::scheduler::model::JobId;
+use dockpier::scheduler::StoredMachine;
 use dockpier::store;
 
 const FILE: &str = "job-records.txt";
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -2,10 +2,10 @@
 
 use crate::golden;
 use crate::node_api::machine_type;
-use dockpier::core::model::{JobId, JobSpec, Kind, Priority, Report, Resources};
-use dockpier::core::overview::PageStart;
-use dockpier::core::{Command, Config, Core, StoredJob, StoredMachine};
 use dockpier::limits;
+use dockpier::scheduler::model::{JobId, JobSpec, Kind, Priority, Report, Resources};
+use dockpier::scheduler::overview::PageStart;
+use dockpier::scheduler::{Command, Config, Scheduler, StoredJob, StoredMachine};
 use dockpier::settings::{Operator, Team, Workers};
 
 const SECOND: u64 = 1_000_000;
@@ -87,7 +87,7 @@
 
 /// A leader that inherited a job of each priority and two machines, of which one reports for twenty seconds.
 fn views() -> Vec<String> {
-    let mut core = Core::new(config(), 0);
+    let mut core = Scheduler::new(config(), 0);
     let jobs = vec![
         job(1, Kind::Service, Priority::Critical, "a"),
         job(2, Kind::Gang, Priority::High, "b"),
@@ -109,7 +109,7 @@
     views
 }
 
-fn page(core: &Core, start: &PageStart) -> String {
+fn page(core: &Scheduler, start: &PageStart) -> String {
     serde_json::to_string_pretty(&core.overview(start)).unwrap() + "\n"
 }
 
--- a/tests/pinned_state/node_api.rs
+++ b/tests/pinned_state/node_api.rs
@@ -5,13 +5,13 @@
 use crate::standins::{self, State};
 use dockpier::api::{routes, Api, ApiSettings, Health, Types};
 use dockpier::controller::{CheckinReply, Event, FrameCounts, NodeView};
-use dockpier::core::model::{MachineType, Resources};
-use dockpier::core::overview::{JobLine, MachineLine, Overview, PageStart};
-use dockpier::core::ReportsIgnored;
 use dockpier::http::{Clock, Http};
 use dockpier::lease_renewal::AnswerCounts;
 use dockpier::limits::Capacity;
 use dockpier::protocol::workers::{Checkin, CheckinAnswer, WorkerCommand};
+use dockpier::scheduler::model::{MachineType, Resources};
+use dockpier::scheduler::overview::{JobLine, MachineLine, Overview, PageStart};
+use dockpier::scheduler::ReportsIgnored;
 use dockpier::settings::{Draining, StateLimits, Team};
 use dockpier::store::Store;
 use poem::listener::TcpAcceptor;
@@ -136,7 +136,7 @@
         token: 41,
         answers: AnswerCounts::default(),
         frames_ignored: FrameCounts::default(),
-        core: (!follows).then(|| overview(start)),
+        scheduler: (!follows).then(|| overview(start)),
     }
 }
 
--- a/tests/pinned_wire/cloud_requests.rs
+++ b/tests/pinned_wire/cloud_requests.rs
@@ -4,9 +4,9 @@
 use crate::wire::{nobody, StandIn};
 use crate::{on_runtime, spell};
 use dockpier::cloud::{types, Cloud};
-use dockpier::core::ListedMachine;
 use dockpier::http::Http;
 use dockpier::protocol::cloud::{Catalog, RentalRequest};
+use dockpier::scheduler::ListedMachine;
 
 const TYPE: &Fields = &[
     ("label", r#""g8""#),
--- a/tests/pinned_wire/reports.rs
+++ b/tests/pinned_wire/reports.rs
@@ -2,9 +2,9 @@
 
 use crate::spell;
 use crate::transcript::{object, outcome, with, without, Fields, Transcript};
-use dockpier::core::model::Report;
 use dockpier::protocol;
 use dockpier::protocol::workers::Checkin;
+use dockpier::scheduler::model::Report;
 
 /// The check-in on the protocol's page.
 pub const CHECKIN: &Fields = &[
--- a/tests/pinned_wire/spell.rs
+++ b/tests/pinned_wire/spell.rs
@@ -1,10 +1,10 @@
 //! The domain's values in words of the tests' own, which stay as they are when a type or field gets another name.
 
-use dockpier::core::model::{
+use dockpier::protocol::users::{JobState, JobStatus};
+use dockpier::scheduler::model::{
     ExitReason, JobSpec, Kind, MachineType, Priority, Report, Resources, TaskStatus,
 };
-use dockpier::core::{ListedMachine, Outcome};
-use dockpier::protocol::users::{JobState, JobStatus};
+use dockpier::scheduler::{ListedMachine, Outcome};
 
 /// A job as it was submitted.
 pub fn job(job: &JobSpec) -> String {
@@ -50,7 +50,7 @@
         "session {} sequence {} token {} notice {:?} s",
         report.session, report.sequence, report.token, report.notice_s
     );
-    let task = |task: &dockpier::core::model::ReportedTask| {
+    let task = |task: &dockpier::scheduler::model::ReportedTask| {
         let (id, attempt) = (task.id, task.attempt);
         format!("job {} task {} attempt {attempt} {}", id.job_id.0, id.task, task_status(task.status))
     };
--- a/tests/pinned_wire/submissions.rs
+++ b/tests/pinned_wire/submissions.rs
@@ -2,9 +2,9 @@
 
 use crate::spell;
 use crate::transcript::{object, outcome, with, without, Fields, Transcript};
-use dockpier::core::model::{JobId, JobSpec};
 use dockpier::protocol;
 use dockpier::protocol::users::{JobState, JobStatus, Submission};
+use dockpier::scheduler::model::{JobId, JobSpec};
 
 /// The submission on the protocol's page.
 pub const SUBMISSION: &Fields = &[
--- a/tests/pinned_wire/worker_orders.rs
+++ b/tests/pinned_wire/worker_orders.rs
@@ -5,11 +5,11 @@
 use crate::transcript::{object, Transcript};
 use crate::wire::{nobody, StandIn};
 use crate::{on_runtime, spell};
-use dockpier::core::model::{JobId, TaskId};
-use dockpier::core::Order;
 use dockpier::http::Http;
 use dockpier::lease_renewal::LastAnswer;
 use dockpier::protocol::workers::{Checkin, CheckinAnswer, DirectCommands, Redirect, WorkerCommand};
+use dockpier::scheduler::model::{JobId, TaskId};
+use dockpier::scheduler::Order;
 use dockpier::worker::send_commands;
 
 fn task(job: u64, task: u32) -> TaskId {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,12 +1,12 @@
-//! The core at the size of the grown deployments: work bounded by counted decision steps, not by a clock, and
+//! The scheduler at the size of the grown deployments: work bounded by counted decision steps, not by a clock, and
 //! troubles told apart that look alike on a handful of machines.
 
 mod common;
 
-use dockpier::core::model::*;
-use dockpier::core::overview::PageStart;
-use dockpier::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob, StoredMachine};
 use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::overview::PageStart;
+use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
 use dockpier::settings::{Operator, Workers};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,7 +24,7 @@
 
 /// A fleet whose workers carry out what they are told, unless they are deaf.
 struct Fleet {
-    core: Core,
+    scheduler: Scheduler,
     now: u64,
     sequence: u64,
     /// The token that workers have seen.
@@ -98,7 +98,7 @@
         };
         let machine_type = machine_type(&config);
         let mut fleet = Fleet {
-            core: Core::new(config, SECOND),
+            scheduler: Scheduler::new(config, SECOND),
             now: SECOND,
             sequence: 0,
             token: 1,
@@ -120,7 +120,7 @@
     }
 
     fn step(&mut self, batch: Vec<Command>) {
-        let effects = self.core.step(self.now, batch);
+        let effects = self.scheduler.step(self.now, batch);
         let mut more = Vec::new();
         for effect in effects {
             match effect {
@@ -258,16 +258,16 @@
     let placed: usize = fleet.running.values().map(BTreeMap::len).sum();
     assert_eq!(placed, 250 * 4 + 70 * 30);
 
-    let calm = fleet.core.steps;
+    let calm = fleet.scheduler.steps;
     fleet.report();
     let idle_rounds = 4 * SECOND / limits::ROUND_IDLE + 1;
     let each = 2 * machines as u64 + 320;
-    assert!(fleet.core.steps - calm <= idle_rounds * each, "{} steps", fleet.core.steps - calm);
+    assert!(fleet.scheduler.steps - calm <= idle_rounds * each, "{} steps", fleet.scheduler.steps - calm);
 
-    let before = fleet.core.steps;
+    let before = fleet.scheduler.steps;
     fleet.now += SECOND;
     fleet.submit(spec(600, Kind::Array, Priority::Normal, 150));
-    let used = fleet.core.steps - before;
+    let used = fleet.scheduler.steps - before;
     assert!(used <= 10 * machines as u64, "{used} steps for one arrival");
     (0..2).for_each(|_| fleet.report());
     assert_eq!(fleet.width(600), 150);
@@ -288,12 +288,12 @@
     }
     // Ten tasks fill two machines and half of a third, and the halves are filled by the next.
     assert_eq!(fleet.rented, 1_000);
-    let before = fleet.core.steps;
+    let before = fleet.scheduler.steps;
     for _ in 0..10 {
         fleet.now += SECOND;
         fleet.step(Vec::new());
     }
-    let plans = fleet.core.steps - before;
+    let plans = fleet.scheduler.steps - before;
     assert!(plans <= 10 * 400 * 12, "{plans} steps in ten plans and rounds");
 }
 
@@ -311,7 +311,7 @@
     (0..3).for_each(|_| fleet.report());
     (0..40).for_each(|job_id| fleet.complete(job_id));
     (0..6).for_each(|_| fleet.report());
-    assert!(fleet.core.jobs.is_empty());
+    assert!(fleet.scheduler.jobs.is_empty());
     // All its tasks end within one interval of reports here; results are kept on the workers meanwhile.
     assert!(fleet.job_writes <= 40 * 4, "{} changes for 40 jobs", fleet.job_writes);
     let images = fleet.machine_writes - machines;
@@ -327,7 +327,7 @@
     // Long after the leader's start, as a boot is.
     (0..5).for_each(|_| fleet.report());
     fleet.machines = 1;
-    fleet.step(vec![Command::Listed(vec![dockpier::core::ListedMachine {
+    fleet.step(vec![Command::Listed(vec![dockpier::scheduler::ListedMachine {
         machine: recorded(0),
         failed: false,
         age_s: 1.0,
@@ -368,7 +368,7 @@
 #[test]
 fn machines_that_do_not_hear_us_through_a_lessee_are_not_deaf() {
     let mut fleet = Fleet::new(12);
-    fleet.core.config.block_lease = 14 * SECOND;
+    fleet.scheduler.config.block_lease = 14 * SECOND;
     fleet.via = Some(1);
     (0..2).for_each(|_| fleet.report());
     fleet.deaf.extend((0..2).map(name));
@@ -382,7 +382,7 @@
 #[test]
 fn a_lost_lessee_does_not_take_its_block_with_it() {
     let mut fleet = Fleet::new(MACHINES);
-    fleet.core.config.block_lease = 14 * SECOND;
+    fleet.scheduler.config.block_lease = 14 * SECOND;
     fleet.via = Some(1);
     fleet.submit(spec(1, Kind::Array, Priority::Normal, MACHINES as u32 * SLOTS as u32));
     (0..3).for_each(|_| fleet.report());
@@ -495,7 +495,7 @@
 #[test]
 fn machines_that_do_not_come_are_judged_against_all_that_do() {
     let mut fleet = Fleet::new(0);
-    fleet.core = Core::new(fleet.core.config.clone(), fleet.now);
+    fleet.scheduler = Scheduler::new(fleet.scheduler.config.clone(), fleet.now);
     let records = vec![("1-1".to_string(), (0..16).map(recorded).collect())];
     fleet.step(vec![Command::Load { jobs: vec![], records }]);
     // Four of sixteen are dead, and all the others report to a lessee.
@@ -526,12 +526,12 @@
             }
         }
         fleet.report();
-        most = most.max(fleet.core.jobs.len());
+        most = most.max(fleet.scheduler.jobs.len());
     }
     assert!(most <= 4 * A_ROUND as usize, "{most} jobs known at once");
     (0..45 * A_ROUND).for_each(|id| fleet.complete(id));
     (0..4).for_each(|_| fleet.report());
-    assert!(fleet.core.jobs.is_empty(), "{} jobs never ended", fleet.core.jobs.len());
+    assert!(fleet.scheduler.jobs.is_empty(), "{} jobs never ended", fleet.scheduler.jobs.len());
     assert!(fleet.job_writes <= 2 * 45 * A_ROUND as usize, "{} changes", fleet.job_writes);
 }
 
@@ -555,11 +555,11 @@
 #[test]
 fn a_new_leader_takes_over_six_thousand_machines_without_a_write() {
     let mut fleet = Fleet::new(6_000);
-    fleet.core = Core::new(Config { token: 2, ..fleet.core.config.clone() }, fleet.now);
+    fleet.scheduler = Scheduler::new(Config { token: 2, ..fleet.scheduler.config.clone() }, fleet.now);
     let machines: Vec<_> = (0..6_000).map(recorded).collect();
     let records =
         machines.chunks(12).enumerate().map(|(i, part)| (format!("1-{i}"), part.to_vec())).collect();
-    let types = Command::Types(vec![machine_type(&fleet.core.config)]);
+    let types = Command::Types(vec![machine_type(&fleet.scheduler.config)]);
     fleet.step(vec![types, Command::Load { jobs: vec![], records }]);
     let (writes, begun) = (fleet.machine_writes, fleet.now);
     fleet.token = 2;
@@ -577,7 +577,7 @@
     let fleet = Fleet::new(6_000);
     let (mut start, mut seen) = (PageStart::default(), BTreeSet::new());
     loop {
-        let page = fleet.core.overview(&start);
+        let page = fleet.scheduler.overview(&start);
         let before = seen.len();
         seen.extend(page.machines.iter().map(|line| line.machine.clone()));
         assert_eq!(seen.len() - before, page.machines.len(), "a machine is shown twice");
--- a/tests/core_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -1,15 +1,15 @@
-//! The core against a plain model of the world: workers that really hold tasks, answers that get
+//! The scheduler against a plain model of the world: workers that really hold tasks, answers that get
 //! lost, reports that arrive late, machines that die, changes of leader. The model keeps the truth and
 //! checks the protocol's rules against it after every step; virtual time, fixed seeds.
 
 mod common;
 
 use dockpier::blocks::{Block, BlockAnswer, BlockHeartbeat};
-use dockpier::core::cold_start::JobReading;
-use dockpier::core::drains::LoadedDrains;
-use dockpier::core::model::*;
-use dockpier::core::{Command, Config, Core, Effect, Order, Outcome, StoredJob, StoredMachine};
 use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::cold_start::JobReading;
+use dockpier::scheduler::drains::LoadedDrains;
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
 use dockpier::settings::{ColdStartSettings, Draining, Operator, Team, Workers};
 use dockpier_drain::budget::{Budget, Budgets, Cost, ANY_TEAM};
 use dockpier_drain::request::{DrainId, DrainRequest, StoredRequest, Target, Wish};
@@ -243,7 +243,7 @@
 struct World {
     rng: SmallRng,
     now: u64,
-    core: Core,
+    scheduler: Scheduler,
     token: u64,
     deployment: Deployment,
     workers: BTreeMap<String, Worker>,
@@ -289,7 +289,7 @@
         World {
             rng: SmallRng::seed_from_u64(seed),
             now: SECOND,
-            core: Core::new(config(1, &deployment), SECOND),
+            scheduler: Scheduler::new(config(1, &deployment), SECOND),
             token: 1,
             workers: BTreeMap::new(),
             lessees: (0..LESSEES).map(|i| Lessee { block: Block::new(64, i as u64), cut_until: 0 }).collect(),
@@ -348,7 +348,7 @@
     fn change_leader(&mut self, away: u64) {
         self.token += 1;
         self.now += away;
-        self.core = Core::new(config(self.token, &self.deployment), self.now);
+        self.scheduler = Scheduler::new(config(self.token, &self.deployment), self.now);
         self.later.clear();
         // What was under way was carried out before the new leader's transaction, or never will be.
         for (_, key, machines) in std::mem::take(&mut self.writes) {
@@ -475,8 +475,8 @@
         self.run_gangs();
         self.run_workers(&mut batch);
         self.run_lessees(&mut batch);
-        self.core.time_of_day(self.now, self.now / 1_000);
-        let effects = self.core.step(self.now, batch);
+        self.scheduler.time_of_day(self.now, self.now / 1_000);
+        let effects = self.scheduler.step(self.now, batch);
         for effect in effects {
             self.carry_out(effect);
         }
@@ -884,9 +884,9 @@
         assert!(!spec.one_zone || zones.len() <= 1, "wrong_place: {id} breaks its one zone");
     }
 
-    /// An invariant of the core rather than a rule: it counts no lease as over that still runs.
+    /// An invariant of the scheduler rather than a rule: it counts no lease as over that still runs.
     fn check_leases(&mut self) {
-        let lost = self.core.machines.values().filter(|machine| machine.phase == Phase::Lost);
+        let lost = self.scheduler.machines.values().filter(|machine| machine.phase == Phase::Lost);
         let lost: BTreeMap<String, u64> = lost.map(|m| (m.name.clone(), m.session)).collect();
         for (name, session) in lost.iter().filter(|(name, _)| !self.lost.contains_key(*name)) {
             let Some(worker) = self.workers.get(name) else { continue };
@@ -1108,8 +1108,8 @@
             break;
         }
     }
-    let stuck: Vec<_> = world.live.keys().filter_map(|u| world.core.jobs.get(u)).collect();
-    assert!(world.live.is_empty(), "seed {seed}: never done: {stuck:#?} {}", world.core.fleet_line());
+    let stuck: Vec<_> = world.live.keys().filter_map(|u| world.scheduler.jobs.get(u)).collect();
+    assert!(world.live.is_empty(), "seed {seed}: never done: {stuck:#?} {}", world.scheduler.fleet_line());
     assert!(world.answered_by_lessees > 20, "seed {seed}: {}", world.answered_by_lessees);
     let parts = world.drains.progress.values().flat_map(|parts| parts.values());
     let drained = parts.flat_map(|part| &part.machines).filter(|entry| entry.state.is_final()).count() as u64;
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -3,11 +3,11 @@
 //! reads it.
 
 use dockpier::cancellation_log::Attestation;
-use dockpier::core::model::*;
-use dockpier::core::Order;
 use dockpier::leadership::{Message, Status};
 use dockpier::peer::{decode, encode, Payload, Sender};
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
+use dockpier::scheduler::model::*;
+use dockpier::scheduler::Order;
 use std::collections::BTreeMap;
 
 const GOLDEN: &str = include_str!("golden/frames-3f677f9.txt");
