--- a/crates/dockpier-drain/src/plan.rs
+++ b/crates/dockpier-drain/src/plan.rs
@@ -140,14 +140,14 @@
 
 /// What a set of machines takes.
 #[derive(Clone, Default)]
-struct Taken {
+struct HeartbeatOutcome {
     machines: usize,
     drains: BTreeMap<usize, usize>,
     teams: BTreeMap<String, Cost>,
     zones: BTreeMap<String, (Amounts, i64)>,
 }
 
-impl Taken {
+impl HeartbeatOutcome {
     /// Takes the machine if the limits allow it besides what is taken.
     fn take(&mut self, candidate: &Candidate, limits: &Limits) -> Result<(), Option<Refusal>> {
         let of_drain = self.drains.get(&candidate.drain).copied().unwrap_or(0);
@@ -187,12 +187,12 @@
 /// Why the machine can't be taken even alone; `None`: it can.
 pub fn refusal(candidate: &Candidate, limits: &Limits) -> Option<Refusal> {
     let alone = Limits { machines: 1, drains: vec![1; candidate.drain + 1], ..limits.clone() };
-    Taken::default().take(candidate, &alone).err().flatten()
+    HeartbeatOutcome::default().take(candidate, &alone).err().flatten()
 }
 
 /// Whether the limits allow all of these together.
 pub fn allowed(candidates: &[Candidate], chosen: &[usize], limits: &Limits) -> bool {
-    let mut taken = Taken::default();
+    let mut taken = HeartbeatOutcome::default();
     chosen.iter().all(|at| candidates.get(*at).is_some_and(|c| taken.take(c, limits).is_ok()))
 }
 
@@ -215,7 +215,7 @@
 
 /// Takes machines one after the other.
 fn in_order(candidates: &[Candidate], limits: &Limits) -> Vec<usize> {
-    let mut taken = Taken::default();
+    let mut taken = HeartbeatOutcome::default();
     (0..candidates.len()).filter(|at| taken.take(&candidates[*at], limits).is_ok()).collect()
 }
 
--- a/crates/dockpier-reconcile/src/evidence.rs
+++ b/crates/dockpier-reconcile/src/evidence.rs
@@ -34,7 +34,7 @@
     Ended,
 }
 
-/// A task as a report lists it.
+/// A task as a heartbeat lists it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Reported {
     /// The task.
@@ -60,7 +60,7 @@
 pub enum MachineFact {
     /// It may hold anything.
     Unheard,
-    /// Its newest report since the takeover.
+    /// Its newest heartbeat since the takeover.
     Heard {
         /// Which report.
         number: ReportNumber,
@@ -74,7 +74,7 @@
 }
 
 impl MachineFact {
-    /// The later of two facts about one machine; of the same report the first arrival counts.
+    /// The later of two facts about one machine; of the same heartbeat the first arrival counts.
     pub fn join(self, other: MachineFact) -> MachineFact {
         use MachineFact::*;
         match (self, other) {
--- a/crates/dockpier-reconcile/src/verdict.rs
+++ b/crates/dockpier-reconcile/src/verdict.rs
@@ -18,7 +18,7 @@
     Twice,
     /// Reported although the store has it as finished: it is stopped.
     AlreadyFinished,
-    /// Of a job that the store, read after the report, does not have: it is stopped.
+    /// Of a job that the store, read after the heartbeat, does not have: it is stopped.
     UnknownJob,
     /// Something may yet show where it is: nothing is ordered, nothing is stopped.
     CannotKnowYet,
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Evidence {
-    /// The newest reports of these machines.
+    /// The newest heartbeats of these machines.
     ReportedBy(BTreeSet<String>),
     /// Every machine was heard without it, or is gone.
     NobodyHasIt {
@@ -39,7 +39,7 @@
     },
     /// These machines have not been heard; the first few.
     Unheard(Vec<String>),
-    /// The store has not been read since the report.
+    /// The store has not been read since the heartbeat.
     StoreNotReadSince,
     /// The job's record can't be read.
     RecordUnreadable,
@@ -145,7 +145,7 @@
         counts
     }
 
-    /// What each task's newest reports say, by machine, with the time at which the report came.
+    /// What each task's newest heartbeats say, by machine, with the time at which the heartbeat came.
     fn reported(&self) -> BTreeMap<TaskKey, BTreeMap<&str, (Reported, u64)>> {
         let mut reported: BTreeMap<TaskKey, BTreeMap<&str, (Reported, u64)>> = BTreeMap::new();
         for (name, fact) in &self.machines {
@@ -157,7 +157,7 @@
         reported
     }
 
-    /// The verdict on a task that no report lists.
+    /// The verdict on a task that no heartbeat lists.
     fn nowhere(&self) -> (Verdict, Evidence) {
         let unheard: Vec<String> = self.unheard().take(NAMED_MOST).map(str::to_string).collect();
         if !unheard.is_empty() {
@@ -191,7 +191,7 @@
     }
 }
 
-/// The verdict on a stored task that reports list; `None`: it has ended everywhere without a result.
+/// The verdict on a stored task that heartbeats list; `None`: it has ended everywhere without a result.
 fn judge_reported(places: &BTreeMap<&str, (Reported, u64)>) -> Option<(Verdict, Evidence)> {
     let of = |state: ReportedState| -> BTreeSet<String> {
         let these = places.iter().filter(|(_, (task, _))| task.state == state);
--- a/crates/dockpier-reconcile/tests/verdicts.rs
+++ b/crates/dockpier-reconcile/tests/verdicts.rs
@@ -25,7 +25,7 @@
     all.verdicts().get(&TaskKey { job, task }).map(|(verdict, _)| *verdict)
 }
 
-/// What a machine lists in a report of this number: a report is what it is, whenever and however often it comes.
+/// What a machine lists in a heartbeat of this number: a heartbeat is what it is, whenever and however often it comes.
 fn listed(machine: usize, number: u64) -> Vec<Reported> {
     let drawn = |salt: u64| {
         let mixed = (machine as u64 * 31 + number * 17 + salt).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -134,7 +134,7 @@
     assert_eq!(verdict(&later, 1, 0), Some(Verdict::Running));
     later.learn(Fact::Machine("d".into(), MachineFact::Gone(GoneBy::CloudWord)));
     assert_eq!(verdict(&later, 1, 4), Some(Verdict::Missing));
-    // A report from before is a copy, whenever it comes.
+    // A heartbeat from before is a copy, whenever it comes.
     later.learn(Fact::Machine("a".into(), heard(6, 99, Vec::new())));
     assert_eq!(verdict(&later, 1, 0), Some(Verdict::Running));
     // What is gone never comes back.
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -9,7 +9,7 @@
 use dockpier::blocks::{Block, BlockAnswer};
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::cold_start::JobReading;
-use dockpier::scheduler::model::{JobId, Kind, MachineType, Report, Resources, TaskId};
+use dockpier::scheduler::model::{Heartbeat, JobId, Kind, MachineType, Resources, TaskId};
 use dockpier::scheduler::{
     Command, Config, Effect, ListedMachine, Outcome, Scheduler, StoredJob, StoredMachine,
 };
@@ -48,9 +48,9 @@
     jobs: BTreeMap<JobId, StoredJob>,
     records: BTreeMap<String, Vec<StoredMachine>>,
     /// Reports that wait for the leader's answer, with the lessee that passed them on.
-    waiting: BTreeMap<u64, (Option<usize>, Report)>,
+    waiting: BTreeMap<u64, (Option<usize>, Heartbeat)>,
     /// The newest report, and how it came.
-    newest: Option<(Option<usize>, Report)>,
+    newest: Option<(Option<usize>, Heartbeat)>,
     later: Vec<(u64, Command)>,
     replies: u64,
     made: usize,
@@ -210,11 +210,11 @@
         }
     }
 
-    fn checkin(&mut self, via: Option<usize>, report: Report) -> Command {
+    fn checkin(&mut self, via: Option<usize>, report: Heartbeat) -> Command {
         self.replies += 1;
         self.newest = Some((via, report.clone()));
         self.waiting.insert(self.replies, (via, report.clone()));
-        Command::Checkin { reply: self.replies, report, via }
+        Command::Heartbeat { reply: self.replies, heartbeat: report, via }
     }
 
     /// A lessee's heartbeat; it or its confirmation may be lost.
@@ -238,7 +238,7 @@
         // What it covers lies some way back.
         let covers = heartbeat.whole.then(|| now.saturating_sub(2 * STEP));
         let (machines, fresh) = (heartbeat.machines, heartbeat.fresh);
-        Some(Command::Heard { node: lessee + 1, machines, covers, fresh })
+        Some(Command::ShardHeartbeat { node: lessee + 1, machines, covers, fresh })
     }
 
     fn list(&self) -> Vec<ListedMachine> {
@@ -285,7 +285,7 @@
                 let Some(worker) = self.workers.get_mut(&machine) else { return };
                 if worker.take_direct(now, session, &orders) {
                     let report = worker.report(now);
-                    self.answer_later(Command::OrdersAnswered(report));
+                    self.answer_later(Command::DirectCommandAnswered(report));
                 }
             }
             Effect::Record { key, machines } => {
--- a/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
@@ -6,7 +6,7 @@
 use crate::{effects, words};
 use dockpier::blocks::BlockAnswer;
 use dockpier::limits::{self, SECOND};
-use dockpier::scheduler::model::{JobId, Report, ReportedTask, TaskId, TaskStatus};
+use dockpier::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::Order;
 use rand::Rng;
 use std::collections::BTreeSet;
@@ -42,14 +42,14 @@
         }
     }
 
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> Heartbeat {
         self.sequence += 1;
         let task = |job_id: &JobId| ReportedTask {
             id: TaskId { job_id: *job_id, task: 0 },
             attempt: 1,
             status: TaskStatus::Running,
         };
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             address: String::new(),
             machine_type: String::new(),
@@ -173,7 +173,7 @@
     }
 
     /// What a node answers a report with: the token, and the jobs whose tasks it stops.
-    fn answer(&mut self, node: usize, report: Report) -> Option<(u64, BTreeSet<JobId>)> {
+    fn answer(&mut self, node: usize, report: Heartbeat) -> Option<(u64, BTreeSet<JobId>)> {
         let now = self.local(node);
         let keeps = self.keeps(node, &report);
         let known = keeps.as_ref().map_or("none".to_string(), |stops| stops.len().to_string());
@@ -211,7 +211,7 @@
     }
 
     /// The leader that the node follows answers, or nobody does.
-    fn pass_on(&mut self, node: usize, report: Report, line: Line) -> Option<(u64, BTreeSet<JobId>)> {
+    fn pass_on(&mut self, node: usize, report: Heartbeat, line: Line) -> Option<(u64, BTreeSet<JobId>)> {
         let now = self.local(node);
         let followed = self.nodes[node].leadership.followed(now);
         let reached = followed.filter(|(leader, token, _)| {
@@ -235,7 +235,7 @@
     }
 
     /// What a node that may keep workers alive by itself tells one to stop.
-    fn keeps(&self, node: usize, report: &Report) -> Option<Vec<Order>> {
+    fn keeps(&self, node: usize, report: &Heartbeat) -> Option<Vec<Order>> {
         let (now, log) = (self.local(node), &self.nodes[node].leadership.cancellations);
         (now + limits::GUARD < log.keeps_until()).then(|| log.stops(report)).flatten()
     }
--- a/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
@@ -1,7 +1,7 @@
 //! A worker that reports to one of several controllers: its tasks, its session and its lease.
 
 use dockpier::limits::SECOND;
-use dockpier::scheduler::model::{ExitReason, Report, ReportedTask, TaskId, TaskStatus};
+use dockpier::scheduler::model::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::Order;
 use std::collections::BTreeMap;
 
@@ -87,11 +87,11 @@
     }
 
     /// Its next report.
-    pub fn report(&mut self, now: u64) -> Report {
+    pub fn report(&mut self, now: u64) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter();
         let tasks = tasks.map(|(id, t)| ReportedTask { id: *id, attempt: t.attempt, status: t.status });
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             address: String::new(),
             machine_type: self.machine_type.clone(),
--- a/crates/dockpier-virtual-fleet/src/lib.rs
+++ b/crates/dockpier-virtual-fleet/src/lib.rs
@@ -48,7 +48,7 @@
     pub teams: Vec<Team>,
     /// The operators' settings.
     pub operator: Operator,
-    /// Interval between reports, in seconds.
+    /// Interval between heartbeats, in seconds.
     pub report_s: f64,
     /// Time that a machine takes to boot, in seconds.
     pub boot_s: f64,
@@ -281,7 +281,7 @@
             std::mem::take(&mut self.later).into_iter().partition(|(at, _)| *at <= now);
         self.later = later;
         let mut batch: Vec<Command> = due.into_iter().map(|(_, command)| command).collect();
-        batch.extend(self.reports());
+        batch.extend(self.heartbeats());
         if now >= self.list_due {
             self.list_due = now + LIST_EVERY;
             batch.push(Command::Listed(self.list()));
@@ -312,13 +312,13 @@
         }
     }
 
-    fn reports(&mut self) -> Vec<Command> {
+    fn heartbeats(&mut self) -> Vec<Command> {
         let now = self.now;
         let interval = limits::micros(self.layout.report_s);
-        let due = self.workers.values_mut().filter(|worker| worker.reports(now));
+        let due = self.workers.values_mut().filter(|worker| worker.is_heartbeat_due(now));
         due.map(|worker| {
             worker.next_report = now + interval;
-            Command::Checkin { reply: worker.number, report: worker.report(now), via: None }
+            Command::Heartbeat { reply: worker.number, heartbeat: worker.heartbeat(now), via: None }
         })
         .collect()
     }
--- a/crates/dockpier-virtual-fleet/src/worker.rs
+++ b/crates/dockpier-virtual-fleet/src/worker.rs
@@ -80,15 +80,15 @@
         now >= self.up_at
     }
 
-    pub(crate) fn reports(&self, now: u64) -> bool {
+    pub(crate) fn is_heartbeat_due(&self, now: u64) -> bool {
         self.is_well(now) && now >= self.next_report
     }
 
-    pub(crate) fn report(&mut self, now: u64) -> Report {
+    pub(crate) fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter();
         let tasks = tasks.map(|(id, t)| ReportedTask { id: *id, attempt: t.attempt, status: t.status });
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             address: String::new(),
             machine_type: crate::MACHINE_TYPE.into(),
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,14 +1,14 @@
 //! What users and workers ask, over HTTP. No decisions here: users' requests are decided by transactions of the
-//! state service, check-ins by the owner of the state.
+//! state service, heartbeats by the owner of the state.
 
-use crate::controller::{CheckinReply, Event};
+use crate::controller::{Event, HeartbeatReply};
 use crate::http::wall_ms;
 use crate::limits;
 use crate::live::Live;
 use crate::protocol;
 use crate::protocol::records::{FinalRecord, LiveRecord};
 use crate::protocol::users::{JobState, JobStatus, Submission};
-use crate::protocol::workers::{Checkin, Redirect};
+use crate::protocol::workers::{HeartbeatRequest, Redirect};
 use crate::scheduler::model::{JobId, JobSpec, Kind, MachineType, Resources};
 use crate::scheduler::overview::PageStart;
 use crate::scheduler::Scheduler;
@@ -330,25 +330,25 @@
     async fn cold_start(&self) -> Result<Response, Refusal> {
         self.may_ask(0)?;
         match self.store.get(store::COLD_START, limits::STATE_TIMEOUT).await? {
-            Some((report, _)) => Ok(json(StatusCode::OK, &report)),
+            Some((heartbeat, _)) => Ok(json(StatusCode::OK, &heartbeat)),
             None => Err(Refusal::NotFound("no cold start has been reported".into())),
         }
     }
 
-    async fn checkin(&self, body: Body) -> Result<Response, Refusal> {
+    async fn heartbeat(&self, body: Body) -> Result<Response, Refusal> {
         let bytes = read_body(body).await?;
-        let checkin: Checkin = protocol::parse(&bytes).map_err(|why| {
-            warn!(why, "malformed check-in");
+        let heartbeat_request: HeartbeatRequest = protocol::parse(&bytes).map_err(|why| {
+            warn!(why, "malformed heartbeat");
             Refusal::Malformed(why)
         })?;
         let (to, answer) = oneshot::channel();
         self.events
-            .try_send(Event::Checkin(checkin, to))
+            .try_send(Event::Heartbeat(heartbeat_request, to))
             .map_err(|_| Refusal::Later("too many events at once".into()))?;
-        match tokio::time::timeout(limits::CHECKIN_TIMEOUT, answer).await {
-            Ok(Ok(CheckinReply::Orders(answer))) => Ok(json(StatusCode::OK, &answer)),
-            Ok(Ok(CheckinReply::Malformed)) => Err(Refusal::Malformed("loads: unreadable task".into())),
-            Ok(Ok(CheckinReply::Elsewhere(leader))) => {
+        match tokio::time::timeout(limits::HEARTBEAT_RESPONSE_TIMEOUT, answer).await {
+            Ok(Ok(HeartbeatReply::Accepted(answer))) => Ok(json(StatusCode::OK, &answer)),
+            Ok(Ok(HeartbeatReply::Malformed)) => Err(Refusal::Malformed("loads: unreadable task".into())),
+            Ok(Ok(HeartbeatReply::Redirected(leader))) => {
                 Ok(json(StatusCode::MISDIRECTED_REQUEST, &Redirect { leader }))
             }
             _ => Err(Refusal::Later("not entitled to act now".into())),
@@ -378,8 +378,8 @@
 }
 
 #[handler]
-async fn post_checkin(Data(api): Shared<'_>, body: Body) -> Response {
-    answer(api.checkin(body).await)
+async fn post_heartbeat(Data(api): Shared<'_>, body: Body) -> Response {
+    answer(api.heartbeat(body).await)
 }
 
 /// For operators: who leads, the queue with the reason each job waits, machines, recent decisions.
@@ -387,7 +387,7 @@
 async fn get_overview(Data(api): Shared<'_>, Query(start): Query<PageStart>) -> Response {
     let (to, view) = oneshot::channel();
     if api.events.try_send(Event::Overview(start, to)).is_ok() {
-        if let Ok(Ok(view)) = tokio::time::timeout(limits::CHECKIN_TIMEOUT, view).await {
+        if let Ok(Ok(view)) = tokio::time::timeout(limits::HEARTBEAT_RESPONSE_TIMEOUT, view).await {
             if let Ok(text) = serde_json::to_string_pretty(&view) {
                 return Response::builder().content_type("application/json").body(text);
             }
@@ -428,7 +428,7 @@
     answer(api.list_budgets().await)
 }
 
-/// The report of the last cold start, as the leader stored it.
+/// The heartbeat of the last cold start, as the leader stored it.
 #[handler]
 async fn get_cold_start(Data(api): Shared<'_>) -> Response {
     answer(api.cold_start().await)
@@ -448,7 +448,7 @@
         .at("/submissions", post(post_submission))
         .at("/submissions/:job_id", get(get_submission))
         .at("/submissions/:job_id/withdraw", post(post_cancellation))
-        .at("/checkin", post(post_checkin))
+        .at("/checkin", post(post_heartbeat))
         .at("/healthz", get(get_health))
         .at("/overview", get(get_overview))
         .at("/drains", get(get_drains).post(post_drain))
--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -1,7 +1,7 @@
-//! A controller's block: the workers that report to it.
+//! A controller's block: the workers that heartbeat to it.
 //!
 //! The lessee passes on what changes and answers by itself, under the leader's token and without commands,
-//! the reports that say nothing new. Once a second it tells the leader whom it answered, and each such heartbeat
+//! the heartbeats that say nothing new. Once a second it tells the leader whom it answered, and each such heartbeat
 //! that the leader confirms lets it go on for a block lease: counted by the lessee from when it sent the heartbeat,
 //! by the leader from when it got it. While it hears no leader, a lessee answers whoever shows the last token,
 //! so that a zone that is cut off lives on as a whole, whichever node its workers reported to before. The
@@ -10,15 +10,15 @@
 use crate::lease_renewal::{LeaseRenewal, UnconfirmedAnswers};
 use crate::limits;
 use crate::peer::RequestIds;
-use crate::scheduler::model::{Report, ReportedTask};
+use crate::scheduler::model::{Heartbeat, ReportedTask};
 use std::collections::{HashMap, VecDeque};
 
-/// The last report of a machine that the leader knows.
+/// The last heartbeat of a machine that the leader knows.
 struct Kept {
     session: u64,
     sequence: u64,
     tasks: Vec<ReportedTask>,
-    /// The leader has something to tell it: the next report is passed on whatever it says.
+    /// The leader has something to tell it: the next heartbeat is passed on whatever it says.
     woken: bool,
     /// When it was last answered.
     at: u64,
@@ -43,14 +43,14 @@
     pub machines: Vec<String>,
 }
 
-/// What a lessee does with a report.
+/// What a lessee does with a heartbeat.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BlockAnswer {
     /// It answers by itself, under this token.
     Renews(u64, LeaseRenewal),
-    /// A copy of an earlier report: nobody waits for an answer.
+    /// A copy of an earlier heartbeat: nobody waits for an answer.
     Copy,
-    /// The report is for the leader, or for another node.
+    /// The heartbeat is for the leader, or for another node.
     NotOurs,
 }
 
@@ -101,33 +101,36 @@
         self.until = until;
     }
 
-    /// Answers a report, if this node may do so without the leader.
-    pub fn answers(&mut self, now: u64, report: &Report, leader_heard: bool) -> BlockAnswer {
+    /// Answers a heartbeat, if this node may do so without the leader.
+    pub fn answers(&mut self, now: u64, heartbeat: &Heartbeat, leader_heard: bool) -> BlockAnswer {
         // A worker that has seen a higher token drops ours and would sit here while its lease runs out.
-        if report.token != self.token || now + limits::GUARD >= self.until {
+        if heartbeat.token != self.token || now + limits::GUARD >= self.until {
             return BlockAnswer::NotOurs;
         }
-        let kept = self.kept.get(&report.machine);
-        if kept.is_some_and(|k| (report.session, report.sequence) <= (k.session, k.sequence)) {
+        let kept = self.kept.get(&heartbeat.machine);
+        if kept.is_some_and(|k| (heartbeat.session, heartbeat.sequence) <= (k.session, k.sequence)) {
             return BlockAnswer::Copy;
         }
         let unchanged = kept.is_some_and(|k| {
-            report.session == k.session && report.notice_s.is_none() && !k.woken && report.tasks == k.tasks
+            heartbeat.session == k.session
+                && heartbeat.notice_s.is_none()
+                && !k.woken
+                && heartbeat.tasks == k.tasks
         });
-        if !unchanged && (leader_heard || self.sends_away(now, report)) {
+        if !unchanged && (leader_heard || self.sends_away(now, heartbeat)) {
             return BlockAnswer::NotOurs;
         }
-        if let Some(kept) = self.kept.get_mut(&report.machine).filter(|_| unchanged) {
-            (kept.sequence, kept.at) = (report.sequence, now);
+        if let Some(kept) = self.kept.get_mut(&heartbeat.machine).filter(|_| unchanged) {
+            (kept.sequence, kept.at) = (heartbeat.sequence, now);
         }
-        BlockAnswer::Renews(self.token, self.answered.note(&report.machine, self.heartbeats.upcoming()))
+        BlockAnswer::Renews(self.token, self.answered.note(&heartbeat.machine, self.heartbeats.upcoming()))
     }
 
     /// While no leader is heard, a worker of ours with news tries the other nodes first, since it may be only
     /// us who do not hear it. One that has just come from there, as all do that we do not know, is kept alive.
-    fn sends_away(&mut self, now: u64, report: &Report) -> bool {
-        let known = self.kept.contains_key(&report.machine);
-        let away = self.away.entry(report.machine.clone());
+    fn sends_away(&mut self, now: u64, heartbeat: &Heartbeat) -> bool {
+        let known = self.kept.contains_key(&heartbeat.machine);
+        let away = self.away.entry(heartbeat.machine.clone());
         let away = away.or_insert_with(|| if known { Away::Never } else { Away::Back(now) });
         match away {
             Away::Sent => {
@@ -142,17 +145,17 @@
         }
     }
 
-    /// The leader has answered a report that was passed on. `keep`: what says nothing new need not be.
-    pub fn passed(&mut self, now: u64, report: Report, token: u64, keep: bool) {
+    /// The leader has answered a heartbeat that was passed on. `keep`: what says nothing new need not be.
+    pub fn passed(&mut self, now: u64, heartbeat: Heartbeat, token: u64, keep: bool) {
         if token != self.token {
             return;
         }
-        self.away.remove(&report.machine);
+        self.away.remove(&heartbeat.machine);
         if keep && self.kept.len() < self.most {
-            let Report { machine, session, sequence, tasks, .. } = report;
+            let Heartbeat { machine, session, sequence, tasks, .. } = heartbeat;
             self.kept.insert(machine, Kept { session, sequence, tasks, woken: false, at: now });
         } else {
-            self.kept.remove(&report.machine);
+            self.kept.remove(&heartbeat.machine);
         }
     }
 
--- a/src/blocks_tests.rs
+++ b/src/blocks_tests.rs
@@ -6,13 +6,13 @@
 
 const LEASE: u64 = 20 * SECOND;
 
-fn report(sequence: u64, tasks: u32) -> Report {
+fn worker_heartbeat(sequence: u64, tasks: u32) -> Heartbeat {
     let task = |task| ReportedTask {
         id: TaskId { job_id: JobId(1), task },
         attempt: 1,
         status: TaskStatus::Running,
     };
-    Report {
+    Heartbeat {
         machine: "m-1".into(),
         address: String::new(),
         machine_type: "m".into(),
@@ -31,28 +31,34 @@
     let mut block = Block::new(8, 1);
     block.follow(4);
     let heartbeat = block.tell(SECOND).unwrap();
-    assert_eq!(block.answers(SECOND, &report(1, 2), true), BlockAnswer::NotOurs);
+    assert_eq!(block.answers(SECOND, &worker_heartbeat(1, 2), true), BlockAnswer::NotOurs);
     block.confirmed(heartbeat.id, LEASE);
-    assert_eq!(block.answers(SECOND, &report(1, 2), true), BlockAnswer::NotOurs);
-    block.passed(SECOND, report(1, 2), 4, true);
+    assert_eq!(block.answers(SECOND, &worker_heartbeat(1, 2), true), BlockAnswer::NotOurs);
+    block.passed(SECOND, worker_heartbeat(1, 2), 4, true);
     block
 }
 
 #[test]
 fn only_what_says_nothing_new_is_answered_without_the_leader() {
     let mut block = block();
-    assert_eq!(block.answers(2 * SECOND, &report(2, 2), true).token(), Some(4));
-    assert_eq!(block.answers(3 * SECOND, &report(3, 3), true), BlockAnswer::NotOurs, "a new task");
+    assert_eq!(block.answers(2 * SECOND, &worker_heartbeat(2, 2), true).token(), Some(4));
+    assert_eq!(block.answers(3 * SECOND, &worker_heartbeat(3, 3), true), BlockAnswer::NotOurs, "a new task");
     assert_eq!(
-        block.answers(3 * SECOND, &Report { notice_s: Some(9.0), ..report(3, 2) }, true),
+        block.answers(3 * SECOND, &Heartbeat { notice_s: Some(9.0), ..worker_heartbeat(3, 2) }, true),
+        BlockAnswer::NotOurs
+    );
+    assert_eq!(
+        block.answers(3 * SECOND, &Heartbeat { session: 2, ..worker_heartbeat(1, 2) }, true),
         BlockAnswer::NotOurs
     );
-    assert_eq!(block.answers(3 * SECOND, &Report { session: 2, ..report(1, 2) }, true), BlockAnswer::NotOurs);
     // A worker that has seen a later leader's token would drop ours and sit here without a lease.
-    assert_eq!(block.answers(3 * SECOND, &Report { token: 5, ..report(3, 2) }, true), BlockAnswer::NotOurs);
+    assert_eq!(
+        block.answers(3 * SECOND, &Heartbeat { token: 5, ..worker_heartbeat(3, 2) }, true),
+        BlockAnswer::NotOurs
+    );
     block.wake(&["m-1".into()]);
     assert_eq!(
-        block.answers(3 * SECOND, &report(3, 2), true),
+        block.answers(3 * SECOND, &worker_heartbeat(3, 2), true),
         BlockAnswer::NotOurs,
         "the leader has something for it"
     );
@@ -61,16 +67,16 @@
 #[test]
 fn without_a_leader_workers_live_on_until_the_block_lease_ends() {
     let mut block = block();
-    assert_eq!(block.answers(3 * SECOND, &report(2, 2), false).token(), Some(4));
+    assert_eq!(block.answers(3 * SECOND, &worker_heartbeat(2, 2), false).token(), Some(4));
     // With news it tries the other nodes once: perhaps they hear the leader.
-    assert_eq!(block.answers(3 * SECOND, &report(3, 3), false), BlockAnswer::NotOurs);
+    assert_eq!(block.answers(3 * SECOND, &worker_heartbeat(3, 3), false), BlockAnswer::NotOurs);
     // Behind a cut it hung at both of them, four seconds each and a second's pause; sent away again at
     // once it would lose its lease.
-    assert_eq!(block.answers(14 * SECOND, &report(4, 3), false).token(), Some(4));
-    assert_eq!(block.answers(17 * SECOND, &report(5, 3), false).token(), Some(4));
+    assert_eq!(block.answers(14 * SECOND, &worker_heartbeat(4, 3), false).token(), Some(4));
+    assert_eq!(block.answers(17 * SECOND, &worker_heartbeat(5, 3), false).token(), Some(4));
     // What changed meanwhile is passed on as soon as there is a leader.
-    assert_eq!(block.answers(18 * SECOND, &report(6, 3), true), BlockAnswer::NotOurs);
-    assert_eq!(block.answers(SECOND + LEASE, &report(7, 2), false), BlockAnswer::NotOurs);
+    assert_eq!(block.answers(18 * SECOND, &worker_heartbeat(6, 3), true), BlockAnswer::NotOurs);
+    assert_eq!(block.answers(SECOND + LEASE, &worker_heartbeat(7, 2), false), BlockAnswer::NotOurs);
 }
 
 /// Two thirds of a cut zone's workers had reported to nodes outside it, and came to the one inside, which
@@ -78,7 +84,7 @@
 #[test]
 fn without_a_leader_workers_that_come_from_other_nodes_are_kept_alive_too() {
     let mut block = block();
-    let stranger = Report { machine: "m-2".into(), ..report(9, 1) };
+    let stranger = Heartbeat { machine: "m-2".into(), ..worker_heartbeat(9, 1) };
     assert_eq!(
         block.answers(2 * SECOND, &stranger, true),
         BlockAnswer::NotOurs,
@@ -86,22 +92,22 @@
     );
     assert_eq!(block.answers(8 * SECOND, &stranger, false).token(), Some(4));
     // Its token must be ours: one that has seen none, or an earlier one, holds nothing that we may keep.
-    assert_eq!(block.answers(8 * SECOND, &Report { token: 3, ..stranger }, false), BlockAnswer::NotOurs);
+    assert_eq!(block.answers(8 * SECOND, &Heartbeat { token: 3, ..stranger }, false), BlockAnswer::NotOurs);
     assert_eq!(block.tell(9 * SECOND).unwrap().machines, ["m-2"]);
 }
 
 #[test]
 fn a_lease_runs_on_from_when_the_leader_was_told_and_only_if_it_confirmed() {
     let mut block = block();
-    assert!(block.answers(3 * SECOND, &report(2, 2), true).token().is_some());
+    assert!(block.answers(3 * SECOND, &worker_heartbeat(2, 2), true).token().is_some());
     let heartbeat = block.tell(4 * SECOND).unwrap();
     assert!(heartbeat.whole);
     assert_eq!(heartbeat.machines, ["m-1"]);
     let late = SECOND + LEASE;
-    assert_eq!(block.answers(late, &report(3, 2), true), BlockAnswer::NotOurs, "not confirmed");
+    assert_eq!(block.answers(late, &worker_heartbeat(3, 2), true), BlockAnswer::NotOurs, "not confirmed");
     block.confirmed(heartbeat.id, LEASE);
-    assert_eq!(block.answers(late, &report(4, 2), true).token(), Some(4));
-    assert_eq!(block.answers(4 * SECOND + LEASE, &report(5, 2), true), BlockAnswer::NotOurs);
+    assert_eq!(block.answers(late, &worker_heartbeat(4, 2), true).token(), Some(4));
+    assert_eq!(block.answers(4 * SECOND + LEASE, &worker_heartbeat(5, 2), true), BlockAnswer::NotOurs);
 }
 
 /// The leader takes a heartbeat as proof that nobody else was answered before it: what it has not confirmed
@@ -109,12 +115,12 @@
 #[test]
 fn a_word_names_whoever_was_answered_since_the_last_one_that_was_confirmed() {
     let mut block = block();
-    assert!(block.answers(2 * SECOND, &report(2, 2), true).token().is_some());
+    assert!(block.answers(2 * SECOND, &worker_heartbeat(2, 2), true).token().is_some());
     let lost = block.tell(3 * SECOND).unwrap();
     let next = block.tell(5 * SECOND).unwrap();
     assert_eq!((lost.machines, &next.machines), (vec!["m-1".to_string()], &vec!["m-1".to_string()]));
     // Answered again after that heartbeat left: the confirmation does not cover it.
-    assert!(block.answers(5 * SECOND, &report(3, 2), true).token().is_some());
+    assert!(block.answers(5 * SECOND, &worker_heartbeat(3, 2), true).token().is_some());
     block.confirmed(next.id, LEASE);
     let last = block.tell(7 * SECOND).unwrap();
     assert_eq!(last.machines, ["m-1"]);
@@ -126,24 +132,24 @@
 fn a_new_leader_hears_of_every_machine_anew() {
     let mut block = block();
     block.follow(5);
-    let report = |sequence| Report { token: 5, ..report(sequence, 2) };
+    let worker_heartbeat = |sequence| Heartbeat { token: 5, ..worker_heartbeat(sequence, 2) };
     assert_eq!(
-        block.answers(2 * SECOND, &report(2), false),
+        block.answers(2 * SECOND, &worker_heartbeat(2), false),
         BlockAnswer::NotOurs,
         "its lease was the last leader's"
     );
     let heartbeat = block.tell(2 * SECOND).unwrap();
     block.confirmed(heartbeat.id, LEASE);
-    assert_eq!(block.answers(2 * SECOND, &report(2), true), BlockAnswer::NotOurs);
+    assert_eq!(block.answers(2 * SECOND, &worker_heartbeat(2), true), BlockAnswer::NotOurs);
     // An answer of the last leader's that was under way leases nothing any more.
-    block.passed(2 * SECOND, report(2), 4, true);
-    assert_eq!(block.answers(2 * SECOND, &report(3), true), BlockAnswer::NotOurs);
+    block.passed(2 * SECOND, worker_heartbeat(2), 4, true);
+    assert_eq!(block.answers(2 * SECOND, &worker_heartbeat(3), true), BlockAnswer::NotOurs);
 }
 
 #[test]
 fn a_copy_counts_for_nothing() {
     let mut block = block();
-    assert_eq!(block.answers(2 * SECOND, &report(1, 2), true), BlockAnswer::Copy);
+    assert_eq!(block.answers(2 * SECOND, &worker_heartbeat(1, 2), true), BlockAnswer::Copy);
     assert!(block.tell(4 * SECOND).unwrap().machines.is_empty(), "the machine was not heard");
 }
 
@@ -163,7 +169,7 @@
     for sequence in 1..=4 {
         for machine in 0..MACHINES {
             now += REPORT / MACHINES as u64;
-            let worker = Report { machine: name(machine), ..report(sequence, 1) };
+            let worker = Heartbeat { machine: name(machine), ..worker_heartbeat(sequence, 1) };
             assert!(block.answers(now, &worker, false).token().is_some(), "its lease runs");
             if let Some(heartbeat) = block.tell(now) {
                 let bytes: usize = heartbeat.machines.iter().map(|n| n.len() + 1).sum();
@@ -190,7 +196,7 @@
     block.follow(4);
     let own = block.tell(2 * SECOND).unwrap().id;
     assert!(!block.confirmed(confirmed, LEASE));
-    assert_eq!(block.answers(3 * SECOND, &report(1, 2), false), BlockAnswer::NotOurs);
+    assert_eq!(block.answers(3 * SECOND, &worker_heartbeat(1, 2), false), BlockAnswer::NotOurs);
     assert!(block.confirmed(own, LEASE), "its own counts still");
-    assert!(block.answers(3 * SECOND, &report(1, 2), false).token().is_some());
+    assert!(block.answers(3 * SECOND, &worker_heartbeat(1, 2), false).token().is_some());
 }
--- a/src/cancellation_log.rs
+++ b/src/cancellation_log.rs
@@ -14,7 +14,7 @@
 //!    for a while before we hold it, and covers that time too, a restart within it included.
 
 use crate::limits::{self, shortened};
-use crate::scheduler::model::{JobId, Report, TaskStatus};
+use crate::scheduler::model::{Heartbeat, JobId, TaskStatus};
 use crate::scheduler::Order;
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -130,10 +130,10 @@
         self.live.contains(&job_id)
     }
 
-    /// Stops for what the report lists of jobs that are over. None where this node, without a leader's list of
+    /// Stops for what the heartbeat lists of jobs that are over. None where this node, without a leader's list of
     /// jobs, can't tell: a job that its copy lacks was cancelled before this life began, or is too new.
-    pub fn stops(&self, report: &Report) -> Option<Vec<Order>> {
-        let living = report.tasks.iter().filter(|t| !matches!(t.status, TaskStatus::Exited(_)));
+    pub fn stops(&self, heartbeat: &Heartbeat) -> Option<Vec<Order>> {
+        let living = heartbeat.tasks.iter().filter(|t| !matches!(t.status, TaskStatus::Exited(_)));
         let mut stops = Vec::new();
         for task in living {
             if self.is_over(task.id.job_id) {
@@ -146,8 +146,8 @@
     }
 
     /// The answer's orders and the stops that it must not leave without.
-    pub fn with_stops(&self, mut orders: Vec<Order>, report: &Report) -> Vec<Order> {
-        for task in report.tasks.iter().filter(|t| self.is_over(t.id.job_id)) {
+    pub fn with_stops(&self, mut orders: Vec<Order>, heartbeat: &Heartbeat) -> Vec<Order> {
+        for task in heartbeat.tasks.iter().filter(|t| self.is_over(t.id.job_id)) {
             if matches!(task.status, TaskStatus::Exited(_)) {
                 continue;
             }
--- a/src/cancellation_log_tests.rs
+++ b/src/cancellation_log_tests.rs
@@ -27,11 +27,11 @@
     to.0.attested(now, from.1, from.2, &attestation).0
 }
 
-fn report(job_ids: &[u64]) -> Report {
+fn heartbeat(job_ids: &[u64]) -> Heartbeat {
     let status = TaskStatus::Running;
     let task =
         |job_id: &u64| ReportedTask { id: TaskId { job_id: JobId(*job_id), task: 0 }, attempt: 3, status };
-    Report {
+    Heartbeat {
         machine: "m".into(),
         address: String::new(),
         machine_type: String::new(),
@@ -48,15 +48,15 @@
 #[test]
 fn a_cancellation_reaches_the_others_and_no_answer_leaves_without_its_stop() {
     let (mut a, mut b) = pair();
-    assert_eq!(b.stops(&report(&[1, 2])), Some(Vec::new()));
+    assert_eq!(b.stops(&heartbeat(&[1, 2])), Some(Vec::new()));
     a.confirm(NOW + 2 * SECOND, JobId(1));
     b.heartbeat(0, 70, true, NOW);
     assert_eq!(say(NOW + 2 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), false), [JobId(1)]);
     let stop = Order::Stop { id: TaskId { job_id: JobId(1), task: 0 }, attempt: 3, grace_s: 0.0 };
-    assert_eq!(b.stops(&report(&[1, 2])), Some(vec![stop.clone()]));
-    assert_eq!(b.with_stops(vec![stop.clone()], &report(&[1, 2])), [stop]);
+    assert_eq!(b.stops(&heartbeat(&[1, 2])), Some(vec![stop.clone()]));
+    assert_eq!(b.with_stops(vec![stop.clone()], &heartbeat(&[1, 2])), [stop]);
     // What the copy lacks may have been cancelled before this life began: not to be kept alive.
-    assert_eq!(b.stops(&report(&[2, 9])), None);
+    assert_eq!(b.stops(&heartbeat(&[2, 9])), None);
     // A copy that lags behind the word does not bring the job back.
     b.read(NOW + 3 * SECOND, NOW + 3 * SECOND, true, &[JobId(1), JobId(2)], &[]);
     assert!(b.is_over(JobId(1)) && !b.is_live(JobId(1)));
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -1,4 +1,4 @@
-//! Workers' check-ins: answered by the leader's scheduler, by this node as the lessee of a block, by a lease keeper, or
+//! Workers' heartbeats: answered by the leader's scheduler, by this node as the lessee of a block, by a lease keeper, or
 //! sent elsewhere; and the frames about them between leader and lessees.
 
 use super::frames_ignored::IgnoredFrame;
@@ -7,44 +7,44 @@
 use crate::lease_renewal::LeaseRenewal;
 use crate::limits;
 use crate::peer::{self, Payload};
-use crate::protocol::workers::{Checkin, CheckinAnswer};
-use crate::scheduler::model::Report;
+use crate::protocol::workers::{HeartbeatRequest, HeartbeatResponse};
+use crate::scheduler::model::Heartbeat;
 use crate::scheduler::{Command, Order};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
 
-pub enum CheckinReply {
-    Orders(CheckinAnswer),
-    Elsewhere(Option<String>),
+pub enum HeartbeatReply {
+    Accepted(HeartbeatResponse),
+    Redirected(Option<String>),
     Malformed,
 }
 
-/// Where the answer to a check-in goes.
+/// Where the answer to a heartbeat goes.
 pub(super) enum ReplyTo {
     /// With the stops that it must not leave without.
-    Worker(oneshot::Sender<CheckinReply>, Vec<Order>),
+    Worker(oneshot::Sender<HeartbeatReply>, Vec<Order>),
     /// To the lessee that passed it on, under its number.
     Lessee(usize, u64),
 }
 
 /// An answer that this node gives without the leader, as far as it knows.
-fn log_renewal(report: &Report, renewal: &LeaseRenewal, token: u64) {
-    let Report { machine, session, sequence, .. } = report;
+fn log_renewal(heartbeat: &Heartbeat, renewal: &LeaseRenewal, token: u64) {
+    let Heartbeat { machine, session, sequence, .. } = heartbeat;
     debug!(machine, session, sequence, token, grounds = ?renewal.grounds(), "lease renewed");
 }
 
-/// A report on its way to the leader.
+/// A heartbeat on its way to the leader.
 pub(super) struct PassedOn {
-    pub(super) to: oneshot::Sender<CheckinReply>,
-    pub(super) report: Report,
+    pub(super) to: oneshot::Sender<HeartbeatReply>,
+    pub(super) heartbeat: Heartbeat,
     pub(super) sent: u64,
 }
 
 impl Controller {
     /// An answer of this node's own that keeps a worker alive: the stops that it bears, or None if it may not.
-    pub(super) fn keeps(&self, now: u64, report: &Report) -> Option<Vec<Order>> {
+    pub(super) fn keeps(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<Order>> {
         let cancellations = &self.leadership.cancellations;
-        (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(report)).flatten()
+        (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(heartbeat)).flatten()
     }
 
     /// A frame of the leader's to a lessee, or of a lessee's to the leader.
@@ -59,50 +59,50 @@
         // Stamps of other leaders' heartbeats lie outside every window: clocks start at random points.
         let fresh = |stamp: u64| stamp <= now && now < stamp + limits::RELAY_FRESH;
         match payload {
-            Payload::Report { id, stamp, report } => {
+            Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
                 if !leads || !fresh(stamp) || now >= self.leadership.cancellations.keeps_until() {
                     self.frames_ignored.note(from, IgnoredFrame::Stale);
                     // A lease keeper keeps workers alive whichever way they come.
-                    let care = self.leadership.lease_keeper(now).zip(self.keeps(now, &report));
+                    let care = self.leadership.lease_keeper(now).zip(self.keeps(now, &heartbeat));
                     let (token, orders) = care.unzip();
                     let orders = orders.unwrap_or_default();
-                    self.send(from, Payload::Reply { id, token, keep: false, orders });
+                    self.send(from, Payload::RelayedResponse { id, token, keep: false, orders });
                     return;
                 }
-                self.checkins.push_back(now);
+                self.recent_heartbeats.push_back(now);
                 let reply = self.requests.take();
                 self.replies.insert(reply, ReplyTo::Lessee(from, id));
-                commands.push(Command::Checkin { reply, report, via: Some(from) });
+                commands.push(Command::Heartbeat { reply, heartbeat, via: Some(from) });
             }
-            Payload::Heard { id, stamp, whole, fresh: anew, machines } if leads && fresh(stamp) => {
-                self.checkins.push_back(now);
+            Payload::ShardHeartbeat { id, stamp, whole, fresh: anew, machines } if leads && fresh(stamp) => {
+                self.recent_heartbeats.push_back(now);
                 let covers = whole.then_some(stamp);
-                commands.push(Command::Heard { node: from, machines, covers, fresh: anew });
+                commands.push(Command::ShardHeartbeat { node: from, machines, covers, fresh: anew });
                 let lease_ms = (self.leadership.block_lease(now) / 1_000) as u32;
-                self.send(from, Payload::Confirmed { id, lease_ms });
+                self.send(from, Payload::ShardHeartbeatAck { id, lease_ms });
             }
-            Payload::Reply { id, token, keep, orders } => {
-                let Some(PassedOn { to, report, .. }) = self.passed_on.remove(&id) else {
+            Payload::RelayedResponse { id, token, keep, orders } => {
+                let Some(PassedOn { to, heartbeat, .. }) = self.passed_on.remove(&id) else {
                     return self.frames_ignored.note(from, IgnoredFrame::Unasked);
                 };
                 let reply = match token {
                     Some(token) => {
-                        let orders = self.leadership.cancellations.with_stops(orders, &report);
-                        self.block.passed(now, report, token, keep);
+                        let orders = self.leadership.cancellations.with_stops(orders, &heartbeat);
+                        self.block.passed(now, heartbeat, token, keep);
                         self.renewing(token, LeaseRenewal::relayed(), &orders)
                     }
                     None => self.refusing(None),
                 };
                 let _ = to.send(reply);
             }
-            Payload::Wake(machines) => self.block.wake(&machines),
-            Payload::Confirmed { id, lease_ms } => {
+            Payload::WakeRequest(machines) => self.block.wake(&machines),
+            Payload::ShardHeartbeatAck { id, lease_ms } => {
                 let lease = (u64::from(lease_ms) * 1_000).min(self.config.block_lease);
                 if !self.block.confirmed(id, lease) {
                     self.frames_ignored.note(from, IgnoredFrame::Unasked);
                 }
             }
-            Payload::Heard { .. } => self.frames_ignored.note(from, IgnoredFrame::Stale),
+            Payload::ShardHeartbeat { .. } => self.frames_ignored.note(from, IgnoredFrame::Stale),
             _ => {}
         }
     }
@@ -113,15 +113,15 @@
         if let Some((leader, token, stamp)) = followed {
             self.block.follow(token);
             if let Some(BlockHeartbeat { id, whole, fresh, machines }) = self.block.tell(now) {
-                self.send(leader, Payload::Heard { id, stamp, whole, fresh, machines });
+                self.send(leader, Payload::ShardHeartbeat { id, stamp, whole, fresh, machines });
             }
         }
         while let Some(entry) = self.passed_on.first_entry() {
             if now < entry.get().sent + limits::RELAY_PATIENCE {
                 return;
             }
-            let PassedOn { to, report, .. } = entry.remove();
-            let reply = self.holds(now, &report, false);
+            let PassedOn { to, heartbeat, .. } = entry.remove();
+            let reply = self.holds(now, &heartbeat, false);
             let reply = reply.unwrap_or_else(|| self.refusing(None));
             let _ = to.send(reply);
         }
@@ -133,23 +133,28 @@
         token: u64,
         renewal: LeaseRenewal,
         orders: impl IntoIterator<Item = &'a Order>,
-    ) -> CheckinReply {
+    ) -> HeartbeatReply {
         self.answers.count(&renewal);
-        CheckinReply::Orders(CheckinAnswer::new(token, renewal, orders))
+        HeartbeatReply::Accepted(HeartbeatResponse::new(token, renewal, orders))
     }
 
     /// No answer here: the worker is to ask another node.
-    fn refusing(&mut self, leader: Option<String>) -> CheckinReply {
+    fn refusing(&mut self, leader: Option<String>) -> HeartbeatReply {
         self.answers.count_refused();
-        CheckinReply::Elsewhere(leader)
+        HeartbeatReply::Redirected(leader)
     }
 
     /// The answer of this node as a lessee, if it may answer by itself.
-    pub(super) fn holds(&mut self, now: u64, report: &Report, leader_heard: bool) -> Option<CheckinReply> {
-        let stops = self.keeps(now, report)?;
-        match self.block.answers(now, report, leader_heard) {
+    pub(super) fn holds(
+        &mut self,
+        now: u64,
+        heartbeat: &Heartbeat,
+        leader_heard: bool,
+    ) -> Option<HeartbeatReply> {
+        let stops = self.keeps(now, heartbeat)?;
+        match self.block.answers(now, heartbeat, leader_heard) {
             BlockAnswer::Renews(token, renewal) => {
-                log_renewal(report, &renewal, token);
+                log_renewal(heartbeat, &renewal, token);
                 Some(self.renewing(token, renewal, &stops))
             }
             BlockAnswer::Copy => Some(self.refusing(None)),
@@ -157,46 +162,46 @@
         }
     }
 
-    /// A check-in at a node that does not lead: answered by itself, passed on, or sent elsewhere.
-    pub(super) fn hold(&mut self, now: u64, report: Report, to: oneshot::Sender<CheckinReply>) {
+    /// A heartbeat at a node that does not lead: answered by itself, passed on, or sent elsewhere.
+    pub(super) fn hold(&mut self, now: u64, heartbeat: Heartbeat, to: oneshot::Sender<HeartbeatReply>) {
         let followed = self.leadership.followed(now);
         if let Some((_, token, _)) = followed {
             self.block.follow(token);
         }
-        if let Some(reply) = self.holds(now, &report, followed.is_some()) {
+        if let Some(reply) = self.holds(now, &heartbeat, followed.is_some()) {
             let _ = to.send(reply);
             return;
         }
         if let Some((leader, token, stamp)) = followed {
-            if report.token <= token && peer::carries(&report) {
+            if heartbeat.token <= token && peer::carries(&heartbeat) {
                 let id = self.requests.take();
-                if self.send(leader, Payload::Report { id, stamp, report: report.clone() }) {
-                    self.passed_on.insert(id, PassedOn { to, report, sent: now });
+                if self.send(leader, Payload::RelayedHeartbeat { id, stamp, heartbeat: heartbeat.clone() }) {
+                    self.passed_on.insert(id, PassedOn { to, heartbeat, sent: now });
                     return;
                 }
             }
         }
         // A node that has forgotten everything learns the last token from the workers.
-        let actions = self.leadership.seen_token(report.token, now);
+        let actions = self.leadership.seen_token(heartbeat.token, now);
         self.act(actions);
         let leader = self.leadership.leader_name(now).map(str::to_string);
-        debug!(machine = report.machine, leader, "check-in sent elsewhere");
+        debug!(machine = heartbeat.machine, leader, "heartbeat redirected");
         let _ = to.send(self.refusing(leader));
     }
 
-    pub(super) fn checkin(
+    pub(super) fn route_heartbeat(
         &mut self,
         now: u64,
-        checkin: Checkin,
-        to: oneshot::Sender<CheckinReply>,
+        heartbeat_request: HeartbeatRequest,
+        to: oneshot::Sender<HeartbeatReply>,
         commands: &mut Vec<Command>,
     ) {
-        self.checkins.push_back(now);
-        let report = match Report::try_from(checkin) {
-            Ok(report) => report,
+        self.recent_heartbeats.push_back(now);
+        let heartbeat = match Heartbeat::try_from(heartbeat_request) {
+            Ok(heartbeat) => heartbeat,
             Err(error) => {
-                warn!(%error, "report dropped");
-                let _ = to.send(CheckinReply::Malformed);
+                warn!(%error, "heartbeat dropped");
+                let _ = to.send(HeartbeatReply::Malformed);
                 return;
             }
         };
@@ -207,9 +212,9 @@
         let unloaded = leads.filter(|_| !loaded).map(|token| (token, LeaseRenewal::before_load()));
         let keeper = || Some((self.leadership.lease_keeper(now)?, LeaseRenewal::by_lease_keeper()));
         if let Some((token, renewal)) = unloaded.or_else(keeper) {
-            let reply = match self.keeps(now, &report) {
+            let reply = match self.keeps(now, &heartbeat) {
                 Some(stops) => {
-                    log_renewal(&report, &renewal, token);
+                    log_renewal(&heartbeat, &renewal, token);
                     self.renewing(token, renewal, &stops)
                 }
                 None => self.refusing(None),
@@ -219,15 +224,15 @@
             return;
         }
         if leads.is_none() {
-            return self.hold(now, report, to);
+            return self.hold(now, heartbeat, to);
         }
         let reply = self.requests.take();
-        let stops = self.leadership.cancellations.with_stops(Vec::new(), &report);
+        let stops = self.leadership.cancellations.with_stops(Vec::new(), &heartbeat);
         self.replies.insert(reply, ReplyTo::Worker(to, stops));
-        commands.push(Command::Checkin { reply, report, via: None });
+        commands.push(Command::Heartbeat { reply, heartbeat, via: None });
     }
 
-    /// Gives the leader's answer to a check-in.
+    /// Gives the leader's answer to a heartbeat.
     pub(super) fn answer(
         &mut self,
         reply: u64,
@@ -244,7 +249,7 @@
             ReplyTo::Worker(to, stops) => (to, stops),
             ReplyTo::Lessee(node, id) => {
                 let token = entitled.map(|(token, _)| token);
-                self.send(node, Payload::Reply { id, token, keep, orders });
+                self.send(node, Payload::RelayedResponse { id, token, keep, orders });
                 return;
             }
         };
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -38,7 +38,7 @@
         match effect {
             Effect::Answer { reply, renewal, orders, keep } => self.answer(reply, renewal, orders, keep),
             Effect::Wake { node, machine } => {
-                self.send(node, Payload::Wake(vec![machine]));
+                self.send(node, Payload::WakeRequest(vec![machine]));
             }
             Effect::Direct { machine, address, session, orders } => {
                 self.send_direct(&machine, address, session, &orders);
@@ -54,7 +54,7 @@
                 self.cloud_request(CloudRequest::Rent { request, name, machine_type, zone, spot, count });
             }
             Effect::ReadJob { job_id } => self.read_job(job_id),
-            Effect::WriteColdStart(report) => self.write_cold_start(*report),
+            Effect::WriteColdStart(heartbeat) => self.write_cold_start(*heartbeat),
             Effect::WriteDrain { key, value } => self.write_drain(key, value),
             Effect::Delete(names) => self.cloud_request(CloudRequest::Delete(names)),
             Effect::Deposed(token) => {
@@ -73,7 +73,7 @@
         let Some(token) = self.leadership.authority(self.clock.now()) else { return };
         let commands = orders.iter().map(WorkerCommand::from).collect();
         let commands = DirectCommands { token, session, commands };
-        // The next report brings the stops as well.
+        // The next heartbeat brings the stops as well.
         let Ok(turn) = self.orders.clone().try_acquire_owned() else { return };
         let (http, events, gate) = (self.workers.clone(), self.events.clone(), self.gate());
         debug!(machine, stops = commands.commands.len(), "direct stops");
@@ -83,8 +83,8 @@
                 false => None,
             };
             drop(turn);
-            if let Some(report) = answer {
-                let _ = events.send(Event::Scheduler(token, Command::OrdersAnswered(report))).await;
+            if let Some(heartbeat) = answer {
+                let _ = events.send(Event::Scheduler(token, Command::DirectCommandAnswered(heartbeat))).await;
             }
         });
     }
--- a/src/controller/frames_ignored.rs
+++ b/src/controller/frames_ignored.rs
@@ -7,7 +7,7 @@
 /// Why nothing follows from a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum IgnoredFrame {
-    /// A report or a heartbeat that echoes an old stamp, or for a leader that does not lead any more.
+    /// A heartbeat or a heartbeat that echoes an old stamp, or for a leader that does not lead any more.
     Stale,
     /// An answer to nobody: its request was given up, or is an earlier process's.
     Unasked,
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -11,12 +11,12 @@
 impl Controller {
     pub(super) fn status(&mut self, now: u64) -> Status {
         let window = limits::reach_window(self.config.workers.report_s);
-        while self.checkins.front().is_some_and(|at| at + window < now) {
-            self.checkins.pop_front();
+        while self.recent_heartbeats.front().is_some_and(|at| at + window < now) {
+            self.recent_heartbeats.pop_front();
         }
         Status {
             state_age: now.saturating_sub(self.store.answered()),
-            workers: self.checkins.len() as u32,
+            workers: self.recent_heartbeats.len() as u32,
             machines: self.scheduler.as_ref().map_or(0, Scheduler::machines_up),
             attests: true,
         }
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -1,7 +1,7 @@
 //! Carries out what leadership decides: messages, requests to the state service, the beginning and the end of this
 //! node's own leadership.
 
-use super::checkins::{CheckinReply, ReplyTo};
+use super::checkins::{HeartbeatReply, ReplyTo};
 use super::cloud_driver::{drive_cloud, list_machines};
 use super::drain_records::follow_drains;
 use super::live_jobs::follow_jobs;
@@ -129,10 +129,13 @@
         for (_, to) in std::mem::take(&mut self.replies) {
             match to {
                 ReplyTo::Worker(to, _) => {
-                    let _ = to.send(CheckinReply::Elsewhere(None));
+                    let _ = to.send(HeartbeatReply::Redirected(None));
                 }
                 ReplyTo::Lessee(node, id) => {
-                    self.send(node, Payload::Reply { id, token: None, keep: false, orders: Vec::new() });
+                    self.send(
+                        node,
+                        Payload::RelayedResponse { id, token: None, keep: false, orders: Vec::new() },
+                    );
                 }
             }
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -13,7 +13,7 @@
 mod live_jobs;
 mod start;
 
-pub use checkins::CheckinReply;
+pub use checkins::HeartbeatReply;
 pub use start::{run, ServeError};
 
 use crate::api::{Health, Summary, Types};
@@ -26,7 +26,7 @@
 use crate::limits;
 use crate::live::Reading;
 use crate::peer::{Payload, Received, RequestIds};
-use crate::protocol::workers::Checkin;
+use crate::protocol::workers::HeartbeatRequest;
 use crate::record_versions::RecordVersions;
 use crate::scheduler::model::JobId;
 use crate::scheduler::overview::{Overview, PageStart};
@@ -51,7 +51,7 @@
     pub node: String,
     pub leader: Option<String>,
     pub token: u64,
-    /// Answers to reports that this node gave, by what they rest on.
+    /// Answers to heartbeats that this node gave, by what they rest on.
     pub answers: AnswerCounts,
     /// Frames of peers that nothing followed from.
     pub frames_ignored: FrameCounts,
@@ -61,7 +61,7 @@
 
 pub enum Event {
     Overview(PageStart, oneshot::Sender<NodeView>),
-    Checkin(Checkin, oneshot::Sender<CheckinReply>),
+    Heartbeat(HeartbeatRequest, oneshot::Sender<HeartbeatReply>),
     Peer(Received),
     /// The live jobs were read.
     Live(Reading),
@@ -95,7 +95,7 @@
     requests: RequestIds,
     frames_ignored: FramesIgnored,
     answers: AnswerCounts,
-    /// The workers that report here while another node leads.
+    /// The workers that heartbeat here while another node leads.
     block: Block,
     passed_on: BTreeMap<u64, PassedOn>,
     /// Tasks that only run while this node leads.
@@ -104,8 +104,8 @@
     summary: watch::Sender<Summary>,
     health: Arc<Health>,
     types: Types,
-    /// When workers checked in lately.
-    checkins: VecDeque<u64>,
+    /// When workers sent a heartbeat lately.
+    recent_heartbeats: VecDeque<u64>,
     /// Until when rentals, deletions and orders may leave.
     acts_until: Arc<AtomicU64>,
     summary_due: u64,
@@ -115,8 +115,8 @@
     confirming: Vec<(JobId, oneshot::Sender<bool>)>,
 }
 
-/// A check-in and where its answer goes.
-type WaitingCheckin = (Checkin, oneshot::Sender<CheckinReply>);
+/// A heartbeat and where its answer goes.
+type WaitingHeartbeat = (HeartbeatRequest, oneshot::Sender<HeartbeatReply>);
 
 /// What a batch of events asks for beyond what leadership carried out at once.
 #[derive(Default)]
@@ -124,7 +124,7 @@
     /// For the scheduler, in order.
     commands: Vec<Command>,
     /// Answered once leadership has taken in the whole batch.
-    checkins: Vec<WaitingCheckin>,
+    heartbeats: Vec<WaitingHeartbeat>,
 }
 
 impl Controller {
@@ -151,9 +151,9 @@
         self.acts_until.store(self.leadership.acts_until(now).0, Ordering::Relaxed);
         self.judge_health(now);
         self.tell_confirmed(now);
-        let Batch { mut commands, checkins } = batch;
-        for (checkin, to) in checkins {
-            self.checkin(now, checkin, to, &mut commands);
+        let Batch { mut commands, heartbeats } = batch;
+        for (heartbeat_request, to) in heartbeats {
+            self.route_heartbeat(now, heartbeat_request, to, &mut commands);
         }
         self.step(now, commands);
         self.keep_block(now);
@@ -161,7 +161,7 @@
 
     fn take(&mut self, now: u64, event: Event, batch: &mut Batch) {
         match event {
-            Event::Checkin(checkin, to) => batch.checkins.push((checkin, to)),
+            Event::Heartbeat(heartbeat_request, to) => batch.heartbeats.push((heartbeat_request, to)),
             Event::Overview(start, to) => {
                 let _ = to.send(self.view(now, &start));
             }
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -162,7 +162,7 @@
         summary: summary_to,
         health,
         types: Types::default(),
-        checkins: VecDeque::new(),
+        recent_heartbeats: VecDeque::new(),
         acts_until: Arc::default(),
         summary_due: 0,
         report_due: 0,
--- a/src/fleet_limits.rs
+++ b/src/fleet_limits.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// Processor time that a report takes, in seconds of a full core: on simulated machines, a third of 4,000 workers
-/// that report every 2.5 s take 0.07 of a core of a controller that does not lead.
+/// Processor time that a heartbeat takes, in seconds of a full core: on simulated machines, a third of 4,000 workers
+/// that heartbeat every 2.5 s take 0.07 of a core of a controller that does not lead.
 const REPORT_COST_S: f64 = 0.000_15;
 /// Memory that a process takes by itself, and for each machine of the fleet, in MB: 80 MB were seen at 4,000.
 const MEMORY_MB: f64 = 24.0;
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -24,7 +24,7 @@
 pub struct Status {
     /// Microseconds since the state service last answered this node.
     pub state_age: u64,
-    /// Workers that checked in with this node lately.
+    /// Workers that sent a heartbeat with this node lately.
     pub workers: u32,
     /// Machines that a leader counts as up; not told to peers.
     pub machines: u32,
@@ -188,7 +188,7 @@
     status: Status,
     /// Since when nobody reaches us although workers ask elsewhere or nobody at all is heard.
     unreached_since: Option<u64>,
-    /// A worker has checked in with this leader since it was elected.
+    /// A worker has sent a heartbeat with this leader since it was elected.
     reached: bool,
     autonomous_until: u64,
     /// How long workers may be kept alive without hearing of cancellations.
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::blocks::{Block, BlockHeartbeat};
 use crate::limits::lengthened;
-use crate::scheduler::model::{JobId, Report, ReportedTask, TaskId, TaskStatus};
+use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::Order;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -575,7 +575,7 @@
             attempt: 1,
             status: TaskStatus::Running,
         };
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: w.to_string(),
             address: String::new(),
             machine_type: String::new(),
@@ -594,10 +594,10 @@
             });
             stopped.collect::<BTreeSet<JobId>>()
         };
-        let keeps = self.keeps(node, &report);
+        let keeps = self.keeps(node, &heartbeat);
         let loaded = self.cancels == 0 || self.nodes[node].read > 0;
         if let Some(token) = self.nodes[node].leadership.authority(now) {
-            let stops = if loaded { self.leads(node, &report) } else { keeps }?;
+            let stops = if loaded { self.leads(node, &heartbeat) } else { keeps }?;
             self.nodes[node].ledger.answered.insert(w, (now, self.now));
             return Some((token, job_ids(stops)));
         }
@@ -611,7 +611,7 @@
             self.nodes[node].block.follow(token);
         }
         if let Some(stops) = keeps {
-            if let Some(token) = self.nodes[node].block.answers(now, &report, followed.is_some()).token() {
+            if let Some(token) = self.nodes[node].block.answers(now, &heartbeat, followed.is_some()).token() {
                 self.autonomous_answers += 1;
                 return Some((token, job_ids(stops)));
             }
@@ -621,10 +621,10 @@
             let at_leader = self.local(leader);
             let loaded = self.cancels == 0 || self.nodes[leader].read > 0;
             let leads = self.up(leader) && self.nodes[leader].leadership.authority(at_leader) == Some(token);
-            if let Some(stops) = self.leads(leader, &report).filter(|_| leads && loaded) {
+            if let Some(stops) = self.leads(leader, &heartbeat).filter(|_| leads && loaded) {
                 self.nodes[leader].ledger.answered.insert(w, (at_leader, self.now));
                 let keep = stops.is_empty();
-                self.nodes[node].block.passed(now, report, token, keep);
+                self.nodes[node].block.passed(now, heartbeat, token, keep);
                 return Some((token, job_ids(stops)));
             }
         }
@@ -635,25 +635,25 @@
     }
 
     /// What `Controller::keeps` says, of versions that have it.
-    fn keeps(&self, node: usize, report: &Report) -> Option<Vec<Order>> {
+    fn keeps(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<Order>> {
         let (now, cancellations) = (self.local(node), &self.nodes[node].leadership.cancellations);
         if self.cancels == 0 {
             return Some(Vec::new());
         }
-        (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(report)).flatten()
+        (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(heartbeat)).flatten()
     }
 
     /// What a leader that has loaded the jobs answers.
-    fn leads(&self, node: usize, report: &Report) -> Option<Vec<Order>> {
+    fn leads(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<Order>> {
         let (now, cancellations) = (self.local(node), &self.nodes[node].leadership.cancellations);
         if self.cancels == 0 {
             return Some(Vec::new());
         }
         // It stops what it has no job for, as the scheduler does.
         let known = |id: &TaskId| cancellations.is_live(id.job_id);
-        let foreign = report.tasks.iter().filter(|t| !known(&t.id));
+        let foreign = heartbeat.tasks.iter().filter(|t| !known(&t.id));
         let foreign = foreign.map(|t| Order::Stop { id: t.id, attempt: t.attempt, grace_s: 0.0 });
-        (now < cancellations.keeps_until()).then(|| cancellations.with_stops(foreign.collect(), report))
+        (now < cancellations.keeps_until()).then(|| cancellations.with_stops(foreign.collect(), heartbeat))
     }
 
     /// A leader that counts a lease as over is right.
--- a/src/lease_renewal.rs
+++ b/src/lease_renewal.rs
@@ -1,6 +1,6 @@
-//! Answers to reports that may renew a worker's lease.
+//! Answers to heartbeats that may renew a worker's lease.
 //!
-//! A worker keeps its tasks for `lease_s` after it sent the last report that was answered, so the leader may start them
+//! A worker keeps its tasks for `lease_s` after it sent the last heartbeat that was answered, so the leader may start them
 //! elsewhere only after that. Whoever answers must therefore have noted it where the leader counts. An answer is built
 //! from a [`LeaseRenewal`], and a renewal is only handed out by the record in which the answer was noted, or where
 //! another bound holds the leader back.
@@ -20,7 +20,7 @@
     LeaseKeeper,
     /// A lessee noted the machine for its next heartbeat; until then the leader counts none of its leases as over.
     Lessee,
-    /// The leader noted the answer before it sent it to the lessee that had passed the report on.
+    /// The leader noted the answer before it sent it to the lessee that had passed the heartbeat on.
     Relayed,
 }
 
@@ -125,7 +125,7 @@
     lease_keeper: u64,
     lessee: u64,
     relayed: u64,
-    /// Reports that were not answered here.
+    /// Heartbeats that were not answered here.
     refused: u64,
 }
 
@@ -142,7 +142,7 @@
         *count += 1;
     }
 
-    /// Counts a report that was not answered here.
+    /// Counts a heartbeat that was not answered here.
     pub fn count_refused(&mut self) {
         self.refused += 1;
     }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -42,7 +42,7 @@
 /// How long workers may be kept alive, by whom ever, after the moment up to which every cancellation is known
 /// there, the state lease aside: leaders by their peers alone, lease keepers, former leaders, and lessees that hear
 /// no leader. A worker answered at the very end lives for its lease, and all must be gone `cancel_s` after
-/// the user was told. Taken off besides: the state lease, by which the leader could not miss it longer, the
+/// the user was told. HeartbeatOutcome off besides: the state lease, by which the leader could not miss it longer, the
 /// lateness of a worker's own end, and a second on the way. Stops go straight to the workers, so that what a
 /// cut holds back of them was told when it began.
 pub fn longest_autonomy(cancel_s: f64, lease_s: f64) -> u64 {
@@ -93,7 +93,7 @@
 pub const BLOCK_TELL_ON: u64 = 250_000;
 /// Heartbeats without confirmation that are remembered: those of four seconds.
 pub const BLOCK_UNCONFIRMED: usize = 16;
-/// A report that was passed on waits this long for the leader; then the worker is kept alive if it may be,
+/// A heartbeat that was passed on waits this long for the leader; then the worker is kept alive if it may be,
 /// or sent elsewhere. Well within the 4 s that it gives us.
 pub const RELAY_PATIENCE: u64 = 1_500_000;
 /// What a lessee passed on or told is taken by the leader within this time of the heartbeat that it
@@ -110,29 +110,29 @@
     (micros(lease_s) as f64 * (1.0 + DRIFT)) as u64 + LEASE_MARGIN
 }
 
-/// A machine that has not reported for this long gets no new tasks and is suspected. Reports come every
+/// A machine that has not reported for this long gets no new tasks and is suspected. Heartbeats come every
 /// `report_s` plus a quarter; one that its lessee could not pass on is followed by the next 2.5 s later.
 pub fn silent(report_s: f64) -> u64 {
     micros(report_s * 1.25) + 3_250_000
 }
 
-/// A report that comes this much after its time is late: round trips and a busy node take less.
+/// A heartbeat that comes this much after its time is late: round trips and a busy node take less.
 pub const LATE: u64 = 500_000;
 
 /// Suspected machines are deleted ahead of the end of their lease only while at most this share (or
 /// two machines) is silent: when more are, the fault may well be on our side.
 pub const SILENT_SHARE: f64 = 0.25;
-/// The same of the machines that report one way, which may be at fault although others are heard by it.
+/// The same of the machines that heartbeat one way, which may be at fault although others are heard by it.
 pub const SILENT_ROUTE_SHARE: f64 = 0.5;
 
-/// Reports running without a trace of the answer before them, after which a machine is deaf: it gets no
+/// Heartbeats running without a trace of the answer before them, after which a machine is deaf: it gets no
 /// new tasks and is deleted. One lost answer is ordinary.
 pub const UNHEARD_DEAF: u32 = 2;
-/// No report at all through one node, or from one zone, for this long and three times the mean interval
+/// No heartbeat at all through one node, or from one zone, for this long and three times the mean interval
 /// between them means that it is lost: lessees tell whom they answered once a second, and machines that all
 /// reported at once (a cut has ended) next do so three quarters of an interval later at the earliest.
-pub fn route_silent(report: u64) -> u64 {
-    (report / 4 * 3 + 500_000).max(1_500_000)
+pub fn route_silent(heartbeat_interval: u64) -> u64 {
+    (heartbeat_interval / 4 * 3 + 500_000).max(1_500_000)
 }
 /// This many machines silent at the same time point to our own connection.
 pub const SILENT_TOGETHER: u32 = 3;
@@ -140,7 +140,7 @@
 /// 1 s each, PROTOCOL) before it comes; it is not given up earlier.
 pub const COMES_LATE: u64 = 9_500_000;
 
-/// The window in which check-ins are counted to see whether workers reach a node.
+/// The window in which heartbeats are counted to see whether workers reach a node.
 pub fn reach_window(report_s: f64) -> u64 {
     micros(report_s * 1.5) + 1_000_000
 }
@@ -157,7 +157,7 @@
 /// processor time that rounds may take: after a round the next one waits until it is paid for.
 pub const STEP_COST: f64 = 0.4;
 pub const ROUND_SHARE: f64 = 0.3;
-/// Rounds are never further apart than this while there is news: check-ins wait for them.
+/// Rounds are never further apart than this while there is news: heartbeats wait for them.
 pub const ROUND_REST_MOST: u64 = 300_000;
 
 /// The rest after a round of so many decision steps.
@@ -199,7 +199,7 @@
 pub const GANG_PEER_S: f64 = 6.0;
 
 /// A gang that waits for some of its tasks and finds no room for them is stopped whole after this: within the
-/// time that its workers wait, a report and a fetch included, so that its places do not idle until then.
+/// time that its workers wait, a heartbeat and a fetch included, so that its places do not idle until then.
 pub fn gang_patience(gang_wait_s: f64) -> u64 {
     micros(gang_wait_s / 3.0)
 }
@@ -288,7 +288,7 @@
 pub const COLD_START_ASK_AGAIN: u64 = 3_000_000;
 /// Jobs asked about at once, within the state service's limit.
 pub const COLD_START_ASKED: usize = 8;
-/// Machines and tasks named in the report: it has to fit a value.
+/// Machines and tasks named in the heartbeat: it has to fit a value.
 pub const COLD_START_NAMED: usize = 10;
 
 // ---- the operators' client ----
@@ -315,7 +315,7 @@
 pub const DRAIN_SUMMARY_EVERY: u64 = 2_000_000;
 /// A place is kept this long for a replica that has been told to stop: longer than a worker lease.
 pub const DRAIN_MOVE_PATIENCE: u64 = 60_000_000;
-/// Added to two reports for how long a moved replica is down: the round of decisions and the way to its worker.
+/// Added to two heartbeats for how long a moved replica is down: the round of decisions and the way to its worker.
 pub const MOVE_SLACK_S: f64 = 1.0;
 /// A fetch takes up to a third longer than its rate says, and two may share the rate.
 pub const FETCH_SLACK: f64 = 1.5;
@@ -345,14 +345,14 @@
 /// Tasks of one key of finished tasks: 4,096 bits are 1 KiB of hexadecimal, within every `value_kb`.
 pub const DONE_CHUNK: u32 = 4_096;
 /// What a process has room for, from what the platform grants it. The settings name no number of machines;
-/// each worker holds a connection, and has one report under way.
+/// each worker holds a connection, and has one heartbeat under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Capacity {
     /// Events waiting for the owner of the state: as many as there can be connections, since after a takeover
     /// every worker has news at once. Beyond it requests are shed.
     pub queue: usize,
     /// Frames waiting for one peer: all workers of a block after a change of leader, and a heartbeat between
-    /// them. More are dropped; the next heartbeat, and the worker's next report, make up for them.
+    /// them. More are dropped; the next heartbeat, and the worker's next heartbeat, make up for them.
     pub peer_queue: usize,
     /// Machines that one lessee keeps: some 300 bytes each.
     pub block: usize,
@@ -383,7 +383,7 @@
     }
 }
 
-/// Names of machines that are gone are remembered this long: reports that a cut held back, and copies of them,
+/// Names of machines that are gone are remembered this long: heartbeats that a cut held back, and copies of them,
 /// come minutes late.
 pub const GONE_KEPT: u64 = 3_600_000_000;
 /// A lessee forgets a machine that it has not answered for this long: it is gone, or reports elsewhere.
@@ -412,7 +412,7 @@
 /// Connecting to anything here: round trips are a few milliseconds.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// A worker gives an answer 4 s; later ones are useless.
-pub const CHECKIN_TIMEOUT: Duration = Duration::from_secs(3);
+pub const HEARTBEAT_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Idle user and worker connections are closed after this, so that dead ones free their socket.
 pub const IDLE_CONNECTION: Duration = Duration::from_secs(60);
 /// Share of the state service's request limit that one node spends on users' requests.
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -5,7 +5,7 @@
 use crate::cancellation_log::Attestation;
 use crate::leadership::{Message, Status};
 use crate::limits;
-use crate::scheduler::model::{ExitReason, JobId, Report, ReportedTask, TaskId, TaskStatus};
+use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::Order;
 use zerocopy::little_endian::U64;
 use zerocopy::{FromBytes, IntoBytes};
@@ -39,17 +39,17 @@
     })
 }
 
-fn write_report(report: &Report, to: &mut Vec<u8>) {
-    let names = [&report.machine, &report.address, &report.machine_type, &report.zone];
+fn write_report(heartbeat: &Heartbeat, to: &mut Vec<u8>) {
+    let names = [&heartbeat.machine, &heartbeat.address, &heartbeat.machine_type, &heartbeat.zone];
     let lengths = names.map(|name| name.len().min(usize::from(u8::MAX)) as u8);
-    let notice = report.notice_s.map_or(NO_NOTICE, limits::micros);
+    let notice = heartbeat.notice_s.map_or(NO_NOTICE, limits::micros);
     let line = ReportLine {
-        session: report.session.into(),
-        sequence: report.sequence.into(),
-        token: report.token.into(),
+        session: heartbeat.session.into(),
+        sequence: heartbeat.sequence.into(),
+        token: heartbeat.token.into(),
         notice: notice.into(),
-        tasks: (report.tasks.len() as u32).into(),
-        spot: report.spot.into(),
+        tasks: (heartbeat.tasks.len() as u32).into(),
+        spot: heartbeat.spot.into(),
         machine: lengths[0],
         address: lengths[1],
         machine_type: lengths[2],
@@ -57,7 +57,7 @@
         reserved: [0; 3],
     };
     to.extend_from_slice(line.as_bytes());
-    for task in &report.tasks {
+    for task in &heartbeat.tasks {
         let line = TaskLine {
             job_id: task.id.job_id.0.into(),
             attempt: task.attempt.into(),
@@ -72,17 +72,17 @@
     }
 }
 
-/// Whether the report fits a frame: names of up to 255 bytes, and not too many tasks.
-pub fn carries(report: &Report) -> bool {
-    let names = [&report.machine, &report.address, &report.machine_type, &report.zone];
-    let tasks = report.tasks.len() * size_of::<TaskLine>();
+/// Whether the heartbeat fits a frame: names of up to 255 bytes, and not too many tasks.
+pub fn carries(heartbeat: &Heartbeat) -> bool {
+    let names = [&heartbeat.machine, &heartbeat.address, &heartbeat.machine_type, &heartbeat.zone];
+    let tasks = heartbeat.tasks.len() * size_of::<TaskLine>();
     let most = usize::from(u8::MAX);
     names.iter().all(|n| n.len() <= most)
         && size_of::<ReportLine>() + tasks + names.len() * most <= FOLLOWING_MOST
 }
 
-fn read_report(bytes: &[u8]) -> Result<Report, &'static str> {
-    let short = "report too short";
+fn read_report(bytes: &[u8]) -> Result<Heartbeat, &'static str> {
+    let short = "heartbeat too short";
     let (line, rest) = ReportLine::ref_from_prefix(bytes).map_err(|_| short)?;
     let (tasks, mut rest) =
         <[TaskLine]>::ref_from_prefix_with_elems(rest, line.tasks.get() as usize).map_err(|_| short)?;
@@ -103,7 +103,7 @@
         return Err("wrong length");
     }
     let notice = line.notice.get();
-    Ok(Report {
+    Ok(Heartbeat {
         machine,
         address,
         machine_type,
@@ -209,26 +209,26 @@
                 body.extend_from_slice(line.as_bytes());
             }
         }
-        Payload::Report { id, stamp, report } => {
+        Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
             (head.kind, head.stamp, head.state_age) = (REPORT, (*id).into(), (*stamp).into());
-            write_report(report, &mut body);
+            write_report(heartbeat, &mut body);
         }
-        Payload::Reply { id, token, keep, orders } => {
+        Payload::RelayedResponse { id, token, keep, orders } => {
             (head.kind, head.stamp) = (REPLY, (*id).into());
             head.token = token.unwrap_or(0).into();
             head.workers = u32::from(*keep).into();
             orders.iter().for_each(|order| body.extend_from_slice(order_line(order).as_bytes()));
         }
-        Payload::Wake(machines) => {
+        Payload::WakeRequest(machines) => {
             head.kind = WAKE;
             write_names(machines, &mut body);
         }
-        Payload::Heard { id, stamp, whole, fresh, machines } => {
+        Payload::ShardHeartbeat { id, stamp, whole, fresh, machines } => {
             (head.kind, head.stamp, head.state_age) = (HEARD, (*id).into(), (*stamp).into());
             (head.workers, head.successor) = (u32::from(*whole).into(), u32::from(*fresh).into());
             write_names(machines, &mut body);
         }
-        Payload::Confirmed { id, lease_ms } => {
+        Payload::ShardHeartbeatAck { id, lease_ms } => {
             (head.kind, head.stamp, head.workers) = (CONFIRMED, (*id).into(), (*lease_ms).into());
         }
         Payload::Attestation(attested) => {
@@ -291,17 +291,17 @@
             let lines = <[SummaryLine]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
             Payload::Summary(lines.iter().map(|l| (l.job_id.get(), l.done.get(), l.running.get())).collect())
         }
-        REPORT => Payload::Report { id: stamp, stamp: time, report: read_report(rest)? },
+        REPORT => Payload::RelayedHeartbeat { id: stamp, stamp: time, heartbeat: read_report(rest)? },
         REPLY => {
             let lines = <[OrderLine]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
             let orders = lines.iter().map(order_of).collect::<Result<_, _>>()?;
             let token = (token > 0).then_some(token);
-            Payload::Reply { id: stamp, token, keep: head.workers.get() != 0, orders }
+            Payload::RelayedResponse { id: stamp, token, keep: head.workers.get() != 0, orders }
         }
-        WAKE => Payload::Wake(read_names(rest)?),
+        WAKE => Payload::WakeRequest(read_names(rest)?),
         HEARD => {
             let (whole, fresh) = (head.workers.get() != 0, head.successor.get() != 0);
-            Payload::Heard { id: stamp, stamp: time, whole, fresh, machines: read_names(rest)? }
+            Payload::ShardHeartbeat { id: stamp, stamp: time, whole, fresh, machines: read_names(rest)? }
         }
         ATTESTATION => {
             let (line, rest) = AttestationLine::ref_from_prefix(rest).map_err(|_| "attestation too short")?;
@@ -316,7 +316,7 @@
                 cancelled: cancelled.iter().map(|job_id| job_id.get()).collect(),
             })
         }
-        _ => Payload::Confirmed { id: stamp, lease_ms: head.workers.get() },
+        _ => Payload::ShardHeartbeatAck { id: stamp, lease_ms: head.workers.get() },
     };
     Ok((head.node.into(), head.incarnation.get(), head.sequence.get(), payload))
 }
--- a/src/peer/layout.rs
+++ b/src/peer/layout.rs
@@ -35,7 +35,7 @@
     pub(super) running: U32,
 }
 
-/// A worker's report on its way to the leader; the tasks and then the names follow it.
+/// A worker's heartbeat on its way to the leader; the tasks and then the names follow it.
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct ReportLine {
@@ -105,7 +105,7 @@
 pub(super) const ATTESTS: u16 = 1;
 
 pub(super) const NO_NOTICE: u64 = u64::MAX;
-/// The most bytes that may follow a head: a report is at most a request body.
+/// The most bytes that may follow a head: a heartbeat is at most a request body.
 pub(super) const FOLLOWING_MOST: usize = limits::BODY;
 
 /// What a summary frame can carry at most.
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::cancellation_log::Attestation;
 use crate::leadership::{Message, Status};
-use crate::scheduler::model::Report;
+use crate::scheduler::model::Heartbeat;
 use crate::scheduler::Order;
 
 #[derive(Debug, Clone)]
@@ -20,23 +20,23 @@
     Leadership(Status, Message),
     /// (job number, finished, running)
     Summary(Vec<(u64, u32, u32)>),
-    /// A report passed on to the leader, with the stamp of its last heartbeat.
-    Report {
+    /// A heartbeat passed on to the leader, with the stamp of its last heartbeat.
+    RelayedHeartbeat {
         id: u64,
         stamp: u64,
-        report: Report,
+        heartbeat: Heartbeat,
     },
     /// The leader's answer to it; without a token it is not entitled to give one.
-    Reply {
+    RelayedResponse {
         id: u64,
         token: Option<u64>,
         keep: bool,
         orders: Vec<Order>,
     },
-    /// Machines whose next report is to be passed on.
-    Wake(Vec<String>),
+    /// Machines whose next heartbeat is to be passed on.
+    WakeRequest(Vec<String>),
     /// Machines that their lessee answered by itself, with the stamp of the leader's last heartbeat.
-    Heard {
+    ShardHeartbeat {
         id: u64,
         stamp: u64,
         /// These are all that were answered since the last word that was confirmed.
@@ -46,7 +46,7 @@
         machines: Vec<String>,
     },
     /// The leader has taken note: the lessee may go on by itself for so long.
-    Confirmed {
+    ShardHeartbeatAck {
         id: u64,
         lease_ms: u32,
     },
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -35,7 +35,7 @@
 fn reports_and_orders_survive_the_trip_and_any_cut_of_them_is_refused() {
     let sender = Sender { node: 1, incarnation: 7 };
     let id = TaskId { job_id: JobId(412), task: 3 };
-    let report = Report {
+    let heartbeat = Heartbeat {
         machine: "m-000231".into(),
         address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -47,23 +47,27 @@
         notice_s: Some(12.5),
         tasks: (0..9).map(|code| ReportedTask { id, attempt: 5, status: status_of(code).unwrap() }).collect(),
     };
-    assert!(carries(&report));
-    let bytes = encode(sender, 1, &Payload::Report { id: 9, stamp: 11, report: report.clone() });
-    let Payload::Report { id: 9, stamp: 11, report: back } = decode(&bytes).unwrap().3 else { panic!() };
-    assert_eq!(format!("{back:?}"), format!("{report:?}"));
+    assert!(carries(&heartbeat));
+    let bytes =
+        encode(sender, 1, &Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat: heartbeat.clone() });
+    let Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat: back } = decode(&bytes).unwrap().3 else {
+        panic!()
+    };
+    assert_eq!(format!("{back:?}"), format!("{heartbeat:?}"));
     let orders = vec![
         Order::Start { id, attempt: 6 },
         Order::Stop { id, attempt: 5, grace_s: 4.5 },
         Order::Forget { id, attempt: 4 },
     ];
-    let reply = Payload::Reply { id: 9, token: Some(41), keep: true, orders: orders.clone() };
+    let reply = Payload::RelayedResponse { id: 9, token: Some(41), keep: true, orders: orders.clone() };
     let reply = encode(sender, 2, &reply);
-    let Payload::Reply { id: 9, token: Some(41), keep: true, orders: back } = decode(&reply).unwrap().3
+    let Payload::RelayedResponse { id: 9, token: Some(41), keep: true, orders: back } =
+        decode(&reply).unwrap().3
     else {
         panic!()
     };
     assert_eq!(back, orders);
-    let heard = Payload::Heard {
+    let heard = Payload::ShardHeartbeat {
         id: 3,
         stamp: 4,
         whole: true,
@@ -71,7 +75,9 @@
         machines: vec!["m-1".into(), "m-22".into()],
     };
     let heard = encode(sender, 3, &heard);
-    assert!(matches!(decode(&heard).unwrap().3, Payload::Heard { machines, .. } if machines.len() == 2));
+    assert!(
+        matches!(decode(&heard).unwrap().3, Payload::ShardHeartbeat { machines, .. } if machines.len() == 2)
+    );
     // A frame whose head promises less than its body holds is refused as well as a short one.
     for whole in [bytes, reply, heard] {
         for cut in size_of::<Head>()..whole.len() {
@@ -81,10 +87,10 @@
             let shorter = decode(&part);
             let fewer = matches!(
                 &shorter,
-                Ok((.., Payload::Reply { orders, .. })) if orders.len() < 3
+                Ok((.., Payload::RelayedResponse { orders, .. })) if orders.len() < 3
             ) || matches!(
                 &shorter,
-                Ok((.., Payload::Heard { machines, .. })) if machines.len() < 2
+                Ok((.., Payload::ShardHeartbeat { machines, .. })) if machines.len() < 2
             );
             assert!(shorter.is_err() || fewer, "cut at {cut}");
         }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,13 +1,14 @@
 //! What workers report and are told.
 
 use crate::lease_renewal::LeaseRenewal;
-use crate::scheduler::model::{ExitReason, JobId, Report, ReportedTask, TaskId, TaskStatus};
+use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::Order;
 use serde::{Deserialize, Serialize};
 
-/// A worker's report.
+/// A worker's heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Checkin {
+#[serde(expecting = "struct Checkin")]
+pub struct HeartbeatRequest {
     /// The machine's name.
     #[serde(rename = "vessel")]
     pub machine: String,
@@ -25,7 +26,7 @@
     /// Rises each time the worker's lease has ended.
     #[serde(rename = "watch")]
     pub session: u64,
-    /// Rises with every report of a session.
+    /// Rises with every heartbeat of a session.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest token that the worker has seen.
@@ -36,12 +37,13 @@
     pub notice_s: Option<f64>,
     /// All tasks on the machine, exited ones included until they are forgotten.
     #[serde(rename = "loads", default)]
-    pub tasks: Vec<CheckinTask>,
+    pub tasks: Vec<HeartbeatTask>,
 }
 
-/// A task in a report.
+/// A task in a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct CheckinTask {
+#[serde(expecting = "struct CheckinTask")]
+pub struct HeartbeatTask {
     /// The job's id and the task's number.
     #[serde(rename = "load")]
     pub task: String,
@@ -58,7 +60,7 @@
     pub saved: bool,
 }
 
-impl CheckinTask {
+impl HeartbeatTask {
     fn status(&self) -> TaskStatus {
         match (self.status.as_str(), self.reason.as_deref()) {
             ("fetching" | "waiting", _) => TaskStatus::Fetching,
@@ -83,10 +85,10 @@
     }
 }
 
-/// A report lists a task whose name can't be read. It cannot be taken at all: a list without that entry would
+/// A heartbeat lists a task whose name can't be read. It cannot be taken at all: a list without that entry would
 /// seem to prove that a task is gone.
 #[derive(Debug, thiserror::Error)]
-#[error("unreadable task {task} in a report of {machine}")]
+#[error("unreadable task {task} in a heartbeat of {machine}")]
 pub struct UnreadableTask {
     /// The machine that reported it.
     pub machine: String,
@@ -94,27 +96,27 @@
     pub task: String,
 }
 
-impl TryFrom<Checkin> for Report {
+impl TryFrom<HeartbeatRequest> for Heartbeat {
     type Error = UnreadableTask;
 
-    fn try_from(checkin: Checkin) -> Result<Self, UnreadableTask> {
-        let mut tasks = Vec::with_capacity(checkin.tasks.len());
-        for task in &checkin.tasks {
+    fn try_from(heartbeat_request: HeartbeatRequest) -> Result<Self, UnreadableTask> {
+        let mut tasks = Vec::with_capacity(heartbeat_request.tasks.len());
+        for task in &heartbeat_request.tasks {
             let Some(id) = task.id() else {
-                return Err(UnreadableTask { machine: checkin.machine, task: task.task.clone() });
+                return Err(UnreadableTask { machine: heartbeat_request.machine, task: task.task.clone() });
             };
             tasks.push(ReportedTask { id, attempt: task.attempt, status: task.status() });
         }
-        Ok(Report {
-            machine: checkin.machine,
-            address: checkin.address,
-            machine_type: checkin.machine_type,
-            zone: checkin.zone,
-            spot: checkin.spot,
-            session: checkin.session,
-            sequence: checkin.sequence,
-            token: checkin.token,
-            notice_s: checkin.notice_s.filter(|s| s.is_finite() && *s >= 0.0),
+        Ok(Heartbeat {
+            machine: heartbeat_request.machine,
+            address: heartbeat_request.address,
+            machine_type: heartbeat_request.machine_type,
+            zone: heartbeat_request.zone,
+            spot: heartbeat_request.spot,
+            session: heartbeat_request.session,
+            sequence: heartbeat_request.sequence,
+            token: heartbeat_request.token,
+            notice_s: heartbeat_request.notice_s.filter(|s| s.is_finite() && *s >= 0.0),
             tasks,
         })
     }
@@ -146,7 +148,7 @@
         #[serde(rename = "mooring_s")]
         grace_s: f64,
     },
-    /// Remove an exited task from the reports.
+    /// Remove an exited task from the heartbeats.
     #[serde(rename = "reap")]
     Forget {
         /// The task.
@@ -172,9 +174,9 @@
     }
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Debug, Serialize)]
-pub struct CheckinAnswer {
+pub struct HeartbeatResponse {
     /// The token of the leader that it comes from.
     #[serde(rename = "helm")]
     pub token: u64,
@@ -183,10 +185,10 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-impl CheckinAnswer {
+impl HeartbeatResponse {
     /// An answer under a leader's token, which renews the worker's lease.
     pub fn new<'a>(token: u64, _renewal: LeaseRenewal, orders: impl IntoIterator<Item = &'a Order>) -> Self {
-        CheckinAnswer { token, commands: orders.into_iter().map(WorkerCommand::from).collect() }
+        HeartbeatResponse { token, commands: orders.into_iter().map(WorkerCommand::from).collect() }
     }
 }
 
--- a/src/scheduler/absence.rs
+++ b/src/scheduler/absence.rs
@@ -11,10 +11,10 @@
     NotSent,
     /// The worker reported that it exited.
     Exited,
-    /// A report that is newer than its start does not list it.
+    /// A heartbeat that is newer than its start does not list it.
     NotListed {
-        /// Session and sequence of the report.
-        report: (u64, u64),
+        /// Session and sequence of the heartbeat.
+        heartbeat: (u64, u64),
     },
     /// The worker began a session, and tasks of earlier ones died with their leases.
     NewSession {
@@ -25,7 +25,7 @@
     LeaseEnded {
         /// When the last answer was noted that may have renewed it.
         answered: u64,
-        /// The lessee that told of it, or passed the report on.
+        /// The lessee that told of it, or passed the heartbeat on.
         via: Option<usize>,
         /// When it was counted as over.
         at: u64,
@@ -47,8 +47,8 @@
         match self {
             Absence::NotSent => f.write_str("start never left"),
             Absence::Exited => f.write_str("exit reported"),
-            Absence::NotListed { report: (session, sequence) } => {
-                write!(f, "not listed in report {session}/{sequence}")
+            Absence::NotListed { heartbeat: (session, sequence) } => {
+                write!(f, "not listed in heartbeat {session}/{sequence}")
             }
             Absence::NewSession { session } => write!(f, "session {session} began"),
             Absence::LeaseEnded { answered, via, at } => {
--- a/src/scheduler/answers.rs
+++ b/src/scheduler/answers.rs
@@ -1,4 +1,4 @@
-//! What workers are told: answers to their reports, and direct stops.
+//! What workers are told: answers to their heartbeats, and direct stops.
 
 use super::model::*;
 use super::{Effect, Order, Scheduler};
@@ -18,14 +18,14 @@
         own.chain(foreign)
     }
 
-    /// Notes that a check-in will be answered, which renews the machine's lease. None: the machine is gone.
+    /// Notes that a heartbeat will be answered, which renews the machine's lease. None: the machine is gone.
     pub(super) fn note_answer(&mut self, name: &str) -> Option<LeaseRenewal> {
         match self.machines.get_mut(name) {
             Some(machine) => {
                 debug!(
                     machine = name,
                     session = machine.session,
-                    sequence = machine.checked_in,
+                    sequence = machine.last_heartbeat_sequence,
                     "lease renewed"
                 );
                 Some(machine.answered.note(self.now))
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Answers a check-in.
+    /// Answers a heartbeat.
     pub(super) fn answer(&mut self, reply: u64, name: &str, renewal: Option<LeaseRenewal>) {
         let (orders, keep) = self.orders_for(name);
         self.effects.push(Effect::Answer { reply, renewal, orders, keep });
     }
 
-    /// What the answer to a check-in tells the machine; and whether the node that it came through may answer by itself
+    /// What the answer to a heartbeat tells the machine; and whether the node that it came through may answer by itself
     /// what says nothing new.
     fn orders_for(&mut self, name: &str) -> (Vec<Order>, bool) {
         let reconciled_and_recorded;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// There is something to tell this machine: its lessee is to pass its next report on.
+    /// There is something to tell this machine: its lessee is to pass its next heartbeat on.
     pub fn wake(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         if let (Some(node), false, true) = (machine.via, machine.woken, machine.kept) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Stops go straight to the worker too, since its next report may be seconds away.
+    /// Stops go straight to the worker too, since its next heartbeat may be seconds away.
     pub fn direct_stops(&mut self) {
         for name in std::mem::take(&mut self.fleet.direct) {
             let Some(machine) = self.machines.get(&name) else { continue };
--- a/src/scheduler/elastic/find.rs
+++ b/src/scheduler/elastic/find.rs
@@ -8,7 +8,7 @@
 
 /// A machine that has room for a task, as `find` weighs it.
 struct Candidate<'a> {
-    /// Kind, coldness, surplus (see `place::cost`), and for gangs the wait for its report: the same for every
+    /// Kind, coldness, surplus (see `place::cost`), and for gangs the wait for its heartbeat: the same for every
     /// further task put there.
     base: [i64; 3],
     emptiness: i64,
@@ -62,9 +62,9 @@
             let (mut base, emptiness) = place::cost(job, machine, free, capacity.fixed_work);
             // It would have to leave again.
             base[2] += i64::from(self.drains.is_targeted(name));
-            // All of a gang wait for the last of them: machines whose next report is due come first.
+            // All of a gang wait for the last of them: machines whose next heartbeat is due come first.
             if job.spec.kind == Kind::Gang {
-                base[2] += 2 * self.report_due_s(machine);
+                base[2] += 2 * self.heartbeat_due_s(machine);
             }
             // Images that are fetched at the same time share the rate: one after the other, the first is
             // there sooner and the last no later.
@@ -121,7 +121,7 @@
             if let Some(machine) = self.machines.get(name).filter(|m| place::allowed(job, m)) {
                 let places = job.spec.needs.count_in(free).min(tasks);
                 if places > 0 {
-                    let due = if gang { self.report_due_s(machine) } else { 0 };
+                    let due = if gang { self.heartbeat_due_s(machine) } else { 0 };
                     let cold = if gang { machine.fetches(&job.spec.image) } else { 0 };
                     zones.entry(&machine.zone).or_default().push((cold, due, places));
                 }
--- a/src/scheduler/exits.rs
+++ b/src/scheduler/exits.rs
@@ -7,7 +7,7 @@
 use tracing::{debug, info, warn};
 
 impl Scheduler {
-    /// A report lists the task as exited.
+    /// A heartbeat lists the task as exited.
     pub(super) fn take_exit(&mut self, name: &str, id: TaskId, attempt: u64, reason: ExitReason) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -32,7 +32,7 @@
             ExitReason::Done => {
                 if let Some(job) = self.jobs.get_mut(&id.job_id).filter(|j| !j.over && id.task < j.spec.tasks)
                 {
-                    // The tasks of a gang complete together: its record must not wait for the report of a
+                    // The tasks of a gang complete together: its record must not wait for the heartbeat of a
                     // machine that is lost.
                     let ended = match job.spec.kind {
                         Kind::Service => 0..0,
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -1,7 +1,7 @@
 //! Failure detection: which machines that do not report are declared dead.
 //!
-//! Missing reports have many causes that look alike for a while: a machine's own death, a hang, a route that is
-//! lost (the controller that passed its reports on), a partitioned zone, a fault of our own. A machine that is
+//! Missing heartbeats have many causes that look alike for a while: a machine's own death, a hang, a route that is
+//! lost (the controller that passed its heartbeats on), a partitioned zone, a fault of our own. A machine that is
 //! declared dead is deleted, and with it everything that may still run there. So the causes in which machines
 //! live on are told apart first: by zone, by route and by time.
 
@@ -66,7 +66,7 @@
 /// Times that the judgement rests on, in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Patience {
-    pub report: u64,
+    pub heartbeat_interval: u64,
     /// A machine's own silence.
     pub silent: u64,
     /// How long a lessee out of touch may answer by itself.
@@ -83,9 +83,9 @@
     /// Nothing has come from so many machines since `latest`. The more there are, the sooner their common
     /// silence means something, but for a while after they all came at once they do so again together.
     fn unreachable(&self, now: u64, machines: usize, latest: u64) -> bool {
-        let interval = self.report / machines.max(1) as u64;
+        let interval = self.heartbeat_interval / machines.max(1) as u64;
         machines >= limits::SILENT_TOGETHER as usize
-            && now >= latest.max(self.started) + limits::route_silent(self.report) + 3 * interval
+            && now >= latest.max(self.started) + limits::route_silent(self.heartbeat_interval) + 3 * interval
     }
 }
 
@@ -145,7 +145,8 @@
         }
         // They fall due one after the other over an interval: those that are late already count, or the first of
         // them would be declared dead before they were too many.
-        let late = |m: &Observed| m.unresponsive || now >= m.heard + p.report / 4 * 5 + limits::LATE;
+        let late =
+            |m: &Observed| m.unresponsive || now >= m.heard + p.heartbeat_interval / 4 * 5 + limits::LATE;
         let mut routes: BTreeMap<Option<usize>, Vec<&Observed>> = BTreeMap::new();
         for m in reachable.iter().filter(|m| !m.expected) {
             routes.entry(m.route).or_default().push(m);
@@ -188,7 +189,7 @@
     fn patience(&self) -> Patience {
         let report_s = self.config.workers.report_s;
         Patience {
-            report: limits::micros(report_s),
+            heartbeat_interval: limits::micros(report_s),
             silent: limits::silent(report_s),
             block_lease: self.config.block_lease,
             started: self.started,
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -12,12 +12,16 @@
 /// What befalls a machine: silent for so long from `FROM` on.
 type Trouble = fn(usize, usize) -> u64;
 
-/// Machines that report evenly over the interval, a third by each of three routes, and the trouble that some
+/// Machines that heartbeat evenly over the interval, a third by each of three routes, and the trouble that some
 /// have. Returns which are given up, and how long after its beginning the first is.
 fn play(machines: usize, trouble: Trouble, lost_route: Option<usize>, time: u64) -> (usize, u64) {
     let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
-    let patience =
-        Patience { report: REPORT, silent: limits::silent(3.0), block_lease: BLOCK_LEASE, started: SECOND };
+    let patience = Patience {
+        heartbeat_interval: REPORT,
+        silent: limits::silent(3.0),
+        block_lease: BLOCK_LEASE,
+        started: SECOND,
+    };
     let mut silence = FailureDetector::default();
     let mut declared_dead: BTreeSet<usize> = BTreeSet::new();
     let mut first = u64::MAX;
@@ -25,15 +29,15 @@
         let now = FROM / 2 + step * limits::EXPIRE_EVERY;
         let heard = |i: usize| {
             let phase = i as u64 * 7_919 % 1_000 * REPORT / 1_000;
-            let report = |at: u64| at.saturating_sub(phase) / REPORT * REPORT + phase;
+            let heartbeat = |at: u64| at.saturating_sub(phase) / REPORT * REPORT + phase;
             let until = FROM + trouble(i, machines);
             if now < FROM || trouble(i, machines) == 0 {
-                report(now)
+                heartbeat(now)
             } else if now < until {
-                report(FROM)
+                heartbeat(FROM)
             } else {
                 // Back, all at once, as after a cut.
-                report(now).max(until)
+                heartbeat(now).max(until)
             }
         };
         let observed: Vec<Observed> = (0..machines)
@@ -62,8 +66,12 @@
 /// A zone stayed unreachable for ever once the list had said that all its machines had failed.
 #[test]
 fn a_zone_without_machines_is_not_dark() {
-    let patience =
-        Patience { report: REPORT, silent: limits::silent(3.0), block_lease: BLOCK_LEASE, started: SECOND };
+    let patience = Patience {
+        heartbeat_interval: REPORT,
+        silent: limits::silent(3.0),
+        block_lease: BLOCK_LEASE,
+        started: SECOND,
+    };
     let machine = |name, lost| Observed {
         name,
         zone: "a",
@@ -105,7 +113,7 @@
             |n| n / 10,
             at_once,
         ),
-        // A third of those that report one way: chance on a small fleet.
+        // A third of those that heartbeat one way: chance on a small fleet.
         (
             "a ninth dies, all of one route",
             |i, _| if i % 9 == 1 { LONG } else { 0 },
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -110,16 +110,16 @@
         })
     }
 
-    /// In how many seconds the machine's next report is due, by which a start reaches it. A lessee tells of what it
+    /// In how many seconds the machine's next heartbeat is due, by which a start reaches it. A lessee tells of what it
     /// answered up to `BLOCK_TELL` later: a machine that seems due within that may well have just reported, and
-    /// comes an interval later. Where reports are hardly rarer than that there is nothing to tell them apart by.
-    pub fn report_due_s(&self, machine: &Machine) -> i64 {
-        let report = limits::micros(self.config.workers.report_s);
-        if report <= 2 * limits::BLOCK_TELL {
+    /// comes an interval later. Where heartbeats are hardly rarer than that there is nothing to tell them apart by.
+    pub fn heartbeat_due_s(&self, machine: &Machine) -> i64 {
+        let heartbeat_interval = limits::micros(self.config.workers.report_s);
+        if heartbeat_interval <= 2 * limits::BLOCK_TELL {
             return 0;
         }
-        let due = (machine.heard + report).saturating_sub(self.now);
+        let due = (machine.heard + heartbeat_interval).saturating_sub(self.now);
         let missed = machine.kept && due < limits::BLOCK_TELL;
-        ((due + if missed { report } else { 0 }) / limits::SECOND) as i64
+        ((due + if missed { heartbeat_interval } else { 0 }) / limits::SECOND) as i64
     }
 }
--- a/src/scheduler/hearing.rs
+++ b/src/scheduler/hearing.rs
@@ -4,7 +4,7 @@
 use super::Order;
 
 impl Machine {
-    /// Its report came this way. Returns whether that is another way than before.
+    /// Its heartbeat came this way. Returns whether that is another way than before.
     pub fn comes_by(&mut self, way: Option<usize>, now: u64) -> bool {
         let other = self.via != way;
         if other {
@@ -14,10 +14,10 @@
         other
     }
 
-    /// A machine whose reports arrive may be deaf: no answer and no command reaches it. It shows when
-    /// reports running bear no trace of anything that the answers before them said.
-    pub(super) fn judge_hearing(&mut self, report: &Report, token: u64) {
-        if report.session > self.session {
+    /// A machine whose heartbeats arrive may be deaf: no answer and no command reaches it. It shows when
+    /// heartbeats running bear no trace of anything that the answers before them said.
+    pub(super) fn judge_hearing(&mut self, heartbeat: &Heartbeat, token: u64) {
+        if heartbeat.session > self.session {
             // Its lease ended although we answered, unless nobody answered it for as long.
             self.unheard += u32::from(self.session > 0 && !self.told.is_empty());
             self.told.clear();
@@ -27,7 +27,7 @@
             return;
         }
         let status = |id: &TaskId, attempt: u64| {
-            let listed = report.tasks.iter().find(|t| t.id == *id && t.attempt == attempt);
+            let listed = heartbeat.tasks.iter().find(|t| t.id == *id && t.attempt == attempt);
             listed.map(|t| t.status)
         };
         let carried_out = |order: &Order| match order {
@@ -37,7 +37,7 @@
                 !matches!(status(id, *attempt), Some(TaskStatus::Fetching | TaskStatus::Running))
             }
         };
-        let heard = self.told_token && report.token == token || self.told.iter().any(carried_out);
+        let heard = self.told_token && heartbeat.token == token || self.told.iter().any(carried_out);
         self.unheard = if heard { 0 } else { self.unheard + 1 };
         self.told.clear();
         self.told_token = false;
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -69,11 +69,11 @@
     Unknown,
 }
 
-/// What a report turned out to be.
+/// What a heartbeat turned out to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum HeartbeatOutcome {
     /// The round should look at what it brought.
-    News,
+    Changed,
     /// It lists what the last one did.
     Unchanged,
     /// Older than what direct commands were answered with: its list says nothing, but its worker waits.
@@ -91,15 +91,15 @@
     },
     JobAdded(StoredJob),
     JobRemoved(JobId),
-    /// A check-in; the answer goes out under this number.
-    Checkin {
+    /// A heartbeat; the answer goes out under this number.
+    Heartbeat {
         reply: u64,
-        report: Report,
+        heartbeat: Heartbeat,
         /// The lessee that passed it on; None: it came here.
         via: Option<usize>,
     },
     /// Machines that a lessee has answered by itself.
-    Heard {
+    ShardHeartbeat {
         node: usize,
         machines: Vec<String>,
         /// Up to then it has answered nobody else; None: the list may be cut short.
@@ -107,8 +107,8 @@
         /// Its first heartbeats: an earlier life may have answered anybody until now.
         fresh: bool,
     },
-    /// A worker's report in answer to a direct command.
-    OrdersAnswered(Report),
+    /// A worker's heartbeat in answer to a direct command.
+    DirectCommandAnswered(Heartbeat),
     Committed {
         job_id: JobId,
         tasks: BTreeSet<u32>,
@@ -165,15 +165,15 @@
         /// None: nobody waits, and the answer must not renew a lease.
         renewal: Option<LeaseRenewal>,
         orders: Vec<Order>,
-        /// The node that passed the report on may answer the next ones by itself if they say nothing new.
+        /// The node that passed the heartbeat on may answer the next ones by itself if they say nothing new.
         keep: bool,
     },
-    /// A lessee is to pass this machine's next report on.
+    /// A lessee is to pass this machine's next heartbeat on.
     Wake {
         node: usize,
         machine: String,
     },
-    /// Stops sent straight to a worker, which then need not wait for its next report.
+    /// Stops sent straight to a worker, which then need not wait for its next heartbeat.
     Direct {
         machine: String,
         address: String,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -27,7 +27,7 @@
 pub mod teams;
 
 pub use messages::*;
-pub use stale_reports::ReportsIgnored;
+pub use stale_reports::IgnoredHeartbeats;
 
 use crate::lease_renewal::LeaseRenewal;
 use crate::limits;
@@ -46,10 +46,10 @@
     confirmed: u64,
 }
 
-/// A check-in that waits for the next round of decisions. What its answer renews is noted already, so that no lease is
+/// A heartbeat that waits for the next round of decisions. What its answer renews is noted already, so that no lease is
 /// counted as over while it waits.
 #[derive(Debug)]
-struct HeldCheckin {
+struct PendingHeartbeat {
     reply: u64,
     machine: String,
     renewal: Option<LeaseRenewal>,
@@ -79,8 +79,8 @@
     news: bool,
     /// Probes of all rounds so far: what a test bounds instead of time.
     pub steps: u64,
-    /// Check-ins whose reports brought news: answered by the next round, which may have a start for them.
-    held: Vec<HeldCheckin>,
+    /// heartbeats whose heartbeats brought news: answered by the next round, which may have a start for them.
+    pending_heartbeats: Vec<PendingHeartbeat>,
     expire_due: u64,
     /// Kinds of machine (type, zone, spot) of which earlier leaders' have not all reported.
     unreconciled: BTreeSet<fleet::Offer>,
@@ -93,8 +93,8 @@
     out_of_touch: BTreeMap<usize, u64>,
     failure_detector: failure_detection::FailureDetector,
     lessees: BTreeMap<usize, Lessee>,
-    /// Reports of which nothing was taken in.
-    reports_ignored: ReportsIgnored,
+    /// Heartbeats of which nothing was taken in.
+    ignored_heartbeats: IgnoredHeartbeats,
     /// Work of a job on average, as of the last round.
     typical_work: f64,
     effects: Vec<Effect>,
@@ -125,7 +125,7 @@
             round_from: 0,
             news: true,
             steps: 0,
-            held: Vec::new(),
+            pending_heartbeats: Vec::new(),
             expire_due: 0,
             unreconciled: BTreeSet::new(),
             attempts: 0,
@@ -134,7 +134,7 @@
             out_of_touch: BTreeMap::new(),
             failure_detector: failure_detection::FailureDetector::default(),
             lessees: BTreeMap::new(),
-            reports_ignored: ReportsIgnored::default(),
+            ignored_heartbeats: IgnoredHeartbeats::default(),
             typical_work: 0.0,
             effects: Vec::new(),
         }
@@ -168,10 +168,10 @@
             self.cold_start_round();
             self.direct_stops();
         }
-        // A report with news waits for the round, which is never far.
+        // A heartbeat with news waits for the round, which is never far.
         let held = self.news && self.loaded;
-        let replies = if held { Vec::new() } else { std::mem::take(&mut self.held) };
-        for HeldCheckin { reply, machine, renewal } in replies {
+        let replies = if held { Vec::new() } else { std::mem::take(&mut self.pending_heartbeats) };
+        for PendingHeartbeat { reply, machine, renewal } in replies {
             self.answer(reply, &machine, renewal);
         }
         std::mem::take(&mut self.effects)
@@ -182,14 +182,14 @@
             Command::Load { jobs, records } => self.load(jobs, records),
             Command::JobAdded(stored) => self.add_job(stored, false),
             Command::JobRemoved(job_id) => self.remove_job(job_id),
-            Command::Checkin { reply, report, via } => {
-                if report.token > self.config.token {
-                    self.effects.push(Effect::Deposed(report.token));
+            Command::Heartbeat { reply, heartbeat, via } => {
+                if heartbeat.token > self.config.token {
+                    self.effects.push(Effect::Deposed(heartbeat.token));
                     return;
                 }
-                return self.checkin(reply, report, via);
+                return self.handle_heartbeat(reply, heartbeat, via);
             }
-            Command::Heard { node, machines, covers, fresh } => {
+            Command::ShardHeartbeat { node, machines, covers, fresh } => {
                 if fresh {
                     // A lessee that crashes has forgotten whom it answered; its first word seemed to cover
                     // that too, and a leader counted leases as over that ran (`leadership::tests`).
@@ -197,8 +197,8 @@
                 }
                 return self.heard_through(node, machines, covers);
             }
-            Command::OrdersAnswered(report) => {
-                if self.report(report, false) != Taken::News {
+            Command::DirectCommandAnswered(heartbeat) => {
+                if self.apply_heartbeat(heartbeat, false) != HeartbeatOutcome::Changed {
                     return;
                 }
             }
@@ -233,30 +233,32 @@
         self.news = true;
     }
 
-    fn checkin(&mut self, reply: u64, report: Report, via: Option<usize>) {
-        let name = report.machine.clone();
-        let taken = self.report(report, true);
+    fn handle_heartbeat(&mut self, reply: u64, heartbeat: Heartbeat, via: Option<usize>) {
+        let name = heartbeat.machine.clone();
+        let taken = self.apply_heartbeat(heartbeat, true);
         let now = self.now;
-        if let Some(machine) =
-            self.machines.get_mut(&name).filter(|_| matches!(taken, Taken::News | Taken::Unchanged))
+        if let Some(machine) = self
+            .machines
+            .get_mut(&name)
+            .filter(|_| matches!(taken, HeartbeatOutcome::Changed | HeartbeatOutcome::Unchanged))
         {
             machine.comes_by(via, now);
         }
         match taken {
-            Taken::News => {
+            HeartbeatOutcome::Changed => {
                 self.news = true;
                 let renewal = self.note_answer(&name);
-                self.held.push(HeldCheckin { reply, machine: name, renewal });
+                self.pending_heartbeats.push(PendingHeartbeat { reply, machine: name, renewal });
             }
-            Taken::Unchanged => {
+            HeartbeatOutcome::Unchanged => {
                 let renewal = self.note_answer(&name);
                 self.answer(reply, &name, renewal);
             }
-            Taken::Overtaken => {
+            HeartbeatOutcome::Overtaken => {
                 let renewal = self.note_answer(&name);
                 self.effects.push(Effect::Answer { reply, renewal, orders: Vec::new(), keep: false });
             }
-            Taken::Stale => {
+            HeartbeatOutcome::Stale => {
                 self.effects.push(Effect::Answer { reply, renewal: None, orders: Vec::new(), keep: false });
             }
         }
@@ -270,7 +272,7 @@
         for (key, machines) in records {
             self.load_record(key, machines);
         }
-        // Check-ins before this point were answered without being noted: leases count from here.
+        // heartbeats before this point were answered without being noted: leases count from here.
         self.started = self.now;
         self.loaded = true;
         self.begin_cold_start();
--- a/src/scheduler/model.rs
+++ b/src/scheduler/model.rs
@@ -179,9 +179,9 @@
     Exited(ExitReason),
 }
 
-/// A worker's report.
+/// A worker's heartbeat.
 #[derive(Debug, Clone)]
-pub struct Report {
+pub struct Heartbeat {
     pub machine: String,
     pub address: String,
     pub machine_type: String,
@@ -206,9 +206,9 @@
 pub struct Placed {
     pub attempt: u64,
     pub needs: Resources,
-    /// (session, sequence) of the report whose answer bore the start; None until the answer is made.
+    /// (session, sequence) of the heartbeat whose answer bore the start; None until the answer is made.
     pub sent: Option<(u64, u64)>,
-    /// Whether a report has listed it.
+    /// Whether a heartbeat has listed it.
     pub seen: bool,
     pub status: TaskStatus,
     /// When this leader first saw it run, if it saw it start.
@@ -241,7 +241,7 @@
     pub phase: Phase,
     pub session: u64,
     pub sequence: u64,
-    /// A report has stated this leader's token: the task list is exact.
+    /// A heartbeat has stated this leader's token: the task list is exact.
     pub reconciled: bool,
     /// Its record is in the state service, so that a later leader knows to wait for it.
     pub recorded: bool,
@@ -250,21 +250,21 @@
     pub heard: u64,
     /// The last answer that may have renewed its lease.
     pub answered: LastAnswer,
-    /// The sequence of the last check-in that was taken in this session: answers to direct commands raise `sequence`
-    /// too, and overtake check-ins that are under way.
-    pub checked_in: u64,
-    /// A late or repeated check-in of it was logged.
+    /// The sequence of the last heartbeat that was taken in this session: answers to direct commands raise `sequence`
+    /// too, and overtake heartbeats that are under way.
+    pub last_heartbeat_sequence: u64,
+    /// A late or repeated heartbeat of it was logged.
     pub sent_stale: bool,
-    /// The node that its last report came through, if that was not this one, and whether that node answers
+    /// The node that its last heartbeat came through, if that was not this one, and whether that node answers
     /// by itself what says nothing new.
     pub via: Option<usize>,
     pub kept: bool,
     /// The way that it reported by before, and when it left that one.
     pub left: Option<(Option<usize>, u64)>,
-    /// Its lessee has been told to pass its next report on.
+    /// Its lessee has been told to pass its next heartbeat on.
     pub woken: bool,
     pub tasks: BTreeMap<TaskId, Placed>,
-    /// The task list of the newest report, to tell an unchanged one by.
+    /// The task list of the newest heartbeat, to tell an unchanged one by.
     pub listed: Vec<ReportedTask>,
     /// Exited tasks still listed: (task, attempt) -> cause.
     pub exited: BTreeMap<(TaskId, u64), ExitReason>,
@@ -281,10 +281,10 @@
     /// An ordinary machine that fixed work and the reserve could do without.
     pub surplus: bool,
     pub deleting: bool,
-    /// What the last answer said that the next report must show some trace of, our token included.
+    /// What the last answer said that the next heartbeat must show some trace of, our token included.
     pub told: Vec<super::Order>,
     pub told_token: bool,
-    /// Reports running that show no trace of what the answer before them said.
+    /// Heartbeats running that show no trace of what the answer before them said.
     pub unheard: u32,
     pub errors: BTreeSet<JobId>,
     pub no_room_until: u64,
@@ -298,7 +298,7 @@
 }
 
 impl Machine {
-    /// Nothing is under way between it and us: it would be told nothing, and a report that lists what
+    /// Nothing is under way between it and us: it would be told nothing, and a heartbeat that lists what
     /// the last one did says nothing new.
     pub fn calm(&self) -> bool {
         self.phase == Phase::Up
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -2,7 +2,7 @@
 //! the use of machines per team and job.
 
 use super::model::*;
-use super::{ReportsIgnored, Scheduler};
+use super::{IgnoredHeartbeats, Scheduler};
 use crate::limits;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -44,8 +44,9 @@
     /// Machines that follow the last one shown; ask on with `after_machine`.
     pub more_machines: usize,
     pub decisions: Vec<String>,
-    /// Check-ins of which nothing was taken in.
-    pub reports_ignored: ReportsIgnored,
+    /// heartbeats of which nothing was taken in.
+    #[serde(rename = "reports_ignored")]
+    pub ignored_heartbeats: IgnoredHeartbeats,
 }
 
 #[derive(Debug, Serialize)]
@@ -110,7 +111,7 @@
             machines: machines.by_ref().take(limits::OVERVIEW_LINES).map(|m| self.machine_line(m)).collect(),
             more_machines: machines.count(),
             decisions: self.ledger.decisions.iter().cloned().collect(),
-            reports_ignored: self.reports_ignored,
+            ignored_heartbeats: self.ignored_heartbeats,
         }
     }
 
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -36,7 +36,7 @@
         (self.config.token << 32) | self.attempts
     }
 
-    /// Reserves the place; the start goes out with the answer to the machine's next report.
+    /// Reserves the place; the start goes out with the answer to the machine's next heartbeat.
     pub(super) fn place_on(&mut self, name: &str, id: TaskId, needs: Resources, image: String, attempt: u64) {
         let now = self.now;
         self.note_order(id);
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -64,7 +64,7 @@
             .machines
             .values()
             .filter(|m| m.phase != Phase::Lost)
-            // A worker first heard of may have begun its lease as late as then: without its report in the
+            // A worker first heard of may have begun its lease as late as then: without its heartbeat in the
             // sum, every machine younger than this leader was given up the moment it came up.
             .filter(|m| now.min(covered) >= m.answered.at().max(m.heard).max(alive) + lease)
             .filter(|m| m.phase == Phase::Up || !m.tasks.is_empty() || (m.inherited && !m.reconciled))
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -2,7 +2,7 @@
 
 use super::absence::Absence;
 use super::model::*;
-use super::{Scheduler, StoredMachine, Taken};
+use super::{HeartbeatOutcome, Scheduler, StoredMachine};
 use crate::lease_renewal::LastAnswer;
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,7 +30,7 @@
             inherited: false,
             heard: 0,
             answered: LastAnswer::default(),
-            checked_in: 0,
+            last_heartbeat_sequence: 0,
             sent_stale: false,
             via: None,
             kept: false,
@@ -60,109 +60,109 @@
         })
     }
 
-    /// Takes in a task list. `checkin`: it came as a check-in, which proves that the answer to the
+    /// Takes in a task list. `periodic`: it came as a heartbeat, which proves that the answer to the
     /// one before was carried out or dropped; an answer to direct commands proves no such thing.
-    pub fn report(&mut self, report: Report, checkin: bool) -> Taken {
-        // A report that a cut held back may arrive after its machine was returned; its tasks are long
+    pub fn apply_heartbeat(&mut self, heartbeat: Heartbeat, periodic: bool) -> HeartbeatOutcome {
+        // A heartbeat that a cut held back may arrive after its machine was returned; its tasks are long
         // elsewhere, and taking it in would make them seem to be in two places.
         if !self.loaded {
-            return Taken::Unchanged;
+            return HeartbeatOutcome::Unchanged;
         }
-        if self.fleet.gone.contains_key(&report.machine) {
-            self.reports_ignored.stale += 1;
-            return Taken::Stale;
+        if self.fleet.gone.contains_key(&heartbeat.machine) {
+            self.ignored_heartbeats.stale += 1;
+            return HeartbeatOutcome::Stale;
         }
         let (now, token) = (self.now, self.config.token);
-        if let Some(machine) = self.machines.get_mut(&report.machine) {
-            let unchanged = checkin
-                && report.session == machine.session
-                && report.sequence > machine.sequence
-                && report.token == token
-                && report.notice_s.is_none()
+        if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
+            let unchanged = periodic
+                && heartbeat.session == machine.session
+                && heartbeat.sequence > machine.sequence
+                && heartbeat.token == token
+                && heartbeat.notice_s.is_none()
                 && machine.calm()
-                && report.tasks == machine.listed;
+                && heartbeat.tasks == machine.listed;
             if unchanged {
-                machine.sequence = report.sequence;
-                machine.checked_in = report.sequence;
+                machine.sequence = heartbeat.sequence;
+                machine.last_heartbeat_sequence = heartbeat.sequence;
                 machine.heard = now;
                 machine.unheard = 0;
-                return Taken::Unchanged;
+                return HeartbeatOutcome::Unchanged;
             }
         }
         let stored = StoredMachine {
-            name: report.machine.clone(),
-            machine_type: report.machine_type.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
-            address: report.address.clone(),
+            name: heartbeat.machine.clone(),
+            machine_type: heartbeat.machine_type.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            address: heartbeat.address.clone(),
             images: BTreeSet::new(),
         };
-        let expected = self.machines.contains_key(&report.machine);
+        let expected = self.machines.contains_key(&heartbeat.machine);
         let machine = self.machine(&stored);
         // Held messages arrive late and out of order: only the newest list counts.
-        if (report.session, report.sequence) <= (machine.session, machine.sequence) {
-            return self.take_late(&report, checkin);
+        if (heartbeat.session, heartbeat.sequence) <= (machine.session, machine.sequence) {
+            return self.ignore_late_heartbeat(&heartbeat, periodic);
         }
-        if checkin {
-            machine.judge_hearing(&report, token);
+        if periodic {
+            machine.judge_hearing(&heartbeat, token);
         }
-        if report.session > machine.session {
+        if heartbeat.session > machine.session {
             if machine.session > 0 {
                 info!(
-                    machine = report.machine,
-                    session = report.session,
+                    machine = heartbeat.machine,
+                    session = heartbeat.session,
                     "new session: all its tasks are gone"
                 );
             }
             // Whatever an earlier session held died with its lease.
-            self.clear_machine(&report.machine, Absence::NewSession { session: report.session });
+            self.clear_machine(&heartbeat.machine, Absence::NewSession { session: heartbeat.session });
         }
-        let Some(machine) = self.machines.get_mut(&report.machine) else { return Taken::Stale };
-        if report.session != machine.session {
-            machine.checked_in = 0;
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
+        if heartbeat.session != machine.session {
+            machine.last_heartbeat_sequence = 0;
         }
-        if checkin {
-            machine.checked_in = report.sequence;
+        if periodic {
+            machine.last_heartbeat_sequence = heartbeat.sequence;
         }
-        machine.session = report.session;
-        machine.sequence = report.sequence;
-        machine.address = report.address;
-        machine.recall_at = report.notice_s.map(|s| now + limits::micros(s));
-        machine.reconciled |= report.token == token;
+        machine.session = heartbeat.session;
+        machine.sequence = heartbeat.sequence;
+        machine.address = heartbeat.address;
+        machine.recall_at = heartbeat.notice_s.map(|s| now + limits::micros(s));
+        machine.reconciled |= heartbeat.token == token;
         if !machine.reconciled {
-            // Its first report to this leader, or a copy of one made for an earlier leader, which may be of
+            // Its first heartbeat to this leader, or a copy of one made for an earlier leader, which may be of
             // any age: its list proves nothing, and taken in, it would make tasks seem to be in two places;
-            // nor does it prove that the machine is there. The next report states our token. A machine that
+            // nor does it prove that the machine is there. The next heartbeat states our token. A machine that
             // nobody expects may be long gone, so that it is not recorded yet.
             if expected && !machine.recorded {
-                self.record(&report.machine);
+                self.record(&heartbeat.machine);
             }
-            return Taken::News;
+            return HeartbeatOutcome::Changed;
         }
-        if checkin {
+        if periodic {
             machine.heard = now;
             if machine.phase != Phase::Up {
-                info!(machine = report.machine, zone = machine.zone, spot = machine.spot, "machine up");
+                info!(machine = heartbeat.machine, zone = machine.zone, spot = machine.spot, "machine up");
                 machine.idle_since = now;
                 machine.phase = Phase::Up;
             }
         }
-        let listed = self.take_listed(&report.machine, &report.tasks);
-        self.drop_unlisted(&report.machine, &listed, (report.session, report.sequence), checkin);
-        if report.notice_s.is_some() {
-            self.drain_for_notice(&report.machine);
+        let listed = self.take_listed(&heartbeat.machine, &heartbeat.tasks);
+        self.drop_unlisted(&heartbeat.machine, &listed, (heartbeat.session, heartbeat.sequence), periodic);
+        if heartbeat.notice_s.is_some() {
+            self.drain_for_notice(&heartbeat.machine);
         }
-        let machine = &self.machines[&report.machine];
+        let machine = &self.machines[&heartbeat.machine];
         if !machine.recorded || machine.images_changed {
-            self.record(&report.machine);
+            self.record(&heartbeat.machine);
         }
-        if let Some(machine) = self.machines.get_mut(&report.machine) {
-            machine.listed = report.tasks;
+        if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
+            machine.listed = heartbeat.tasks;
         }
-        Taken::News
+        HeartbeatOutcome::Changed
     }
 
-    /// Updates what the report lists and returns its living (task, attempt) pairs.
+    /// Updates what the heartbeat lists and returns its living (task, attempt) pairs.
     pub(super) fn take_listed(&mut self, name: &str, tasks: &[ReportedTask]) -> BTreeSet<(TaskId, u64)> {
         let mut living = BTreeSet::new();
         let mut exited = BTreeSet::new();
@@ -265,21 +265,21 @@
         }
     }
 
-    /// Places that the report disproves.
+    /// Places that the heartbeat disproves.
     fn drop_unlisted(
         &mut self,
         name: &str,
         listed: &BTreeSet<(TaskId, u64)>,
         newest: (u64, u64),
-        checkin: bool,
+        periodic: bool,
     ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let gone: Vec<TaskId> = machine
             .tasks
             .iter()
             .filter(|(id, t)| !listed.contains(&(**id, t.attempt)))
-            // A start whose answer is still under way is only disproved by the next check-in.
-            .filter(|(_, t)| t.seen || checkin && t.sent.is_some_and(|sent| newest > sent))
+            // A start whose answer is still under way is only disproved by the next heartbeat.
+            .filter(|(_, t)| t.seen || periodic && t.sent.is_some_and(|sent| newest > sent))
             .map(|(id, _)| *id)
             .collect();
         for id in gone {
@@ -287,7 +287,7 @@
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.tasks.remove(&id);
             }
-            self.unplace(name, id, Absence::NotListed { report: newest });
+            self.unplace(name, id, Absence::NotListed { heartbeat: newest });
         }
     }
 
--- a/src/store.rs
+++ b/src/store.rs
@@ -293,7 +293,7 @@
 pub const EPOCH: &str = "leader/epoch";
 pub const LOCK: &str = "leader/lock";
 pub const CATALOG: &str = "fleet/catalog";
-/// The report of the last cold start, written by the leader.
+/// The heartbeat of the last cold start, written by the leader.
 pub const COLD_START: &str = "cold-start/report";
 pub const LIVE: &str = "live/";
 pub const DONE: &str = "done/";
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -2,27 +2,29 @@
 
 use crate::http::Http;
 use crate::limits;
-use crate::protocol::workers::{Checkin, DirectCommands};
-use crate::scheduler::model::Report;
+use crate::protocol::workers::{DirectCommands, HeartbeatRequest};
+use crate::scheduler::model::Heartbeat;
 use reqwest::Method;
 use tracing::{debug, warn};
 
-/// Sends direct commands; the worker's report after them, if it answers. Only stops go this way: a start that is
+/// Sends direct commands; the worker's heartbeat after them, if it answers. Only stops go this way: a start that is
 /// held up could be carried out minutes late.
-pub async fn send_commands(http: &Http, address: &str, commands: &DirectCommands) -> Option<Report> {
+pub async fn send_commands(http: &Http, address: &str, commands: &DirectCommands) -> Option<Heartbeat> {
     let address: std::net::SocketAddr = address.parse().ok()?;
     let body = serde_json::to_vec(commands).ok()?;
     let url = format!("http://{address}/orders");
     match http.call(Method::POST, &url, Some(body), limits::ORDERS_TIMEOUT).await {
-        Ok(answer) if answer.status == 200 => match serde_json::from_slice::<Checkin>(&answer.body) {
-            Ok(checkin) => {
-                Report::try_from(checkin).inspect_err(|error| warn!(%error, "report dropped")).ok()
+        Ok(answer) if answer.status == 200 => {
+            match serde_json::from_slice::<HeartbeatRequest>(&answer.body) {
+                Ok(heartbeat_request) => Heartbeat::try_from(heartbeat_request)
+                    .inspect_err(|error| warn!(%error, "heartbeat dropped"))
+                    .ok(),
+                Err(error) => {
+                    warn!(%address, %error, "malformed answer from a worker");
+                    None
+                }
             }
-            Err(error) => {
-                warn!(%address, %error, "malformed answer from a worker");
-                None
-            }
-        },
+        }
         Ok(answer) => {
             debug!(%address, status = answer.status, "worker refuses commands");
             None
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -12,7 +12,7 @@
 /// A task on a worker.
 struct Running {
     attempt: u64,
-    /// The report after which it came.
+    /// The heartbeat after which it came.
     since: u64,
 }
 
@@ -30,7 +30,7 @@
     /// Machines on which every task fails, and jobs of which every task fails.
     pub faulty_machines: BTreeSet<usize>,
     pub faulty_jobs: BTreeSet<u64>,
-    /// For how many reports a task runs; `None`: for ever.
+    /// For how many heartbeats a task runs; `None`: for ever.
     pub runs: Option<u64>,
     pub deleted: BTreeSet<String>,
     /// Starts, by job.
@@ -79,7 +79,7 @@
             starts: BTreeMap::new(),
         };
         cluster.load(Vec::new(), Vec::new());
-        cluster.reports(3);
+        cluster.heartbeats(3);
         cluster
     }
 
@@ -142,14 +142,14 @@
         }
     }
 
-    fn report(&mut self, machine: usize) {
+    fn heartbeat(&mut self, machine: usize) {
         let tasks = self.tasks.get(&machine).into_iter().flatten();
         let tasks = tasks.map(|(id, task)| ReportedTask {
             id: *id,
             attempt: task.attempt,
             status: self.status(machine, id, task),
         });
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: machine_name(machine),
             address: String::new(),
             machine_type: "m".into(),
@@ -161,16 +161,16 @@
             notice_s: None,
             tasks: tasks.collect(),
         };
-        self.step(vec![Command::Checkin { reply: machine as u64, report, via: None }]);
+        self.step(vec![Command::Heartbeat { reply: machine as u64, heartbeat, via: None }]);
     }
 
-    pub fn reports(&mut self, rounds: usize) {
+    pub fn heartbeats(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.sequence += 1;
             self.now += SECOND;
             for machine in self.machines.clone() {
                 if !self.deleted.contains(&machine_name(machine)) {
-                    self.report(machine);
+                    self.heartbeat(machine);
                 }
             }
             self.step(Vec::new());
--- a/tests/clusters/faults.rs
+++ b/tests/clusters/faults.rs
@@ -34,7 +34,7 @@
     for (machines, jobs, replaced) in cases {
         let mut cluster = cluster(machines, jobs);
         (1..=4).for_each(|id| cluster.submit(array(id, 16)));
-        cluster.reports(40);
+        cluster.heartbeats(40);
         let replaced: BTreeSet<String> = replaced.iter().map(|m| machine_name(*m)).collect();
         assert_eq!(cluster.deleted, replaced, "faulty machines {machines:?}, faulty jobs {jobs:?}");
         for id in 1..=4 {
@@ -49,7 +49,7 @@
 fn an_array_goes_on_elsewhere_when_its_tasks_fail_on_one_machine() {
     let mut cluster = cluster(&[0], &[]);
     cluster.submit(array(1, 44));
-    cluster.reports(16);
+    cluster.heartbeats(16);
     assert!(
         !cluster.is_known(1),
         "{:?}",
@@ -61,10 +61,10 @@
 fn a_job_that_fails_everywhere_is_not_tried_hot_and_can_be_cancelled() {
     let mut cluster = cluster(&[], &[1]);
     cluster.submit(array(1, 1));
-    cluster.reports(120);
+    cluster.heartbeats(120);
     let starts = cluster.starts[&1];
     assert!((3..=10).contains(&starts), "{starts} starts in two minutes");
     cluster.step(vec![Command::JobRemoved(JobId(1))]);
-    cluster.reports(2);
+    cluster.heartbeats(2);
     assert!(!cluster.is_known(1));
 }
--- a/tests/clusters/teams.rs
+++ b/tests/clusters/teams.rs
@@ -27,10 +27,10 @@
     cluster.change_leader();
     cluster.machines.remove(&0);
     cluster.submit(job(1, "t", Priority::Normal, 20));
-    cluster.reports(3);
+    cluster.heartbeats(3);
     assert_eq!(cluster.running(1), 8, "what may run on the machine that is missing counts");
     cluster.machines.insert(0);
-    cluster.reports(4);
+    cluster.heartbeats(4);
     assert_eq!(cluster.running(1), 12, "it has reported, and is empty");
 }
 
@@ -39,18 +39,18 @@
 fn a_task_of_an_unknown_job_counts_against_every_limit_until_it_has_ended() {
     let mut cluster = Cluster::new(3, vec![team("t", 0.0, 8.0)]);
     cluster.submit(job(1, "t", Priority::Normal, 8));
-    cluster.reports(2);
+    cluster.heartbeats(2);
     assert_eq!(cluster.running(1), 8);
     // The job is cancelled as the leader changes, and its machines do not hear the stops yet.
     cluster.unreachable = [0, 1].into();
     cluster.change_leader();
     cluster.submit(job(2, "t", Priority::Normal, 8));
     for _ in 0..3 {
-        cluster.reports(1);
+        cluster.heartbeats(1);
         assert_eq!((cluster.running(1), cluster.running(2)), (8, 0));
     }
     cluster.unreachable.clear();
-    cluster.reports(3);
+    cluster.heartbeats(3);
     assert_eq!((cluster.running(1), cluster.running(2)), (0, 8));
 }
 
@@ -60,10 +60,10 @@
     let teams = vec![team("lender", 6.0, 0.0), team("borrower", 4.0, 0.0)];
     let mut cluster = Cluster::new(2, teams);
     cluster.submit(job(1, "borrower", Priority::High, 8));
-    cluster.reports(2);
+    cluster.heartbeats(2);
     assert_eq!(cluster.running(1), 8, "unused capacity is lent");
     // Of a lower class, and within its team's guarantee all the same.
     cluster.submit(job(2, "lender", Priority::Low, 8));
-    cluster.reports(60);
+    cluster.heartbeats(60);
     assert_eq!((cluster.running(1), cluster.running(2)), (4, 4));
 }
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -63,8 +63,8 @@
             deleted: Vec::new(),
         };
         bed.step(vec![Command::Types(types()), Command::Load { jobs: vec![], records: vec![] }]);
-        bed.report();
-        bed.report();
+        bed.heartbeat();
+        bed.heartbeat();
         bed
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Every worker reports and carries out what it is told.
-    fn report(&mut self) {
+    fn heartbeat(&mut self) {
         self.sequence += 1;
         for i in 0..self.machines {
             let machine = format!("m-{i:06}");
@@ -110,7 +110,7 @@
                     ReportedTask { id: *id, attempt: *attempt, status }
                 })
                 .collect();
-            let report = Report {
+            let heartbeat = Heartbeat {
                 machine: machine.clone(),
                 address: String::new(),
                 machine_type: "m".into(),
@@ -122,7 +122,7 @@
                 notice_s: None,
                 tasks,
             };
-            for effect in self.step(vec![Command::Checkin { reply: 1, report, via: None }]) {
+            for effect in self.step(vec![Command::Heartbeat { reply: 1, heartbeat, via: None }]) {
                 let Effect::Answer { orders, .. } = effect else { continue };
                 let running = self.running.get_mut(&machine).unwrap();
                 for order in orders {
@@ -142,7 +142,7 @@
     fn submit(&mut self, spec: JobSpec) {
         let version = spec.job_id.0;
         self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, done: BTreeSet::new() })]);
-        (0..3).for_each(|_| self.report());
+        (0..3).for_each(|_| self.heartbeat());
     }
 
     fn width(&self, job_id: u64) -> u32 {
@@ -195,7 +195,7 @@
     bed.submit(spec(2, Kind::Gang, Priority::High, 2));
     assert_eq!((bed.width(1), bed.width(2)), (4, 0), "inside the gap nobody shrinks");
     while bed.now < 15 * SECOND {
-        bed.report();
+        bed.heartbeat();
     }
     assert_eq!((bed.width(1), bed.width(2)), (2, 2), "after it the newcomer gets its minimum");
 }
@@ -216,11 +216,11 @@
     bed.submit(spec(2, Kind::Array, Priority::Low, 1));
     let aging = limits::micros(Operator::default().aging_s);
     while bed.now < SECOND + aging + 10 * SECOND {
-        bed.report();
+        bed.heartbeat();
     }
     bed.submit(spec(3, Kind::Array, Priority::Normal, 1));
     bed.step(vec![Command::JobRemoved(JobId(1))]);
-    (0..3).for_each(|_| bed.report());
+    (0..3).for_each(|_| bed.heartbeat());
     assert_eq!((bed.width(2), bed.width(3)), (1, 0));
 }
 
@@ -233,7 +233,7 @@
         Command::JobAdded(StoredJob { spec, version: job_id, age: 0, done: BTreeSet::new() })
     });
     bed.step(batch.collect());
-    (0..4).for_each(|_| bed.report());
+    (0..4).for_each(|_| bed.heartbeat());
     let widths: Vec<u32> = (1..7).map(|job_id| bed.width(job_id)).collect();
     assert_eq!(widths, [1; 6]);
 }
@@ -255,9 +255,9 @@
             bed.ended.extend(bed.running[&slow].keys().copied().collect::<Vec<_>>());
             slow_since = bed.now;
         }
-        (0..4).for_each(|_| bed.report());
+        (0..4).for_each(|_| bed.heartbeat());
     }
-    (0..4).for_each(|_| bed.report());
+    (0..4).for_each(|_| bed.heartbeat());
     assert!(bed.running[&slow].is_empty(), "an array's task was started on the slow machine");
     bed.submit(spec(2, Kind::Service, Priority::Critical, 1));
     assert_eq!(bed.width(2), 1, "services still may use it");
@@ -270,7 +270,7 @@
     let gone = "m-000001".to_string();
     bed.step(vec![Command::Deleted { machines: vec![gone.clone()], outcome: Outcome::Done }]);
     // The cut ends and delivers what the machine had reported before.
-    bed.report();
+    bed.heartbeat();
     assert!(!bed.scheduler.machines.contains_key(&gone));
     let places: usize = bed.scheduler.jobs[&JobId(1)].places.values().map(Vec::len).sum();
     assert_eq!((places, bed.scheduler.jobs[&JobId(1)].waiting.len()), (1, 1));
@@ -312,7 +312,7 @@
     bed.step(vec![Command::Types(types()), load]);
     let begun = bed.now;
     while bed.deleted.is_empty() {
-        bed.report();
+        bed.heartbeat();
         assert_eq!(bed.width(1), 0, "its tasks may be on the machine that has not come");
         assert!(bed.now < begun + limits::worker_lease(10.0), "the whole lease was waited for");
         bed.step(vec![]);
@@ -320,7 +320,7 @@
     let machines = std::mem::take(&mut bed.deleted);
     assert_eq!(machines, ["m-000003"]);
     bed.step(vec![Command::Deleted { machines, outcome: Outcome::Done }]);
-    (0..2).for_each(|_| bed.report());
+    (0..2).for_each(|_| bed.heartbeat());
     assert_eq!(bed.width(1), 2);
 }
 
@@ -341,10 +341,10 @@
         });
         let until = bed.now + waits_s * SECOND;
         while bed.now < until {
-            bed.report();
+            bed.heartbeat();
         }
         bed.step(vec![Command::JobRemoved(JobId(1))]);
-        (0..3).for_each(|_| bed.report());
+        (0..3).for_each(|_| bed.heartbeat());
         assert_eq!((bed.width(first), bed.width(5 - first)), (1, 0), "after {waits_s} s");
     }
 }
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -61,9 +61,9 @@
             finished: Vec::new(),
         };
         bed.step(vec![types(), Command::Load { jobs: vec![], records: vec![] }]);
-        (0..2).for_each(|_| bed.report());
+        (0..2).for_each(|_| bed.heartbeat());
         bed.step(vec![Command::JobAdded(gang())]);
-        (0..3).for_each(|_| bed.report());
+        (0..3).for_each(|_| bed.heartbeat());
         bed
     }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    fn report(&mut self) {
+    fn heartbeat(&mut self) {
         self.sequence += 1;
         for machine in (0..MACHINES).filter(|m| !self.silent.contains(m)).collect::<Vec<_>>() {
             let on = self.on.entry(machine).or_default();
@@ -120,7 +120,7 @@
                 attempt: *attempt,
                 status: *status,
             });
-            let report = Report {
+            let heartbeat = Heartbeat {
                 machine: name(machine),
                 address: String::new(),
                 machine_type: "m".into(),
@@ -132,12 +132,12 @@
                 notice_s: self.notice.get(&machine).copied(),
                 tasks: tasks.collect(),
             };
-            self.step(vec![Command::Checkin { reply: machine as u64 + 1, report, via: None }]);
+            self.step(vec![Command::Heartbeat { reply: machine as u64 + 1, heartbeat, via: None }]);
         }
     }
 
-    fn reports(&mut self, rounds: usize) {
-        (0..rounds).for_each(|_| self.report());
+    fn heartbeats(&mut self, rounds: usize) {
+        (0..rounds).for_each(|_| self.heartbeat());
     }
 
     /// Where its living tasks are, under which attempts.
@@ -193,7 +193,7 @@
     let before = bed.attempts();
     let (lost, ..) = bed.living()[0];
     bed.lose(lost);
-    bed.reports(3);
+    bed.heartbeats(3);
     assert_eq!((bed.living().len(), bed.attempts()), (3, before));
     assert!(bed.stops.is_empty());
 }
@@ -209,12 +209,12 @@
         done: BTreeSet::new(),
     };
     bed.step(vec![Command::JobAdded(job)]);
-    bed.reports(3);
+    bed.heartbeats(3);
     let (lost, ..) = bed.living()[0];
     bed.lose(lost);
-    bed.reports(3);
+    bed.heartbeats(3);
     assert_eq!(bed.living().len(), 2, "it waits for a while");
-    bed.reports(30);
+    bed.heartbeats(30);
     assert_eq!(bed.living().len(), 0);
 }
 
@@ -222,11 +222,11 @@
 fn a_task_lost_while_it_runs_ends_the_attempt_and_the_next_one_is_whole() {
     let mut bed = Bed::new();
     bed.set(TaskStatus::Running);
-    bed.report();
+    bed.heartbeat();
     let before = bed.attempts();
     let (lost, ..) = bed.living()[0];
     bed.lose(lost);
-    bed.reports(4);
+    bed.heartbeats(4);
     assert_eq!((bed.living().len(), bed.attempts().len()), (3, 1));
     assert!(bed.attempts().is_disjoint(&before), "the old attempt can't go on");
 }
@@ -236,17 +236,17 @@
 fn the_next_attempt_waits_until_each_old_task_is_gone() {
     let mut bed = Bed::new();
     bed.set(TaskStatus::Running);
-    bed.report();
+    bed.heartbeat();
     let (hangs, ..) = bed.living()[0];
     bed.silent.insert(hangs);
     // The others notice.
     for (_, on) in bed.on.iter_mut().filter(|(m, _)| **m != hangs) {
         on.values_mut().for_each(|t| t.1 = TaskStatus::Exited(ExitReason::Stopped));
     }
-    bed.reports(3);
+    bed.heartbeats(3);
     assert_eq!(bed.living().len(), 1, "the one that hangs");
     bed.lose(hangs);
-    bed.reports(3);
+    bed.heartbeats(3);
     assert_eq!((bed.living().len(), bed.attempts().len()), (3, 1));
 }
 
@@ -257,24 +257,24 @@
     let (machine, task, _) = bed.living()[0];
     let id = TaskId { job_id: GANG, task };
     bed.on.get_mut(&machine).unwrap().get_mut(&id).unwrap().1 = TaskStatus::Exited(ExitReason::Stopped);
-    bed.reports(4);
+    bed.heartbeats(4);
     assert_eq!((bed.living().len(), bed.attempts().len()), (3, 1));
     assert!(bed.attempts().is_disjoint(&before), "a worker forgets no attempt that gave up");
 }
 
-/// The tasks complete together, so that one report is enough: the machine of another may be lost with its own.
+/// The tasks complete together, so that one heartbeat is enough: the machine of another may be lost with its own.
 #[test]
 fn one_task_done_is_the_whole_gang_done() {
     let mut bed = Bed::new();
     bed.set(TaskStatus::Running);
-    bed.report();
+    bed.heartbeat();
     bed.set(TaskStatus::Exited(ExitReason::Done));
     let machines: Vec<usize> = bed.living().iter().map(|(m, ..)| *m).collect();
     assert!(machines.is_empty());
     let others: Vec<usize> =
         bed.on.iter().filter(|(_, on)| !on.is_empty()).map(|(m, _)| *m).skip(1).collect();
     bed.silent.extend(others);
-    bed.reports(2);
+    bed.heartbeats(2);
     assert_eq!(bed.finished, [GANG]);
 }
 
@@ -283,10 +283,10 @@
 fn a_notice_stops_all_of_a_gang_at_once_with_time_to_save() {
     let mut bed = Bed::new();
     bed.set(TaskStatus::Running);
-    bed.report();
+    bed.heartbeat();
     let (machine, ..) = bed.living()[0];
     bed.notice.insert(machine, 12.0);
-    bed.report();
+    bed.heartbeat();
     assert_eq!(bed.stops.len(), 3, "{:?}", bed.stops);
     assert!(bed.stops.iter().all(|(_, grace)| *grace >= 3.0 + 6.0), "{:?}", bed.stops);
 }
@@ -296,15 +296,15 @@
     for status in [TaskStatus::Running, TaskStatus::Fetching] {
         let mut bed = Bed::new();
         bed.set(status);
-        bed.report();
+        bed.heartbeat();
         let before = bed.living();
         bed.change_leader();
         // Partial knowledge is no broken gang.
         let late = before[0].0;
         bed.silent.insert(late);
-        bed.reports(2);
+        bed.heartbeats(2);
         bed.silent.remove(&late);
-        bed.reports(4);
+        bed.heartbeats(4);
         assert_eq!(bed.living(), before, "{status:?}");
         assert!(bed.stops.is_empty(), "{status:?}: {:?}", bed.stops);
     }
@@ -316,7 +316,7 @@
         let mut bed = Bed::new();
         bed.set(status);
         bed.step(vec![Command::JobRemoved(GANG)]);
-        bed.reports(3);
+        bed.heartbeats(3);
         assert_eq!(bed.living().len(), 0, "{status:?}");
         assert!(!bed.scheduler.jobs.contains_key(&GANG));
     }
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -1,8 +1,8 @@
-//! Every answer that may renew a worker's lease is noted by the leader, whichever way the report came and whatever
+//! Every answer that may renew a worker's lease is noted by the leader, whichever way the heartbeat came and whatever
 //! overtook it: a task is started elsewhere only once the lease that the last answer gave has surely ended.
 
 use super::common::{self, spec};
-use super::stand_ins::{machine_types, outcome, report};
+use super::stand_ins::{heartbeat, machine_types, outcome};
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob};
@@ -21,7 +21,7 @@
     now: u64,
     sequences: BTreeMap<String, u64>,
     running: BTreeMap<String, BTreeMap<TaskId, u64>>,
-    /// Reports that were answered, by their numbers.
+    /// Heartbeats that were answered, by their numbers.
     answered: BTreeSet<u64>,
     stops_sent: bool,
 }
@@ -93,9 +93,9 @@
         machines.flat_map(|(name, tasks)| tasks.keys().map(move |id| (name.clone(), *id))).collect()
     }
 
-    /// Check-ins of which nothing was taken in.
+    /// heartbeats of which nothing was taken in.
     fn ignored(&self) -> u64 {
-        self.scheduler.overview(&Default::default()).reports_ignored.stale
+        self.scheduler.overview(&Default::default()).ignored_heartbeats.stale
     }
 
     fn carry_out(&mut self, machine: &str, orders: &[Order]) {
@@ -112,20 +112,20 @@
         }
     }
 
-    /// The worker's next report: the number under which it is answered, and what it says.
-    fn report(&mut self, machine: &str) -> (u64, Report) {
+    /// The worker's next heartbeat: the number under which it is answered, and what it says.
+    fn heartbeat(&mut self, machine: &str) -> (u64, Heartbeat) {
         let sequence = self.sequences.entry(machine.into()).or_default();
         *sequence += 1;
         let reply = *sequence + if machine == "m-000001" { 0 } else { 1_000 };
         let tasks = self.running.get(machine).into_iter().flatten();
         let tasks = tasks.map(|(id, attempt)| (*id, *attempt, TaskStatus::Running));
-        let report = report(machine, *sequence, u64::from(*sequence > 1), tasks);
-        (reply, report)
+        let heartbeat = heartbeat(machine, *sequence, u64::from(*sequence > 1), tasks);
+        (reply, heartbeat)
     }
 
     fn check_in(&mut self, machine: &str) {
-        let (reply, report) = self.report(machine);
-        self.step(vec![Command::Checkin { reply, report, via: None }]);
+        let (reply, heartbeat) = self.heartbeat(machine);
+        self.step(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
     }
 
     /// The first machine is silent from now on; returns when its replica is placed on the second.
@@ -147,23 +147,23 @@
     }
 }
 
-/// The answer to direct stops reaches the leader before a report that left the worker earlier. The report's answer
+/// The answer to direct stops reaches the leader before a heartbeat that left the worker earlier. The heartbeat's answer
 /// renewed the lease and was not noted: the replica was started elsewhere while it ran.
 #[test]
 fn a_report_overtaken_by_the_answer_to_direct_stops_renews_the_lease_at_the_leader() {
     let mut cluster = Cluster::new();
-    // Its next report is due after a whole interval, and takes a while to arrive.
+    // Its next heartbeat is due after a whole interval, and takes a while to arrive.
     (0..25).for_each(|_| cluster.step(vec![]));
-    let (reply, report) = cluster.report("m-000001");
+    let (reply, heartbeat) = cluster.heartbeat("m-000001");
     let sent = cluster.now;
     cluster.step(vec![Command::JobRemoved(CANCELLED)]);
     assert!(cluster.stops_sent, "the cancelled replica is stopped directly");
-    let (_, mut direct) = cluster.report("m-000001");
+    let (_, mut direct) = cluster.heartbeat("m-000001");
     let stopped = direct.tasks.iter_mut().find(|task| task.id.job_id == CANCELLED).unwrap();
     stopped.status = TaskStatus::Exited(ExitReason::Stopped);
-    // One batch of the owner: outcomes of its own requests come before check-ins.
-    let overtaken = Command::Checkin { reply, report, via: None };
-    cluster.step(vec![Command::OrdersAnswered(direct), overtaken]);
+    // One batch of the owner: outcomes of its own requests come before heartbeats.
+    let overtaken = Command::Heartbeat { reply, heartbeat, via: None };
+    cluster.step(vec![Command::DirectCommandAnswered(direct), overtaken]);
     let answered = cluster.answered.contains(&reply);
     let placed = cluster.placed_elsewhere();
     let lease_ends = sent + limits::micros(LEASE_S);
@@ -175,11 +175,11 @@
     assert!(placed < lease_ends + 8 * SECOND, "a lost machine keeps its replica away for long");
 }
 
-/// What the leader does with a check-in of the first machine, besides answering.
-fn refused(cluster: &mut Cluster, report: Report) -> bool {
+/// What the leader does with a heartbeat of the first machine, besides answering.
+fn refused(cluster: &mut Cluster, heartbeat: Heartbeat) -> bool {
     const REPLY: u64 = 999;
     let (held, ignored) = (cluster.held(), cluster.ignored());
-    cluster.step(vec![Command::Checkin { reply: REPLY, report, via: None }]);
+    cluster.step(vec![Command::Heartbeat { reply: REPLY, heartbeat, via: None }]);
     assert_eq!(cluster.held(), held, "nothing starts or ends because of it");
     assert_eq!(cluster.ignored(), ignored + 1, "it is counted");
     !cluster.answered.contains(&REPLY)
@@ -189,40 +189,40 @@
 #[test]
 fn a_repeated_check_in_is_refused_and_counted() {
     let mut cluster = Cluster::new();
-    let (reply, report) = cluster.report("m-000001");
-    cluster.step(vec![Command::Checkin { reply, report: report.clone(), via: None }]);
+    let (reply, heartbeat) = cluster.heartbeat("m-000001");
+    cluster.step(vec![Command::Heartbeat { reply, heartbeat: heartbeat.clone(), via: None }]);
     assert!(cluster.answered.contains(&reply));
-    assert!(refused(&mut cluster, report));
+    assert!(refused(&mut cluster, heartbeat));
 }
 
 /// The worker has begun a session since, and drops the answer.
 #[test]
 fn a_check_in_of_an_earlier_session_is_refused_and_counted() {
     let mut cluster = Cluster::new();
-    let (_, earlier) = cluster.report("m-000001");
+    let (_, earlier) = cluster.heartbeat("m-000001");
     cluster.running.clear();
-    let (reply, report) = cluster.report("m-000001");
-    let report = Report { session: 2, tasks: vec![], ..report };
-    cluster.step(vec![Command::Checkin { reply, report, via: None }]);
+    let (reply, heartbeat) = cluster.heartbeat("m-000001");
+    let heartbeat = Heartbeat { session: 2, tasks: vec![], ..heartbeat };
+    cluster.step(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
     assert!(refused(&mut cluster, earlier));
 }
 
-/// The cloud's word is final: a report that a cut held back brings nothing back.
+/// The cloud's word is final: a heartbeat that a cut held back brings nothing back.
 #[test]
 fn a_check_in_of_a_deleted_machine_is_refused_and_counted() {
     let mut cluster = Cluster::new();
-    let (_, report) = cluster.report("m-000001");
+    let (_, heartbeat) = cluster.heartbeat("m-000001");
     cluster.step(vec![Command::Deleted { machines: vec!["m-000001".into()], outcome: Outcome::Done }]);
-    assert!(refused(&mut cluster, report));
+    assert!(refused(&mut cluster, heartbeat));
 }
 
-/// Once its lease counts as over, an overtaken check-in is too late to renew it.
+/// Once its lease counts as over, an overtaken heartbeat is too late to renew it.
 #[test]
 fn an_overtaken_check_in_is_refused_once_its_lease_counts_as_over() {
     let mut cluster = Cluster::new();
-    let (_, report) = cluster.report("m-000001");
-    let (_, direct) = cluster.report("m-000001");
-    cluster.step(vec![Command::OrdersAnswered(direct)]);
+    let (_, heartbeat) = cluster.heartbeat("m-000001");
+    let (_, direct) = cluster.heartbeat("m-000001");
+    cluster.step(vec![Command::DirectCommandAnswered(direct)]);
     cluster.placed_elsewhere();
-    assert!(refused(&mut cluster, report));
+    assert!(refused(&mut cluster, heartbeat));
 }
--- a/tests/leases/interleavings.rs
+++ b/tests/leases/interleavings.rs
@@ -4,7 +4,7 @@
 //! lease that it really has has ended.
 
 use super::common::{self, spec};
-use super::stand_ins::{machine_types, outcome, report};
+use super::stand_ins::{heartbeat, machine_types, outcome};
 use dockpier::blocks::{Block, BlockAnswer, BlockHeartbeat};
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
@@ -12,11 +12,11 @@
 use dockpier::settings::{Operator, Workers};
 use std::collections::BTreeMap;
 
-/// Long against the margin of a lease, so that one report that is not noted shows.
+/// Long against the margin of a lease, so that one heartbeat that is not noted shows.
 const REPORT: u64 = 6 * SECOND;
 const LEASE: u64 = 20 * SECOND;
 const BLOCK_LEASE: u64 = 8 * SECOND;
-/// How long a worker waits for the answer to a report.
+/// How long a worker waits for the answer to a heartbeat.
 const ANSWER_PATIENCE: u64 = 4 * SECOND;
 /// Events of an order, each a message delivered or a step of time, and steps of time among them at most.
 const DEPTH: usize = 6;
@@ -33,18 +33,18 @@
 
 /// A message on its way.
 enum Message {
-    /// The worker's report, at its node.
-    Report(Report),
-    /// A report that the lessee passed on, at the leader.
-    PassedOn(Report),
+    /// The worker's heartbeat, at its node.
+    WorkerHeartbeat(Heartbeat),
+    /// A heartbeat that the lessee passed on, at the leader.
+    PassedOn(Heartbeat),
     /// The leader's answer to it, at the lessee.
-    Reply { report: Report, renews: bool, keep: bool, orders: Vec<Order> },
-    /// The answer to the report of this sequence, at the worker; None: it is sent elsewhere.
+    Reply { heartbeat: Heartbeat, renews: bool, keep: bool, orders: Vec<Order> },
+    /// The answer to the heartbeat of this sequence, at the worker; None: it is sent elsewhere.
     Answer { sequence: u64, orders: Option<Vec<Order>> },
     /// Direct commands, at the worker.
     Direct(Vec<Order>),
     /// The worker's answer to them, at the leader.
-    DirectAnswer(Report),
+    DirectAnswer(Heartbeat),
     /// At the leader.
     Heartbeat { heartbeat: BlockHeartbeat, stamp: u64 },
     /// At the lessee.
@@ -59,7 +59,7 @@
     sequence: u64,
     token: u64,
     tasks: BTreeMap<TaskId, (u64, TaskStatus)>,
-    /// Sequence and time of the report that it waits for.
+    /// Sequence and time of the heartbeat that it waits for.
     waits: Option<(u64, u64)>,
     report_due: u64,
     lease_until: u64,
@@ -78,10 +78,10 @@
 }
 
 impl Worker {
-    fn report(&mut self, name: &str) -> Report {
+    fn heartbeat(&mut self, name: &str) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|(id, (attempt, status))| (*id, *attempt, *status));
-        report(name, self.sequence, self.token, tasks)
+        heartbeat(name, self.sequence, self.token, tasks)
     }
 
     /// Carries orders out; whether its tasks changed.
@@ -105,7 +105,7 @@
         self.tasks != before
     }
 
-    /// The answer to a report has come.
+    /// The answer to a heartbeat has come.
     fn answered(&mut self, now: u64, sequence: u64, orders: Option<&[Order]>) {
         let Some((_, sent)) = self.waits.filter(|(waits_for, _)| *waits_for == sequence) else { return };
         self.waits = None;
@@ -121,7 +121,7 @@
 }
 
 impl World {
-    /// Both replicas run on the watched worker; its next report is under way, and one of them has just been cancelled.
+    /// Both replicas run on the watched worker; its next heartbeat is under way, and one of them has just been cancelled.
     fn new(by_lessee: bool) -> Self {
         let workers = Workers {
             report_s: REPORT as f64 / SECOND as f64,
@@ -193,31 +193,31 @@
 
     fn report_if_due(&mut self) {
         if self.worker.waits.is_none() && self.now >= self.worker.report_due {
-            let report = self.worker.report(WATCHED);
-            self.worker.waits = Some((report.sequence, self.now));
-            self.send(Message::Report(report));
+            let heartbeat = self.worker.heartbeat(WATCHED);
+            self.worker.waits = Some((heartbeat.sequence, self.now));
+            self.send(Message::WorkerHeartbeat(heartbeat));
         }
     }
 
     fn report_of_empty(&mut self) {
         for _ in 0..3 {
-            let report = self.empty.report(EMPTY);
-            self.leader(vec![Command::Checkin { reply: 0, report, via: None }]);
+            let heartbeat = self.empty.heartbeat(EMPTY);
+            self.leader(vec![Command::Heartbeat { reply: 0, heartbeat, via: None }]);
         }
     }
 
     fn deliver(&mut self, at: usize) {
         match self.under_way.remove(at) {
-            Message::Report(report) if self.by_lessee => self.at_lessee(report),
-            Message::Report(report) => {
-                let reply = report.sequence;
-                self.leader(vec![Command::Checkin { reply, report, via: None }]);
+            Message::WorkerHeartbeat(heartbeat) if self.by_lessee => self.at_lessee(heartbeat),
+            Message::WorkerHeartbeat(heartbeat) => {
+                let reply = heartbeat.sequence;
+                self.leader(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
             }
-            Message::PassedOn(report) => self.pass_on(report),
-            Message::Reply { report, renews, keep, orders } => {
-                let sequence = report.sequence;
+            Message::PassedOn(heartbeat) => self.pass_on(heartbeat),
+            Message::Reply { heartbeat, renews, keep, orders } => {
+                let sequence = heartbeat.sequence;
                 if renews {
-                    self.block.passed(self.now, report, 1, keep);
+                    self.block.passed(self.now, heartbeat, 1, keep);
                 }
                 self.send(Message::Answer { sequence, orders: renews.then_some(orders) });
             }
@@ -229,15 +229,15 @@
                 if self.worker.take(&orders) {
                     self.worker.report_due = self.now;
                 }
-                let answer = self.worker.report(WATCHED);
+                let answer = self.worker.heartbeat(WATCHED);
                 self.send(Message::DirectAnswer(answer));
                 self.report_if_due();
             }
-            Message::DirectAnswer(report) => self.leader(vec![Command::OrdersAnswered(report)]),
+            Message::DirectAnswer(heartbeat) => self.leader(vec![Command::DirectCommandAnswered(heartbeat)]),
             Message::Heartbeat { heartbeat, stamp } => {
                 let BlockHeartbeat { id, whole, fresh, machines } = heartbeat;
                 let covers = whole.then_some(stamp);
-                self.leader(vec![Command::Heard { node: LESSEE, machines, covers, fresh }]);
+                self.leader(vec![Command::ShardHeartbeat { node: LESSEE, machines, covers, fresh }]);
                 self.send(Message::Confirmed(id));
             }
             Message::Confirmed(id) => {
@@ -247,19 +247,19 @@
         }
     }
 
-    fn at_lessee(&mut self, report: Report) {
-        let sequence = report.sequence;
-        match self.block.answers(self.now, &report, true) {
+    fn at_lessee(&mut self, heartbeat: Heartbeat) {
+        let sequence = heartbeat.sequence;
+        match self.block.answers(self.now, &heartbeat, true) {
             BlockAnswer::Renews(..) => self.send(Message::Answer { sequence, orders: Some(vec![]) }),
             BlockAnswer::Copy => self.send(Message::Answer { sequence, orders: None }),
-            BlockAnswer::NotOurs => self.send(Message::PassedOn(report)),
+            BlockAnswer::NotOurs => self.send(Message::PassedOn(heartbeat)),
         }
     }
 
-    fn pass_on(&mut self, report: Report) {
-        let reply = report.sequence;
+    fn pass_on(&mut self, heartbeat: Heartbeat) {
+        let reply = heartbeat.sequence;
         let first = self.under_way.len();
-        self.leader(vec![Command::Checkin { reply, report: report.clone(), via: Some(LESSEE) }]);
+        self.leader(vec![Command::Heartbeat { reply, heartbeat: heartbeat.clone(), via: Some(LESSEE) }]);
         // What the leader answers goes by way of the lessee.
         let answer =
             |message: &Message| matches!(message, Message::Answer { sequence, .. } if *sequence == reply);
@@ -267,7 +267,7 @@
         if let Message::Answer { orders, .. } = self.under_way.remove(first + at) {
             let renews = orders.is_some();
             let keep = orders.as_ref().is_some_and(Vec::is_empty);
-            self.send(Message::Reply { report, renews, keep, orders: orders.unwrap_or_default() });
+            self.send(Message::Reply { heartbeat, renews, keep, orders: orders.unwrap_or_default() });
         }
     }
 
@@ -309,11 +309,11 @@
             let heartbeat = self.block.tell(self.now).filter(|_| lessee_heard);
             if let Some(BlockHeartbeat { id, whole, fresh, machines }) = heartbeat {
                 let covers = whole.then_some(self.now);
-                self.leader(vec![Command::Heard { node: LESSEE, machines, covers, fresh }]);
+                self.leader(vec![Command::ShardHeartbeat { node: LESSEE, machines, covers, fresh }]);
                 self.block.confirmed(id, BLOCK_LEASE);
             }
-            let report = self.empty.report(EMPTY);
-            self.leader(vec![Command::Checkin { reply: 0, report, via: None }]);
+            let heartbeat = self.empty.heartbeat(EMPTY);
+            self.leader(vec![Command::Heartbeat { reply: 0, heartbeat, via: None }]);
         }
         let started = self.started_elsewhere.unwrap_or_else(|| panic!("{order:?}: never started elsewhere"));
         let early_s = self.worker.lease_until.saturating_sub(started) as f64 / SECOND as f64;
--- a/tests/leases/stand_ins.rs
+++ b/tests/leases/stand_ins.rs
@@ -30,14 +30,14 @@
     }
 }
 
-/// A worker's report in its first session.
-pub fn report(
+/// A worker's heartbeat in its first session.
+pub fn heartbeat(
     machine: &str,
     sequence: u64,
     token: u64,
     tasks: impl Iterator<Item = (TaskId, u64, TaskStatus)>,
-) -> Report {
-    Report {
+) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         address: String::new(),
         machine_type: "m".into(),
--- a/tests/loopback/standins.rs
+++ b/tests/loopback/standins.rs
@@ -443,11 +443,12 @@
             .iter()
             .map(|(load, t)| json!({"load": load, "launch": t.0, "status": t.1, "cause": t.2}))
             .collect();
-        let report = json!({"vessel": name, "address": "127.0.0.1:9", "hull": "m4", "quay": machine["quay"],
+        let heartbeat = json!({"vessel": name, "address": "127.0.0.1:9", "hull": "m4", "quay": machine["quay"],
             "driftwood": machine["driftwood"], "watch": 1, "tally": tally, "helm": helm, "recall_s": null,
             "loads": loads});
         let url = format!("http://{}/checkin", nodes[at % nodes.len()]);
-        let answer = client.post(url).body(report.to_string()).timeout(Duration::from_secs(4)).send().await;
+        let answer =
+            client.post(url).body(heartbeat.to_string()).timeout(Duration::from_secs(4)).send().await;
         let body: Option<Value> = match answer {
             Ok(answer) if answer.status() == 200 => {
                 serde_json::from_slice(&answer.bytes().await.unwrap_or_default()).ok()
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -3,7 +3,7 @@
 use crate::golden;
 use crate::node_api::machine_type;
 use dockpier::limits;
-use dockpier::scheduler::model::{JobId, JobSpec, Kind, Priority, Report, Resources};
+use dockpier::scheduler::model::{Heartbeat, JobId, JobSpec, Kind, Priority, Resources};
 use dockpier::scheduler::overview::PageStart;
 use dockpier::scheduler::{Command, Config, Scheduler, StoredJob, StoredMachine};
 use dockpier::settings::{Operator, Team, Workers};
@@ -70,7 +70,7 @@
 }
 
 fn report(name: &str, sequence: u64) -> Command {
-    let report = Report {
+    let report = Heartbeat {
         machine: name.into(),
         address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -82,7 +82,7 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    Command::Checkin { reply: sequence, report, via: None }
+    Command::Heartbeat { reply: sequence, heartbeat: report, via: None }
 }
 
 /// A leader that inherited a job of each priority and two machines, of which one reports for twenty seconds.
--- a/tests/pinned_state/node_api.rs
+++ b/tests/pinned_state/node_api.rs
@@ -4,14 +4,14 @@
 use crate::golden::masked;
 use crate::standins::{self, State};
 use dockpier::api::{routes, Api, ApiSettings, Health, Types};
-use dockpier::controller::{CheckinReply, Event, FrameCounts, NodeView};
+use dockpier::controller::{Event, FrameCounts, HeartbeatReply, NodeView};
 use dockpier::http::{Clock, Http};
 use dockpier::lease_renewal::AnswerCounts;
 use dockpier::limits::Capacity;
-use dockpier::protocol::workers::{Checkin, CheckinAnswer, WorkerCommand};
+use dockpier::protocol::workers::{HeartbeatRequest, HeartbeatResponse, WorkerCommand};
 use dockpier::scheduler::model::{MachineType, Resources};
 use dockpier::scheduler::overview::{JobLine, MachineLine, Overview, PageStart};
-use dockpier::scheduler::ReportsIgnored;
+use dockpier::scheduler::IgnoredHeartbeats;
 use dockpier::settings::{Draining, StateLimits, Team};
 use dockpier::store::Store;
 use poem::listener::TcpAcceptor;
@@ -120,7 +120,7 @@
         // Whoever asked may have gone.
         match event {
             Event::Overview(start, to) => drop(to.send(node_view(&start))),
-            Event::Checkin(checkin, to) => drop(to.send(checkin_reply(&checkin))),
+            Event::Heartbeat(checkin, to) => drop(to.send(checkin_reply(&checkin))),
             Event::Cancelled(_, to) => drop(to.send(true)),
             _ => {}
         }
@@ -168,15 +168,15 @@
         machines: vec![machine],
         more_machines: 6,
         decisions: vec![asked, "7 s into token 41: something was \"decided\"".into()],
-        reports_ignored: ReportsIgnored { overtaken: 7, stale: 8 },
+        ignored_heartbeats: IgnoredHeartbeats { overtaken: 7, stale: 8 },
     }
 }
 
 /// By the machine's name: orders, another node, no node, or a refusal.
-fn checkin_reply(checkin: &Checkin) -> CheckinReply {
+fn checkin_reply(checkin: &HeartbeatRequest) -> HeartbeatReply {
     let task = || "job-000412/3".to_string();
     match checkin.machine.as_str() {
-        "m-000001" => CheckinReply::Orders(CheckinAnswer {
+        "m-000001" => HeartbeatReply::Accepted(HeartbeatResponse {
             token: 41,
             commands: vec![
                 WorkerCommand::Start { task: task(), attempt: 6 },
@@ -184,8 +184,8 @@
                 WorkerCommand::Forget { task: task(), attempt: 4 },
             ],
         }),
-        "m-000002" => CheckinReply::Elsewhere(Some("berth-1".into())),
-        "m-000003" => CheckinReply::Elsewhere(None),
-        _ => CheckinReply::Malformed,
+        "m-000002" => HeartbeatReply::Redirected(Some("berth-1".into())),
+        "m-000003" => HeartbeatReply::Redirected(None),
+        _ => HeartbeatReply::Malformed,
     }
 }
--- a/tests/pinned_wire/http_edge.rs
+++ b/tests/pinned_wire/http_edge.rs
@@ -4,10 +4,10 @@
 use crate::wire::{ask, Message, StandIn};
 use crate::{spell, worker_orders};
 use dockpier::api::{routes, Api, ApiSettings, Health, Summary, Types};
-use dockpier::controller::{CheckinReply, Event};
+use dockpier::controller::{Event, HeartbeatReply};
 use dockpier::http::{Clock, Http};
 use dockpier::limits::Capacity;
-use dockpier::scheduler::model::{JobId, MachineType, Report, Resources};
+use dockpier::scheduler::model::{Heartbeat, JobId, MachineType, Resources};
 use dockpier::settings::{Draining, StateLimits, Team};
 use dockpier::store::Store;
 use poem::listener::TcpAcceptor;
@@ -166,8 +166,8 @@
     }
     while let Some(event) = queue.recv().await {
         match event {
-            Event::Checkin(checkin, to) => {
-                let report = Report::try_from(checkin);
+            Event::Heartbeat(checkin, to) => {
+                let report = Heartbeat::try_from(checkin);
                 reports.lock().unwrap().extend(report.as_ref().map(spell::report));
                 if let Some(reply) = reply(owner) {
                     let _ = to.send(reply);
@@ -179,13 +179,13 @@
     }
 }
 
-fn reply(owner: Owner) -> Option<CheckinReply> {
+fn reply(owner: Owner) -> Option<HeartbeatReply> {
     match owner {
-        Owner::Leads => Some(CheckinReply::Orders(worker_orders::answer(41, &worker_orders::orders()))),
-        Owner::LeadsCalmly => Some(CheckinReply::Orders(worker_orders::answer(41, &[]))),
-        Owner::KnowsLeader => Some(CheckinReply::Elsewhere(Some("berth-2".into()))),
-        Owner::KnowsNoLeader => Some(CheckinReply::Elsewhere(None)),
-        Owner::Refuses => Some(CheckinReply::Malformed),
+        Owner::Leads => Some(HeartbeatReply::Accepted(worker_orders::answer(41, &worker_orders::orders()))),
+        Owner::LeadsCalmly => Some(HeartbeatReply::Accepted(worker_orders::answer(41, &[]))),
+        Owner::KnowsLeader => Some(HeartbeatReply::Redirected(Some("berth-2".into()))),
+        Owner::KnowsNoLeader => Some(HeartbeatReply::Redirected(None)),
+        Owner::Refuses => Some(HeartbeatReply::Malformed),
         Owner::Silent | Owner::Gone => None,
     }
 }
--- a/tests/pinned_wire/reports.rs
+++ b/tests/pinned_wire/reports.rs
@@ -3,8 +3,8 @@
 use crate::spell;
 use crate::transcript::{object, outcome, with, without, Fields, Transcript};
 use dockpier::protocol;
-use dockpier::protocol::workers::Checkin;
-use dockpier::scheduler::model::Report;
+use dockpier::protocol::workers::HeartbeatRequest;
+use dockpier::scheduler::model::Heartbeat;
 
 /// The check-in on the protocol's page.
 pub const CHECKIN: &Fields = &[
@@ -80,9 +80,9 @@
     "",
 ];
 
-fn read(text: &str) -> Result<Report, String> {
-    let checkin: Checkin = protocol::parse(text.as_bytes())?;
-    Report::try_from(checkin).map_err(|unreadable| unreadable.to_string())
+fn read(text: &str) -> Result<Heartbeat, String> {
+    let checkin: HeartbeatRequest = protocol::parse(text.as_bytes())?;
+    Heartbeat::try_from(checkin).map_err(|unreadable| unreadable.to_string())
 }
 
 pub fn read_text(text: &str) -> String {
--- a/tests/pinned_wire/spell.rs
+++ b/tests/pinned_wire/spell.rs
@@ -2,7 +2,7 @@
 
 use dockpier::protocol::users::{JobState, JobStatus};
 use dockpier::scheduler::model::{
-    ExitReason, JobSpec, Kind, MachineType, Priority, Report, Resources, TaskStatus,
+    ExitReason, Heartbeat, JobSpec, Kind, MachineType, Priority, Resources, TaskStatus,
 };
 use dockpier::scheduler::{ListedMachine, Outcome};
 
@@ -41,7 +41,7 @@
 }
 
 /// A worker's report.
-pub fn report(report: &Report) -> String {
+pub fn report(report: &Heartbeat) -> String {
     let machine = format!(
         "machine {:?} address {:?} type {:?} zone {:?} spot {}",
         report.machine, report.address, report.machine_type, report.zone, report.spot
--- a/tests/pinned_wire/worker_orders.rs
+++ b/tests/pinned_wire/worker_orders.rs
@@ -7,7 +7,9 @@
 use crate::{on_runtime, spell};
 use dockpier::http::Http;
 use dockpier::lease_renewal::LastAnswer;
-use dockpier::protocol::workers::{Checkin, CheckinAnswer, DirectCommands, Redirect, WorkerCommand};
+use dockpier::protocol::workers::{
+    DirectCommands, HeartbeatRequest, HeartbeatResponse, Redirect, WorkerCommand,
+};
 use dockpier::scheduler::model::{JobId, TaskId};
 use dockpier::scheduler::Order;
 use dockpier::worker::send_commands;
@@ -36,8 +38,8 @@
 }
 
 /// An answer to a check-in under a token.
-pub fn answer(token: u64, orders: &[Order]) -> CheckinAnswer {
-    CheckinAnswer::new(token, LastAnswer::default().note(1), orders)
+pub fn answer(token: u64, orders: &[Order]) -> HeartbeatResponse {
+    HeartbeatResponse::new(token, LastAnswer::default().note(1), orders)
 }
 
 fn direct(token: u64, session: u64, orders: &[Order]) -> DirectCommands {
@@ -58,7 +60,7 @@
     let written = |session, orders: &[Order]| serde_json::to_string(&direct(41, session, orders)).unwrap();
     transcript.case("direct orders", written(1, &orders()));
     transcript.case("direct orders with numbers at their bounds", written(u64::MAX, &extreme_orders()));
-    let checkin: Checkin = serde_json::from_str(&object(CHECKIN)).unwrap();
+    let checkin: HeartbeatRequest = serde_json::from_str(&object(CHECKIN)).unwrap();
     transcript.case("check-in, written again", serde_json::to_string(&checkin).unwrap());
     for signal in [
         r#"{"signal":"run","load":"job-000412/4","launch":2}"#,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -115,7 +115,7 @@
             via: None,
         };
         fleet.step(vec![Command::Types(vec![machine_type]), Command::Load { jobs: vec![], records: vec![] }]);
-        (0..3).for_each(|_| fleet.report());
+        (0..3).for_each(|_| fleet.heartbeat());
         fleet
     }
 
@@ -176,19 +176,20 @@
     }
 
     /// All machines report within four seconds, in batches as they come.
-    fn report(&mut self) {
+    fn heartbeat(&mut self) {
         self.sequence += 1;
         let batches = 40;
         for batch in 0..batches {
             self.now += 4 * SECOND / batches as u64;
-            let reports = (batch..self.machines).step_by(batches);
-            let commands = reports.filter(|i| !self.deleted.contains(&name(*i))).map(|i| self.checkin(i));
+            let heartbeats = (batch..self.machines).step_by(batches);
+            let commands =
+                heartbeats.filter(|i| !self.deleted.contains(&name(*i))).map(|i| self.heartbeat_request(i));
             let commands = commands.collect();
             self.step(commands);
         }
     }
 
-    fn checkin(&self, i: usize) -> Command {
+    fn heartbeat_request(&self, i: usize) -> Command {
         let machine = name(i);
         let tasks = self.running.get(&machine).into_iter().flatten();
         let status = if self.fetching { TaskStatus::Fetching } else { TaskStatus::Running };
@@ -196,10 +197,10 @@
             true => TaskStatus::Exited(ExitReason::Done),
             false => status,
         };
-        let report =
+        let heartbeat =
             |(id, attempt): (&TaskId, &u64)| ReportedTask { id: *id, attempt: *attempt, status: status(id) };
-        let tasks = tasks.map(report).collect();
-        let report = Report {
+        let tasks = tasks.map(heartbeat).collect();
+        let heartbeat = Heartbeat {
             machine,
             address: String::new(),
             machine_type: "m".into(),
@@ -207,12 +208,12 @@
             spot: false,
             session: 1,
             sequence: self.sequence,
-            // The first report of all states no token yet.
+            // The first heartbeat of all states no token yet.
             token: if self.sequence > 1 { self.token } else { 0 },
             notice_s: None,
             tasks,
         };
-        Command::Checkin { reply: i as u64, report, via: self.via }
+        Command::Heartbeat { reply: i as u64, heartbeat, via: self.via }
     }
 
     fn submit(&mut self, spec: JobSpec) {
@@ -237,7 +238,7 @@
     }
 }
 
-/// A round used to look at every machine for every task, for every batch of reports: the leader of 850
+/// A round used to look at every machine for every task, for every batch of heartbeats: the leader of 850
 /// machines did nothing else. What nobody changed must cost nothing but the idle rounds, and an arrival a
 /// few looks at the fleet.
 #[test]
@@ -254,12 +255,12 @@
         fleet.submit(spec(job_id, Kind::Array, Priority::Normal, 30));
     }
     // Each job looked at every machine: at 6,000 a fifth of a core took more than half a minute for these.
-    (0..5).for_each(|_| fleet.report());
+    (0..5).for_each(|_| fleet.heartbeat());
     let placed: usize = fleet.running.values().map(BTreeMap::len).sum();
     assert_eq!(placed, 250 * 4 + 70 * 30);
 
     let calm = fleet.scheduler.steps;
-    fleet.report();
+    fleet.heartbeat();
     let idle_rounds = 4 * SECOND / limits::ROUND_IDLE + 1;
     let each = 2 * machines as u64 + 320;
     assert!(fleet.scheduler.steps - calm <= idle_rounds * each, "{} steps", fleet.scheduler.steps - calm);
@@ -269,7 +270,7 @@
     fleet.submit(spec(600, Kind::Array, Priority::Normal, 150));
     let used = fleet.scheduler.steps - before;
     assert!(used <= 10 * machines as u64, "{used} steps for one arrival");
-    (0..2).for_each(|_| fleet.report());
+    (0..2).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.width(600), 150);
 }
 
@@ -308,9 +309,9 @@
     for job_id in 0..40 {
         fleet.submit(spec(job_id, Kind::Array, Priority::Normal, 30));
     }
-    (0..3).for_each(|_| fleet.report());
+    (0..3).for_each(|_| fleet.heartbeat());
     (0..40).for_each(|job_id| fleet.complete(job_id));
-    (0..6).for_each(|_| fleet.report());
+    (0..6).for_each(|_| fleet.heartbeat());
     assert!(fleet.scheduler.jobs.is_empty());
     // All its tasks end within one interval of reports here; results are kept on the workers meanwhile.
     assert!(fleet.job_writes <= 40 * 4, "{} changes for 40 jobs", fleet.job_writes);
@@ -318,14 +319,14 @@
     assert!(images <= 2 * 400 / 12, "{images} changes for the machines' images");
 }
 
-/// A machine came up, was recorded at its first report, and was deleted at once: it had been taken for
+/// A machine came up, was recorded at its first heartbeat, and was deleted at once: it had been taken for
 /// one of the last leader's that does not come.
 #[test]
 fn a_new_machine_is_not_taken_for_one_that_does_not_come() {
     let mut fleet = Fleet::new(0);
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 1));
     // Long after the leader's start, as a boot is.
-    (0..5).for_each(|_| fleet.report());
+    (0..5).for_each(|_| fleet.heartbeat());
     fleet.machines = 1;
     fleet.step(vec![Command::Listed(vec![dockpier::scheduler::ListedMachine {
         machine: recorded(0),
@@ -333,7 +334,7 @@
         age_s: 1.0,
     }])]);
     fleet.sequence = 0;
-    (0..4).for_each(|_| fleet.report());
+    (0..4).for_each(|_| fleet.heartbeat());
     assert!(fleet.deleted.is_empty());
     assert_eq!(fleet.width(1), 1);
 }
@@ -345,7 +346,7 @@
     let mut fleet = Fleet::new(12);
     fleet.deaf.insert(name(3));
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 44));
-    (0..6).for_each(|_| fleet.report());
+    (0..6).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.deleted, BTreeSet::from([name(3)]));
     assert_eq!(fleet.width(1), 44);
 }
@@ -356,10 +357,10 @@
     let mut fleet = Fleet::new(12);
     fleet.deaf.extend((0..6).map(name));
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 40));
-    (0..6).for_each(|_| fleet.report());
+    (0..6).for_each(|_| fleet.heartbeat());
     assert!(fleet.deleted.is_empty());
     fleet.deaf.clear();
-    (0..6).for_each(|_| fleet.report());
+    (0..6).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.width(1), 40);
 }
 
@@ -370,10 +371,10 @@
     let mut fleet = Fleet::new(12);
     fleet.scheduler.config.block_lease = 14 * SECOND;
     fleet.via = Some(1);
-    (0..2).for_each(|_| fleet.report());
+    (0..2).for_each(|_| fleet.heartbeat());
     fleet.deaf.extend((0..2).map(name));
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 48));
-    (0..5).for_each(|_| fleet.report());
+    (0..5).for_each(|_| fleet.heartbeat());
     assert!(fleet.deleted.is_empty());
 }
 
@@ -385,15 +386,15 @@
     fleet.scheduler.config.block_lease = 14 * SECOND;
     fleet.via = Some(1);
     fleet.submit(spec(1, Kind::Array, Priority::Normal, MACHINES as u32 * SLOTS as u32));
-    (0..3).for_each(|_| fleet.report());
+    (0..3).for_each(|_| fleet.heartbeat());
     fleet.machines = 0;
     for _ in 0..4 {
-        fleet.report();
+        fleet.heartbeat();
         assert!(fleet.deleted.is_empty());
     }
     // They come another way.
     (fleet.machines, fleet.via) = (MACHINES - 10, None);
-    (0..4).for_each(|_| fleet.report());
+    (0..4).for_each(|_| fleet.heartbeat());
     assert!(fleet.deleted.is_empty() || fleet.deleted.iter().all(|m| *m >= name(MACHINES - 10)));
 }
 
@@ -402,7 +403,7 @@
 fn a_mass_death_is_told_from_a_fault_of_our_own() {
     let mut fleet = Fleet::new(MACHINES);
     fleet.machines = MACHINES - 30;
-    (0..4).for_each(|_| fleet.report());
+    (0..4).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.deleted.len(), 30);
 }
 
@@ -433,7 +434,7 @@
                 fleet.submit(spec(1, Kind::Array, Priority::Low, 90));
                 wide_since = Some(fleet.now);
             }
-            fleet.report();
+            fleet.heartbeat();
             if fleet.width(1) > 0 && began.is_none() {
                 began = Some(fleet.now);
                 // A beginning, and what a round turns over, is not all that it asks for.
@@ -452,16 +453,16 @@
     let mut fleet = Fleet::new(1);
     let array = |job_id, tasks| spec(job_id, Kind::Array, Priority::Low, tasks);
     fleet.submit(array(1, 4));
-    fleet.report();
+    fleet.heartbeat();
     // The fleet is full. The long job comes first, the short one later.
     fleet.submit(array(2, 200));
-    fleet.report();
+    fleet.heartbeat();
     fleet.submit(array(3, 2));
-    (0..2).for_each(|_| fleet.report());
+    (0..2).for_each(|_| fleet.heartbeat());
     fleet.finish(1);
-    fleet.report();
+    fleet.heartbeat();
     assert_eq!((fleet.width(2), fleet.width(3)), (0, 2));
-    fleet.report();
+    fleet.heartbeat();
     assert_eq!(fleet.width(2), 2);
     // An endless row of short ones does not keep the long one out.
     fleet.finish(3);
@@ -469,7 +470,7 @@
     fleet.submit(array(4, 200));
     for job_id in 10..70 {
         fleet.submit(array(job_id, 2));
-        fleet.report();
+        fleet.heartbeat();
         fleet.finish(job_id.saturating_sub(2));
     }
     assert!(fleet.width(4) > 0);
@@ -483,14 +484,14 @@
     fleet.fetching = true;
     // Different images: `spec` names them by the job's number.
     (1..4).for_each(|job_id| fleet.submit(spec(job_id, Kind::Array, Priority::Normal, 1)));
-    (0..3).for_each(|_| fleet.report());
+    (0..3).for_each(|_| fleet.heartbeat());
     let running = |fleet: &Fleet| (1..4).map(|job_id| fleet.width(job_id)).sum::<usize>();
     assert_eq!(running(&fleet), 1);
-    (0..12).for_each(|_| fleet.report());
+    (0..12).for_each(|_| fleet.heartbeat());
     assert_eq!(running(&fleet), 3);
 }
 
-/// After a takeover the machines that do not come were judged beside the few that report to the leader
+/// After a takeover the machines that do not come were judged beside the few that heartbeat to the leader
 /// itself, and seemed too many to be their own fault: inherited work waited for the end of their leases.
 #[test]
 fn machines_that_do_not_come_are_judged_against_all_that_do() {
@@ -500,7 +501,7 @@
     fleet.step(vec![Command::Load { jobs: vec![], records }]);
     // Four of sixteen are dead, and all the others report to a lessee.
     (fleet.machines, fleet.via, fleet.sequence) = (12, Some(1), 0);
-    (0..4).for_each(|_| fleet.report());
+    (0..4).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.deleted, (12..16).map(name).collect());
 }
 
@@ -525,12 +526,12 @@
                 }
             }
         }
-        fleet.report();
+        fleet.heartbeat();
         most = most.max(fleet.scheduler.jobs.len());
     }
     assert!(most <= 4 * A_ROUND as usize, "{most} jobs known at once");
     (0..45 * A_ROUND).for_each(|id| fleet.complete(id));
-    (0..4).for_each(|_| fleet.report());
+    (0..4).for_each(|_| fleet.heartbeat());
     assert!(fleet.scheduler.jobs.is_empty(), "{} jobs never ended", fleet.scheduler.jobs.len());
     assert!(fleet.job_writes <= 2 * 45 * A_ROUND as usize, "{} changes", fleet.job_writes);
 }
@@ -563,10 +564,10 @@
     fleet.step(vec![types, Command::Load { jobs: vec![], records }]);
     let (writes, begun) = (fleet.machine_writes, fleet.now);
     fleet.token = 2;
-    (0..3).for_each(|_| fleet.report());
+    (0..3).for_each(|_| fleet.heartbeat());
     assert_eq!((fleet.machine_writes, fleet.deleted.len()), (writes, 0));
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 1));
-    fleet.report();
+    fleet.heartbeat();
     assert_eq!(fleet.width(1), 1);
     assert!(fleet.now - begun <= 5 * 4 * SECOND);
 }
