--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -39,9 +39,9 @@
     drains: bool,
     /// Leaders keep unknown tasks until the store was asked, and order inherited ones at a pace.
     cold_start: bool,
-    /// Some reports take long to arrive while their worker waits, and direct commands are answered meanwhile.
+    /// Some heartbeats take long to arrive while their worker waits, and direct commands are answered meanwhile.
     slow_reports: bool,
-    /// Interval between reports, in seconds.
+    /// Interval between heartbeats, in seconds.
     report_s: f64,
 }
 
@@ -201,9 +201,9 @@
     up_at: u64,
     dead: bool,
     cut_until: u64,
-    /// Until then its reports arrive, but nothing reaches it.
+    /// Until then its heartbeats arrive, but nothing reaches it.
     deaf_until: u64,
-    /// Until then its reports reach nobody, while direct commands reach it.
+    /// Until then its heartbeats reach nobody, while direct commands reach it.
     mute_until: u64,
     /// Until then every task that starts on it fails.
     sick_until: u64,
@@ -216,20 +216,20 @@
     token: u64,
     lease_until: u64,
     next_report: u64,
-    /// Until then it waits for the answer to its last report, and sends none.
+    /// Until then it waits for the answer to its last heartbeat, and sends none.
     waits_until: u64,
     tasks: BTreeMap<TaskId, Running>,
     gone: BTreeSet<(TaskId, u64)>,
 }
 
-/// A report whose worker waits for the answer.
+/// A heartbeat whose worker waits for the answer.
 struct Awaited {
     machine: String,
     session: u64,
     sent: u64,
 }
 
-/// How long a worker waits for the answer to a report.
+/// How long a worker waits for the answer to a heartbeat.
 const ANSWER_PATIENCE: u64 = 4 * SECOND;
 
 /// A controller that does not lead, and until when it and the leader do not hear one another.
@@ -248,8 +248,8 @@
     deployment: Deployment,
     workers: BTreeMap<String, Worker>,
     lessees: Vec<Lessee>,
-    /// Reports that lessees passed on, by number.
-    passed_on: BTreeMap<u64, (usize, Report)>,
+    /// Heartbeats that lessees passed on, by number.
+    passed_on: BTreeMap<u64, (usize, Heartbeat)>,
     answered_by_lessees: u64,
     cloud_down_until: u64,
     specs: BTreeMap<JobId, JobSpec>,
@@ -263,12 +263,12 @@
     later: Vec<(u64, Command)>,
     /// Records on their way to the state service: when they are carried out, their key and what they say.
     writes: Vec<(u64, String, Vec<StoredMachine>)>,
-    /// Reports that arrive late, when, and at which controller.
-    held: Vec<(u64, Option<usize>, Report)>,
+    /// Heartbeats that arrive late, when, and at which controller.
+    held: Vec<(u64, Option<usize>, Heartbeat)>,
     /// Direct commands that arrive late: when, where, under which token and session.
     held_orders: Vec<(u64, String, u64, u64, Vec<Order>)>,
     /// The last reports of each worker, for a copy of them to arrive anywhere.
-    reported: BTreeMap<String, Vec<Report>>,
+    reported: BTreeMap<String, Vec<Heartbeat>>,
     orders_of_former_leaders: u64,
     /// Reports on their way to the leader, whose workers wait: when they arrive.
     slow: Vec<(u64, Command)>,
@@ -385,10 +385,10 @@
 
     /// Copies of old reports reach every controller just as a new leader begins.
     fn repeat_old_reports(&mut self) {
-        for report in self.reported.values().flatten() {
+        for heartbeat in self.reported.values().flatten() {
             for at in [None, Some(0), Some(1)] {
                 let delay = self.rng.random_range(0..30) * STEP;
-                self.held.push((self.now + delay, at, report.clone()));
+                self.held.push((self.now + delay, at, heartbeat.clone()));
             }
         }
     }
@@ -429,15 +429,15 @@
         }
     }
 
-    /// The answer to direct commands is a report too, and reaches the leader before or after those under way.
+    /// The answer to direct commands is a heartbeat too, and reaches the leader before or after those under way.
     fn answer_orders(&mut self, name: &str) {
-        let Some(report) = self.report(name) else { return };
+        let Some(heartbeat) = self.heartbeat(name) else { return };
         let at = self.now + self.rng.random_range(0..3) * STEP;
-        self.later.push((at, Command::OrdersAnswered(report)));
+        self.later.push((at, Command::DirectCommandAnswered(heartbeat)));
     }
 
     /// What the worker reports next.
-    fn report(&mut self, name: &str) -> Option<Report> {
+    fn heartbeat(&mut self, name: &str) -> Option<Heartbeat> {
         let worker = self.workers.get_mut(name)?;
         worker.sequence += 1;
         let status = |id: &TaskId, task: &Running| {
@@ -450,7 +450,7 @@
         let tasks = tasks
             .map(|(id, t)| ReportedTask { id: *id, attempt: t.attempt, status: status(id, t) })
             .collect();
-        Some(Report {
+        Some(Heartbeat {
             machine: name.to_string(),
             address: String::new(),
             machine_type: "m".into(),
@@ -561,9 +561,9 @@
                 continue;
             }
             worker.next_report = now + jitter;
-            let Some(report) = self.report(&name) else { continue };
+            let Some(heartbeat) = self.heartbeat(&name) else { continue };
             let copies = self.reported.entry(name.clone()).or_default();
-            copies.push(report.clone());
+            copies.push(heartbeat.clone());
             if copies.len() > 3 {
                 copies.remove(0);
             }
@@ -571,7 +571,7 @@
                 // A copy that arrives from a second to well over a lease later, perhaps at another leader,
                 // perhaps after its machine was deleted.
                 let late = self.rng.random_range(SECOND..4 * limits::micros(LEASE_S));
-                self.held.push((now + late, None, report.clone()));
+                self.held.push((now + late, None, heartbeat.clone()));
             }
             let slow = self.deployment.slow_reports && self.rng.random_bool(0.2);
             let arrives = now + if slow { self.rng.random_range(1..15) * STEP } else { 0 };
@@ -586,16 +586,16 @@
             }
             if now < worker.cut_until {
                 // Held by the cut: it arrives late, and nobody waits for its answer.
-                self.held.push((worker.cut_until, None, report));
+                self.held.push((worker.cut_until, None, heartbeat));
             } else if let Some(at) = hold {
-                self.held.push((at, None, report));
+                self.held.push((at, None, heartbeat));
             } else {
                 let reply = (self.token << 40) | (self.version << 20) | (self.replies.len() as u64 + 1);
                 self.version += 1;
                 if let Some(node) = via {
                     let lessee = &mut self.lessees[node];
                     let cut = now < lessee.cut_until;
-                    if let BlockAnswer::Renews(token, _) = lessee.block.answers(now, &report, !cut) {
+                    if let BlockAnswer::Renews(token, _) = lessee.block.answers(now, &heartbeat, !cut) {
                         self.answered_by_lessees += 1;
                         if worker.token <= token && now >= worker.deaf_until {
                             worker.token = token;
@@ -603,19 +603,19 @@
                         }
                         continue;
                     }
-                    if cut || report.token > self.token {
+                    if cut || heartbeat.token > self.token {
                         // Sent elsewhere.
                         worker.via = None;
                         continue;
                     }
-                    self.passed_on.insert(reply, (node, report.clone()));
+                    self.passed_on.insert(reply, (node, heartbeat.clone()));
                 }
                 let awaited = Awaited { machine: name.clone(), session: worker.session, sent: now };
                 self.replies.insert(reply, awaited);
                 if slow {
                     worker.waits_until = now + ANSWER_PATIENCE;
                 }
-                self.slow.push((arrives, Command::Checkin { reply, report, via }));
+                self.slow.push((arrives, Command::Heartbeat { reply, heartbeat, via }));
             }
         }
         let (due, slow) = std::mem::take(&mut self.slow).into_iter().partition(|(at, _)| *at <= now);
@@ -623,23 +623,23 @@
         batch.extend(Vec::into_iter(due).map(|(_, command): (u64, Command)| command));
         let (due, held) = std::mem::take(&mut self.held).into_iter().partition(|(at, ..)| *at <= now);
         self.held = held;
-        for (_, at, report) in Vec::<(u64, Option<usize>, Report)>::into_iter(due) {
+        for (_, at, heartbeat) in Vec::<(u64, Option<usize>, Heartbeat)>::into_iter(due) {
             // The node that a copy comes to tells a leader by its token alone.
-            if report.token > self.token {
+            if heartbeat.token > self.token {
                 continue;
             }
             let mut reply = 0;
             if let Some(node) = at {
                 let lessee = &mut self.lessees[node];
                 let cut = now < lessee.cut_until;
-                if lessee.block.answers(now, &report, !cut) != BlockAnswer::NotOurs || cut {
+                if lessee.block.answers(now, &heartbeat, !cut) != BlockAnswer::NotOurs || cut {
                     continue;
                 }
                 self.version += 1;
                 reply = self.version << 40;
-                self.passed_on.insert(reply, (node, report.clone()));
+                self.passed_on.insert(reply, (node, heartbeat.clone()));
             }
-            batch.push(Command::Checkin { reply, report, via: at });
+            batch.push(Command::Heartbeat { reply, heartbeat, via: at });
         }
     }
 
@@ -656,7 +656,7 @@
                 if self.rng.random_bool(0.1) {
                     continue;
                 }
-                batch.push(Command::Heard { node, machines, covers: whole.then_some(now), fresh });
+                batch.push(Command::ShardHeartbeat { node, machines, covers: whole.then_some(now), fresh });
                 if self.rng.random_bool(0.9) {
                     lessee.block.confirmed(id, BLOCK_LEASE);
                 }
@@ -668,13 +668,13 @@
         let soon = self.now + self.rng.random_range(1..3) * STEP;
         match effect {
             Effect::Answer { reply, renewal, orders, keep } => {
-                if let Some((node, report)) = self.passed_on.remove(&reply) {
+                if let Some((node, heartbeat)) = self.passed_on.remove(&reply) {
                     let lessee = &mut self.lessees[node];
                     if self.now < lessee.cut_until {
                         return;
                     }
                     if renewal.is_some() {
-                        lessee.block.passed(self.now, report, self.token, keep);
+                        lessee.block.passed(self.now, heartbeat, self.token, keep);
                     }
                 }
                 // Nobody waits for the answer to a copy.
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -47,7 +47,7 @@
         TaskStatus::Exited(ExitReason::Busy),
         TaskStatus::Exited(ExitReason::Unknown),
     ];
-    let report = Report {
+    let heartbeat = Heartbeat {
         machine: "m-000231".into(),
         address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -73,11 +73,11 @@
         ("promise", leadership(Message::Promise { echo: 3 })),
         ("release", leadership(Message::Release { token: 4, successor: 1 })),
         ("summary", Payload::Summary(vec![(412, 3, 1), (413, 0, 0)])),
-        ("report", Payload::Report { id: 9, stamp: 11, report }),
-        ("reply", Payload::Reply { id: 9, token: Some(41), keep: true, orders }),
-        ("wake", Payload::Wake(machines.clone())),
-        ("heard", Payload::Heard { id: 3, stamp: 4, whole: true, fresh: false, machines }),
-        ("confirmed", Payload::Confirmed { id: 3, lease_ms: 20_000 }),
+        ("report", Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat }),
+        ("reply", Payload::RelayedResponse { id: 9, token: Some(41), keep: true, orders }),
+        ("wake", Payload::WakeRequest(machines.clone())),
+        ("heard", Payload::ShardHeartbeat { id: 3, stamp: 4, whole: true, fresh: false, machines }),
+        ("confirmed", Payload::ShardHeartbeatAck { id: 3, lease_ms: 20_000 }),
     ]
 }
 
