--- a/crates/dockpier-reconcile/src/evidence.rs
+++ b/crates/dockpier-reconcile/src/evidence.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Tells reports of a machine apart: the session, then the sequence within it.
+/// Tells reports of a machine apart: the agent epoch, then the sequence within it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReportNumber(pub u64, pub u64);
 
--- a/crates/dockpier-virtual-fleet/examples/transcript/effects.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/effects.rs
@@ -35,7 +35,7 @@
             .with("keep", keep)
             .with("orders", orders.len()),
         Effect::Wake { node, machine } => Line::new("wake").with("node", node).with("machine", machine),
-        Effect::Direct { machine, address, session, orders } => Line::new("direct")
+        Effect::Direct { machine, address, agent_epoch: session, orders } => Line::new("direct")
             .with("machine", machine)
             .with("address", address)
             .with("session", session)
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -281,7 +281,7 @@
                 }
             }
             Effect::Wake { node, machine } => self.lessees[node - 1].block.wake(&[machine]),
-            Effect::Direct { machine, session, orders, .. } => {
+            Effect::Direct { machine, agent_epoch: session, orders, .. } => {
                 let Some(worker) = self.workers.get_mut(&machine) else { return };
                 if worker.take_direct(now, session, &orders) {
                     let report = worker.report(now);
--- a/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
@@ -55,7 +55,7 @@
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
-            session: self.session,
+            agent_epoch: self.session,
             sequence: self.sequence,
             token: self.token,
             notice_s: None,
--- a/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
@@ -97,7 +97,7 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            agent_epoch: self.session,
             sequence: self.sequence,
             token: self.token,
             notice_s: self.notice_at.map(|at| at.saturating_sub(now) as f64 / SECOND as f64),
--- a/crates/dockpier-virtual-fleet/src/lib.rs
+++ b/crates/dockpier-virtual-fleet/src/lib.rs
@@ -349,9 +349,10 @@
                     worker.answered(now, token, &orders, &mut self.history);
                 }
             }
-            Effect::Direct { machine, session, orders, .. } => {
+            Effect::Direct { machine, agent_epoch, orders, .. } => {
                 let now = self.now;
-                if let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.session == session) {
+                if let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.agent_epoch == agent_epoch)
+                {
                     worker.take_direct(now, &orders, &mut self.history);
                 }
             }
--- a/crates/dockpier-virtual-fleet/src/worker.rs
+++ b/crates/dockpier-virtual-fleet/src/worker.rs
@@ -31,8 +31,8 @@
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Its session.
-    pub session: u64,
+    /// Its agent epoch.
+    pub agent_epoch: u64,
     /// Its tasks.
     pub tasks: BTreeMap<TaskId, WorkerTask>,
     /// Its slots.
@@ -55,7 +55,7 @@
             number,
             name: name.into(),
             zone: zone.into(),
-            session: 1,
+            agent_epoch: 1,
             tasks: BTreeMap::new(),
             slots,
             dead: false,
@@ -94,7 +94,7 @@
             machine_type: crate::MACHINE_TYPE.into(),
             zone: self.zone.clone(),
             spot: false,
-            session: self.session,
+            agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             token: self.token,
             notice_s: self.taken_at.map(|at| at.saturating_sub(now) as f64 / SECOND as f64),
@@ -110,7 +110,7 @@
         if now > self.answered_at + lease {
             self.tasks.keys().for_each(|id| history.ended(now, *id, &self.name));
             self.tasks.clear();
-            self.session += 1;
+            self.agent_epoch += 1;
             self.answered_at = now;
         }
         let Worker { tasks, images, name, .. } = self;
--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -15,7 +15,7 @@
 
 /// The last heartbeat of a machine that the leader knows.
 struct Kept {
-    session: u64,
+    agent_epoch: u64,
     sequence: u64,
     tasks: Vec<ReportedTask>,
     /// The leader has something to tell it: the next heartbeat is passed on whatever it says.
@@ -108,11 +108,11 @@
             return BlockAnswer::NotOurs;
         }
         let kept = self.kept.get(&heartbeat.machine);
-        if kept.is_some_and(|k| (heartbeat.session, heartbeat.sequence) <= (k.session, k.sequence)) {
+        if kept.is_some_and(|k| (heartbeat.agent_epoch, heartbeat.sequence) <= (k.agent_epoch, k.sequence)) {
             return BlockAnswer::Copy;
         }
         let unchanged = kept.is_some_and(|k| {
-            heartbeat.session == k.session
+            heartbeat.agent_epoch == k.agent_epoch
                 && heartbeat.notice_s.is_none()
                 && !k.woken
                 && heartbeat.tasks == k.tasks
@@ -152,8 +152,8 @@
         }
         self.away.remove(&heartbeat.machine);
         if keep && self.kept.len() < self.most {
-            let Heartbeat { machine, session, sequence, tasks, .. } = heartbeat;
-            self.kept.insert(machine, Kept { session, sequence, tasks, woken: false, at: now });
+            let Heartbeat { machine, agent_epoch, sequence, tasks, .. } = heartbeat;
+            self.kept.insert(machine, Kept { agent_epoch, sequence, tasks, woken: false, at: now });
         } else {
             self.kept.remove(&heartbeat.machine);
         }
--- a/src/blocks_tests.rs
+++ b/src/blocks_tests.rs
@@ -18,7 +18,7 @@
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         sequence,
         token: 4,
         notice_s: None,
@@ -48,7 +48,7 @@
         BlockAnswer::NotOurs
     );
     assert_eq!(
-        block.answers(3 * SECOND, &Heartbeat { session: 2, ..worker_heartbeat(1, 2) }, true),
+        block.answers(3 * SECOND, &Heartbeat { agent_epoch: 2, ..worker_heartbeat(1, 2) }, true),
         BlockAnswer::NotOurs
     );
     // A worker that has seen a later leader's token would drop ours and sit here without a lease.
--- a/src/cancellation_log_tests.rs
+++ b/src/cancellation_log_tests.rs
@@ -37,7 +37,7 @@
         machine_type: String::new(),
         zone: String::new(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         sequence: 1,
         token: 1,
         notice_s: None,
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -29,8 +29,8 @@
 
 /// An answer that this node gives without the leader, as far as it knows.
 fn log_renewal(heartbeat: &Heartbeat, renewal: &LeaseRenewal, token: u64) {
-    let Heartbeat { machine, session, sequence, .. } = heartbeat;
-    debug!(machine, session, sequence, token, grounds = ?renewal.grounds(), "lease renewed");
+    let Heartbeat { machine, agent_epoch, sequence, .. } = heartbeat;
+    debug!(machine, agent_epoch, sequence, token, grounds = ?renewal.grounds(), "lease renewed");
 }
 
 /// A heartbeat on its way to the leader.
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -40,8 +40,8 @@
             Effect::Wake { node, machine } => {
                 self.send(node, Payload::WakeRequest(vec![machine]));
             }
-            Effect::Direct { machine, address, session, orders } => {
-                self.send_direct(&machine, address, session, &orders);
+            Effect::Direct { machine, address, agent_epoch, orders } => {
+                self.send_direct(&machine, address, agent_epoch, &orders);
             }
             Effect::CommitDone { job_id, version, tasks, all_done } => {
                 self.commit_done(job_id, version, tasks, all_done);
@@ -69,10 +69,10 @@
         store::compare(store::EPOCH, self.version)
     }
 
-    fn send_direct(&self, machine: &str, address: String, session: u64, orders: &[Order]) {
+    fn send_direct(&self, machine: &str, address: String, agent_epoch: u64, orders: &[Order]) {
         let Some(token) = self.leadership.authority(self.clock.now()) else { return };
         let commands = orders.iter().map(WorkerCommand::from).collect();
-        let commands = DirectCommands { token, session, commands };
+        let commands = DirectCommands { token, agent_epoch, commands };
         // The next heartbeat brings the stops as well.
         let Ok(turn) = self.orders.clone().try_acquire_owned() else { return };
         let (http, events, gate) = (self.workers.clone(), self.events.clone(), self.gate());
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -84,8 +84,8 @@
     /// Where it reports to, and the node whose side of a cut it is on.
     node: usize,
     home: usize,
-    session: u64,
-    /// When this session began.
+    agent_epoch: u64,
+    /// When this agent epoch began.
     since: u64,
     sequence: u64,
     token: u64,
@@ -531,7 +531,7 @@
     fn run_worker(&mut self, w: usize) {
         if self.now >= self.workers[w].lease_until {
             let worker = &mut self.workers[w];
-            worker.session += 1;
+            worker.agent_epoch += 1;
             worker.tasks.clear();
             (worker.since, worker.lease_until) = (self.now, self.now + LEASE);
         }
@@ -581,7 +581,7 @@
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
-            session: worker.session,
+            agent_epoch: worker.agent_epoch,
             sequence: worker.sequence,
             token: worker.token,
             notice_s: None,
@@ -935,7 +935,7 @@
             world.workers.push(Worker {
                 node,
                 home,
-                session: 1,
+                agent_epoch: 1,
                 since: 0,
                 sequence: 0,
                 token: 0,
@@ -1036,10 +1036,11 @@
             if crash {
                 world.crash(leader, 5 * limits::SECOND);
             }
-            let sessions = |world: &World| world.workers.iter().map(|w| w.session).collect::<Vec<_>>();
-            let before = sessions(&world);
+            let agent_epochs =
+                |world: &World| world.workers.iter().map(|w| w.agent_epoch).collect::<Vec<_>>();
+            let before = agent_epochs(&world);
             world.run(3 * CANCEL);
-            assert_eq!(sessions(&world), before, "seed {seed}, crash {crash}");
+            assert_eq!(agent_epochs(&world), before, "seed {seed}, crash {crash}");
         }
     }
 }
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -44,7 +44,7 @@
     let lengths = names.map(|name| name.len().min(usize::from(u8::MAX)) as u8);
     let notice = heartbeat.notice_s.map_or(NO_NOTICE, limits::micros);
     let line = ReportLine {
-        session: heartbeat.session.into(),
+        agent_epoch: heartbeat.agent_epoch.into(),
         sequence: heartbeat.sequence.into(),
         token: heartbeat.token.into(),
         notice: notice.into(),
@@ -109,7 +109,7 @@
         machine_type,
         zone,
         spot: line.spot != 0,
-        session: line.session.get(),
+        agent_epoch: line.agent_epoch.get(),
         sequence: line.sequence.get(),
         token: line.token.get(),
         notice_s: (notice != NO_NOTICE).then_some(notice as f64 / limits::SECOND as f64),
--- a/src/peer/layout.rs
+++ b/src/peer/layout.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct ReportLine {
-    pub(super) session: U64,
+    pub(super) agent_epoch: U64,
     pub(super) sequence: U64,
     pub(super) token: U64,
     /// Microseconds until the cloud takes the machine; all ones: no notice.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -41,7 +41,7 @@
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 2,
+        agent_epoch: 2,
         sequence: 88,
         token: 41,
         notice_s: Some(12.5),
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -25,8 +25,8 @@
     pub spot: bool,
     /// Rises each time the worker's lease has ended.
     #[serde(rename = "watch")]
-    pub session: u64,
-    /// Rises with every heartbeat of a session.
+    pub agent_epoch: u64,
+    /// Rises with every heartbeat of an agent epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest token that the worker has seen.
@@ -113,7 +113,7 @@
             machine_type: heartbeat_request.machine_type,
             zone: heartbeat_request.zone,
             spot: heartbeat_request.spot,
-            session: heartbeat_request.session,
+            agent_epoch: heartbeat_request.agent_epoch,
             sequence: heartbeat_request.sequence,
             token: heartbeat_request.token,
             notice_s: heartbeat_request.notice_s.filter(|s| s.is_finite() && *s >= 0.0),
@@ -206,9 +206,9 @@
     /// The token of the leader that they come from.
     #[serde(rename = "helm")]
     pub token: u64,
-    /// The session of the worker that is meant.
+    /// The agent epoch of the worker that is meant.
     #[serde(rename = "watch")]
-    pub session: u64,
+    pub agent_epoch: u64,
     /// What the worker is to do, in order.
     #[serde(rename = "signals")]
     pub commands: Vec<WorkerCommand>,
--- a/src/scheduler/absence.rs
+++ b/src/scheduler/absence.rs
@@ -13,13 +13,13 @@
     Exited,
     /// A heartbeat that is newer than its start does not list it.
     NotListed {
-        /// Session and sequence of the heartbeat.
+        /// Agent epoch and sequence of the heartbeat.
         heartbeat: (u64, u64),
     },
-    /// The worker began a session, and tasks of earlier ones died with their leases.
-    NewSession {
-        /// The new session.
-        session: u64,
+    /// The worker began an agent epoch, and tasks of earlier ones died with their leases.
+    NewAgentEpoch {
+        /// The new agent epoch.
+        agent_epoch: u64,
     },
     /// The worker's lease is over.
     LeaseEnded {
@@ -47,10 +47,10 @@
         match self {
             Absence::NotSent => f.write_str("start never left"),
             Absence::Exited => f.write_str("exit reported"),
-            Absence::NotListed { heartbeat: (session, sequence) } => {
-                write!(f, "not listed in heartbeat {session}/{sequence}")
+            Absence::NotListed { heartbeat: (agent_epoch, sequence) } => {
+                write!(f, "not listed in heartbeat {agent_epoch}/{sequence}")
             }
-            Absence::NewSession { session } => write!(f, "session {session} began"),
+            Absence::NewAgentEpoch { agent_epoch } => write!(f, "agent epoch {agent_epoch} began"),
             Absence::LeaseEnded { answered, via, at } => {
                 let silent_s = at.saturating_sub(*answered) as f64 / limits::SECOND as f64;
                 write!(f, "lease ended {silent_s:.3} s after the last answer")?;
--- a/src/scheduler/answers.rs
+++ b/src/scheduler/answers.rs
@@ -24,7 +24,7 @@
             Some(machine) => {
                 debug!(
                     machine = name,
-                    session = machine.session,
+                    agent_epoch = machine.agent_epoch,
                     sequence = machine.last_heartbeat_sequence,
                     "lease renewed"
                 );
@@ -63,7 +63,7 @@
             }
         }
         if let Some(machine) = self.machines.get_mut(name).filter(|_| reconciled_and_recorded) {
-            let newest = (machine.session, machine.sequence);
+            let newest = (machine.agent_epoch, machine.sequence);
             for (id, placed) in &mut machine.tasks {
                 if placed.sent.is_none() && !placed.seen && placed.stopping.is_none() {
                     placed.sent = Some(newest);
@@ -124,7 +124,7 @@
                 self.effects.push(Effect::Direct {
                     machine: name,
                     address: machine.address.clone(),
-                    session: machine.session,
+                    agent_epoch: machine.agent_epoch,
                     orders,
                 });
             }
--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -416,7 +416,7 @@
         },
     };
     MachineFact::Heard {
-        number: ReportNumber(machine.session, machine.sequence),
+        number: ReportNumber(machine.agent_epoch, machine.sequence),
         at: machine.heard,
         tasks: machine.listed.iter().map(reported).collect(),
     }
--- a/src/scheduler/hearing.rs
+++ b/src/scheduler/hearing.rs
@@ -17,9 +17,9 @@
     /// A machine whose heartbeats arrive may be deaf: no answer and no command reaches it. It shows when
     /// heartbeats running bear no trace of anything that the answers before them said.
     pub(super) fn judge_hearing(&mut self, heartbeat: &Heartbeat, token: u64) {
-        if heartbeat.session > self.session {
+        if heartbeat.agent_epoch > self.agent_epoch {
             // Its lease ended although we answered, unless nobody answered it for as long.
-            self.unheard += u32::from(self.session > 0 && !self.told.is_empty());
+            self.unheard += u32::from(self.agent_epoch > 0 && !self.told.is_empty());
             self.told.clear();
             return;
         }
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -78,7 +78,7 @@
     Unchanged,
     /// Older than what direct commands were answered with: its list says nothing, but its worker waits.
     Overtaken,
-    /// A copy of one that was taken already, or from a session or a machine that is gone: nobody waits.
+    /// A copy of one that was taken already, or from an agent epoch or a machine that is gone: nobody waits.
     Stale,
 }
 
@@ -177,7 +177,7 @@
     Direct {
         machine: String,
         address: String,
-        session: u64,
+        agent_epoch: u64,
         orders: Vec<Order>,
     },
     CommitDone {
--- a/src/scheduler/model.rs
+++ b/src/scheduler/model.rs
@@ -187,7 +187,7 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub sequence: u64,
     pub token: u64,
     pub notice_s: Option<f64>,
@@ -206,7 +206,7 @@
 pub struct Placed {
     pub attempt: u64,
     pub needs: Resources,
-    /// (session, sequence) of the heartbeat whose answer bore the start; None until the answer is made.
+    /// (agent epoch, sequence) of the heartbeat whose answer bore the start; None until the answer is made.
     pub sent: Option<(u64, u64)>,
     /// Whether a heartbeat has listed it.
     pub seen: bool,
@@ -239,7 +239,7 @@
     pub address: String,
     pub has: Resources,
     pub phase: Phase,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub sequence: u64,
     /// A heartbeat has stated this leader's token: the task list is exact.
     pub reconciled: bool,
@@ -250,7 +250,7 @@
     pub heard: u64,
     /// The last answer that may have renewed its lease.
     pub answered: LastAnswer,
-    /// The sequence of the last heartbeat that was taken in this session: answers to direct commands raise `sequence`
+    /// The sequence of the last heartbeat that was taken in this agent epoch: answers to direct commands raise `sequence`
     /// too, and overtake heartbeats that are under way.
     pub last_heartbeat_sequence: u64,
     /// A late or repeated heartbeat of it was logged.
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -23,7 +23,7 @@
             address: stored.address.clone(),
             has,
             phase: Phase::Expected,
-            session: 0,
+            agent_epoch: 0,
             sequence: 0,
             reconciled: false,
             recorded: false,
@@ -75,7 +75,7 @@
         let (now, token) = (self.now, self.config.token);
         if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
             let unchanged = periodic
-                && heartbeat.session == machine.session
+                && heartbeat.agent_epoch == machine.agent_epoch
                 && heartbeat.sequence > machine.sequence
                 && heartbeat.token == token
                 && heartbeat.notice_s.is_none()
@@ -100,31 +100,34 @@
         let expected = self.machines.contains_key(&heartbeat.machine);
         let machine = self.machine(&stored);
         // Held messages arrive late and out of order: only the newest list counts.
-        if (heartbeat.session, heartbeat.sequence) <= (machine.session, machine.sequence) {
+        if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence) {
             return self.ignore_late_heartbeat(&heartbeat, periodic);
         }
         if periodic {
             machine.judge_hearing(&heartbeat, token);
         }
-        if heartbeat.session > machine.session {
-            if machine.session > 0 {
+        if heartbeat.agent_epoch > machine.agent_epoch {
+            if machine.agent_epoch > 0 {
                 info!(
                     machine = heartbeat.machine,
-                    session = heartbeat.session,
-                    "new session: all its tasks are gone"
+                    agent_epoch = heartbeat.agent_epoch,
+                    "new agent epoch: its tasks ended with their lease"
                 );
             }
-            // Whatever an earlier session held died with its lease.
-            self.clear_machine(&heartbeat.machine, Absence::NewSession { session: heartbeat.session });
+            // Whatever an earlier agent epoch held died with its lease.
+            self.clear_machine(
+                &heartbeat.machine,
+                Absence::NewAgentEpoch { agent_epoch: heartbeat.agent_epoch },
+            );
         }
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
-        if heartbeat.session != machine.session {
+        if heartbeat.agent_epoch != machine.agent_epoch {
             machine.last_heartbeat_sequence = 0;
         }
         if periodic {
             machine.last_heartbeat_sequence = heartbeat.sequence;
         }
-        machine.session = heartbeat.session;
+        machine.agent_epoch = heartbeat.agent_epoch;
         machine.sequence = heartbeat.sequence;
         machine.address = heartbeat.address;
         machine.recall_at = heartbeat.notice_s.map(|s| now + limits::micros(s));
@@ -148,7 +151,12 @@
             }
         }
         let listed = self.take_listed(&heartbeat.machine, &heartbeat.tasks);
-        self.drop_unlisted(&heartbeat.machine, &listed, (heartbeat.session, heartbeat.sequence), periodic);
+        self.drop_unlisted(
+            &heartbeat.machine,
+            &listed,
+            (heartbeat.agent_epoch, heartbeat.sequence),
+            periodic,
+        );
         if heartbeat.notice_s.is_some() {
             self.drain_for_notice(&heartbeat.machine);
         }
--- a/src/scheduler/stale_reports.rs
+++ b/src/scheduler/stale_reports.rs
@@ -10,7 +10,7 @@
 pub struct IgnoredHeartbeats {
     /// Overtaken by the answer to direct commands.
     pub overtaken: u64,
-    /// Copies, and heartbeats of sessions or machines that are gone.
+    /// Copies, and heartbeats of agent epochs or machines that are gone.
     pub stale: u64,
 }
 
@@ -26,25 +26,28 @@
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
         let overtaken = periodic
-            && heartbeat.session == machine.session
+            && heartbeat.agent_epoch == machine.agent_epoch
             && heartbeat.sequence > machine.last_heartbeat_sequence
             && machine.phase != Phase::Lost;
-        let (session, sequence, newest) = (heartbeat.session, heartbeat.sequence, machine.sequence);
+        let (agent_epoch, sequence, newest) = (heartbeat.agent_epoch, heartbeat.sequence, machine.sequence);
         if overtaken {
             debug!(
                 machine = heartbeat.machine,
-                session, sequence, newest, "heartbeat overtaken by a direct response"
+                agent_epoch, sequence, newest, "heartbeat overtaken by a direct response"
             );
             machine.last_heartbeat_sequence = heartbeat.sequence;
             machine.heard = now;
             self.ignored_heartbeats.overtaken += 1;
             return HeartbeatOutcome::Overtaken;
         }
-        debug!(machine = heartbeat.machine, session, sequence, newest, periodic, "late heartbeat ignored");
+        debug!(
+            machine = heartbeat.machine,
+            agent_epoch, sequence, newest, periodic, "late heartbeat ignored"
+        );
         if periodic && !std::mem::replace(&mut machine.sent_stale, true) {
             info!(
                 machine = heartbeat.machine,
-                session, sequence, newest, "late or duplicate heartbeat; further ones are only counted"
+                agent_epoch, sequence, newest, "late or duplicate heartbeat; further ones are only counted"
             );
         }
         self.ignored_heartbeats.stale += u64::from(periodic);
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -155,7 +155,7 @@
             machine_type: "m".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
+            agent_epoch: 1,
             sequence: self.sequence,
             token: self.token,
             notice_s: None,
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -116,7 +116,7 @@
                 machine_type: "m".into(),
                 zone: "a".into(),
                 spot: false,
-                session: 1,
+                agent_epoch: 1,
                 sequence: self.sequence,
                 token: 1,
                 notice_s: None,
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -126,7 +126,7 @@
                 machine_type: "m".into(),
                 zone: "a".into(),
                 spot: false,
-                session: 1,
+                agent_epoch: 1,
                 sequence: self.sequence,
                 token: self.token,
                 notice_s: self.notice.get(&machine).copied(),
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -195,14 +195,14 @@
     assert!(refused(&mut cluster, heartbeat));
 }
 
-/// The worker has begun a session since, and drops the answer.
+/// The worker has begun an agent epoch since, and drops the answer.
 #[test]
 fn a_check_in_of_an_earlier_session_is_refused_and_counted() {
     let mut cluster = Cluster::new();
     let (_, earlier) = cluster.heartbeat("m-000001");
     cluster.running.clear();
     let (reply, heartbeat) = cluster.heartbeat("m-000001");
-    let heartbeat = Heartbeat { session: 2, tasks: vec![], ..heartbeat };
+    let heartbeat = Heartbeat { agent_epoch: 2, tasks: vec![], ..heartbeat };
     cluster.step(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
     assert!(refused(&mut cluster, earlier));
 }
--- a/tests/leases/stand_ins.rs
+++ b/tests/leases/stand_ins.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// A worker's heartbeat in its first session.
+/// A worker's heartbeat in its first agent epoch.
 pub fn heartbeat(
     machine: &str,
     sequence: u64,
@@ -43,7 +43,7 @@
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         sequence,
         token,
         notice_s: None,
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -76,7 +76,7 @@
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         sequence,
         token: 41,
         notice_s: None,
--- a/tests/pinned_wire/spell.rs
+++ b/tests/pinned_wire/spell.rs
@@ -48,7 +48,7 @@
     );
     let order = format!(
         "session {} sequence {} token {} notice {:?} s",
-        report.session, report.sequence, report.token, report.notice_s
+        report.agent_epoch, report.sequence, report.token, report.notice_s
     );
     let task = |task: &dockpier::scheduler::model::ReportedTask| {
         let (id, attempt) = (task.id, task.attempt);
--- a/tests/pinned_wire/worker_orders.rs
+++ b/tests/pinned_wire/worker_orders.rs
@@ -43,7 +43,7 @@
 }
 
 fn direct(token: u64, session: u64, orders: &[Order]) -> DirectCommands {
-    DirectCommands { token, session, commands: orders.iter().map(WorkerCommand::from).collect() }
+    DirectCommands { token, agent_epoch: session, commands: orders.iter().map(WorkerCommand::from).collect() }
 }
 
 #[test]
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -206,7 +206,7 @@
             machine_type: "m".into(),
             zone: ["a", "b"][i % 2].into(),
             spot: false,
-            session: 1,
+            agent_epoch: 1,
             sequence: self.sequence,
             // The first heartbeat of all states no token yet.
             token: if self.sequence > 1 { self.token } else { 0 },
--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -211,7 +211,7 @@
     leader_cut_until: u64,
     /// The lessee that it reports to; None: the leader.
     via: Option<usize>,
-    session: u64,
+    agent_epoch: u64,
     sequence: u64,
     token: u64,
     lease_until: u64,
@@ -225,7 +225,7 @@
 /// A heartbeat whose worker waits for the answer.
 struct Awaited {
     machine: String,
-    session: u64,
+    agent_epoch: u64,
     sent: u64,
 }
 
@@ -265,7 +265,7 @@
     writes: Vec<(u64, String, Vec<StoredMachine>)>,
     /// Heartbeats that arrive late, when, and at which controller.
     held: Vec<(u64, Option<usize>, Heartbeat)>,
-    /// Direct commands that arrive late: when, where, under which token and session.
+    /// Direct commands that arrive late: when, where, under which token and agent epoch.
     held_orders: Vec<(u64, String, u64, u64, Vec<Order>)>,
     /// The last reports of each worker, for a copy of them to arrive anywhere.
     reported: BTreeMap<String, Vec<Heartbeat>>,
@@ -273,7 +273,7 @@
     /// Reports on their way to the leader, whose workers wait: when they arrive.
     slow: Vec<(u64, Command)>,
     replies: BTreeMap<u64, Awaited>,
-    /// Machines whose lease the leader counts as over, with their sessions.
+    /// Machines whose lease the leader counts as over, with their agent epochs.
     lost: BTreeMap<String, u64>,
     version: u64,
     machines_made: u64,
@@ -410,15 +410,17 @@
         }
     }
 
-    /// A worker carries commands out if their token is the highest that it has seen and its session is meant.
+    /// A worker carries commands out if their token is the highest that it has seen and its agent epoch is meant.
     fn deliver_held_orders(&mut self) {
         let (due, held) =
             std::mem::take(&mut self.held_orders).into_iter().partition(|(at, ..)| *at <= self.now);
         self.held_orders = held;
-        for (_, name, token, session, orders) in Vec::<(u64, String, u64, u64, Vec<Order>)>::into_iter(due) {
+        for (_, name, token, agent_epoch, orders) in
+            Vec::<(u64, String, u64, u64, Vec<Order>)>::into_iter(due)
+        {
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             let reached = !worker.dead && self.now >= worker.up_at && self.now < worker.lease_until;
-            if reached && worker.session == session && token >= worker.token {
+            if reached && worker.agent_epoch == agent_epoch && token >= worker.token {
                 worker.token = token;
                 self.orders_of_former_leaders += u64::from(token < self.token);
                 self.orders(&name, &orders);
@@ -456,7 +458,7 @@
             machine_type: "m".into(),
             zone: worker.zone.clone(),
             spot: worker.spot,
-            session: worker.session,
+            agent_epoch: worker.agent_epoch,
             sequence: worker.sequence,
             token: worker.token,
             notice_s: None,
@@ -547,7 +549,7 @@
             }
             if now >= worker.lease_until {
                 worker.tasks.clear();
-                worker.session += 1;
+                worker.agent_epoch += 1;
                 worker.lease_until = now + limits::micros(LEASE_S);
             }
             for (id, task) in worker.tasks.iter_mut().filter(|(_, t)| t.exited.is_none()) {
@@ -610,7 +612,7 @@
                     }
                     self.passed_on.insert(reply, (node, heartbeat.clone()));
                 }
-                let awaited = Awaited { machine: name.clone(), session: worker.session, sent: now };
+                let awaited = Awaited { machine: name.clone(), agent_epoch: worker.agent_epoch, sent: now };
                 self.replies.insert(reply, awaited);
                 if slow {
                     worker.waits_until = now + ANSWER_PATIENCE;
@@ -678,7 +680,7 @@
                     }
                 }
                 // Nobody waits for the answer to a copy.
-                let Some(Awaited { machine: name, session, sent }) = self.replies.remove(&reply) else {
+                let Some(Awaited { machine: name, agent_epoch, sent }) = self.replies.remove(&reply) else {
                     return;
                 };
                 // Some answers are lost on their way.
@@ -692,7 +694,7 @@
                     worker.waits_until = now + SECOND;
                     return;
                 }
-                let late = worker.session != session || now >= sent + ANSWER_PATIENCE;
+                let late = worker.agent_epoch != agent_epoch || now >= sent + ANSWER_PATIENCE;
                 if worker.token > token || worker.dead || now < worker.deaf_until || late {
                     return;
                 }
@@ -701,7 +703,7 @@
                 worker.lease_until = worker.lease_until.max(sent + limits::micros(LEASE_S));
                 self.orders(&name, &orders);
             }
-            Effect::Direct { machine, session, orders, .. } => {
+            Effect::Direct { machine, agent_epoch, orders, .. } => {
                 let Some(worker) = self.workers.get(&machine) else { return };
                 if worker.dead || self.now < worker.deaf_until {
                     return;
@@ -710,7 +712,7 @@
                 let held = self.rng.random_bool(0.3);
                 let delay = if held { self.rng.random_range(2..16) * SECOND } else { 0 };
                 let at = (self.now + delay).max(worker.cut_until).max(worker.up_at);
-                self.held_orders.push((at, machine, self.token, session, orders));
+                self.held_orders.push((at, machine, self.token, agent_epoch, orders));
                 self.deliver_held_orders();
             }
             Effect::CommitDone { job_id, version, tasks, .. } => {
@@ -779,7 +781,7 @@
                         sick_until: 0,
                         leader_cut_until: 0,
                         via: [None, Some(0), Some(1)][self.machines_made as usize % 3],
-                        session: 1,
+                        agent_epoch: 1,
                         sequence: 0,
                         token: 0,
                         lease_until: up_at + limits::micros(LEASE_S),
@@ -887,10 +889,10 @@
     /// An invariant of the scheduler rather than a rule: it counts no lease as over that still runs.
     fn check_leases(&mut self) {
         let lost = self.scheduler.machines.values().filter(|machine| machine.phase == Phase::Lost);
-        let lost: BTreeMap<String, u64> = lost.map(|m| (m.name.clone(), m.session)).collect();
-        for (name, session) in lost.iter().filter(|(name, _)| !self.lost.contains_key(*name)) {
+        let lost: BTreeMap<String, u64> = lost.map(|m| (m.name.clone(), m.agent_epoch)).collect();
+        for (name, agent_epoch) in lost.iter().filter(|(name, _)| !self.lost.contains_key(*name)) {
             let Some(worker) = self.workers.get(name) else { continue };
-            let runs = !worker.dead && worker.session == *session && self.now < worker.lease_until;
+            let runs = !worker.dead && worker.agent_epoch == *agent_epoch && self.now < worker.lease_until;
             let early_s = worker.lease_until.saturating_sub(self.now) as f64 / SECOND as f64;
             assert!(!runs, "{name}: its lease is counted as over {early_s} s early");
         }
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -53,7 +53,7 @@
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 2,
+        agent_epoch: 2,
         sequence: 88,
         token: 41,
         notice_s: Some(12.5),
