--- a/crates/dockpier-virtual-fleet/examples/transcript/effects.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/effects.rs
@@ -3,43 +3,47 @@
 use crate::output::{Line, Transcript};
 use crate::{drain_records, words};
 use dockpier::scheduler::cold_start::{ColdStartReport, Phase};
-use dockpier::scheduler::{Effect, Order};
+use dockpier::scheduler::{Effect, TaskCommand};
 
 /// Writes an effect, and after it one line for each of its orders.
 pub fn write(out: &mut Transcript, at: u64, effect: &Effect) {
     out.write(at, line(effect));
-    if let Effect::Answer { orders, .. } | Effect::Direct { orders, .. } = effect {
+    if let Effect::Answer { task_commands: orders, .. } | Effect::Direct { task_commands: orders, .. } =
+        effect
+    {
         write_orders(out, at, orders);
     }
 }
 
 /// Writes one line for each order.
-pub fn write_orders(out: &mut Transcript, at: u64, orders: &[Order]) {
+pub fn write_orders(out: &mut Transcript, at: u64, orders: &[TaskCommand]) {
     orders.iter().for_each(|o| out.write(at, order(o)));
 }
 
-fn order(order: &Order) -> Line {
+fn order(order: &TaskCommand) -> Line {
     let of = |kind, id, attempt: u64| Line::new(kind).with("task", words::task(id)).with("attempt", attempt);
     match order {
-        Order::Start { id, attempt } => of("start", id, *attempt),
-        Order::Stop { id, attempt, grace_s } => of("stop", id, *attempt).amount("grace_s", *grace_s),
-        Order::Forget { id, attempt } => of("forget", id, *attempt),
+        TaskCommand::Start { id, attempt } => of("start", id, *attempt),
+        TaskCommand::Stop { id, attempt, grace_s } => of("stop", id, *attempt).amount("grace_s", *grace_s),
+        TaskCommand::Forget { id, attempt } => of("forget", id, *attempt),
     }
 }
 
 fn line(effect: &Effect) -> Line {
     match effect {
-        Effect::Answer { reply, renewal, orders, keep } => Line::new("answer")
+        Effect::Answer { reply, renewal, task_commands: orders, keep } => Line::new("answer")
             .with("reply", reply)
             .with("renewal", words::renewal(renewal.as_ref()))
             .with("keep", keep)
             .with("orders", orders.len()),
         Effect::Wake { node, machine } => Line::new("wake").with("node", node).with("machine", machine),
-        Effect::Direct { machine, address, agent_epoch: session, orders } => Line::new("direct")
-            .with("machine", machine)
-            .with("address", address)
-            .with("session", session)
-            .with("orders", orders.len()),
+        Effect::Direct { machine, address, agent_epoch: session, task_commands: orders } => {
+            Line::new("direct")
+                .with("machine", machine)
+                .with("address", address)
+                .with("session", session)
+                .with("orders", orders.len())
+        }
         Effect::CommitDone { job_id, version, tasks, all_done } => Line::new("commit-done")
             .with("job", job_id.0)
             .with("version", version)
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -271,7 +271,7 @@
         // Without an answer it is carried out all the same.
         let carried_out = outcome != Outcome::Refused;
         match effect {
-            Effect::Answer { reply, renewal, orders, keep } => {
+            Effect::Answer { reply, renewal, task_commands: orders, keep } => {
                 let Some((via, report)) = self.waiting.remove(&reply) else { return };
                 if let Some(worker) = self.workers.get_mut(&report.machine).filter(|_| renewal.is_some()) {
                     worker.answered(now, token, &orders);
@@ -281,7 +281,7 @@
                 }
             }
             Effect::Wake { node, machine } => self.lessees[node - 1].block.wake(&[machine]),
-            Effect::Direct { machine, agent_epoch: session, orders, .. } => {
+            Effect::Direct { machine, agent_epoch: session, task_commands: orders, .. } => {
                 let Some(worker) = self.workers.get_mut(&machine) else { return };
                 if worker.take_direct(now, session, &orders) {
                     let report = worker.report(now);
--- a/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
@@ -7,7 +7,7 @@
 use dockpier::blocks::BlockAnswer;
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
-use dockpier::scheduler::Order;
+use dockpier::scheduler::TaskCommand;
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -200,11 +200,16 @@
         self.pass_on(node, report, line)
     }
 
-    fn answered(&mut self, line: Line, token: u64, orders: Vec<Order>) -> Option<(u64, BTreeSet<JobId>)> {
+    fn answered(
+        &mut self,
+        line: Line,
+        token: u64,
+        orders: Vec<TaskCommand>,
+    ) -> Option<(u64, BTreeSet<JobId>)> {
         self.note(line.with("answer", token));
         effects::write_orders(self.out, self.now, &orders);
         let stopped = orders.iter().filter_map(|order| match order {
-            Order::Stop { id, .. } => Some(id.job_id),
+            TaskCommand::Stop { id, .. } => Some(id.job_id),
             _ => None,
         });
         Some((token, stopped.collect()))
@@ -235,7 +240,7 @@
     }
 
     /// What a node that may keep workers alive by itself tells one to stop.
-    fn keeps(&self, node: usize, report: &Heartbeat) -> Option<Vec<Order>> {
+    fn keeps(&self, node: usize, report: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let (now, log) = (self.local(node), &self.nodes[node].leadership.cancellations);
         (now + limits::GUARD < log.keeps_until()).then(|| log.stops(report)).flatten()
     }
--- a/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/worker.rs
@@ -2,7 +2,7 @@
 
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus};
-use dockpier::scheduler::Order;
+use dockpier::scheduler::TaskCommand;
 use std::collections::BTreeMap;
 
 /// Time in which an image is fetched.
@@ -126,7 +126,7 @@
     }
 
     /// A report was answered.
-    pub fn answered(&mut self, now: u64, token: u64, orders: &[Order]) {
+    pub fn answered(&mut self, now: u64, token: u64, orders: &[TaskCommand]) {
         if now < self.silent_until || token < self.token {
             return;
         }
@@ -135,7 +135,7 @@
     }
 
     /// Orders came straight from the leader. Returns whether it takes them.
-    pub fn take_direct(&mut self, now: u64, session: u64, orders: &[Order]) -> bool {
+    pub fn take_direct(&mut self, now: u64, session: u64, orders: &[TaskCommand]) -> bool {
         let takes = now >= self.silent_until && session == self.session;
         if takes {
             orders.iter().for_each(|order| self.take(now, order));
@@ -143,14 +143,14 @@
         takes
     }
 
-    fn take(&mut self, now: u64, order: &Order) {
+    fn take(&mut self, now: u64, order: &TaskCommand) {
         match order {
-            Order::Start { id, attempt } => {
+            TaskCommand::Start { id, attempt } => {
                 let fetch = if draw_of(*id, *attempt) % 17 == 5 { FETCH_STUCK } else { FETCH };
                 let task = Task { attempt: *attempt, status: TaskStatus::Fetching, until: now + fetch };
                 self.tasks.entry(*id).or_insert(task);
             }
-            Order::Stop { id, attempt, grace_s } => {
+            TaskCommand::Stop { id, attempt, grace_s } => {
                 let Some(task) = self.tasks.get_mut(id).filter(|task| task.attempt == *attempt) else {
                     return;
                 };
@@ -160,7 +160,7 @@
                     (task.status, task.until) = (TaskStatus::Saving, now + saves);
                 }
             }
-            Order::Forget { id, attempt } => {
+            TaskCommand::Forget { id, attempt } => {
                 if self.tasks.get(id).is_some_and(|task| task.attempt == *attempt) {
                     self.tasks.remove(id);
                 }
--- a/crates/dockpier-virtual-fleet/src/history.rs
+++ b/crates/dockpier-virtual-fleet/src/history.rs
@@ -31,7 +31,7 @@
     /// Tasks that were on two machines at once.
     pub ran_twice: BTreeSet<TaskId>,
     /// Orders to start, by task and attempt.
-    pub orders: BTreeMap<(TaskId, u64), usize>,
+    pub start_commands: BTreeMap<(TaskId, u64), usize>,
     /// Starts of each task.
     pub starts: BTreeMap<TaskId, usize>,
     /// Time for which replicas did not serve, by job.
@@ -66,8 +66,8 @@
         }
     }
 
-    pub(crate) fn order(&mut self, id: TaskId, attempt: u64) {
-        *self.orders.entry((id, attempt)).or_default() += 1;
+    pub(crate) fn record_start_command(&mut self, id: TaskId, attempt: u64) {
+        *self.start_commands.entry((id, attempt)).or_default() += 1;
     }
 
     pub(crate) fn saved(&mut self, id: TaskId) {
@@ -160,7 +160,7 @@
 
     /// Orders to start so far.
     pub fn ordered(&self) -> usize {
-        self.orders.values().sum()
+        self.start_commands.values().sum()
     }
 
     /// Replicas that serve now.
--- a/crates/dockpier-virtual-fleet/src/lib.rs
+++ b/crates/dockpier-virtual-fleet/src/lib.rs
@@ -343,17 +343,17 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { reply, orders, .. } => {
+            Effect::Answer { reply, task_commands, .. } => {
                 let (now, token) = (self.now, self.config.token);
                 if let Some(worker) = self.workers.get_mut(&machine_name(reply)) {
-                    worker.answered(now, token, &orders, &mut self.history);
+                    worker.answered(now, token, &task_commands, &mut self.history);
                 }
             }
-            Effect::Direct { machine, agent_epoch, orders, .. } => {
+            Effect::Direct { machine, agent_epoch, task_commands, .. } => {
                 let now = self.now;
                 if let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.agent_epoch == agent_epoch)
                 {
-                    worker.take_direct(now, &orders, &mut self.history);
+                    worker.take_direct(now, &task_commands, &mut self.history);
                 }
             }
             Effect::Rent { request, name, zone, spot, count, .. } => {
--- a/crates/dockpier-virtual-fleet/src/worker.rs
+++ b/crates/dockpier-virtual-fleet/src/worker.rs
@@ -3,7 +3,7 @@
 use crate::history::History;
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::Order;
+use dockpier::scheduler::TaskCommand;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Rate at which workers fetch images.
@@ -134,36 +134,42 @@
         }
     }
 
-    pub(crate) fn answered(&mut self, now: u64, token: u64, orders: &[Order], history: &mut History) {
+    pub(crate) fn answered(
+        &mut self,
+        now: u64,
+        token: u64,
+        task_commands: &[TaskCommand],
+        history: &mut History,
+    ) {
         if !self.is_well(now) || token < self.token {
             return;
         }
         self.token = token;
         self.answered_at = now;
-        orders.iter().for_each(|order| self.take(now, order, history));
+        task_commands.iter().for_each(|command| self.take(now, command, history));
     }
 
     /// Direct commands carry stops.
-    pub(crate) fn take_direct(&mut self, now: u64, orders: &[Order], history: &mut History) {
+    pub(crate) fn take_direct(&mut self, now: u64, task_commands: &[TaskCommand], history: &mut History) {
         if self.is_well(now) {
-            let stops = orders.iter().filter(|order| matches!(order, Order::Stop { .. }));
-            stops.for_each(|order| self.take(now, order, history));
+            let stops = task_commands.iter().filter(|command| matches!(command, TaskCommand::Stop { .. }));
+            stops.for_each(|command| self.take(now, command, history));
         }
     }
 
-    fn take(&mut self, now: u64, order: &Order, history: &mut History) {
-        match order {
-            Order::Start { id, attempt } => {
+    fn take(&mut self, now: u64, command: &TaskCommand, history: &mut History) {
+        match command {
+            TaskCommand::Start { id, attempt } => {
                 let fetch = match self.images.contains(&id.job_id.0) {
                     true => 0.0,
                     false => IMAGE_GB / FETCH_GB_PER_S,
                 };
-                history.order(*id, *attempt);
+                history.record_start_command(*id, *attempt);
                 let until = now + limits::micros(fetch);
                 let task = WorkerTask { attempt: *attempt, status: TaskStatus::Fetching, until };
                 self.tasks.entry(*id).or_insert(task);
             }
-            Order::Stop { id, attempt, grace_s } => {
+            TaskCommand::Stop { id, attempt, grace_s } => {
                 let Some(task) = self.tasks.get_mut(id).filter(|task| task.attempt == *attempt) else {
                     return;
                 };
@@ -180,7 +186,7 @@
                     TaskStatus::Saving | TaskStatus::Exited(_) => {}
                 }
             }
-            Order::Forget { id, attempt } => {
+            TaskCommand::Forget { id, attempt } => {
                 let exited = |task: &WorkerTask| matches!(task.status, TaskStatus::Exited(_));
                 if self.tasks.get(id).is_some_and(|task| task.attempt == *attempt && exited(task)) {
                     self.tasks.remove(id);
--- a/src/cancellation_log.rs
+++ b/src/cancellation_log.rs
@@ -15,7 +15,7 @@
 
 use crate::limits::{self, shortened};
 use crate::scheduler::model::{Heartbeat, JobId, TaskStatus};
-use crate::scheduler::Order;
+use crate::scheduler::TaskCommand;
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// What a member attests of the cancellations that it confirmed, in answer to a heartbeat of the receiver's.
@@ -132,12 +132,12 @@
 
     /// Stops for what the heartbeat lists of jobs that are over. None where this node, without a leader's list of
     /// jobs, can't tell: a job that its copy lacks was cancelled before this life began, or is too new.
-    pub fn stops(&self, heartbeat: &Heartbeat) -> Option<Vec<Order>> {
+    pub fn stops(&self, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let living = heartbeat.tasks.iter().filter(|t| !matches!(t.status, TaskStatus::Exited(_)));
         let mut stops = Vec::new();
         for task in living {
             if self.is_over(task.id.job_id) {
-                stops.push(Order::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 });
+                stops.push(TaskCommand::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 });
             } else if !self.live.contains(&task.id.job_id) {
                 return None;
             }
@@ -145,18 +145,18 @@
         Some(stops)
     }
 
-    /// The answer's orders and the stops that it must not leave without.
-    pub fn with_stops(&self, mut orders: Vec<Order>, heartbeat: &Heartbeat) -> Vec<Order> {
+    /// The answer's commands and the stops that it must not leave without.
+    pub fn with_stops(&self, mut task_commands: Vec<TaskCommand>, heartbeat: &Heartbeat) -> Vec<TaskCommand> {
         for task in heartbeat.tasks.iter().filter(|t| self.is_over(t.id.job_id)) {
             if matches!(task.status, TaskStatus::Exited(_)) {
                 continue;
             }
-            let same = |o: &Order| matches!(o, Order::Stop { id, attempt, .. } if *id == task.id && *attempt == task.attempt);
-            if !orders.iter().any(same) {
-                orders.push(Order::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 });
+            let same = |o: &TaskCommand| matches!(o, TaskCommand::Stop { id, attempt, .. } if *id == task.id && *attempt == task.attempt);
+            if !task_commands.iter().any(same) {
+                task_commands.push(TaskCommand::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 });
             }
         }
-        orders
+        task_commands
     }
 
     /// The live jobs as read by a request that left at `sent`: all of them, or what changed. Returns the jobs
--- a/src/cancellation_log_tests.rs
+++ b/src/cancellation_log_tests.rs
@@ -52,7 +52,7 @@
     a.confirm(NOW + 2 * SECOND, JobId(1));
     b.heartbeat(0, 70, true, NOW);
     assert_eq!(say(NOW + 2 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), false), [JobId(1)]);
-    let stop = Order::Stop { id: TaskId { job_id: JobId(1), task: 0 }, attempt: 3, grace_s: 0.0 };
+    let stop = TaskCommand::Stop { id: TaskId { job_id: JobId(1), task: 0 }, attempt: 3, grace_s: 0.0 };
     assert_eq!(b.stops(&heartbeat(&[1, 2])), Some(vec![stop.clone()]));
     assert_eq!(b.with_stops(vec![stop.clone()], &heartbeat(&[1, 2])), [stop]);
     // What the copy lacks may have been cancelled before this life began: not to be kept alive.
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -9,7 +9,7 @@
 use crate::peer::{self, Payload};
 use crate::protocol::workers::{HeartbeatRequest, HeartbeatResponse};
 use crate::scheduler::model::Heartbeat;
-use crate::scheduler::{Command, Order};
+use crate::scheduler::{Command, TaskCommand};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
 
@@ -22,7 +22,7 @@
 /// Where the answer to a heartbeat goes.
 pub(super) enum ReplyTo {
     /// With the stops that it must not leave without.
-    Worker(oneshot::Sender<HeartbeatReply>, Vec<Order>),
+    Worker(oneshot::Sender<HeartbeatReply>, Vec<TaskCommand>),
     /// To the lessee that passed it on, under its number.
     Lessee(usize, u64),
 }
@@ -42,7 +42,7 @@
 
 impl Controller {
     /// An answer of this node's own that keeps a worker alive: the stops that it bears, or None if it may not.
-    pub(super) fn keeps(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<Order>> {
+    pub(super) fn keeps(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let cancellations = &self.leadership.cancellations;
         (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(heartbeat)).flatten()
     }
@@ -64,9 +64,9 @@
                     self.frames_ignored.note(from, IgnoredFrame::Stale);
                     // A lease keeper keeps workers alive whichever way they come.
                     let care = self.leadership.lease_keeper(now).zip(self.keeps(now, &heartbeat));
-                    let (token, orders) = care.unzip();
-                    let orders = orders.unwrap_or_default();
-                    self.send(from, Payload::RelayedResponse { id, token, keep: false, orders });
+                    let (token, task_commands) = care.unzip();
+                    let task_commands = task_commands.unwrap_or_default();
+                    self.send(from, Payload::RelayedResponse { id, token, keep: false, task_commands });
                     return;
                 }
                 self.recent_heartbeats.push_back(now);
@@ -81,15 +81,16 @@
                 let lease_ms = (self.leadership.block_lease(now) / 1_000) as u32;
                 self.send(from, Payload::ShardHeartbeatAck { id, lease_ms });
             }
-            Payload::RelayedResponse { id, token, keep, orders } => {
+            Payload::RelayedResponse { id, token, keep, task_commands } => {
                 let Some(PassedOn { to, heartbeat, .. }) = self.passed_on.remove(&id) else {
                     return self.frames_ignored.note(from, IgnoredFrame::Unasked);
                 };
                 let reply = match token {
                     Some(token) => {
-                        let orders = self.leadership.cancellations.with_stops(orders, &heartbeat);
+                        let task_commands =
+                            self.leadership.cancellations.with_stops(task_commands, &heartbeat);
                         self.block.passed(now, heartbeat, token, keep);
-                        self.renewing(token, LeaseRenewal::relayed(), &orders)
+                        self.renewing(token, LeaseRenewal::relayed(), &task_commands)
                     }
                     None => self.refusing(None),
                 };
@@ -132,10 +133,10 @@
         &mut self,
         token: u64,
         renewal: LeaseRenewal,
-        orders: impl IntoIterator<Item = &'a Order>,
+        task_commands: impl IntoIterator<Item = &'a TaskCommand>,
     ) -> HeartbeatReply {
         self.answers.count(&renewal);
-        HeartbeatReply::Accepted(HeartbeatResponse::new(token, renewal, orders))
+        HeartbeatReply::Accepted(HeartbeatResponse::new(token, renewal, task_commands))
     }
 
     /// No answer here: the worker is to ask another node.
@@ -237,7 +238,7 @@
         &mut self,
         reply: u64,
         renewal: Option<LeaseRenewal>,
-        orders: Vec<Order>,
+        task_commands: Vec<TaskCommand>,
         keep: bool,
     ) {
         let Some(to) = self.replies.remove(&reply) else { return };
@@ -249,13 +250,13 @@
             ReplyTo::Worker(to, stops) => (to, stops),
             ReplyTo::Lessee(node, id) => {
                 let token = entitled.map(|(token, _)| token);
-                self.send(node, Payload::RelayedResponse { id, token, keep, orders });
+                self.send(node, Payload::RelayedResponse { id, token, keep, task_commands });
                 return;
             }
         };
-        let missing = stops.iter().filter(|stop| !orders.contains(stop));
+        let missing = stops.iter().filter(|stop| !task_commands.contains(stop));
         let reply = match entitled {
-            Some((token, renewal)) => self.renewing(token, renewal, orders.iter().chain(missing)),
+            Some((token, renewal)) => self.renewing(token, renewal, task_commands.iter().chain(missing)),
             None => self.refusing(None),
         };
         let _ = to.send(reply);
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -11,7 +11,7 @@
 use crate::protocol::users::JobStatus;
 use crate::protocol::workers::{DirectCommands, WorkerCommand};
 use crate::scheduler::model::JobId;
-use crate::scheduler::{Command, Effect, Order, Outcome, StoredMachine};
+use crate::scheduler::{Command, Effect, Outcome, StoredMachine, TaskCommand};
 use crate::store::{self, Committed};
 use crate::worker;
 use std::collections::BTreeSet;
@@ -36,12 +36,14 @@
     /// Carries out one effect of the scheduler.
     pub(super) fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { reply, renewal, orders, keep } => self.answer(reply, renewal, orders, keep),
+            Effect::Answer { reply, renewal, task_commands, keep } => {
+                self.answer(reply, renewal, task_commands, keep)
+            }
             Effect::Wake { node, machine } => {
                 self.send(node, Payload::WakeRequest(vec![machine]));
             }
-            Effect::Direct { machine, address, agent_epoch, orders } => {
-                self.send_direct(&machine, address, agent_epoch, &orders);
+            Effect::Direct { machine, address, agent_epoch, task_commands } => {
+                self.send_direct(&machine, address, agent_epoch, &task_commands);
             }
             Effect::CommitDone { job_id, version, tasks, all_done } => {
                 self.commit_done(job_id, version, tasks, all_done);
@@ -69,12 +71,12 @@
         store::compare(store::EPOCH, self.version)
     }
 
-    fn send_direct(&self, machine: &str, address: String, agent_epoch: u64, orders: &[Order]) {
+    fn send_direct(&self, machine: &str, address: String, agent_epoch: u64, task_commands: &[TaskCommand]) {
         let Some(token) = self.leadership.authority(self.clock.now()) else { return };
-        let commands = orders.iter().map(WorkerCommand::from).collect();
+        let commands = task_commands.iter().map(WorkerCommand::from).collect();
         let commands = DirectCommands { token, agent_epoch, commands };
         // The next heartbeat brings the stops as well.
-        let Ok(turn) = self.orders.clone().try_acquire_owned() else { return };
+        let Ok(turn) = self.direct_command_permits.clone().try_acquire_owned() else { return };
         let (http, events, gate) = (self.workers.clone(), self.events.clone(), self.gate());
         debug!(machine, stops = commands.commands.len(), "direct stops");
         tokio::spawn(async move {
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -134,7 +134,7 @@
                 ReplyTo::Lessee(node, id) => {
                     self.send(
                         node,
-                        Payload::RelayedResponse { id, token: None, keep: false, orders: Vec::new() },
+                        Payload::RelayedResponse { id, token: None, keep: false, task_commands: Vec::new() },
                     );
                 }
             }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -80,7 +80,7 @@
     clock: Clock,
     /// For commands to workers' addresses.
     workers: Http,
-    orders: Arc<Semaphore>,
+    direct_command_permits: Arc<Semaphore>,
     store: Store,
     cloud: Cloud,
     events: mpsc::Sender<Event>,
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -141,7 +141,7 @@
         settings,
         clock,
         workers: Http::to_many()?,
-        orders: Arc::new(Semaphore::new(room.orders)),
+        direct_command_permits: Arc::new(Semaphore::new(room.direct_commands)),
         store,
         cloud,
         events,
--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -46,7 +46,7 @@
         (until, (now < until).then_some(*token))
     }
 
-    /// The token under which this node may keep workers alive, without orders.
+    /// The token under which this node may keep workers alive, without commands.
     pub fn lease_keeper(&self, now: u64) -> Option<u64> {
         let Role::LeaseKeeper { token } = self.role else { return None };
         (now + limits::GUARD < self.care_until(now)).then_some(token)
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -131,7 +131,7 @@
         by: By,
     },
     /// In a state outage without a leader: keeps workers alive under the last token, by grants of a
-    /// majority, and gives no orders.
+    /// majority, and gives no commands.
     LeaseKeeper {
         token: u64,
     },
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -5,7 +5,7 @@
 use crate::blocks::{Block, BlockHeartbeat};
 use crate::limits::lengthened;
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
-use crate::scheduler::Order;
+use crate::scheduler::TaskCommand;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -587,9 +587,9 @@
             notice_s: None,
             tasks: worker.tasks.iter().map(task).collect(),
         };
-        let job_ids = |orders: Vec<Order>| {
-            let stopped = orders.into_iter().filter_map(|o| match o {
-                Order::Stop { id, .. } => Some(id.job_id),
+        let job_ids = |task_commands: Vec<TaskCommand>| {
+            let stopped = task_commands.into_iter().filter_map(|o| match o {
+                TaskCommand::Stop { id, .. } => Some(id.job_id),
                 _ => None,
             });
             stopped.collect::<BTreeSet<JobId>>()
@@ -635,7 +635,7 @@
     }
 
     /// What `Controller::keeps` says, of versions that have it.
-    fn keeps(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<Order>> {
+    fn keeps(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let (now, cancellations) = (self.local(node), &self.nodes[node].leadership.cancellations);
         if self.cancels == 0 {
             return Some(Vec::new());
@@ -644,7 +644,7 @@
     }
 
     /// What a leader that has loaded the jobs answers.
-    fn leads(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<Order>> {
+    fn leads(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let (now, cancellations) = (self.local(node), &self.nodes[node].leadership.cancellations);
         if self.cancels == 0 {
             return Some(Vec::new());
@@ -652,7 +652,7 @@
         // It stops what it has no job for, as the scheduler does.
         let known = |id: &TaskId| cancellations.is_live(id.job_id);
         let foreign = heartbeat.tasks.iter().filter(|t| !known(&t.id));
-        let foreign = foreign.map(|t| Order::Stop { id: t.id, attempt: t.attempt, grace_s: 0.0 });
+        let foreign = foreign.map(|t| TaskCommand::Stop { id: t.id, attempt: t.attempt, grace_s: 0.0 });
         (now < cancellations.keeps_until()).then(|| cancellations.with_stops(foreign.collect(), heartbeat))
     }
 
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -361,7 +361,7 @@
     pub changes: usize,
     pub polls: usize,
     /// Commands to workers' addresses at once, a connection each.
-    pub orders: usize,
+    pub direct_commands: usize,
     /// Final states remembered by a node so that late polls cost no request: a thirty-second of its memory at
     /// some 250 bytes each.
     pub over: usize,
@@ -377,7 +377,7 @@
             block: sockets,
             changes: (sockets / 16).max(32),
             polls: (sockets / 8).max(64),
-            orders: (sockets / 16).max(16),
+            direct_commands: (sockets / 16).max(16),
             over: memory / 32 / 250,
         }
     }
@@ -408,7 +408,7 @@
 /// Cloud requests may take their time; a request without an answer is repeated under its name.
 pub const CLOUD_TIMEOUT: Duration = Duration::from_secs(4);
 /// Direct commands to a worker's address.
-pub const ORDERS_TIMEOUT: Duration = Duration::from_secs(2);
+pub const DIRECT_COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Connecting to anything here: round trips are a few milliseconds.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// A worker gives an answer 4 s; later ones are useless.
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -6,7 +6,7 @@
 use crate::leadership::{Message, Status};
 use crate::limits;
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
-use crate::scheduler::Order;
+use crate::scheduler::TaskCommand;
 use zerocopy::little_endian::U64;
 use zerocopy::{FromBytes, IntoBytes};
 
@@ -117,13 +117,13 @@
     })
 }
 
-fn order_line(order: &Order) -> OrderLine {
-    let (kind, id, attempt, grace_s) = match order {
-        Order::Start { id, attempt } => (0, id, attempt, 0.0),
-        Order::Stop { id, attempt, grace_s } => (1, id, attempt, *grace_s),
-        Order::Forget { id, attempt } => (2, id, attempt, 0.0),
+fn task_command_line(command: &TaskCommand) -> TaskCommandLine {
+    let (kind, id, attempt, grace_s) = match command {
+        TaskCommand::Start { id, attempt } => (0, id, attempt, 0.0),
+        TaskCommand::Stop { id, attempt, grace_s } => (1, id, attempt, *grace_s),
+        TaskCommand::Forget { id, attempt } => (2, id, attempt, 0.0),
     };
-    OrderLine {
+    TaskCommandLine {
         job_id: id.job_id.0.into(),
         attempt: (*attempt).into(),
         grace_ms: ((grace_s * 1000.0) as u32).into(),
@@ -133,14 +133,14 @@
     }
 }
 
-fn order_of(line: &OrderLine) -> Result<Order, &'static str> {
+fn decode_task_command(line: &TaskCommandLine) -> Result<TaskCommand, &'static str> {
     let id = TaskId { job_id: JobId(line.job_id.get()), task: line.task.get() };
     let attempt = line.attempt.get();
     match line.kind {
-        0 => Ok(Order::Start { id, attempt }),
-        1 => Ok(Order::Stop { id, attempt, grace_s: f64::from(line.grace_ms.get()) / 1000.0 }),
-        2 => Ok(Order::Forget { id, attempt }),
-        _ => Err("unknown order"),
+        0 => Ok(TaskCommand::Start { id, attempt }),
+        1 => Ok(TaskCommand::Stop { id, attempt, grace_s: f64::from(line.grace_ms.get()) / 1000.0 }),
+        2 => Ok(TaskCommand::Forget { id, attempt }),
+        _ => Err("unknown task command"),
     }
 }
 
@@ -213,11 +213,13 @@
             (head.kind, head.stamp, head.state_age) = (REPORT, (*id).into(), (*stamp).into());
             write_report(heartbeat, &mut body);
         }
-        Payload::RelayedResponse { id, token, keep, orders } => {
+        Payload::RelayedResponse { id, token, keep, task_commands } => {
             (head.kind, head.stamp) = (REPLY, (*id).into());
             head.token = token.unwrap_or(0).into();
             head.workers = u32::from(*keep).into();
-            orders.iter().for_each(|order| body.extend_from_slice(order_line(order).as_bytes()));
+            task_commands
+                .iter()
+                .for_each(|command| body.extend_from_slice(task_command_line(command).as_bytes()));
         }
         Payload::WakeRequest(machines) => {
             head.kind = WAKE;
@@ -293,10 +295,10 @@
         }
         REPORT => Payload::RelayedHeartbeat { id: stamp, stamp: time, heartbeat: read_report(rest)? },
         REPLY => {
-            let lines = <[OrderLine]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
-            let orders = lines.iter().map(order_of).collect::<Result<_, _>>()?;
+            let lines = <[TaskCommandLine]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
+            let task_commands = lines.iter().map(decode_task_command).collect::<Result<_, _>>()?;
             let token = (token > 0).then_some(token);
-            Payload::RelayedResponse { id: stamp, token, keep: head.workers.get() != 0, orders }
+            Payload::RelayedResponse { id: stamp, token, keep: head.workers.get() != 0, task_commands }
         }
         WAKE => Payload::WakeRequest(read_names(rest)?),
         HEARD => {
--- a/src/peer/layout.rs
+++ b/src/peer/layout.rs
@@ -66,7 +66,7 @@
 /// What a worker is to be told.
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
-pub(super) struct OrderLine {
+pub(super) struct TaskCommandLine {
     pub(super) job_id: U64,
     pub(super) attempt: U64,
     pub(super) grace_ms: U32,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -13,7 +13,7 @@
 use crate::cancellation_log::Attestation;
 use crate::leadership::{Message, Status};
 use crate::scheduler::model::Heartbeat;
-use crate::scheduler::Order;
+use crate::scheduler::TaskCommand;
 
 #[derive(Debug, Clone)]
 pub enum Payload {
@@ -31,7 +31,7 @@
         id: u64,
         token: Option<u64>,
         keep: bool,
-        orders: Vec<Order>,
+        task_commands: Vec<TaskCommand>,
     },
     /// Machines whose next heartbeat is to be passed on.
     WakeRequest(Vec<String>),
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -54,19 +54,20 @@
         panic!()
     };
     assert_eq!(format!("{back:?}"), format!("{heartbeat:?}"));
-    let orders = vec![
-        Order::Start { id, attempt: 6 },
-        Order::Stop { id, attempt: 5, grace_s: 4.5 },
-        Order::Forget { id, attempt: 4 },
+    let task_commands = vec![
+        TaskCommand::Start { id, attempt: 6 },
+        TaskCommand::Stop { id, attempt: 5, grace_s: 4.5 },
+        TaskCommand::Forget { id, attempt: 4 },
     ];
-    let reply = Payload::RelayedResponse { id: 9, token: Some(41), keep: true, orders: orders.clone() };
+    let reply =
+        Payload::RelayedResponse { id: 9, token: Some(41), keep: true, task_commands: task_commands.clone() };
     let reply = encode(sender, 2, &reply);
-    let Payload::RelayedResponse { id: 9, token: Some(41), keep: true, orders: back } =
+    let Payload::RelayedResponse { id: 9, token: Some(41), keep: true, task_commands: back } =
         decode(&reply).unwrap().3
     else {
         panic!()
     };
-    assert_eq!(back, orders);
+    assert_eq!(back, task_commands);
     let heard = Payload::ShardHeartbeat {
         id: 3,
         stamp: 4,
@@ -87,7 +88,7 @@
             let shorter = decode(&part);
             let fewer = matches!(
                 &shorter,
-                Ok((.., Payload::RelayedResponse { orders, .. })) if orders.len() < 3
+                Ok((.., Payload::RelayedResponse { task_commands, .. })) if task_commands.len() < 3
             ) || matches!(
                 &shorter,
                 Ok((.., Payload::ShardHeartbeat { machines, .. })) if machines.len() < 2
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::lease_renewal::LeaseRenewal;
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
-use crate::scheduler::Order;
+use crate::scheduler::TaskCommand;
 use serde::{Deserialize, Serialize};
 
 /// A worker's heartbeat.
@@ -160,14 +160,16 @@
     },
 }
 
-impl From<&Order> for WorkerCommand {
-    fn from(order: &Order) -> Self {
-        match order {
-            Order::Start { id, attempt } => WorkerCommand::Start { task: id.to_string(), attempt: *attempt },
-            Order::Stop { id, attempt, grace_s } => {
+impl From<&TaskCommand> for WorkerCommand {
+    fn from(command: &TaskCommand) -> Self {
+        match command {
+            TaskCommand::Start { id, attempt } => {
+                WorkerCommand::Start { task: id.to_string(), attempt: *attempt }
+            }
+            TaskCommand::Stop { id, attempt, grace_s } => {
                 WorkerCommand::Stop { task: id.to_string(), attempt: *attempt, grace_s: *grace_s }
             }
-            Order::Forget { id, attempt } => {
+            TaskCommand::Forget { id, attempt } => {
                 WorkerCommand::Forget { task: id.to_string(), attempt: *attempt }
             }
         }
@@ -187,8 +189,12 @@
 
 impl HeartbeatResponse {
     /// An answer under a leader's token, which renews the worker's lease.
-    pub fn new<'a>(token: u64, _renewal: LeaseRenewal, orders: impl IntoIterator<Item = &'a Order>) -> Self {
-        HeartbeatResponse { token, commands: orders.into_iter().map(WorkerCommand::from).collect() }
+    pub fn new<'a>(
+        token: u64,
+        _renewal: LeaseRenewal,
+        task_commands: impl IntoIterator<Item = &'a TaskCommand>,
+    ) -> Self {
+        HeartbeatResponse { token, commands: task_commands.into_iter().map(WorkerCommand::from).collect() }
     }
 }
 
--- a/src/scheduler/answers.rs
+++ b/src/scheduler/answers.rs
@@ -1,16 +1,16 @@
 //! What workers are told: answers to their heartbeats, and direct stops.
 
 use super::model::*;
-use super::{Effect, Order, Scheduler};
+use super::{Effect, Scheduler, TaskCommand};
 use crate::lease_renewal::LeaseRenewal;
 use tracing::debug;
 
 impl Scheduler {
-    pub(super) fn stop_orders(machine: &Machine) -> impl Iterator<Item = Order> + '_ {
+    pub(super) fn stop_commands(machine: &Machine) -> impl Iterator<Item = TaskCommand> + '_ {
         let own = machine.tasks.iter().filter_map(|(id, t)| {
-            t.stopping.map(|(_, grace_s)| Order::Stop { id: *id, attempt: t.attempt, grace_s })
+            t.stopping.map(|(_, grace_s)| TaskCommand::Stop { id: *id, attempt: t.attempt, grace_s })
         });
-        let foreign = machine.foreign.iter().map(|(id, attempt)| Order::Stop {
+        let foreign = machine.foreign.iter().map(|(id, attempt)| TaskCommand::Stop {
             id: *id,
             attempt: *attempt,
             grace_s: 0.0,
@@ -37,20 +37,20 @@
 
     /// Answers a heartbeat.
     pub(super) fn answer(&mut self, reply: u64, name: &str, renewal: Option<LeaseRenewal>) {
-        let (orders, keep) = self.orders_for(name);
-        self.effects.push(Effect::Answer { reply, renewal, orders, keep });
+        let (task_commands, keep) = self.commands_for(name);
+        self.effects.push(Effect::Answer { reply, renewal, task_commands, keep });
     }
 
     /// What the answer to a heartbeat tells the machine; and whether the node that it came through may answer by itself
     /// what says nothing new.
-    fn orders_for(&mut self, name: &str) -> (Vec<Order>, bool) {
+    fn commands_for(&mut self, name: &str) -> (Vec<TaskCommand>, bool) {
         let reconciled_and_recorded;
-        let mut orders: Vec<Order>;
+        let mut task_commands: Vec<TaskCommand>;
         {
             let Some(machine) = self.machines.get_mut(name) else { return (Vec::new(), false) };
             machine.woken = false;
             machine.told_token = machine.via.is_none() && !machine.reconciled;
-            orders = Self::stop_orders(machine).collect();
+            task_commands = Self::stop_commands(machine).collect();
             reconciled_and_recorded = machine.reconciled && machine.recorded;
         }
         let machine = &self.machines[name];
@@ -59,7 +59,7 @@
             let job = self.jobs.get(&id.job_id);
             let kept = *reason == ExitReason::Done && job.is_some_and(|j| j.uncommitted.contains(&id.task));
             if !kept {
-                orders.push(Order::Forget { id: *id, attempt: *attempt });
+                task_commands.push(TaskCommand::Forget { id: *id, attempt: *attempt });
             }
         }
         if let Some(machine) = self.machines.get_mut(name).filter(|_| reconciled_and_recorded) {
@@ -67,22 +67,22 @@
             for (id, placed) in &mut machine.tasks {
                 if placed.sent.is_none() && !placed.seen && placed.stopping.is_none() {
                     placed.sent = Some(newest);
-                    orders.push(Order::Start { id: *id, attempt: placed.attempt });
+                    task_commands.push(TaskCommand::Start { id: *id, attempt: placed.attempt });
                 }
             }
             // What goes through a lessee may be lost between it and us; that says nothing of the machine.
             if machine.via.is_none() {
-                machine.told.clone_from(&orders);
+                machine.told.clone_from(&task_commands);
             }
         }
         let blocks = self.config.block_lease > 0;
-        let Some(machine) = self.machines.get_mut(name) else { return (orders, false) };
+        let Some(machine) = self.machines.get_mut(name) else { return (task_commands, false) };
         machine.kept = blocks
             && machine.via.is_some()
-            && orders.is_empty()
+            && task_commands.is_empty()
             && machine.calm()
             && machine.exited.is_empty();
-        (orders, machine.kept)
+        (task_commands, machine.kept)
     }
 
     /// A lessee has answered these machines by itself, and nobody else before `covers`. Their leases run on;
@@ -119,13 +119,13 @@
     pub fn direct_stops(&mut self) {
         for name in std::mem::take(&mut self.fleet.direct) {
             let Some(machine) = self.machines.get(&name) else { continue };
-            let orders: Vec<Order> = Self::stop_orders(machine).collect();
-            if machine.phase == Phase::Up && !orders.is_empty() {
+            let task_commands: Vec<TaskCommand> = Self::stop_commands(machine).collect();
+            if machine.phase == Phase::Up && !task_commands.is_empty() {
                 self.effects.push(Effect::Direct {
                     machine: name,
                     address: machine.address.clone(),
                     agent_epoch: machine.agent_epoch,
-                    orders,
+                    task_commands,
                 });
             }
         }
--- a/src/scheduler/hearing.rs
+++ b/src/scheduler/hearing.rs
@@ -1,7 +1,7 @@
 //! Whether a machine hears what it is told, and by which controller it reports.
 
 use super::model::*;
-use super::Order;
+use super::TaskCommand;
 
 impl Machine {
     /// Its heartbeat came this way. Returns whether that is another way than before.
@@ -30,10 +30,10 @@
             let listed = heartbeat.tasks.iter().find(|t| t.id == *id && t.attempt == attempt);
             listed.map(|t| t.status)
         };
-        let carried_out = |order: &Order| match order {
-            Order::Start { id, attempt } => status(id, *attempt).is_some(),
-            Order::Forget { id, attempt } => status(id, *attempt).is_none(),
-            Order::Stop { id, attempt, .. } => {
+        let carried_out = |command: &TaskCommand| match command {
+            TaskCommand::Start { id, attempt } => status(id, *attempt).is_some(),
+            TaskCommand::Forget { id, attempt } => status(id, *attempt).is_none(),
+            TaskCommand::Stop { id, attempt, .. } => {
                 !matches!(status(id, *attempt), Some(TaskStatus::Fetching | TaskStatus::Running))
             }
         };
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -152,7 +152,7 @@
 
 /// What a worker is told.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Order {
+pub enum TaskCommand {
     Start { id: TaskId, attempt: u64 },
     Stop { id: TaskId, attempt: u64, grace_s: f64 },
     Forget { id: TaskId, attempt: u64 },
@@ -164,7 +164,7 @@
         reply: u64,
         /// None: nobody waits, and the answer must not renew a lease.
         renewal: Option<LeaseRenewal>,
-        orders: Vec<Order>,
+        task_commands: Vec<TaskCommand>,
         /// The node that passed the heartbeat on may answer the next ones by itself if they say nothing new.
         keep: bool,
     },
@@ -178,7 +178,7 @@
         machine: String,
         address: String,
         agent_epoch: u64,
-        orders: Vec<Order>,
+        task_commands: Vec<TaskCommand>,
     },
     CommitDone {
         job_id: JobId,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -256,10 +256,15 @@
             }
             HeartbeatOutcome::Overtaken => {
                 let renewal = self.note_answer(&name);
-                self.effects.push(Effect::Answer { reply, renewal, orders: Vec::new(), keep: false });
+                self.effects.push(Effect::Answer { reply, renewal, task_commands: Vec::new(), keep: false });
             }
             HeartbeatOutcome::Stale => {
-                self.effects.push(Effect::Answer { reply, renewal: None, orders: Vec::new(), keep: false });
+                self.effects.push(Effect::Answer {
+                    reply,
+                    renewal: None,
+                    task_commands: Vec::new(),
+                    keep: false,
+                });
             }
         }
     }
--- a/src/scheduler/model.rs
+++ b/src/scheduler/model.rs
@@ -282,7 +282,7 @@
     pub surplus: bool,
     pub deleting: bool,
     /// What the last answer said that the next heartbeat must show some trace of, our token included.
-    pub told: Vec<super::Order>,
+    pub told: Vec<super::TaskCommand>,
     pub told_token: bool,
     /// Heartbeats running that show no trace of what the answer before them said.
     pub unheard: u32,
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -13,7 +13,7 @@
     let address: std::net::SocketAddr = address.parse().ok()?;
     let body = serde_json::to_vec(commands).ok()?;
     let url = format!("http://{address}/orders");
-    match http.call(Method::POST, &url, Some(body), limits::ORDERS_TIMEOUT).await {
+    match http.call(Method::POST, &url, Some(body), limits::DIRECT_COMMAND_TIMEOUT).await {
         Ok(answer) if answer.status == 200 => {
             match serde_json::from_slice::<HeartbeatRequest>(&answer.body) {
                 Ok(heartbeat_request) => Heartbeat::try_from(heartbeat_request)
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -3,7 +3,9 @@
 use crate::common;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
+use dockpier::scheduler::{
+    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+};
 use dockpier::settings::{Operator, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -105,7 +107,7 @@
                     self.deleted.extend(machines.iter().cloned());
                     answers.push(Command::Deleted { machines, outcome: Outcome::Done });
                 }
-                Effect::Answer { reply, orders, .. } => self.carry_out(reply as usize, orders),
+                Effect::Answer { reply, task_commands, .. } => self.carry_out(reply as usize, task_commands),
                 _ => {}
             }
         }
@@ -114,18 +116,18 @@
         }
     }
 
-    fn carry_out(&mut self, machine: usize, orders: Vec<Order>) {
+    fn carry_out(&mut self, machine: usize, task_commands: Vec<TaskCommand>) {
         if self.unreachable.contains(&machine) {
             return;
         }
         let tasks = self.tasks.entry(machine).or_default();
-        for order in orders {
-            match order {
-                Order::Start { id, attempt } => {
+        for command in task_commands {
+            match command {
+                TaskCommand::Start { id, attempt } => {
                     tasks.insert(id, Running { attempt, since: self.sequence });
                     *self.starts.entry(id.job_id.0).or_default() += 1;
                 }
-                Order::Stop { id, .. } | Order::Forget { id, .. } => {
+                TaskCommand::Stop { id, .. } | TaskCommand::Forget { id, .. } => {
                     tasks.remove(&id);
                 }
             }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -47,7 +47,7 @@
 /// How often each task has been ordered so far.
 fn ordered(fleet: &Fleet) -> BTreeMap<TaskId, usize> {
     let mut ordered: BTreeMap<TaskId, usize> = BTreeMap::new();
-    for ((id, _), times) in &fleet.history.orders {
+    for ((id, _), times) in &fleet.history.start_commands {
         *ordered.entry(*id).or_default() += times;
     }
     ordered
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -171,7 +171,7 @@
         assert!(finished, "leader ended after {moment}: {:?}", summary(&fleet, "some"));
         assert_kept(&fleet, agreed);
         assert_replaced_once(&fleet, &machines);
-        assert!(fleet.history.orders.values().all(|orders| *orders == 1), "an order was repeated");
+        assert!(fleet.history.start_commands.values().all(|orders| *orders == 1), "an order was repeated");
     }
 }
 
@@ -465,7 +465,7 @@
     fleet.submit(JobSpec { estimate_s: 600.0, ..job(9, "t", Kind::Array, 16) });
     fleet.run(12.0);
     assert_eq!(running(&fleet, |id| id.0 <= 2), 8, "the replica that moved does not serve");
-    let ordered = fleet.history.orders.keys().filter(|(id, _)| id.job_id.0 == 9).count();
+    let ordered = fleet.history.start_commands.keys().filter(|(id, _)| id.job_id.0 == 9).count();
     assert_eq!(running(&fleet, |id| id.0 == 9), ordered, "a task was stopped for its place");
 }
 
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -5,7 +5,9 @@
 use common::spec;
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
+use dockpier::scheduler::{
+    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+};
 use dockpier::settings::Operator;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -123,14 +125,14 @@
                 tasks,
             };
             for effect in self.step(vec![Command::Heartbeat { reply: 1, heartbeat, via: None }]) {
-                let Effect::Answer { orders, .. } = effect else { continue };
+                let Effect::Answer { task_commands, .. } = effect else { continue };
                 let running = self.running.get_mut(&machine).unwrap();
-                for order in orders {
-                    match order {
-                        Order::Start { id, attempt } => {
+                for command in task_commands {
+                    match command {
+                        TaskCommand::Start { id, attempt } => {
                             running.insert(id, attempt);
                         }
-                        Order::Stop { id, .. } | Order::Forget { id, .. } => {
+                        TaskCommand::Stop { id, .. } | TaskCommand::Forget { id, .. } => {
                             running.remove(&id);
                         }
                     }
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -5,7 +5,9 @@
 use common::spec;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
+use dockpier::scheduler::{
+    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Five machines of one place each, and a gang of three on them.
@@ -77,11 +79,13 @@
                     self.finished.push(job_id);
                     then.push(Command::Finished { job_id, outcome: Outcome::Done });
                 }
-                Effect::Answer { reply, orders, .. } if reply > 0 => self.orders(reply as usize - 1, orders),
-                Effect::Direct { machine, orders, .. } => {
+                Effect::Answer { reply, task_commands, .. } if reply > 0 => {
+                    self.task_commands(reply as usize - 1, task_commands)
+                }
+                Effect::Direct { machine, task_commands, .. } => {
                     let machine = machine.trim_start_matches("m-").parse().unwrap();
                     if !self.silent.contains(&machine) {
-                        self.orders(machine, orders);
+                        self.task_commands(machine, task_commands);
                     }
                 }
                 _ => {}
@@ -92,21 +96,21 @@
         }
     }
 
-    fn orders(&mut self, machine: usize, orders: Vec<Order>) {
+    fn task_commands(&mut self, machine: usize, task_commands: Vec<TaskCommand>) {
         let on = self.on.entry(machine).or_default();
-        for order in orders {
-            match order {
-                Order::Start { id, attempt } => {
+        for command in task_commands {
+            match command {
+                TaskCommand::Start { id, attempt } => {
                     on.entry(id).or_insert((attempt, TaskStatus::Fetching));
                 }
-                Order::Stop { id, attempt, grace_s } => {
+                TaskCommand::Stop { id, attempt, grace_s } => {
                     let lives = |t: &&mut (u64, TaskStatus)| !matches!(t.1, TaskStatus::Exited(_));
                     if let Some(task) = on.get_mut(&id).filter(|t| t.0 == attempt).filter(lives) {
                         task.1 = TaskStatus::Exited(ExitReason::Stopped);
                         self.stops.push((id, grace_s));
                     }
                 }
-                Order::Forget { id, .. } => drop(on.remove(&id)),
+                TaskCommand::Forget { id, .. } => drop(on.remove(&id)),
             }
         }
     }
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -5,7 +5,7 @@
 use super::stand_ins::{heartbeat, machine_types, outcome};
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob};
+use dockpier::scheduler::{Command, Config, Effect, Outcome, Scheduler, StoredJob, TaskCommand};
 use std::collections::{BTreeMap, BTreeSet};
 
 const REPORT_S: f64 = 3.0;
@@ -71,12 +71,12 @@
         for effect in self.scheduler.step(self.now, batch) {
             outcomes.extend(outcome(&effect));
             match effect {
-                Effect::Answer { reply, renewal, orders, .. } => {
+                Effect::Answer { reply, renewal, task_commands, .. } => {
                     if renewal.is_some() {
                         self.answered.insert(reply);
                     }
                     let machine = if reply < 1_000 { "m-000001" } else { "m-000002" };
-                    self.carry_out(machine, &orders);
+                    self.carry_out(machine, &task_commands);
                 }
                 Effect::Direct { machine, .. } => self.stops_sent |= machine == "m-000001",
                 _ => {}
@@ -98,14 +98,14 @@
         self.scheduler.overview(&Default::default()).ignored_heartbeats.stale
     }
 
-    fn carry_out(&mut self, machine: &str, orders: &[Order]) {
+    fn carry_out(&mut self, machine: &str, task_commands: &[TaskCommand]) {
         let running = self.running.entry(machine.into()).or_default();
-        for order in orders {
-            match order {
-                Order::Start { id, attempt } => {
+        for command in task_commands {
+            match command {
+                TaskCommand::Start { id, attempt } => {
                     running.insert(*id, *attempt);
                 }
-                Order::Stop { id, .. } | Order::Forget { id, .. } => {
+                TaskCommand::Stop { id, .. } | TaskCommand::Forget { id, .. } => {
                     running.remove(id);
                 }
             }
--- a/tests/leases/interleavings.rs
+++ b/tests/leases/interleavings.rs
@@ -8,7 +8,7 @@
 use dockpier::blocks::{Block, BlockAnswer, BlockHeartbeat};
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::{Command, Config, Effect, Order, Scheduler, StoredJob};
+use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand};
 use dockpier::settings::{Operator, Workers};
 use std::collections::BTreeMap;
 
@@ -38,11 +38,11 @@
     /// A heartbeat that the lessee passed on, at the leader.
     PassedOn(Heartbeat),
     /// The leader's answer to it, at the lessee.
-    Reply { heartbeat: Heartbeat, renews: bool, keep: bool, orders: Vec<Order> },
+    Reply { heartbeat: Heartbeat, renews: bool, keep: bool, task_commands: Vec<TaskCommand> },
     /// The answer to the heartbeat of this sequence, at the worker; None: it is sent elsewhere.
-    Answer { sequence: u64, orders: Option<Vec<Order>> },
+    Answer { sequence: u64, task_commands: Option<Vec<TaskCommand>> },
     /// Direct commands, at the worker.
-    Direct(Vec<Order>),
+    Direct(Vec<TaskCommand>),
     /// The worker's answer to them, at the leader.
     DirectAnswer(Heartbeat),
     /// At the leader.
@@ -84,20 +84,20 @@
         heartbeat(name, self.sequence, self.token, tasks)
     }
 
-    /// Carries orders out; whether its tasks changed.
-    fn take(&mut self, orders: &[Order]) -> bool {
+    /// Carries commands out; whether its tasks changed.
+    fn take(&mut self, task_commands: &[TaskCommand]) -> bool {
         let before = self.tasks.clone();
-        for order in orders {
-            match order {
-                Order::Start { id, attempt } => {
+        for command in task_commands {
+            match command {
+                TaskCommand::Start { id, attempt } => {
                     self.tasks.entry(*id).or_insert((*attempt, TaskStatus::Running));
                 }
-                Order::Stop { id, .. } => {
+                TaskCommand::Stop { id, .. } => {
                     if let Some((_, status)) = self.tasks.get_mut(id) {
                         *status = TaskStatus::Exited(ExitReason::Stopped);
                     }
                 }
-                Order::Forget { id, .. } => {
+                TaskCommand::Forget { id, .. } => {
                     self.tasks.remove(id);
                 }
             }
@@ -106,16 +106,16 @@
     }
 
     /// The answer to a heartbeat has come.
-    fn answered(&mut self, now: u64, sequence: u64, orders: Option<&[Order]>) {
+    fn answered(&mut self, now: u64, sequence: u64, task_commands: Option<&[TaskCommand]>) {
         let Some((_, sent)) = self.waits.filter(|(waits_for, _)| *waits_for == sequence) else { return };
         self.waits = None;
-        let Some(orders) = orders else {
+        let Some(task_commands) = task_commands else {
             self.report_due = now + SECOND;
             return;
         };
         self.token = 1;
         self.lease_until = self.lease_until.max(sent + LEASE);
-        let changed = self.take(orders);
+        let changed = self.take(task_commands);
         self.report_due = if changed { now + SECOND / 2 } else { sent + REPORT };
     }
 }
@@ -214,19 +214,19 @@
                 self.leader(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
             }
             Message::PassedOn(heartbeat) => self.pass_on(heartbeat),
-            Message::Reply { heartbeat, renews, keep, orders } => {
+            Message::Reply { heartbeat, renews, keep, task_commands } => {
                 let sequence = heartbeat.sequence;
                 if renews {
                     self.block.passed(self.now, heartbeat, 1, keep);
                 }
-                self.send(Message::Answer { sequence, orders: renews.then_some(orders) });
+                self.send(Message::Answer { sequence, task_commands: renews.then_some(task_commands) });
             }
-            Message::Answer { sequence, orders } => {
-                self.worker.answered(self.now, sequence, orders.as_deref());
+            Message::Answer { sequence, task_commands } => {
+                self.worker.answered(self.now, sequence, task_commands.as_deref());
                 self.report_if_due();
             }
-            Message::Direct(orders) => {
-                if self.worker.take(&orders) {
+            Message::Direct(task_commands) => {
+                if self.worker.take(&task_commands) {
                     self.worker.report_due = self.now;
                 }
                 let answer = self.worker.heartbeat(WATCHED);
@@ -250,8 +250,8 @@
     fn at_lessee(&mut self, heartbeat: Heartbeat) {
         let sequence = heartbeat.sequence;
         match self.block.answers(self.now, &heartbeat, true) {
-            BlockAnswer::Renews(..) => self.send(Message::Answer { sequence, orders: Some(vec![]) }),
-            BlockAnswer::Copy => self.send(Message::Answer { sequence, orders: None }),
+            BlockAnswer::Renews(..) => self.send(Message::Answer { sequence, task_commands: Some(vec![]) }),
+            BlockAnswer::Copy => self.send(Message::Answer { sequence, task_commands: None }),
             BlockAnswer::NotOurs => self.send(Message::PassedOn(heartbeat)),
         }
     }
@@ -264,10 +264,15 @@
         let answer =
             |message: &Message| matches!(message, Message::Answer { sequence, .. } if *sequence == reply);
         let Some(at) = self.under_way.iter().skip(first).position(answer) else { return };
-        if let Message::Answer { orders, .. } = self.under_way.remove(first + at) {
-            let renews = orders.is_some();
-            let keep = orders.as_ref().is_some_and(Vec::is_empty);
-            self.send(Message::Reply { heartbeat, renews, keep, orders: orders.unwrap_or_default() });
+        if let Message::Answer { task_commands, .. } = self.under_way.remove(first + at) {
+            let renews = task_commands.is_some();
+            let keep = task_commands.as_ref().is_some_and(Vec::is_empty);
+            self.send(Message::Reply {
+                heartbeat,
+                renews,
+                keep,
+                task_commands: task_commands.unwrap_or_default(),
+            });
         }
     }
 
@@ -276,12 +281,15 @@
         for effect in self.scheduler.step(self.now, batch) {
             outcomes.extend(outcome(&effect));
             match effect {
-                Effect::Answer { reply: 0, orders, .. } => self.answer_empty(&orders),
-                Effect::Answer { reply, renewal, orders, .. } => {
-                    self.send(Message::Answer { sequence: reply, orders: renewal.map(|_| orders) });
+                Effect::Answer { reply: 0, task_commands, .. } => self.answer_empty(&task_commands),
+                Effect::Answer { reply, renewal, task_commands, .. } => {
+                    self.send(Message::Answer {
+                        sequence: reply,
+                        task_commands: renewal.map(|_| task_commands),
+                    });
                 }
-                Effect::Direct { machine, orders, .. } if machine == WATCHED => {
-                    self.send(Message::Direct(orders));
+                Effect::Direct { machine, task_commands, .. } if machine == WATCHED => {
+                    self.send(Message::Direct(task_commands));
                 }
                 Effect::Wake { .. } => self.send(Message::Wake),
                 _ => {}
@@ -292,9 +300,9 @@
         }
     }
 
-    fn answer_empty(&mut self, orders: &[Order]) {
+    fn answer_empty(&mut self, task_commands: &[TaskCommand]) {
         self.empty.token = 1;
-        self.empty.take(orders);
+        self.empty.take(task_commands);
         if self.empty.tasks.contains_key(&REPLICA) {
             self.started_elsewhere.get_or_insert(self.now);
         }
@@ -354,8 +362,10 @@
 
 fn no_order_ends_a_lease_early(by_lessee: bool, lessee_heard: bool, at_least: u64) {
     let played = play_all(by_lessee, lessee_heard, &mut Vec::new());
-    println!("by_lessee {by_lessee}, lessee_heard {lessee_heard}: {played} orders up to {DEPTH} events");
-    assert!(played >= at_least, "{played} orders: too little was tested");
+    println!(
+        "by_lessee {by_lessee}, lessee_heard {lessee_heard}: {played} task_commands up to {DEPTH} events"
+    );
+    assert!(played >= at_least, "{played} task_commands: too little was tested");
 }
 
 #[test]
--- a/tests/pinned_wire/worker_orders.rs
+++ b/tests/pinned_wire/worker_orders.rs
@@ -11,7 +11,7 @@
     DirectCommands, HeartbeatRequest, HeartbeatResponse, Redirect, WorkerCommand,
 };
 use dockpier::scheduler::model::{JobId, TaskId};
-use dockpier::scheduler::Order;
+use dockpier::scheduler::TaskCommand;
 use dockpier::worker::send_commands;
 
 fn task(job: u64, task: u32) -> TaskId {
@@ -19,37 +19,37 @@
 }
 
 /// The signals on the protocol's page, in its order.
-pub fn orders() -> Vec<Order> {
+pub fn orders() -> Vec<TaskCommand> {
     vec![
-        Order::Start { id: task(412, 4), attempt: 2 },
-        Order::Stop { id: task(377, 1), attempt: 1, grace_s: 10.0 },
-        Order::Forget { id: task(398, 0), attempt: 1 },
+        TaskCommand::Start { id: task(412, 4), attempt: 2 },
+        TaskCommand::Stop { id: task(377, 1), attempt: 1, grace_s: 10.0 },
+        TaskCommand::Forget { id: task(398, 0), attempt: 1 },
     ]
 }
 
 /// Numbers at their bounds.
-fn extreme_orders() -> Vec<Order> {
+fn extreme_orders() -> Vec<TaskCommand> {
     vec![
-        Order::Start { id: task(u64::MAX, u32::MAX), attempt: u64::MAX },
-        Order::Stop { id: task(1, 0), attempt: 0, grace_s: 0.0 },
-        Order::Stop { id: task(1_234_567, 0), attempt: 3, grace_s: 4.25 },
-        Order::Stop { id: task(1, 0), attempt: 3, grace_s: 1e20 },
+        TaskCommand::Start { id: task(u64::MAX, u32::MAX), attempt: u64::MAX },
+        TaskCommand::Stop { id: task(1, 0), attempt: 0, grace_s: 0.0 },
+        TaskCommand::Stop { id: task(1_234_567, 0), attempt: 3, grace_s: 4.25 },
+        TaskCommand::Stop { id: task(1, 0), attempt: 3, grace_s: 1e20 },
     ]
 }
 
 /// An answer to a check-in under a token.
-pub fn answer(token: u64, orders: &[Order]) -> HeartbeatResponse {
+pub fn answer(token: u64, orders: &[TaskCommand]) -> HeartbeatResponse {
     HeartbeatResponse::new(token, LastAnswer::default().note(1), orders)
 }
 
-fn direct(token: u64, session: u64, orders: &[Order]) -> DirectCommands {
+fn direct(token: u64, session: u64, orders: &[TaskCommand]) -> DirectCommands {
     DirectCommands { token, agent_epoch: session, commands: orders.iter().map(WorkerCommand::from).collect() }
 }
 
 #[test]
 fn answers_to_check_ins_are_written_with_the_same_bytes() {
     let mut transcript = Transcript::default();
-    let written = |token, orders: &[Order]| serde_json::to_string(&answer(token, orders)).unwrap();
+    let written = |token, orders: &[TaskCommand]| serde_json::to_string(&answer(token, orders)).unwrap();
     transcript.case("answer without signals", written(41, &[]));
     transcript.case("answer with signals", written(41, &orders()));
     transcript.case("answer with numbers at their bounds", written(u64::MAX, &extreme_orders()));
@@ -57,7 +57,8 @@
         let redirect = Redirect { leader: leader.map(String::from) };
         transcript.case(format!("redirect to {leader:?}"), serde_json::to_string(&redirect).unwrap());
     }
-    let written = |session, orders: &[Order]| serde_json::to_string(&direct(41, session, orders)).unwrap();
+    let written =
+        |session, orders: &[TaskCommand]| serde_json::to_string(&direct(41, session, orders)).unwrap();
     transcript.case("direct orders", written(1, &orders()));
     transcript.case("direct orders with numbers at their bounds", written(u64::MAX, &extreme_orders()));
     let checkin: HeartbeatRequest = serde_json::from_str(&object(CHECKIN)).unwrap();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -6,7 +6,9 @@
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::overview::PageStart;
-use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
+use dockpier::scheduler::{
+    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+};
 use dockpier::settings::{Operator, Workers};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -149,7 +151,9 @@
                     self.job_writes += 2 + chunks.len();
                     more.push(Command::Finished { job_id, outcome: Outcome::Done });
                 }
-                Effect::Answer { reply, orders, .. } => self.carry_out(&name(reply as usize), orders),
+                Effect::Answer { reply, task_commands, .. } => {
+                    self.carry_out(&name(reply as usize), task_commands)
+                }
                 _ => {}
             }
         }
@@ -158,17 +162,17 @@
         }
     }
 
-    fn carry_out(&mut self, machine: &str, orders: Vec<Order>) {
+    fn carry_out(&mut self, machine: &str, task_commands: Vec<TaskCommand>) {
         if self.deaf.contains(machine) {
             return;
         }
         let running = self.running.entry(machine.into()).or_default();
-        for order in orders {
-            match order {
-                Order::Start { id, attempt } => {
+        for command in task_commands {
+            match command {
+                TaskCommand::Start { id, attempt } => {
                     running.insert(id, attempt);
                 }
-                Order::Stop { id, .. } | Order::Forget { id, .. } => {
+                TaskCommand::Stop { id, .. } | TaskCommand::Forget { id, .. } => {
                     running.remove(&id);
                 }
             }
--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -9,7 +9,9 @@
 use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::drains::LoadedDrains;
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::{Command, Config, Effect, Order, Outcome, Scheduler, StoredJob, StoredMachine};
+use dockpier::scheduler::{
+    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+};
 use dockpier::settings::{ColdStartSettings, Draining, Operator, Team, Workers};
 use dockpier_drain::budget::{Budget, Budgets, Cost, ANY_TEAM};
 use dockpier_drain::request::{DrainId, DrainRequest, StoredRequest, Target, Wish};
@@ -266,7 +268,7 @@
     /// Heartbeats that arrive late, when, and at which controller.
     held: Vec<(u64, Option<usize>, Heartbeat)>,
     /// Direct commands that arrive late: when, where, under which token and agent epoch.
-    held_orders: Vec<(u64, String, u64, u64, Vec<Order>)>,
+    held_orders: Vec<(u64, String, u64, u64, Vec<TaskCommand>)>,
     /// The last reports of each worker, for a copy of them to arrive anywhere.
     reported: BTreeMap<String, Vec<Heartbeat>>,
     orders_of_former_leaders: u64,
@@ -415,15 +417,15 @@
         let (due, held) =
             std::mem::take(&mut self.held_orders).into_iter().partition(|(at, ..)| *at <= self.now);
         self.held_orders = held;
-        for (_, name, token, agent_epoch, orders) in
-            Vec::<(u64, String, u64, u64, Vec<Order>)>::into_iter(due)
+        for (_, name, token, agent_epoch, task_commands) in
+            Vec::<(u64, String, u64, u64, Vec<TaskCommand>)>::into_iter(due)
         {
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             let reached = !worker.dead && self.now >= worker.up_at && self.now < worker.lease_until;
             if reached && worker.agent_epoch == agent_epoch && token >= worker.token {
                 worker.token = token;
                 self.orders_of_former_leaders += u64::from(token < self.token);
-                self.orders(&name, &orders);
+                self.task_commands(&name, &task_commands);
                 if self.deployment.slow_reports && token == self.token {
                     self.answer_orders(&name);
                 }
@@ -669,7 +671,7 @@
     fn carry_out(&mut self, effect: Effect) {
         let soon = self.now + self.rng.random_range(1..3) * STEP;
         match effect {
-            Effect::Answer { reply, renewal, orders, keep } => {
+            Effect::Answer { reply, renewal, task_commands, keep } => {
                 if let Some((node, heartbeat)) = self.passed_on.remove(&reply) {
                     let lessee = &mut self.lessees[node];
                     if self.now < lessee.cut_until {
@@ -701,9 +703,9 @@
                 worker.waits_until = 0;
                 worker.token = token;
                 worker.lease_until = worker.lease_until.max(sent + limits::micros(LEASE_S));
-                self.orders(&name, &orders);
+                self.task_commands(&name, &task_commands);
             }
-            Effect::Direct { machine, agent_epoch, orders, .. } => {
+            Effect::Direct { machine, agent_epoch, task_commands, .. } => {
                 let Some(worker) = self.workers.get(&machine) else { return };
                 if worker.dead || self.now < worker.deaf_until {
                     return;
@@ -712,7 +714,7 @@
                 let held = self.rng.random_bool(0.3);
                 let delay = if held { self.rng.random_range(2..16) * SECOND } else { 0 };
                 let at = (self.now + delay).max(worker.cut_until).max(worker.up_at);
-                self.held_orders.push((at, machine, self.token, agent_epoch, orders));
+                self.held_orders.push((at, machine, self.token, agent_epoch, task_commands));
                 self.deliver_held_orders();
             }
             Effect::CommitDone { job_id, version, tasks, .. } => {
@@ -817,11 +819,11 @@
         }
     }
 
-    fn orders(&mut self, name: &str, orders: &[Order]) {
-        for order in orders {
-            match order {
-                Order::Start { id, attempt } => self.start(name, *id, *attempt),
-                Order::Stop { id, attempt, .. } => {
+    fn task_commands(&mut self, name: &str, task_commands: &[TaskCommand]) {
+        for command in task_commands {
+            match command {
+                TaskCommand::Start { id, attempt } => self.start(name, *id, *attempt),
+                TaskCommand::Stop { id, attempt, .. } => {
                     let Some(worker) = self.workers.get_mut(name) else { return };
                     if let Some(task) = worker.tasks.get_mut(id).filter(|t| t.attempt == *attempt) {
                         if task.exited.is_none() {
@@ -830,7 +832,7 @@
                         }
                     }
                 }
-                Order::Forget { id, attempt } => {
+                TaskCommand::Forget { id, attempt } => {
                     let Some(worker) = self.workers.get_mut(name) else { return };
                     if worker.tasks.get(id).is_some_and(|t| t.attempt == *attempt && t.exited.is_some()) {
                         worker.tasks.remove(id);
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -7,7 +7,7 @@
 use dockpier::peer::{decode, encode, Payload, Sender};
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::Order;
+use dockpier::scheduler::TaskCommand;
 use std::collections::BTreeMap;
 
 const GOLDEN: &str = include_str!("golden/frames-3f677f9.txt");
@@ -59,10 +59,10 @@
         notice_s: Some(12.5),
         tasks: statuses.into_iter().map(|status| ReportedTask { id, attempt: 5, status }).collect(),
     };
-    let orders = vec![
-        Order::Start { id, attempt: 6 },
-        Order::Stop { id, attempt: 5, grace_s: 4.5 },
-        Order::Forget { id, attempt: 4 },
+    let task_commands = vec![
+        TaskCommand::Start { id, attempt: 6 },
+        TaskCommand::Stop { id, attempt: 5, grace_s: 4.5 },
+        TaskCommand::Forget { id, attempt: 4 },
     ];
     let machines = vec!["m-1".to_string(), "m-22".to_string()];
     let leadership = |message| Payload::Leadership(status, message);
@@ -74,7 +74,7 @@
         ("release", leadership(Message::Release { token: 4, successor: 1 })),
         ("summary", Payload::Summary(vec![(412, 3, 1), (413, 0, 0)])),
         ("report", Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat }),
-        ("reply", Payload::RelayedResponse { id: 9, token: Some(41), keep: true, orders }),
+        ("reply", Payload::RelayedResponse { id: 9, token: Some(41), keep: true, task_commands }),
         ("wake", Payload::WakeRequest(machines.clone())),
         ("heard", Payload::ShardHeartbeat { id: 3, stamp: 4, whole: true, fresh: false, machines }),
         ("confirmed", Payload::ShardHeartbeatAck { id: 3, lease_ms: 20_000 }),
