--- a/crates/dockpier-virtual-fleet/examples/transcript/words.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/words.rs
@@ -1,6 +1,6 @@
 //! The transcript's words for what the program names with types of its own.
 
-use dockpier::lease_renewal::{Grounds, LeaseRenewal};
+use dockpier::lease_renewal::{LeaseRenewal, RenewalBasis};
 use dockpier::scheduler::model::{Kind, Priority, TaskId};
 use dockpier::scheduler::StoredMachine;
 
@@ -30,13 +30,13 @@
 
 /// On what grounds an answer renews a lease.
 pub fn renewal(renewal: Option<&LeaseRenewal>) -> &'static str {
-    match renewal.map(LeaseRenewal::grounds) {
+    match renewal.map(LeaseRenewal::basis) {
         None => "none",
-        Some(Grounds::Leader) => "leader",
-        Some(Grounds::BeforeLoad) => "before-load",
-        Some(Grounds::LeaseKeeper) => "lease-keeper",
-        Some(Grounds::Lessee) => "lessee",
-        Some(Grounds::Relayed) => "relayed",
+        Some(RenewalBasis::Leader) => "leader",
+        Some(RenewalBasis::BeforeLoad) => "before-load",
+        Some(RenewalBasis::KeepAlive) => "lease-keeper",
+        Some(RenewalBasis::Leaseholder) => "lessee",
+        Some(RenewalBasis::Relayed) => "relayed",
     }
 }
 
--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -7,7 +7,7 @@
 //! so that a zone that is cut off lives on as a whole, whichever node its workers reported to before. The
 //! leader always knows until when somebody may have kept a worker alive.
 
-use crate::lease_renewal::{LeaseRenewal, UnconfirmedAnswers};
+use crate::lease_renewal::{LeaseRenewal, UnacknowledgedRenewals};
 use crate::limits;
 use crate::peer::RequestIds;
 use crate::scheduler::model::{Heartbeat, ReportedTask};
@@ -74,7 +74,7 @@
     kept: HashMap<String, Kept>,
     away: HashMap<String, Away>,
     /// Machines answered here that the leader has not confirmed.
-    answered: UnconfirmedAnswers,
+    answered: UnacknowledgedRenewals,
     /// Words without confirmation: number, when, which machines.
     told: VecDeque<(u64, u64, Vec<String>)>,
     heartbeats: RequestIds,
@@ -123,7 +123,7 @@
         if let Some(kept) = self.kept.get_mut(&heartbeat.machine).filter(|_| unchanged) {
             (kept.sequence, kept.at) = (heartbeat.sequence, now);
         }
-        BlockAnswer::Renews(self.token, self.answered.note(&heartbeat.machine, self.heartbeats.upcoming()))
+        BlockAnswer::Renews(self.token, self.answered.record(&heartbeat.machine, self.heartbeats.upcoming()))
     }
 
     /// While no leader is heard, a worker of ours with news tries the other nodes first, since it may be only
@@ -198,7 +198,7 @@
         let Some((_, sent, machines)) = self.told.drain(..=at).next_back() else { return false };
         self.until = self.until.max(sent + limits::shortened(lease));
         for name in machines {
-            self.answered.confirm(&name, id);
+            self.answered.acknowledge(&name, id);
         }
         true
     }
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -30,7 +30,7 @@
 /// An answer that this node gives without the leader, as far as it knows.
 fn log_renewal(heartbeat: &Heartbeat, renewal: &LeaseRenewal, token: u64) {
     let Heartbeat { machine, agent_epoch, sequence, .. } = heartbeat;
-    debug!(machine, agent_epoch, sequence, token, grounds = ?renewal.grounds(), "lease renewed");
+    debug!(machine, agent_epoch, sequence, token, basis = ?renewal.basis(), "lease renewed");
 }
 
 /// A heartbeat on its way to the leader.
@@ -135,13 +135,13 @@
         renewal: LeaseRenewal,
         task_commands: impl IntoIterator<Item = &'a TaskCommand>,
     ) -> HeartbeatReply {
-        self.answers.count(&renewal);
+        self.renewal_counts.count(&renewal);
         HeartbeatReply::Accepted(HeartbeatResponse::new(token, renewal, task_commands))
     }
 
     /// No answer here: the worker is to ask another node.
     fn refusing(&mut self, leader: Option<String>) -> HeartbeatReply {
-        self.answers.count_refused();
+        self.renewal_counts.count_refused();
         HeartbeatReply::Redirected(leader)
     }
 
@@ -211,7 +211,7 @@
         // there is nobody to say what it should do but stop what is cancelled.
         let loaded = self.scheduler.as_ref().is_some_and(|scheduler| scheduler.loaded);
         let unloaded = leads.filter(|_| !loaded).map(|token| (token, LeaseRenewal::before_load()));
-        let keeper = || Some((self.leadership.lease_keeper(now)?, LeaseRenewal::by_lease_keeper()));
+        let keeper = || Some((self.leadership.lease_keeper(now)?, LeaseRenewal::by_keep_alive()));
         if let Some((token, renewal)) = unloaded.or_else(keeper) {
             let reply = match self.keeps(now, &heartbeat) {
                 Some(stops) => {
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -46,7 +46,7 @@
             node,
             leader,
             token: self.config.token,
-            answers: self.answers,
+            renewals: self.renewal_counts,
             frames_ignored: self.frames_ignored.counts(),
             scheduler,
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -22,7 +22,7 @@
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{wall_ms, Clock, Http};
 use crate::leadership::{Leadership, StoreAnswer};
-use crate::lease_renewal::AnswerCounts;
+use crate::lease_renewal::RenewalCounts;
 use crate::limits;
 use crate::live::Reading;
 use crate::peer::{Payload, Received, RequestIds};
@@ -52,7 +52,8 @@
     pub leader: Option<String>,
     pub token: u64,
     /// Answers to heartbeats that this node gave, by what they rest on.
-    pub answers: AnswerCounts,
+    #[serde(rename = "answers")]
+    pub renewals: RenewalCounts,
     /// Frames of peers that nothing followed from.
     pub frames_ignored: FrameCounts,
     #[serde(flatten)]
@@ -94,7 +95,7 @@
     replies: BTreeMap<u64, ReplyTo>,
     requests: RequestIds,
     frames_ignored: FramesIgnored,
-    answers: AnswerCounts,
+    renewal_counts: RenewalCounts,
     /// The workers that heartbeat here while another node leads.
     block: Block,
     passed_on: BTreeMap<u64, PassedOn>,
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -9,7 +9,7 @@
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{Clock, Http};
 use crate::leadership::Leadership;
-use crate::lease_renewal::AnswerCounts;
+use crate::lease_renewal::RenewalCounts;
 use crate::limits::{self, Capacity};
 use crate::peer::{self, Received, RequestIds, Sender};
 use crate::record_versions::RecordVersions;
@@ -154,7 +154,7 @@
         replies: BTreeMap::new(),
         requests: RequestIds::of(sender.incarnation),
         frames_ignored: FramesIgnored::default(),
-        answers: AnswerCounts::default(),
+        renewal_counts: RenewalCounts::default(),
         block: Block::new(room.block, sender.incarnation),
         passed_on: BTreeMap::new(),
         leading: Vec::new(),
--- a/src/lease_renewal.rs
+++ b/src/lease_renewal.rs
@@ -10,17 +10,17 @@
 
 /// On what grounds an answer may renew a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Grounds {
+pub enum RenewalBasis {
     /// The leader noted the answer to the machine.
     Leader,
     /// A leader that has not loaded its state: leases count from when it has (`Scheduler::load`).
     BeforeLoad,
-    /// A lease keeper: the next leader counts leases from when it may last have answered
+    /// A node in keep-alive mode: the next leader counts leases from when it may last have answered
     /// (`Leadership::autonomous_until`).
-    LeaseKeeper,
-    /// A lessee noted the machine for its next heartbeat; until then the leader counts none of its leases as over.
-    Lessee,
-    /// The leader noted the answer before it sent it to the lessee that had passed the heartbeat on.
+    KeepAlive,
+    /// A leaseholder noted the machine for its next heartbeat; until then the leader counts none of its leases as over.
+    Leaseholder,
+    /// The leader noted the answer before it sent it to the leaseholder that had passed the heartbeat on.
     Relayed,
 }
 
@@ -28,50 +28,50 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[must_use = "an answer that was noted should be given"]
 pub struct LeaseRenewal {
-    grounds: Grounds,
+    basis: RenewalBasis,
 }
 
 impl LeaseRenewal {
-    fn on(grounds: Grounds) -> Self {
-        LeaseRenewal { grounds }
+    fn on(basis: RenewalBasis) -> Self {
+        LeaseRenewal { basis }
     }
 
     /// Of a leader that has not loaded its state.
     pub(crate) fn before_load() -> Self {
-        LeaseRenewal::on(Grounds::BeforeLoad)
+        LeaseRenewal::on(RenewalBasis::BeforeLoad)
     }
 
-    /// Of a lease keeper.
-    pub(crate) fn by_lease_keeper() -> Self {
-        LeaseRenewal::on(Grounds::LeaseKeeper)
+    /// Of a node in keep-alive mode.
+    pub(crate) fn by_keep_alive() -> Self {
+        LeaseRenewal::on(RenewalBasis::KeepAlive)
     }
 
-    /// Of a lessee that has the leader's answer.
+    /// Of a leaseholder that has the leader's answer.
     pub(crate) fn relayed() -> Self {
-        LeaseRenewal::on(Grounds::Relayed)
+        LeaseRenewal::on(RenewalBasis::Relayed)
     }
 
     /// Why the lease may be renewed.
-    pub fn grounds(&self) -> Grounds {
-        self.grounds
+    pub fn basis(&self) -> RenewalBasis {
+        self.basis
     }
 }
 
 /// When the leader last noted an answer that may have renewed a machine's lease.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LastAnswer {
+pub struct LastRenewal {
     at: u64,
 }
 
-impl LastAnswer {
+impl LastRenewal {
     /// An answer of the leader's own.
-    pub fn note(&mut self, now: u64) -> LeaseRenewal {
+    pub fn record(&mut self, now: u64) -> LeaseRenewal {
         self.at = self.at.max(now);
-        LeaseRenewal::on(Grounds::Leader)
+        LeaseRenewal::on(RenewalBasis::Leader)
     }
 
-    /// A lessee has told of an answer of its own.
-    pub fn note_told(&mut self, now: u64) {
+    /// A leaseholder has told of an answer of its own.
+    pub fn record_by_leaseholder(&mut self, now: u64) {
         self.at = self.at.max(now);
     }
 
@@ -81,21 +81,21 @@
     }
 }
 
-/// Machines that a lessee answered and the leader has not confirmed, with the last heartbeat that has to name each.
+/// Machines that a leaseholder answered and the leader has not confirmed, with the last heartbeat that has to name each.
 #[derive(Debug, Default)]
-pub struct UnconfirmedAnswers {
+pub struct UnacknowledgedRenewals {
     machines: BTreeMap<String, u64>,
 }
 
-impl UnconfirmedAnswers {
+impl UnacknowledgedRenewals {
     /// An answer to the machine, to be named in this heartbeat.
-    pub fn note(&mut self, machine: &str, heartbeat: u64) -> LeaseRenewal {
+    pub fn record(&mut self, machine: &str, heartbeat: u64) -> LeaseRenewal {
         self.machines.insert(machine.to_string(), heartbeat);
-        LeaseRenewal::on(Grounds::Lessee)
+        LeaseRenewal::on(RenewalBasis::Leaseholder)
     }
 
     /// The leader has confirmed a heartbeat that named the machine.
-    pub fn confirm(&mut self, machine: &str, heartbeat: u64) {
+    pub fn acknowledge(&mut self, machine: &str, heartbeat: u64) {
         if self.machines.get(machine).is_some_and(|first| *first <= heartbeat) {
             self.machines.remove(machine);
         }
@@ -119,25 +119,27 @@
 
 /// Answers of this node since it started, by their grounds.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct AnswerCounts {
+pub struct RenewalCounts {
     leader: u64,
     before_load: u64,
-    lease_keeper: u64,
-    lessee: u64,
+    #[serde(rename = "lease_keeper")]
+    keep_alive: u64,
+    #[serde(rename = "lessee")]
+    leaseholder: u64,
     relayed: u64,
     /// Heartbeats that were not answered here.
     refused: u64,
 }
 
-impl AnswerCounts {
+impl RenewalCounts {
     /// Counts an answer.
     pub fn count(&mut self, renewal: &LeaseRenewal) {
-        let count = match renewal.grounds {
-            Grounds::Leader => &mut self.leader,
-            Grounds::BeforeLoad => &mut self.before_load,
-            Grounds::LeaseKeeper => &mut self.lease_keeper,
-            Grounds::Lessee => &mut self.lessee,
-            Grounds::Relayed => &mut self.relayed,
+        let count = match renewal.basis {
+            RenewalBasis::Leader => &mut self.leader,
+            RenewalBasis::BeforeLoad => &mut self.before_load,
+            RenewalBasis::KeepAlive => &mut self.keep_alive,
+            RenewalBasis::Leaseholder => &mut self.leaseholder,
+            RenewalBasis::Relayed => &mut self.relayed,
         };
         *count += 1;
     }
--- a/src/scheduler/absence.rs
+++ b/src/scheduler/absence.rs
@@ -37,7 +37,7 @@
 impl Absence {
     /// The lease of this machine is counted as over.
     pub(super) fn lease_ended(machine: &Machine, now: u64) -> Self {
-        let answered = machine.answered.at().max(machine.heard);
+        let answered = machine.last_renewal.at().max(machine.last_heartbeat_at);
         Absence::LeaseEnded { answered, via: machine.via, at: now }
     }
 }
--- a/src/scheduler/answers.rs
+++ b/src/scheduler/answers.rs
@@ -19,7 +19,7 @@
     }
 
     /// Notes that a heartbeat will be answered, which renews the machine's lease. None: the machine is gone.
-    pub(super) fn note_answer(&mut self, name: &str) -> Option<LeaseRenewal> {
+    pub(super) fn record_renewal(&mut self, name: &str) -> Option<LeaseRenewal> {
         match self.machines.get_mut(name) {
             Some(machine) => {
                 debug!(
@@ -28,7 +28,7 @@
                     sequence = machine.last_heartbeat_sequence,
                     "lease renewed"
                 );
-                Some(machine.answered.note(self.now))
+                Some(machine.last_renewal.record(self.now))
             }
             // A leader that has not loaded knows no machines; one that has knows that it is gone.
             None => (!self.loaded).then(LeaseRenewal::before_load),
@@ -94,8 +94,8 @@
         lessee.confirmed = now;
         for name in names {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
-            machine.answered.note_told(now);
-            machine.heard = now;
+            machine.last_renewal.record_by_leaseholder(now);
+            machine.last_heartbeat_at = now;
             // Come back to a lessee that still knew it, it says nothing new there, and was taken for silent on
             // the way that it had left; what it did elsewhere meanwhile the lessee can't tell.
             let came = machine.comes_by(Some(node), now);
--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -417,7 +417,7 @@
     };
     MachineFact::Heard {
         number: ReportNumber(machine.agent_epoch, machine.sequence),
-        at: machine.heard,
+        at: machine.last_heartbeat_at,
         tasks: machine.listed.iter().map(reported).collect(),
     }
 }
--- a/src/scheduler/drains/disruption.rs
+++ b/src/scheduler/drains/disruption.rs
@@ -94,7 +94,7 @@
             return None;
         }
         if job.spec.kind == Kind::Service {
-            let silent = self.now.saturating_sub(machine.heard.max(self.started));
+            let silent = self.now.saturating_sub(machine.last_heartbeat_at.max(self.started));
             return Some(Cost::replica(silent as f64 / limits::SECOND as f64));
         }
         let (ran_s, saved_every) = (self.ran_s(task), job.spec.checkpoint_s);
--- a/src/scheduler/drains/emptying.rs
+++ b/src/scheduler/drains/emptying.rs
@@ -80,7 +80,7 @@
 
     /// Spot notices, faults and silence have faster ways of their own: a drain gives way to them.
     fn leaves_by_itself(&self, machine: &Machine) -> bool {
-        let silent = self.now >= machine.heard + limits::silent(self.config.workers.report_s);
+        let silent = self.now >= machine.last_heartbeat_at + limits::silent(self.config.workers.report_s);
         machine.deleting || machine.recall_at.is_some() || machine.phase != Phase::Up || silent
     }
 
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -100,7 +100,7 @@
         }
         let Some(machine) = scheduler.machines.get_mut(&name) else { continue };
         (machine.phase, machine.reconciled, machine.recorded) = (Phase::Up, true, true);
-        (machine.heard, machine.images) = (limits::SECOND, images);
+        (machine.last_heartbeat_at, machine.images) = (limits::SECOND, images);
         machine.surplus = !machine.spot && rng.random_bool(0.2);
         machine.slow_until = if rng.random_bool(0.1) { 100 * limits::SECOND } else { 0 };
         for task in 0..rng.random_range(0..4u32) {
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -48,7 +48,7 @@
     pub route: Option<usize>,
     /// The route that it came by before, and when it left that one.
     pub left: Option<(Option<usize>, u64)>,
-    pub heard: u64,
+    pub last_heartbeat_at: u64,
     pub unresponsive: bool,
     /// An earlier leader recorded it, and it has not come to this one.
     pub expected: bool,
@@ -96,10 +96,10 @@
         let mut routes: BTreeMap<Option<usize>, (usize, u64)> = BTreeMap::new();
         for m in observed {
             let zone = zones.entry(m.zone).or_default();
-            *zone = (zone.0 + 1, zone.1.max(m.heard));
+            *zone = (zone.0 + 1, zone.1.max(m.last_heartbeat_at));
             if !m.expected && !m.lost {
                 let route = routes.entry(m.route).or_default();
-                *route = (route.0 + 1, route.1.max(m.heard));
+                *route = (route.0 + 1, route.1.max(m.last_heartbeat_at));
             }
         }
         for zone in zones.keys() {
@@ -145,8 +145,9 @@
         }
         // They fall due one after the other over an interval: those that are late already count, or the first of
         // them would be declared dead before they were too many.
-        let late =
-            |m: &Observed| m.unresponsive || now >= m.heard + p.heartbeat_interval / 4 * 5 + limits::LATE;
+        let late = |m: &Observed| {
+            m.unresponsive || now >= m.last_heartbeat_at + p.heartbeat_interval / 4 * 5 + limits::LATE
+        };
         let mut routes: BTreeMap<Option<usize>, Vec<&Observed>> = BTreeMap::new();
         for m in reachable.iter().filter(|m| !m.expected) {
             routes.entry(m.route).or_default().push(m);
@@ -163,7 +164,7 @@
                 m.left.is_some_and(|(from, at)| from == route && at >= reachability.unreachable_from())
             };
             let block = here.len() + reachable.iter().filter(left).count();
-            let silent = |m: &&&Observed| now >= m.heard + p.silent;
+            let silent = |m: &&&Observed| now >= m.last_heartbeat_at + p.silent;
             let quiet = here.iter().filter(|m| late(m)).count();
             // A lessee that is only out of touch answers what says nothing new until its lease ends.
             let wait = if reachability.unreachable {
@@ -205,7 +206,7 @@
                 zone: &m.zone,
                 route: m.via,
                 left: m.left,
-                heard: m.heard,
+                last_heartbeat_at: m.last_heartbeat_at,
                 unresponsive: m.unheard >= limits::UNHEARD_DEAF,
                 expected: expected(m),
                 lost: m.phase == Phase::Lost,
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -216,7 +216,7 @@
         let now = self.now;
         let mut gone = Vec::new();
         for machine in self.machines.values() {
-            let silent = now >= machine.heard + limits::silent(self.config.workers.report_s);
+            let silent = now >= machine.last_heartbeat_at + limits::silent(self.config.workers.report_s);
             if shown.contains(&machine.name) || !silent || machine.deleting {
                 self.fleet.missing.remove(&machine.name);
                 continue;
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -106,7 +106,7 @@
     pub(super) fn can_be_told_at_once(&self, job: &Job) -> bool {
         let silent = limits::silent(self.config.workers.report_s);
         self.placed(job).all(|(_, name, _)| {
-            self.machines.get(name).is_some_and(|m| self.now < m.heard + silent && m.unheard == 0)
+            self.machines.get(name).is_some_and(|m| self.now < m.last_heartbeat_at + silent && m.unheard == 0)
         })
     }
 
@@ -118,7 +118,7 @@
         if heartbeat_interval <= 2 * limits::BLOCK_TELL {
             return 0;
         }
-        let due = (machine.heard + heartbeat_interval).saturating_sub(self.now);
+        let due = (machine.last_heartbeat_at + heartbeat_interval).saturating_sub(self.now);
         let missed = machine.kept && due < limits::BLOCK_TELL;
         ((due + if missed { heartbeat_interval } else { 0 }) / limits::SECOND) as i64
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -247,15 +247,15 @@
         match taken {
             HeartbeatOutcome::Changed => {
                 self.news = true;
-                let renewal = self.note_answer(&name);
+                let renewal = self.record_renewal(&name);
                 self.pending_heartbeats.push(PendingHeartbeat { reply, machine: name, renewal });
             }
             HeartbeatOutcome::Unchanged => {
-                let renewal = self.note_answer(&name);
+                let renewal = self.record_renewal(&name);
                 self.answer(reply, &name, renewal);
             }
             HeartbeatOutcome::Overtaken => {
-                let renewal = self.note_answer(&name);
+                let renewal = self.record_renewal(&name);
                 self.effects.push(Effect::Answer { reply, renewal, task_commands: Vec::new(), keep: false });
             }
             HeartbeatOutcome::Stale => {
--- a/src/scheduler/model.rs
+++ b/src/scheduler/model.rs
@@ -1,7 +1,7 @@
 //! The domain: jobs, tasks, machines, and what is told about them.
 
 use super::absence::LastPlace;
-use crate::lease_renewal::LastAnswer;
+use crate::lease_renewal::LastRenewal;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -247,9 +247,9 @@
     pub recorded: bool,
     /// An earlier leader recorded it, and may have started tasks on it.
     pub inherited: bool,
-    pub heard: u64,
+    pub last_heartbeat_at: u64,
     /// The last answer that may have renewed its lease.
-    pub answered: LastAnswer,
+    pub last_renewal: LastRenewal,
     /// The sequence of the last heartbeat that was taken in this agent epoch: answers to direct commands raise `sequence`
     /// too, and overtake heartbeats that are under way.
     pub last_heartbeat_sequence: u64,
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -26,7 +26,7 @@
             && machine.no_room_until <= self.now
             && !self.failure_detector.zone_unreachable(&machine.zone)
             && machine.unheard < limits::UNHEARD_DEAF
-            && self.now < machine.heard + limits::silent(self.config.workers.report_s)
+            && self.now < machine.last_heartbeat_at + limits::silent(self.config.workers.report_s)
     }
 
     /// Whether every machine that an earlier leader may have started the job on is accounted for, as of
@@ -66,7 +66,7 @@
             .filter(|m| m.phase != Phase::Lost)
             // A worker first heard of may have begun its lease as late as then: without its heartbeat in the
             // sum, every machine younger than this leader was given up the moment it came up.
-            .filter(|m| now.min(covered) >= m.answered.at().max(m.heard).max(alive) + lease)
+            .filter(|m| now.min(covered) >= m.last_renewal.at().max(m.last_heartbeat_at).max(alive) + lease)
             .filter(|m| m.phase == Phase::Up || !m.tasks.is_empty() || (m.inherited && !m.reconciled))
             .map(|m| m.name.clone())
             .collect();
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -3,7 +3,7 @@
 use super::absence::Absence;
 use super::model::*;
 use super::{HeartbeatOutcome, Scheduler, StoredMachine};
-use crate::lease_renewal::LastAnswer;
+use crate::lease_renewal::LastRenewal;
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info, warn};
@@ -28,8 +28,8 @@
             reconciled: false,
             recorded: false,
             inherited: false,
-            heard: 0,
-            answered: LastAnswer::default(),
+            last_heartbeat_at: 0,
+            last_renewal: LastRenewal::default(),
             last_heartbeat_sequence: 0,
             sent_stale: false,
             via: None,
@@ -84,7 +84,7 @@
             if unchanged {
                 machine.sequence = heartbeat.sequence;
                 machine.last_heartbeat_sequence = heartbeat.sequence;
-                machine.heard = now;
+                machine.last_heartbeat_at = now;
                 machine.unheard = 0;
                 return HeartbeatOutcome::Unchanged;
             }
@@ -143,7 +143,7 @@
             return HeartbeatOutcome::Changed;
         }
         if periodic {
-            machine.heard = now;
+            machine.last_heartbeat_at = now;
             if machine.phase != Phase::Up {
                 info!(machine = heartbeat.machine, zone = machine.zone, spot = machine.spot, "machine up");
                 machine.idle_since = now;
--- a/src/scheduler/stale_reports.rs
+++ b/src/scheduler/stale_reports.rs
@@ -36,7 +36,7 @@
                 agent_epoch, sequence, newest, "heartbeat overtaken by a direct response"
             );
             machine.last_heartbeat_sequence = heartbeat.sequence;
-            machine.heard = now;
+            machine.last_heartbeat_at = now;
             self.ignored_heartbeats.overtaken += 1;
             return HeartbeatOutcome::Overtaken;
         }
--- a/tests/pinned_state/node_api.rs
+++ b/tests/pinned_state/node_api.rs
@@ -6,7 +6,7 @@
 use dockpier::api::{routes, Api, ApiSettings, Health, Types};
 use dockpier::controller::{Event, FrameCounts, HeartbeatReply, NodeView};
 use dockpier::http::{Clock, Http};
-use dockpier::lease_renewal::AnswerCounts;
+use dockpier::lease_renewal::RenewalCounts;
 use dockpier::limits::Capacity;
 use dockpier::protocol::workers::{HeartbeatRequest, HeartbeatResponse, WorkerCommand};
 use dockpier::scheduler::model::{MachineType, Resources};
@@ -134,7 +134,7 @@
         node: "berth-2".into(),
         leader: (!follows).then(|| "berth-2".into()),
         token: 41,
-        answers: AnswerCounts::default(),
+        renewals: RenewalCounts::default(),
         frames_ignored: FrameCounts::default(),
         scheduler: (!follows).then(|| overview(start)),
     }
--- a/tests/pinned_wire/worker_orders.rs
+++ b/tests/pinned_wire/worker_orders.rs
@@ -6,7 +6,7 @@
 use crate::wire::{nobody, StandIn};
 use crate::{on_runtime, spell};
 use dockpier::http::Http;
-use dockpier::lease_renewal::LastAnswer;
+use dockpier::lease_renewal::LastRenewal;
 use dockpier::protocol::workers::{
     DirectCommands, HeartbeatRequest, HeartbeatResponse, Redirect, WorkerCommand,
 };
@@ -39,7 +39,7 @@
 
 /// An answer to a check-in under a token.
 pub fn answer(token: u64, orders: &[TaskCommand]) -> HeartbeatResponse {
-    HeartbeatResponse::new(token, LastAnswer::default().note(1), orders)
+    HeartbeatResponse::new(token, LastRenewal::default().record(1), orders)
 }
 
 fn direct(token: u64, session: u64, orders: &[TaskCommand]) -> DirectCommands {
