--- a/crates/dockpier-virtual-fleet/examples/transcript/effects.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/effects.rs
@@ -8,8 +8,8 @@
 /// Writes an effect, and after it one line for each of its orders.
 pub fn write(out: &mut Transcript, at: u64, effect: &Effect) {
     out.write(at, line(effect));
-    if let Effect::Answer { task_commands: orders, .. } | Effect::Direct { task_commands: orders, .. } =
-        effect
+    if let Effect::HeartbeatResponse { task_commands: orders, .. }
+    | Effect::DirectCommands { task_commands: orders, .. } = effect
     {
         write_orders(out, at, orders);
     }
@@ -31,13 +31,17 @@
 
 fn line(effect: &Effect) -> Line {
     match effect {
-        Effect::Answer { reply, renewal, task_commands: orders, keep } => Line::new("answer")
-            .with("reply", reply)
-            .with("renewal", words::renewal(renewal.as_ref()))
-            .with("keep", keep)
-            .with("orders", orders.len()),
-        Effect::Wake { node, machine } => Line::new("wake").with("node", node).with("machine", machine),
-        Effect::Direct { machine, address, agent_epoch: session, task_commands: orders } => {
+        Effect::HeartbeatResponse { reply, renewal, task_commands: orders, cacheable: keep } => {
+            Line::new("answer")
+                .with("reply", reply)
+                .with("renewal", words::renewal(renewal.as_ref()))
+                .with("keep", keep)
+                .with("orders", orders.len())
+        }
+        Effect::RequestWake { node, machine } => {
+            Line::new("wake").with("node", node).with("machine", machine)
+        }
+        Effect::DirectCommands { machine, address, agent_epoch: session, task_commands: orders } => {
             Line::new("direct")
                 .with("machine", machine)
                 .with("address", address)
--- a/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
@@ -59,7 +59,7 @@
         .with("acts_until", until)
         .optional("acts_with", token)
         .optional("lease_keeper", leadership.lease_keeper(now))
-        .with("block_lease", leadership.block_lease(now))
+        .with("block_lease", leadership.shard_lease(now))
         .with("autonomous_until", leadership.autonomous_until(now))
         .optional("leader_name", leadership.leader_name(now))
         .list("followed", followed.map(|(leader, token, stamp)| format!("{leader}:{token}:{stamp}")))
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -6,7 +6,6 @@
 use crate::output::{Line, Transcript};
 use crate::worker::Worker;
 use crate::{draw, effects, words};
-use dockpier::blocks::{Block, BlockAnswer};
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::model::{Heartbeat, JobId, Kind, MachineType, Resources, TaskId};
@@ -14,6 +13,7 @@
     Command, Config, Effect, ListedMachine, Outcome, Scheduler, StoredJob, StoredMachine,
 };
 use dockpier::settings::{Operator, Team, Workers};
+use dockpier::shard::{Shard, ShardResponse};
 use dockpier_virtual_fleet::MACHINE_TYPE;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -21,7 +21,7 @@
 
 const STEP: u64 = SECOND / 10;
 const LASTS: u64 = 100 * SECOND;
-const BLOCK_LEASE: u64 = 8 * SECOND;
+const SHARD_LEASE: u64 = 8 * SECOND;
 const LEASE: u64 = 12 * SECOND;
 const SLOTS: f64 = 4.0;
 /// The type of machines with twice the slots.
@@ -31,8 +31,8 @@
 const LEADER: usize = 0;
 
 /// A controller that is not the leader.
-struct Lessee {
-    block: Block,
+struct Leaseholder {
+    block: Shard,
     /// It and the leader don't reach each other until then.
     cut_until: u64,
 }
@@ -43,7 +43,7 @@
     rng: SmallRng,
     out: &'a mut Transcript,
     now: u64,
-    lessees: Vec<Lessee>,
+    lessees: Vec<Leaseholder>,
     workers: BTreeMap<String, Worker>,
     jobs: BTreeMap<JobId, StoredJob>,
     records: BTreeMap<String, Vec<StoredMachine>>,
@@ -63,7 +63,7 @@
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x1e55_ee55);
     let config = config(&mut rng);
     let now = SECOND;
-    let lessee = |incarnation| Lessee { block: Block::new(6, incarnation), cut_until: 0 };
+    let lessee = |incarnation| Leaseholder { block: Shard::new(6, incarnation), cut_until: 0 };
     let mut day = Day {
         core: Scheduler::new(config.clone(), now),
         config,
@@ -109,7 +109,7 @@
         record_machines: 8,
         value_most: 4_096,
         rentals_at_once: 4,
-        block_lease: BLOCK_LEASE,
+        shard_lease: SHARD_LEASE,
     }
 }
 
@@ -183,27 +183,27 @@
         if worker.node == LEADER {
             return Some(self.checkin(None, report));
         }
-        let (node, Lessee { block, cut_until }) = (worker.node, &mut self.lessees[worker.node - 1]);
+        let (node, Leaseholder { block, cut_until }) = (worker.node, &mut self.lessees[worker.node - 1]);
         let cut = now < *cut_until;
         let line = Line::new("block").with("node", node).with("machine", name);
-        match block.answers(now, &report, !cut) {
-            BlockAnswer::Renews(token, renewal) => {
+        match block.respond(now, &report, !cut) {
+            ShardResponse::Renewed(token, renewal) => {
                 worker.answered(now, token, &[]);
                 let renewal = words::renewal(Some(&renewal));
                 self.out
                     .write(now, line.with("does", "renews").with("token", token).with("renewal", renewal));
                 None
             }
-            BlockAnswer::Copy => {
+            ShardResponse::Duplicate => {
                 self.out.write(now, line.with("does", "copy"));
                 None
             }
-            BlockAnswer::NotOurs if cut => {
+            ShardResponse::NotResponsible if cut => {
                 self.out.write(now, line.with("does", "sends-away"));
                 worker.node = (worker.node + 1) % 3;
                 None
             }
-            BlockAnswer::NotOurs => {
+            ShardResponse::NotResponsible => {
                 self.out.write(now, line.with("does", "passes-on"));
                 Some(self.checkin(Some(node), report))
             }
@@ -221,24 +221,29 @@
     fn heartbeat(&mut self, lessee: usize) -> Option<Command> {
         let now = self.now;
         let (lost, unconfirmed) = (self.rng.random_bool(0.08), self.rng.random_bool(0.08));
-        let Lessee { block, cut_until } = &mut self.lessees[lessee];
-        let heartbeat = block.tell(now)?;
+        let Leaseholder { block, cut_until } = &mut self.lessees[lessee];
+        let heartbeat = block.next_heartbeat(now)?;
         let line = Line::new("block-heartbeat")
             .with("node", lessee + 1)
-            .with("whole", heartbeat.whole)
-            .with("fresh", heartbeat.fresh)
+            .with("whole", heartbeat.complete)
+            .with("fresh", heartbeat.first_of_incarnation)
             .list("machines", &heartbeat.machines);
         self.out.write(now, line);
         if lost || now < *cut_until {
             return None;
         }
         if !unconfirmed {
-            block.confirmed(heartbeat.id, BLOCK_LEASE);
+            block.acknowledge(heartbeat.id, SHARD_LEASE);
         }
         // What it covers lies some way back.
-        let covers = heartbeat.whole.then(|| now.saturating_sub(2 * STEP));
-        let (machines, fresh) = (heartbeat.machines, heartbeat.fresh);
-        Some(Command::ShardHeartbeat { node: lessee + 1, machines, covers, fresh })
+        let covers = heartbeat.complete.then(|| now.saturating_sub(2 * STEP));
+        let (machines, fresh) = (heartbeat.machines, heartbeat.first_of_incarnation);
+        Some(Command::ShardHeartbeat {
+            node: lessee + 1,
+            machines,
+            covers_until: covers,
+            first_of_incarnation: fresh,
+        })
     }
 
     fn list(&self) -> Vec<ListedMachine> {
@@ -271,17 +276,17 @@
         // Without an answer it is carried out all the same.
         let carried_out = outcome != Outcome::Refused;
         match effect {
-            Effect::Answer { reply, renewal, task_commands: orders, keep } => {
+            Effect::HeartbeatResponse { reply, renewal, task_commands: orders, cacheable: keep } => {
                 let Some((via, report)) = self.waiting.remove(&reply) else { return };
                 if let Some(worker) = self.workers.get_mut(&report.machine).filter(|_| renewal.is_some()) {
                     worker.answered(now, token, &orders);
                 }
                 if let Some(via) = via {
-                    self.lessees[via - 1].block.passed(now, report, token, keep);
+                    self.lessees[via - 1].block.record_relayed_response(now, report, token, keep);
                 }
             }
-            Effect::Wake { node, machine } => self.lessees[node - 1].block.wake(&[machine]),
-            Effect::Direct { machine, agent_epoch: session, task_commands: orders, .. } => {
+            Effect::RequestWake { node, machine } => self.lessees[node - 1].block.request_wake(&[machine]),
+            Effect::DirectCommands { machine, agent_epoch: session, task_commands: orders, .. } => {
                 let Some(worker) = self.workers.get_mut(&machine) else { return };
                 if worker.take_direct(now, session, &orders) {
                     let report = worker.report(now);
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees/events.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees/events.rs
@@ -4,10 +4,10 @@
 use crate::draw;
 use crate::output::Line;
 use crate::worker::Worker;
-use dockpier::blocks::Block;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::JobId;
 use dockpier::scheduler::{Command, Scheduler, StoredJob};
+use dockpier::shard::Shard;
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -30,10 +30,10 @@
             }
             13 => {
                 self.out.write(self.now, Line::new("lessee-restarts").with("node", lessee + 1));
-                self.lessees[lessee].block = Block::new(6, self.rng.random());
+                self.lessees[lessee].block = Shard::new(6, self.rng.random());
                 self.lessees[lessee].block.follow(self.config.token);
             }
-            14 => self.core.kept_alive_until(self.now),
+            14 => self.core.record_kept_alive_until(self.now),
             15 => self.report_twice(),
             16 => self.report_higher_token(),
             _ => self.change_leader(),
--- a/crates/dockpier-virtual-fleet/examples/transcript/network.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network.rs
@@ -8,11 +8,11 @@
 use crate::key_value_store::{KeyValueStore, Request};
 use crate::output::{Line, Transcript};
 use clients::Worker;
-use dockpier::blocks::Block;
 use dockpier::cancellation_log::Attestation;
 use dockpier::leadership::{Action, Leadership, Message, Status, StoreAnswer};
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::JobId;
+use dockpier::shard::Shard;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
 
 struct Node {
     leadership: Leadership,
-    block: Block,
+    block: Shard,
     /// The life of its process.
     life: u64,
     /// Its clock: base + true time * rate.
@@ -113,7 +113,7 @@
         let seed = self.rng.random();
         Node {
             leadership: Leadership::new(names, me, life, now, (AUTONOMY, REMEMBERED), seed),
-            block: Block::new(8, life),
+            block: Shard::new(8, life),
             life,
             base,
             rate,
@@ -230,7 +230,7 @@
                 Action::Elected { token, .. } => self.nodes[node].led = token,
                 Action::Deposed { keep_until } => {
                     let token = self.nodes[node].led;
-                    self.nodes[node].block.led(token, keep_until);
+                    self.nodes[node].block.retain_after_leadership(token, keep_until);
                 }
                 action => self.ask_store(node, action),
             }
--- a/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
@@ -4,10 +4,10 @@
 use super::{Wire, World, NODES};
 use crate::output::Line;
 use crate::{effects, words};
-use dockpier::blocks::BlockAnswer;
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
+use dockpier::shard::ShardResponse;
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -123,16 +123,16 @@
             let now = self.local(node);
             let Some((leader, token, _)) = self.nodes[node].leadership.followed(now) else { continue };
             self.nodes[node].block.follow(token);
-            let Some(heartbeat) = self.nodes[node].block.tell(now) else { continue };
+            let Some(heartbeat) = self.nodes[node].block.next_heartbeat(now) else { continue };
             let line = Line::new("network-block-heartbeat").with("node", node).with("id", heartbeat.id);
-            let line = line.with("whole", heartbeat.whole).with("fresh", heartbeat.fresh);
+            let line = line.with("whole", heartbeat.complete).with("fresh", heartbeat.first_of_incarnation);
             self.note(line.list("machines", &heartbeat.machines));
             let lost = self.rng.random_bool(0.1);
             if lost || !self.leads(leader, token) || self.cut_between(node, leader).is_some() {
                 continue;
             }
-            let lease = self.nodes[leader].leadership.block_lease(self.local(leader));
-            let own = self.nodes[node].block.confirmed(heartbeat.id, lease);
+            let lease = self.nodes[leader].leadership.shard_lease(self.local(leader));
+            let own = self.nodes[node].block.acknowledge(heartbeat.id, lease);
             self.note(Line::new("block-confirmed").with("node", node).with("lease", lease).with("own", own));
         }
     }
@@ -188,13 +188,13 @@
             return self.answered(line.with("by", "lease-keeper"), token, stops);
         }
         let followed = leadership.followed(now);
-        let answer = self.nodes[node].block.answers(now, &report, followed.is_some());
+        let answer = self.nodes[node].block.respond(now, &report, followed.is_some());
         match (answer, keeps) {
-            (BlockAnswer::Renews(token, renewal), Some(stops)) => {
+            (ShardResponse::Renewed(token, renewal), Some(stops)) => {
                 let line = line.with("by", "block").with("renewal", words::renewal(Some(&renewal)));
                 return self.answered(line, token, stops);
             }
-            (BlockAnswer::Copy, _) => self.note(Line::new("report-copy").with("node", node)),
+            (ShardResponse::Duplicate, _) => self.note(Line::new("report-copy").with("node", node)),
             _ => {}
         }
         self.pass_on(node, report, line)
@@ -232,9 +232,9 @@
         let wakes = self.rng.random_bool(0.1);
         let machine = report.machine.clone();
         let block = &mut self.nodes[node].block;
-        block.passed(now, report, token, orders.is_empty());
+        block.record_relayed_response(now, report, token, orders.is_empty());
         if wakes {
-            block.wake(&[machine]);
+            block.request_wake(&[machine]);
         }
         self.answered(line.with("by", "relay"), token, orders)
     }
--- a/crates/dockpier-virtual-fleet/src/lib.rs
+++ b/crates/dockpier-virtual-fleet/src/lib.rs
@@ -343,13 +343,13 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { reply, task_commands, .. } => {
+            Effect::HeartbeatResponse { reply, task_commands, .. } => {
                 let (now, token) = (self.now, self.config.token);
                 if let Some(worker) = self.workers.get_mut(&machine_name(reply)) {
                     worker.answered(now, token, &task_commands, &mut self.history);
                 }
             }
-            Effect::Direct { machine, agent_epoch, task_commands, .. } => {
+            Effect::DirectCommands { machine, agent_epoch, task_commands, .. } => {
                 let now = self.now;
                 if let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.agent_epoch == agent_epoch)
                 {
@@ -481,7 +481,7 @@
         record_machines: limits::record_machines(layout.value_most as f64 / 1_024.0),
         value_most: layout.value_most,
         rentals_at_once: 10,
-        block_lease: 0,
+        shard_lease: 0,
     }
 }
 
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -1,15 +1,15 @@
-//! Workers' heartbeats: answered by the leader's scheduler, by this node as the lessee of a block, by a lease keeper, or
-//! sent elsewhere; and the frames about them between leader and lessees.
+//! Workers' heartbeats: answered by the leader's scheduler, by this node as the leaseholder of a shard, by a lease keeper, or
+//! sent elsewhere; and the frames about them between leader and leaseholders.
 
 use super::frames_ignored::IgnoredFrame;
 use super::Controller;
-use crate::blocks::{BlockAnswer, BlockHeartbeat};
 use crate::lease_renewal::LeaseRenewal;
 use crate::limits;
 use crate::peer::{self, Payload};
 use crate::protocol::workers::{HeartbeatRequest, HeartbeatResponse};
 use crate::scheduler::model::Heartbeat;
 use crate::scheduler::{Command, TaskCommand};
+use crate::shard::{ShardHeartbeat, ShardResponse};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
 
@@ -23,8 +23,8 @@
 pub(super) enum ReplyTo {
     /// With the stops that it must not leave without.
     Worker(oneshot::Sender<HeartbeatReply>, Vec<TaskCommand>),
-    /// To the lessee that passed it on, under its number.
-    Lessee(usize, u64),
+    /// To the leaseholder that passed it on, under its number.
+    Leaseholder(usize, u64),
 }
 
 /// An answer that this node gives without the leader, as far as it knows.
@@ -47,8 +47,8 @@
         (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(heartbeat)).flatten()
     }
 
-    /// A frame of the leader's to a lessee, or of a lessee's to the leader.
-    pub(super) fn block_frame(
+    /// A frame of the leader's to a leaseholder, or of a leaseholder's to the leader.
+    pub(super) fn handle_shard_frame(
         &mut self,
         now: u64,
         from: usize,
@@ -57,7 +57,7 @@
     ) {
         let leads = self.leadership.authority(now).is_some() && self.scheduler.is_some();
         // Stamps of other leaders' heartbeats lie outside every window: clocks start at random points.
-        let fresh = |stamp: u64| stamp <= now && now < stamp + limits::RELAY_FRESH;
+        let fresh = |stamp: u64| stamp <= now && now < stamp + limits::RELAY_MAX_AGE;
         match payload {
             Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
                 if !leads || !fresh(stamp) || now >= self.leadership.cancellations.keeps_until() {
@@ -66,22 +66,29 @@
                     let care = self.leadership.lease_keeper(now).zip(self.keeps(now, &heartbeat));
                     let (token, task_commands) = care.unzip();
                     let task_commands = task_commands.unwrap_or_default();
-                    self.send(from, Payload::RelayedResponse { id, token, keep: false, task_commands });
+                    self.send(from, Payload::RelayedResponse { id, token, cacheable: false, task_commands });
                     return;
                 }
                 self.recent_heartbeats.push_back(now);
                 let reply = self.requests.take();
-                self.replies.insert(reply, ReplyTo::Lessee(from, id));
+                self.replies.insert(reply, ReplyTo::Leaseholder(from, id));
                 commands.push(Command::Heartbeat { reply, heartbeat, via: Some(from) });
             }
-            Payload::ShardHeartbeat { id, stamp, whole, fresh: anew, machines } if leads && fresh(stamp) => {
+            Payload::ShardHeartbeat { id, stamp, complete: whole, first_of_incarnation: anew, machines }
+                if leads && fresh(stamp) =>
+            {
                 self.recent_heartbeats.push_back(now);
                 let covers = whole.then_some(stamp);
-                commands.push(Command::ShardHeartbeat { node: from, machines, covers, fresh: anew });
-                let lease_ms = (self.leadership.block_lease(now) / 1_000) as u32;
+                commands.push(Command::ShardHeartbeat {
+                    node: from,
+                    machines,
+                    covers_until: covers,
+                    first_of_incarnation: anew,
+                });
+                let lease_ms = (self.leadership.shard_lease(now) / 1_000) as u32;
                 self.send(from, Payload::ShardHeartbeatAck { id, lease_ms });
             }
-            Payload::RelayedResponse { id, token, keep, task_commands } => {
+            Payload::RelayedResponse { id, token, cacheable: keep, task_commands } => {
                 let Some(PassedOn { to, heartbeat, .. }) = self.passed_on.remove(&id) else {
                     return self.frames_ignored.note(from, IgnoredFrame::Unasked);
                 };
@@ -89,17 +96,17 @@
                     Some(token) => {
                         let task_commands =
                             self.leadership.cancellations.with_stops(task_commands, &heartbeat);
-                        self.block.passed(now, heartbeat, token, keep);
+                        self.shard.record_relayed_response(now, heartbeat, token, keep);
                         self.renewing(token, LeaseRenewal::relayed(), &task_commands)
                     }
                     None => self.refusing(None),
                 };
                 let _ = to.send(reply);
             }
-            Payload::WakeRequest(machines) => self.block.wake(&machines),
+            Payload::WakeRequest(machines) => self.shard.request_wake(&machines),
             Payload::ShardHeartbeatAck { id, lease_ms } => {
-                let lease = (u64::from(lease_ms) * 1_000).min(self.config.block_lease);
-                if !self.block.confirmed(id, lease) {
+                let lease = (u64::from(lease_ms) * 1_000).min(self.config.shard_lease);
+                if !self.shard.acknowledge(id, lease) {
                     self.frames_ignored.note(from, IgnoredFrame::Unasked);
                 }
             }
@@ -108,17 +115,28 @@
         }
     }
 
-    /// What a lessee does as time passes: tells the leader whom it answered, and gives up waiting for it.
-    pub(super) fn keep_block(&mut self, now: u64) {
+    /// What a leaseholder does as time passes: tells the leader whom it answered, and gives up waiting for it.
+    pub(super) fn maintain_shard(&mut self, now: u64) {
         let followed = self.leadership.followed(now);
         if let Some((leader, token, stamp)) = followed {
-            self.block.follow(token);
-            if let Some(BlockHeartbeat { id, whole, fresh, machines }) = self.block.tell(now) {
-                self.send(leader, Payload::ShardHeartbeat { id, stamp, whole, fresh, machines });
+            self.shard.follow(token);
+            if let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines }) =
+                self.shard.next_heartbeat(now)
+            {
+                self.send(
+                    leader,
+                    Payload::ShardHeartbeat {
+                        id,
+                        stamp,
+                        complete: whole,
+                        first_of_incarnation: fresh,
+                        machines,
+                    },
+                );
             }
         }
         while let Some(entry) = self.passed_on.first_entry() {
-            if now < entry.get().sent + limits::RELAY_PATIENCE {
+            if now < entry.get().sent + limits::RELAY_TIMEOUT {
                 return;
             }
             let PassedOn { to, heartbeat, .. } = entry.remove();
@@ -145,7 +163,7 @@
         HeartbeatReply::Redirected(leader)
     }
 
-    /// The answer of this node as a lessee, if it may answer by itself.
+    /// The answer of this node as a leaseholder, if it may answer by itself.
     pub(super) fn holds(
         &mut self,
         now: u64,
@@ -153,13 +171,13 @@
         leader_heard: bool,
     ) -> Option<HeartbeatReply> {
         let stops = self.keeps(now, heartbeat)?;
-        match self.block.answers(now, heartbeat, leader_heard) {
-            BlockAnswer::Renews(token, renewal) => {
+        match self.shard.respond(now, heartbeat, leader_heard) {
+            ShardResponse::Renewed(token, renewal) => {
                 log_renewal(heartbeat, &renewal, token);
                 Some(self.renewing(token, renewal, &stops))
             }
-            BlockAnswer::Copy => Some(self.refusing(None)),
-            BlockAnswer::NotOurs => None,
+            ShardResponse::Duplicate => Some(self.refusing(None)),
+            ShardResponse::NotResponsible => None,
         }
     }
 
@@ -167,7 +185,7 @@
     pub(super) fn hold(&mut self, now: u64, heartbeat: Heartbeat, to: oneshot::Sender<HeartbeatReply>) {
         let followed = self.leadership.followed(now);
         if let Some((_, token, _)) = followed {
-            self.block.follow(token);
+            self.shard.follow(token);
         }
         if let Some(reply) = self.holds(now, &heartbeat, followed.is_some()) {
             let _ = to.send(reply);
@@ -248,9 +266,9 @@
         let entitled = self.leadership.authority(now).filter(|_| known).zip(renewal);
         let (to, stops) = match to {
             ReplyTo::Worker(to, stops) => (to, stops),
-            ReplyTo::Lessee(node, id) => {
+            ReplyTo::Leaseholder(node, id) => {
                 let token = entitled.map(|(token, _)| token);
-                self.send(node, Payload::RelayedResponse { id, token, keep, task_commands });
+                self.send(node, Payload::RelayedResponse { id, token, cacheable: keep, task_commands });
                 return;
             }
         };
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -36,13 +36,13 @@
     /// Carries out one effect of the scheduler.
     pub(super) fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { reply, renewal, task_commands, keep } => {
+            Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: keep } => {
                 self.answer(reply, renewal, task_commands, keep)
             }
-            Effect::Wake { node, machine } => {
+            Effect::RequestWake { node, machine } => {
                 self.send(node, Payload::WakeRequest(vec![machine]));
             }
-            Effect::Direct { machine, address, agent_epoch, task_commands } => {
+            Effect::DirectCommands { machine, address, agent_epoch, task_commands } => {
                 self.send_direct(&machine, address, agent_epoch, &task_commands);
             }
             Effect::CommitDone { job_id, version, tasks, all_done } => {
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -33,8 +33,8 @@
                 }
                 Action::Elected { token, version } => self.elected(token, version),
                 Action::Deposed { keep_until } => {
-                    // Its workers are a block now like any other's.
-                    self.block.led(self.config.token, keep_until);
+                    // Its workers are a shard now like any other's.
+                    self.shard.retain_after_leadership(self.config.token, keep_until);
                     self.deposed();
                 }
             }
@@ -131,10 +131,15 @@
                 ReplyTo::Worker(to, _) => {
                     let _ = to.send(HeartbeatReply::Redirected(None));
                 }
-                ReplyTo::Lessee(node, id) => {
+                ReplyTo::Leaseholder(node, id) => {
                     self.send(
                         node,
-                        Payload::RelayedResponse { id, token: None, keep: false, task_commands: Vec::new() },
+                        Payload::RelayedResponse {
+                            id,
+                            token: None,
+                            cacheable: false,
+                            task_commands: Vec::new(),
+                        },
                     );
                 }
             }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -17,7 +17,6 @@
 pub use start::{run, ServeError};
 
 use crate::api::{Health, Summary, Types};
-use crate::blocks::Block;
 use crate::cloud::Cloud;
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{wall_ms, Clock, Http};
@@ -32,6 +31,7 @@
 use crate::scheduler::overview::{Overview, PageStart};
 use crate::scheduler::{Command, Config, Scheduler};
 use crate::settings::Settings;
+use crate::shard::Shard;
 use crate::store::Store;
 use checkins::{PassedOn, ReplyTo};
 use cloud_driver::CloudRequest;
@@ -97,7 +97,7 @@
     frames_ignored: FramesIgnored,
     renewal_counts: RenewalCounts,
     /// The workers that heartbeat here while another node leads.
-    block: Block,
+    shard: Shard,
     passed_on: BTreeMap<u64, PassedOn>,
     /// Tasks that only run while this node leads.
     leading: Vec<JoinHandle<()>>,
@@ -157,7 +157,7 @@
             self.route_heartbeat(now, heartbeat_request, to, &mut commands);
         }
         self.step(now, commands);
-        self.keep_block(now);
+        self.maintain_shard(now);
     }
 
     fn take(&mut self, now: u64, event: Event, batch: &mut Batch) {
@@ -214,7 +214,7 @@
                     self.summary.send_replace(Arc::new(lines.collect()));
                 }
             }
-            payload => self.block_frame(now, from, payload, &mut batch.commands),
+            payload => self.handle_shard_frame(now, from, payload, &mut batch.commands),
         }
     }
 
@@ -250,7 +250,7 @@
 
     fn step(&mut self, now: u64, commands: Vec<Command>) {
         let Some(scheduler) = &mut self.scheduler else { return };
-        scheduler.kept_alive_until(self.leadership.autonomous_until(now));
+        scheduler.record_kept_alive_until(self.leadership.autonomous_until(now));
         scheduler.out_of_touch(now, self.leadership.out_of_touch(now));
         scheduler.time_of_day(now, wall_ms());
         let effects = scheduler.step(now, commands);
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -4,7 +4,6 @@
 use super::frames_ignored::FramesIgnored;
 use super::{Controller, Event};
 use crate::api::{self, Api, ApiSettings, Health, Summary, Types};
-use crate::blocks::Block;
 use crate::cloud::Cloud;
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{Clock, Http};
@@ -15,6 +14,7 @@
 use crate::record_versions::RecordVersions;
 use crate::scheduler::Config;
 use crate::settings::{Operator, Settings};
+use crate::shard::Shard;
 use crate::store::Store;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -133,7 +133,7 @@
             record_machines: limits::record_machines(deployment.state.value_kb),
             value_most: limits::value_bytes(deployment.state.value_kb),
             rentals_at_once: limits::rentals_at_once(deployment.cloud.rps),
-            block_lease: match settings.members.len() {
+            shard_lease: match settings.members.len() {
                 0 => 0,
                 _ => longest_autonomy,
             },
@@ -155,7 +155,7 @@
         requests: RequestIds::of(sender.incarnation),
         frames_ignored: FramesIgnored::default(),
         renewal_counts: RenewalCounts::default(),
-        block: Block::new(room.block, sender.incarnation),
+        shard: Shard::new(room.shard, sender.incarnation),
         passed_on: BTreeMap::new(),
         leading: Vec::new(),
         cloud_queue: None,
--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -67,8 +67,8 @@
         self.cancellations.bound(read.max(self.cancellations.by_members()))
     }
 
-    /// How long a lessee that this leader has heard may go on by itself.
-    pub fn block_lease(&self, now: u64) -> u64 {
+    /// How long a leaseholder that this leader has heard may go on by itself.
+    pub fn shard_lease(&self, now: u64) -> u64 {
         if !self.is_leader() {
             return 0;
         }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -82,7 +82,7 @@
         token: u64,
         version: u64,
     },
-    /// It may keep its workers alive until then, as any lessee.
+    /// It may keep its workers alive until then, as any leaseholder.
     Deposed {
         keep_until: u64,
     },
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -2,10 +2,10 @@
 //! crashes with amnesia, state outages and refusals, in virtual time with fixed seeds.
 
 use super::*;
-use crate::blocks::{Block, BlockHeartbeat};
 use crate::limits::lengthened;
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
+use crate::shard::{Shard, ShardHeartbeat};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -103,12 +103,12 @@
     floor: u64,
     /// By worker, on the leader's clock and in true time.
     answered: BTreeMap<usize, (u64, u64)>,
-    /// By lessee: covered, confirmed.
-    lessees: BTreeMap<usize, (u64, u64)>,
+    /// By leaseholder: covered, confirmed.
+    leaseholders: BTreeMap<usize, (u64, u64)>,
 }
 
 struct Node {
-    block: Block,
+    shard: Shard,
     ledger: Ledger,
     leadership: Leadership,
     life: u64,
@@ -145,7 +145,7 @@
     told: BTreeMap<JobId, u64>,
     /// How often a job is cancelled, once in so many steps; 0: never.
     cancels: u32,
-    /// Leases that leaders counted as over, and answers that lessees and lease keepers gave by themselves.
+    /// Leases that leaders counted as over, and answers that leaseholders and lease keepers gave by themselves.
     proofs: u64,
     autonomous_answers: u64,
     tokens: Vec<(u64, usize, u64)>,
@@ -194,11 +194,11 @@
         let now = base + (self.now as f64 * rate) as u64;
         let incarnation = self.rng.random();
         let leadership = Leadership::new(names, me, incarnation, now, (AUTONOMY, KEPT), self.rng.random());
-        let (block, ledger) = (Block::new(8, incarnation), Ledger::default());
+        let (shard, ledger) = (Shard::new(8, incarnation), Ledger::default());
         let (state_answered, live_due, read) = (0, 0, 0);
         let old = self.nodes.get(me).is_some_and(|node| node.old);
         let down_until = None;
-        Node { block, ledger, leadership, life, base, rate, down_until, state_answered, live_due, read, old }
+        Node { shard, ledger, leadership, life, base, rate, down_until, state_answered, live_due, read, old }
     }
 
     fn local(&self, node: usize) -> u64 {
@@ -258,7 +258,7 @@
                 }
                 Action::Deposed { keep_until } => {
                     let token = self.nodes[node].ledger.token;
-                    self.nodes[node].block.led(token, keep_until);
+                    self.nodes[node].shard.retain_after_leadership(token, keep_until);
                 }
                 action => {
                     let (life, sent) = (self.nodes[node].life, self.local(node));
@@ -440,13 +440,13 @@
         self.check();
         self.run_state();
         if !self.workers.is_empty() {
-            self.run_lessees();
+            self.run_leaseholders();
             (0..self.workers.len()).for_each(|w| self.run_worker(w));
             self.check_proofs();
         }
     }
 
-    // ---- workers and blocks ----
+    // ---- workers and shard ----
 
     fn up(&self, node: usize) -> bool {
         self.nodes[node].down_until.is_none() && self.frozen.is_none_or(|(still, _)| still != node)
@@ -494,20 +494,21 @@
     }
 
     /// Lessees tell the leader whom they answered; words and confirmations may be lost.
-    fn run_lessees(&mut self) {
+    fn run_leaseholders(&mut self) {
         for node in 0..3 {
             if !self.up(node) {
                 continue;
             }
             let now = self.local(node);
             let Some((leader, token, stamp)) = self.nodes[node].leadership.followed(now) else { continue };
-            self.nodes[node].block.follow(token);
-            let Some(BlockHeartbeat { id, whole, fresh: anew, machines }) = self.nodes[node].block.tell(now)
+            self.nodes[node].shard.follow(token);
+            let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: anew, machines }) =
+                self.nodes[node].shard.next_heartbeat(now)
             else {
                 continue;
             };
             let at_leader = self.local(leader);
-            let fresh = stamp <= at_leader && at_leader < stamp + limits::RELAY_FRESH;
+            let fresh = stamp <= at_leader && at_leader < stamp + limits::RELAY_MAX_AGE;
             let leads = self.up(leader) && self.nodes[leader].leadership.authority(at_leader) == Some(token);
             if !fresh || !leads || self.cut_between(node, leader) || self.rng.random_bool(0.1) {
                 continue;
@@ -516,14 +517,14 @@
             if anew {
                 ledger.floor = ledger.floor.max(at_leader);
             }
-            let lessee = ledger.lessees.entry(node).or_default();
-            *lessee = (lessee.0.max(if whole { stamp } else { 0 }), at_leader);
+            let leaseholder = ledger.leaseholders.entry(node).or_default();
+            *leaseholder = (leaseholder.0.max(if whole { stamp } else { 0 }), at_leader);
             for name in machines {
                 ledger.answered.insert(name.parse().unwrap(), (at_leader, self.now));
             }
-            let lease = self.nodes[leader].leadership.block_lease(at_leader);
+            let lease = self.nodes[leader].leadership.shard_lease(at_leader);
             if self.rng.random_bool(0.9) {
-                self.nodes[node].block.confirmed(id, lease);
+                self.nodes[node].shard.acknowledge(id, lease);
             }
         }
     }
@@ -608,10 +609,10 @@
         }
         let followed = self.nodes[node].leadership.followed(now);
         if let Some((_, token, _)) = followed {
-            self.nodes[node].block.follow(token);
+            self.nodes[node].shard.follow(token);
         }
         if let Some(stops) = keeps {
-            if let Some(token) = self.nodes[node].block.answers(now, &heartbeat, followed.is_some()).token() {
+            if let Some(token) = self.nodes[node].shard.respond(now, &heartbeat, followed.is_some()).token() {
                 self.autonomous_answers += 1;
                 return Some((token, job_ids(stops)));
             }
@@ -624,7 +625,7 @@
             if let Some(stops) = self.leads(leader, &heartbeat).filter(|_| leads && loaded) {
                 self.nodes[leader].ledger.answered.insert(w, (at_leader, self.now));
                 let keep = stops.is_empty();
-                self.nodes[node].block.passed(now, heartbeat, token, keep);
+                self.nodes[node].shard.record_relayed_response(now, heartbeat, token, keep);
                 return Some((token, job_ids(stops)));
             }
         }
@@ -664,7 +665,7 @@
         let ledger = &mut self.nodes[leader].ledger;
         ledger.floor = ledger.floor.max(kept);
         let lease = lengthened(LEASE) + limits::LEASE_MARGIN;
-        let open = ledger.lessees.values().filter(|(_, at)| now < at + lengthened(AUTONOMY) + lease);
+        let open = ledger.leaseholders.values().filter(|(_, at)| now < at + lengthened(AUTONOMY) + lease);
         let covered = open.map(|(covered, _)| *covered).min().unwrap_or(u64::MAX);
         for (w, worker) in self.workers.iter().enumerate() {
             let (answered, when) = ledger.answered.get(&w).copied().unwrap_or((0, ledger.elected));
@@ -948,7 +949,7 @@
     }
 }
 
-/// Leaders, lessees and lease keepers together: whoever keeps a worker alive, the leader knows how long that may
+/// Leaders, leaseholders and lease keepers together: whoever keeps a worker alive, the leader knows how long that may
 /// last, and no task of a job lives longer than `CANCEL` after its user was told that it is cancelled.
 #[test]
 fn no_lease_is_counted_as_over_that_somebody_keeps_alive() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,6 @@
 //! stand around them and speak to users, workers, the cloud, the state service and the peers.
 
 pub mod api;
-pub mod blocks;
 pub mod cancellation_log;
 pub mod cli;
 pub mod client;
@@ -23,5 +22,6 @@
 pub mod record_versions;
 pub mod scheduler;
 pub mod settings;
+pub mod shard;
 pub mod store;
 pub mod worker;
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -40,7 +40,7 @@
 pub const ABDICATION_PAUSE: u64 = 6_000_000;
 
 /// How long workers may be kept alive, by whom ever, after the moment up to which every cancellation is known
-/// there, the state lease aside: leaders by their peers alone, lease keepers, former leaders, and lessees that hear
+/// there, the state lease aside: leaders by their peers alone, lease keepers, former leaders, and leaseholders that hear
 /// no leader. A worker answered at the very end lives for its lease, and all must be gone `cancel_s` after
 /// the user was told. HeartbeatOutcome off besides: the state lease, by which the leader could not miss it longer, the
 /// lateness of a worker's own end, and a second on the way. Stops go straight to the workers, so that what a
@@ -79,26 +79,26 @@
     (time as f64 * (1.0 + DRIFT)) as u64
 }
 
-// ---- blocks ----
+// ---- shard ----
 
-/// A lessee tells the leader this often which machines it answered.
-pub const BLOCK_TELL: u64 = 1_000_000;
+/// A leaseholder tells the leader this often which machines it answered.
+pub const SHARD_HEARTBEAT_INTERVAL: u64 = 1_000_000;
 /// A worker with news that no leader takes is sent to the other nodes again this long after it came back: it
 /// may be away for a hang of four seconds and a pause of one at two of them, and its lease must outlast that.
-pub const BLOCK_RETRY: u64 = 8_000_000;
+pub const REDIRECT_RETRY_INTERVAL: u64 = 8_000_000;
 /// Bytes of machine names in one word to the leader: a frame holds 64 KiB.
-pub const BLOCK_WORD: usize = 60 * 1024;
+pub const SHARD_HEARTBEAT_MAX_BYTES: usize = 60 * 1024;
 /// A heartbeat that could not name every machine is followed by the next after this: the leader counts on no lease
-/// of this block ending before one has named them all, and 6,000 machines with long names take several frames.
-pub const BLOCK_TELL_ON: u64 = 250_000;
+/// of this shard ending before one has named them all, and 6,000 machines with long names take several frames.
+pub const SHARD_HEARTBEAT_CONTINUATION_INTERVAL: u64 = 250_000;
 /// Heartbeats without confirmation that are remembered: those of four seconds.
-pub const BLOCK_UNCONFIRMED: usize = 16;
+pub const MAX_UNACKNOWLEDGED_SHARD_HEARTBEATS: usize = 16;
 /// A heartbeat that was passed on waits this long for the leader; then the worker is kept alive if it may be,
 /// or sent elsewhere. Well within the 4 s that it gives us.
-pub const RELAY_PATIENCE: u64 = 1_500_000;
-/// What a lessee passed on or told is taken by the leader within this time of the heartbeat that it
+pub const RELAY_TIMEOUT: u64 = 1_500_000;
+/// What a leaseholder passed on or told is taken by the leader within this time of the heartbeat that it
 /// echoes: bytes that a cut held back must do nothing.
-pub const RELAY_FRESH: u64 = 3_000_000;
+pub const RELAY_MAX_AGE: u64 = 3_000_000;
 
 // ---- start rule ----
 
@@ -111,7 +111,7 @@
 }
 
 /// A machine that has not reported for this long gets no new tasks and is suspected. Heartbeats come every
-/// `report_s` plus a quarter; one that its lessee could not pass on is followed by the next 2.5 s later.
+/// `report_s` plus a quarter; one that its leaseholder could not pass on is followed by the next 2.5 s later.
 pub fn silent(report_s: f64) -> u64 {
     micros(report_s * 1.25) + 3_250_000
 }
@@ -129,7 +129,7 @@
 /// new tasks and is deleted. One lost answer is ordinary.
 pub const UNHEARD_DEAF: u32 = 2;
 /// No heartbeat at all through one node, or from one zone, for this long and three times the mean interval
-/// between them means that it is lost: lessees tell whom they answered once a second, and machines that all
+/// between them means that it is lost: leaseholders tell whom they answered once a second, and machines that all
 /// reported at once (a cut has ended) next do so three quarters of an interval later at the earliest.
 pub fn route_silent(heartbeat_interval: u64) -> u64 {
     (heartbeat_interval / 4 * 3 + 500_000).max(1_500_000)
@@ -351,11 +351,11 @@
     /// Events waiting for the owner of the state: as many as there can be connections, since after a takeover
     /// every worker has news at once. Beyond it requests are shed.
     pub queue: usize,
-    /// Frames waiting for one peer: all workers of a block after a change of leader, and a heartbeat between
+    /// Frames waiting for one peer: all workers of a shard after a change of leader, and a heartbeat between
     /// them. More are dropped; the next heartbeat, and the worker's next heartbeat, make up for them.
     pub peer_queue: usize,
-    /// Machines that one lessee keeps: some 300 bytes each.
-    pub block: usize,
+    /// Machines that one leaseholder keeps: some 300 bytes each.
+    pub shard: usize,
     /// Submissions and cancellations in progress at once, and polls; beyond it they are shed with `Retry-After`.
     /// Polls must not take the turns of those that change something.
     pub changes: usize,
@@ -374,7 +374,7 @@
         Capacity {
             queue: sockets,
             peer_queue: sockets,
-            block: sockets,
+            shard: sockets,
             changes: (sockets / 16).max(32),
             polls: (sockets / 8).max(64),
             direct_commands: (sockets / 16).max(16),
@@ -386,8 +386,8 @@
 /// Names of machines that are gone are remembered this long: heartbeats that a cut held back, and copies of them,
 /// come minutes late.
 pub const GONE_KEPT: u64 = 3_600_000_000;
-/// A lessee forgets a machine that it has not answered for this long: it is gone, or reports elsewhere.
-pub const KEPT_IDLE: u64 = 60_000_000;
+/// A leaseholder forgets a machine that it has not answered for this long: it is gone, or reports elsewhere.
+pub const CACHED_HEARTBEAT_TTL: u64 = 60_000_000;
 /// Frames written to a peer at once: some 100 KiB.
 pub const PEER_BATCH: usize = 512;
 /// Commands taken in one batch.
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -213,7 +213,7 @@
             (head.kind, head.stamp, head.state_age) = (REPORT, (*id).into(), (*stamp).into());
             write_report(heartbeat, &mut body);
         }
-        Payload::RelayedResponse { id, token, keep, task_commands } => {
+        Payload::RelayedResponse { id, token, cacheable: keep, task_commands } => {
             (head.kind, head.stamp) = (REPLY, (*id).into());
             head.token = token.unwrap_or(0).into();
             head.workers = u32::from(*keep).into();
@@ -225,7 +225,7 @@
             head.kind = WAKE;
             write_names(machines, &mut body);
         }
-        Payload::ShardHeartbeat { id, stamp, whole, fresh, machines } => {
+        Payload::ShardHeartbeat { id, stamp, complete: whole, first_of_incarnation: fresh, machines } => {
             (head.kind, head.stamp, head.state_age) = (HEARD, (*id).into(), (*stamp).into());
             (head.workers, head.successor) = (u32::from(*whole).into(), u32::from(*fresh).into());
             write_names(machines, &mut body);
@@ -298,12 +298,18 @@
             let lines = <[TaskCommandLine]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
             let task_commands = lines.iter().map(decode_task_command).collect::<Result<_, _>>()?;
             let token = (token > 0).then_some(token);
-            Payload::RelayedResponse { id: stamp, token, keep: head.workers.get() != 0, task_commands }
+            Payload::RelayedResponse { id: stamp, token, cacheable: head.workers.get() != 0, task_commands }
         }
         WAKE => Payload::WakeRequest(read_names(rest)?),
         HEARD => {
             let (whole, fresh) = (head.workers.get() != 0, head.successor.get() != 0);
-            Payload::ShardHeartbeat { id: stamp, stamp: time, whole, fresh, machines: read_names(rest)? }
+            Payload::ShardHeartbeat {
+                id: stamp,
+                stamp: time,
+                complete: whole,
+                first_of_incarnation: fresh,
+                machines: read_names(rest)?,
+            }
         }
         ATTESTATION => {
             let (line, rest) = AttestationLine::ref_from_prefix(rest).map_err(|_| "attestation too short")?;
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -30,22 +30,22 @@
     RelayedResponse {
         id: u64,
         token: Option<u64>,
-        keep: bool,
+        cacheable: bool,
         task_commands: Vec<TaskCommand>,
     },
     /// Machines whose next heartbeat is to be passed on.
     WakeRequest(Vec<String>),
-    /// Machines that their lessee answered by itself, with the stamp of the leader's last heartbeat.
+    /// Machines that their leaseholder answered by itself, with the stamp of the leader's last heartbeat.
     ShardHeartbeat {
         id: u64,
         stamp: u64,
         /// These are all that were answered since the last word that was confirmed.
-        whole: bool,
+        complete: bool,
         /// None was confirmed yet.
-        fresh: bool,
+        first_of_incarnation: bool,
         machines: Vec<String>,
     },
-    /// The leader has taken note: the lessee may go on by itself for so long.
+    /// The leader has taken note: the leaseholder may go on by itself for so long.
     ShardHeartbeatAck {
         id: u64,
         lease_ms: u32,
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -59,10 +59,14 @@
         TaskCommand::Stop { id, attempt: 5, grace_s: 4.5 },
         TaskCommand::Forget { id, attempt: 4 },
     ];
-    let reply =
-        Payload::RelayedResponse { id: 9, token: Some(41), keep: true, task_commands: task_commands.clone() };
+    let reply = Payload::RelayedResponse {
+        id: 9,
+        token: Some(41),
+        cacheable: true,
+        task_commands: task_commands.clone(),
+    };
     let reply = encode(sender, 2, &reply);
-    let Payload::RelayedResponse { id: 9, token: Some(41), keep: true, task_commands: back } =
+    let Payload::RelayedResponse { id: 9, token: Some(41), cacheable: true, task_commands: back } =
         decode(&reply).unwrap().3
     else {
         panic!()
@@ -71,8 +75,8 @@
     let heard = Payload::ShardHeartbeat {
         id: 3,
         stamp: 4,
-        whole: true,
-        fresh: false,
+        complete: true,
+        first_of_incarnation: false,
         machines: vec!["m-1".into(), "m-22".into()],
     };
     let heard = encode(sender, 3, &heard);
--- a/src/scheduler/absence.rs
+++ b/src/scheduler/absence.rs
@@ -25,7 +25,7 @@
     LeaseEnded {
         /// When the last answer was noted that may have renewed it.
         answered: u64,
-        /// The lessee that told of it, or passed the heartbeat on.
+        /// The leaseholder that told of it, or passed the heartbeat on.
         via: Option<usize>,
         /// When it was counted as over.
         at: u64,
--- a/src/scheduler/answers.rs
+++ b/src/scheduler/answers.rs
@@ -38,7 +38,7 @@
     /// Answers a heartbeat.
     pub(super) fn answer(&mut self, reply: u64, name: &str, renewal: Option<LeaseRenewal>) {
         let (task_commands, keep) = self.commands_for(name);
-        self.effects.push(Effect::Answer { reply, renewal, task_commands, keep });
+        self.effects.push(Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: keep });
     }
 
     /// What the answer to a heartbeat tells the machine; and whether the node that it came through may answer by itself
@@ -48,7 +48,7 @@
         let mut task_commands: Vec<TaskCommand>;
         {
             let Some(machine) = self.machines.get_mut(name) else { return (Vec::new(), false) };
-            machine.woken = false;
+            machine.wake_requested = false;
             machine.told_token = machine.via.is_none() && !machine.reconciled;
             task_commands = Self::stop_commands(machine).collect();
             reconciled_and_recorded = machine.reconciled && machine.recorded;
@@ -70,48 +70,50 @@
                     task_commands.push(TaskCommand::Start { id: *id, attempt: placed.attempt });
                 }
             }
-            // What goes through a lessee may be lost between it and us; that says nothing of the machine.
+            // What goes through a leaseholder may be lost between it and us; that says nothing of the machine.
             if machine.via.is_none() {
                 machine.told.clone_from(&task_commands);
             }
         }
-        let blocks = self.config.block_lease > 0;
+        let shard = self.config.shard_lease > 0;
         let Some(machine) = self.machines.get_mut(name) else { return (task_commands, false) };
-        machine.kept = blocks
+        machine.cached_by_leaseholder = shard
             && machine.via.is_some()
             && task_commands.is_empty()
             && machine.calm()
             && machine.exited.is_empty();
-        (task_commands, machine.kept)
+        (task_commands, machine.cached_by_leaseholder)
     }
 
-    /// A lessee has answered these machines by itself, and nobody else before `covers`. Their leases run on;
-    /// one that there is something to tell is to be passed on, whether or not its lessee was told so before.
-    pub fn heard_through(&mut self, node: usize, names: Vec<String>, covers: Option<u64>) {
+    /// A leaseholder has answered these machines by itself, and nobody else before `covers`. Their leases run on;
+    /// one that there is something to tell is to be passed on, whether or not its leaseholder was told so before.
+    pub fn apply_shard_heartbeat(&mut self, node: usize, names: Vec<String>, covers: Option<u64>) {
         let now = self.now;
-        let lessee = self.lessees.entry(node).or_default();
-        lessee.covered = lessee.covered.max(covers.unwrap_or(0));
-        lessee.confirmed = now;
+        let leaseholder = self.leaseholders.entry(node).or_default();
+        leaseholder.covered_until = leaseholder.covered_until.max(covers.unwrap_or(0));
+        leaseholder.last_heartbeat_at = now;
         for name in names {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             machine.last_renewal.record_by_leaseholder(now);
             machine.last_heartbeat_at = now;
-            // Come back to a lessee that still knew it, it says nothing new there, and was taken for silent on
-            // the way that it had left; what it did elsewhere meanwhile the lessee can't tell.
-            let came = machine.comes_by(Some(node), now);
+            // Come back to a leaseholder that still knew it, it says nothing new there, and was taken for silent on
+            // the way that it had left; what it did elsewhere meanwhile the leaseholder can't tell.
+            let came = machine.set_route(Some(node), now);
             if came || !machine.calm() {
-                (machine.woken, machine.kept) = (false, true);
-                self.wake(&name);
+                (machine.wake_requested, machine.cached_by_leaseholder) = (false, true);
+                self.request_wake(&name);
             }
         }
     }
 
-    /// There is something to tell this machine: its lessee is to pass its next heartbeat on.
-    pub fn wake(&mut self, name: &str) {
+    /// There is something to tell this machine: its leaseholder is to pass its next heartbeat on.
+    pub fn request_wake(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        if let (Some(node), false, true) = (machine.via, machine.woken, machine.kept) {
-            machine.woken = true;
-            self.effects.push(Effect::Wake { node, machine: name.to_string() });
+        if let (Some(node), false, true) =
+            (machine.via, machine.wake_requested, machine.cached_by_leaseholder)
+        {
+            machine.wake_requested = true;
+            self.effects.push(Effect::RequestWake { node, machine: name.to_string() });
         }
     }
 
@@ -121,7 +123,7 @@
             let Some(machine) = self.machines.get(&name) else { continue };
             let task_commands: Vec<TaskCommand> = Self::stop_commands(machine).collect();
             if machine.phase == Phase::Up && !task_commands.is_empty() {
-                self.effects.push(Effect::Direct {
+                self.effects.push(Effect::DirectCommands {
                     machine: name,
                     address: machine.address.clone(),
                     agent_epoch: machine.agent_epoch,
--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -314,7 +314,7 @@
         }
         for name in stopped {
             self.fleet.direct.insert(name.clone());
-            self.wake(&name);
+            self.request_wake(&name);
         }
     }
 
@@ -360,7 +360,7 @@
             (None, None) => Phase::Reconciling,
         };
         let lease = limits::worker_lease(self.config.workers.lease_s);
-        let until = self.started.max(self.kept_alive) + lease;
+        let until = self.started.max(self.kept_alive_until) + lease;
         let waits_for = match phase {
             Phase::Reconciling => "machines that have not reported".to_string(),
             Phase::Restarting => "places and the pace for missing tasks".to_string(),
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -29,7 +29,7 @@
         record_machines: 20,
         value_most: 4_096,
         rentals_at_once: 10,
-        block_lease: 0,
+        shard_lease: 0,
     }
 }
 
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -47,7 +47,7 @@
     pub zone: &'a str,
     pub route: Option<usize>,
     /// The route that it came by before, and when it left that one.
-    pub left: Option<(Option<usize>, u64)>,
+    pub previous_route: Option<(Option<usize>, u64)>,
     pub last_heartbeat_at: u64,
     pub unresponsive: bool,
     /// An earlier leader recorded it, and it has not come to this one.
@@ -69,8 +69,8 @@
     pub heartbeat_interval: u64,
     /// A machine's own silence.
     pub silent: u64,
-    /// How long a lessee out of touch may answer by itself.
-    pub block_lease: u64,
+    /// How long a leaseholder out of touch may answer by itself.
+    pub shard_lease: u64,
     /// When this leader began to listen.
     pub started: u64,
 }
@@ -90,7 +90,7 @@
 }
 
 impl FailureDetector {
-    /// Looks at all machines that should be heard. `out_of_touch`: lessees that this leader does not reach.
+    /// Looks at all machines that should be heard. `out_of_touch`: leaseholders that this leader does not reach.
     pub fn observe(&mut self, now: u64, p: &Patience, observed: &[Observed], out_of_touch: &BTreeSet<usize>) {
         let mut zones: BTreeMap<&str, (usize, u64)> = BTreeMap::new();
         let mut routes: BTreeMap<Option<usize>, (usize, u64)> = BTreeMap::new();
@@ -159,16 +159,17 @@
         let many = too_many(all_late, known, limits::SILENT_SHARE);
         for (route, here) in &routes {
             let (route, reachability) = (*route, route_reachability(route));
-            // Those whose lessee has crashed come by another route, and only the dead are left on theirs.
+            // Those whose leaseholder has crashed come by another route, and only the dead are left on theirs.
             let left = |m: &&&Observed| {
-                m.left.is_some_and(|(from, at)| from == route && at >= reachability.unreachable_from())
+                m.previous_route
+                    .is_some_and(|(from, at)| from == route && at >= reachability.unreachable_from())
             };
-            let block = here.len() + reachable.iter().filter(left).count();
+            let route_size = here.len() + reachable.iter().filter(left).count();
             let silent = |m: &&&Observed| now >= m.last_heartbeat_at + p.silent;
             let quiet = here.iter().filter(|m| late(m)).count();
-            // A lessee that is only out of touch answers what says nothing new until its lease ends.
+            // A leaseholder that is only out of touch answers what says nothing new until its lease ends.
             let wait = if reachability.unreachable {
-                reachability.unreachable_from() + p.block_lease + limits::COMES_LATE
+                reachability.unreachable_from() + p.shard_lease + limits::COMES_LATE
             } else {
                 reachability.back()
             };
@@ -176,7 +177,7 @@
             // tell. Few are not too many because chance put three of them on one route of nine.
             if now < wait
                 || many && !reachability.unreachable
-                || too_many(quiet, block, limits::SILENT_ROUTE_SHARE)
+                || too_many(quiet, route_size, limits::SILENT_ROUTE_SHARE)
             {
                 continue;
             }
@@ -192,7 +193,7 @@
         Patience {
             heartbeat_interval: limits::micros(report_s),
             silent: limits::silent(report_s),
-            block_lease: self.config.block_lease,
+            shard_lease: self.config.shard_lease,
             started: self.started,
         }
     }
@@ -205,7 +206,7 @@
                 name: &m.name,
                 zone: &m.zone,
                 route: m.via,
-                left: m.left,
+                previous_route: m.previous_route,
                 last_heartbeat_at: m.last_heartbeat_at,
                 unresponsive: m.unheard >= limits::UNHEARD_DEAF,
                 expected: expected(m),
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -4,7 +4,7 @@
 use crate::limits::SECOND;
 
 const REPORT: u64 = 3 * SECOND;
-const BLOCK_LEASE: u64 = 22 * SECOND;
+const SHARD_LEASE: u64 = 22 * SECOND;
 /// When the trouble begins.
 const FROM: u64 = 100 * SECOND;
 const ZONES: [&str; 2] = ["a", "b"];
@@ -19,7 +19,7 @@
     let patience = Patience {
         heartbeat_interval: REPORT,
         silent: limits::silent(3.0),
-        block_lease: BLOCK_LEASE,
+        shard_lease: SHARD_LEASE,
         started: SECOND,
     };
     let mut silence = FailureDetector::default();
@@ -46,7 +46,7 @@
                 name: &names[i],
                 zone: ZONES[i % 2],
                 route: [None, Some(1), Some(2)][i % 3],
-                left: None,
+                previous_route: None,
                 last_heartbeat_at: heard(i),
                 unresponsive: false,
                 expected: false,
@@ -69,14 +69,14 @@
     let patience = Patience {
         heartbeat_interval: REPORT,
         silent: limits::silent(3.0),
-        block_lease: BLOCK_LEASE,
+        shard_lease: SHARD_LEASE,
         started: SECOND,
     };
     let machine = |name, lost| Observed {
         name,
         zone: "a",
         route: None,
-        left: None,
+        previous_route: None,
         last_heartbeat_at: SECOND,
         unresponsive: false,
         expected: false,
@@ -125,8 +125,14 @@
         ("a zone is cut off", |i, _| if i % 2 == 1 { 45 * SECOND } else { 0 }, None, |_| 0, never),
         ("a zone for good", |i, _| if i % 2 == 1 { LONG } else { 0 }, None, |_| 0, never),
         ("all are silent", |_, _| 45 * SECOND, None, |_| 0, never),
-        // Its lessee answers by itself; the machines come another way when its lease has ended.
-        ("a lessee is out of touch", |i, _| if i % 3 == 1 { 25 * SECOND } else { 0 }, Some(1), |_| 0, never),
+        // Its leaseholder answers by itself; the machines come another way when its lease has ended.
+        (
+            "a leaseholder is out of touch",
+            |i, _| if i % 3 == 1 { 25 * SECOND } else { 0 },
+            Some(1),
+            |_| 0,
+            never,
+        ),
     ];
     for machines in [20, 120, 1_900, 6_000] {
         for (what, trouble, lost, expected, soon) in &cases {
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -110,16 +110,16 @@
         })
     }
 
-    /// In how many seconds the machine's next heartbeat is due, by which a start reaches it. A lessee tells of what it
-    /// answered up to `BLOCK_TELL` later: a machine that seems due within that may well have just reported, and
+    /// In how many seconds the machine's next heartbeat is due, by which a start reaches it. A leaseholder tells of what it
+    /// answered up to `SHARD_HEARTBEAT_INTERVAL` later: a machine that seems due within that may well have just reported, and
     /// comes an interval later. Where heartbeats are hardly rarer than that there is nothing to tell them apart by.
     pub fn heartbeat_due_s(&self, machine: &Machine) -> i64 {
         let heartbeat_interval = limits::micros(self.config.workers.report_s);
-        if heartbeat_interval <= 2 * limits::BLOCK_TELL {
+        if heartbeat_interval <= 2 * limits::SHARD_HEARTBEAT_INTERVAL {
             return 0;
         }
         let due = (machine.last_heartbeat_at + heartbeat_interval).saturating_sub(self.now);
-        let missed = machine.kept && due < limits::BLOCK_TELL;
+        let missed = machine.cached_by_leaseholder && due < limits::SHARD_HEARTBEAT_INTERVAL;
         ((due + if missed { heartbeat_interval } else { 0 }) / limits::SECOND) as i64
     }
 }
--- a/src/scheduler/hearing.rs
+++ b/src/scheduler/hearing.rs
@@ -5,10 +5,10 @@
 
 impl Machine {
     /// Its heartbeat came this way. Returns whether that is another way than before.
-    pub fn comes_by(&mut self, way: Option<usize>, now: u64) -> bool {
+    pub fn set_route(&mut self, way: Option<usize>, now: u64) -> bool {
         let other = self.via != way;
         if other {
-            self.left = Some((self.via, now));
+            self.previous_route = Some((self.via, now));
             self.via = way;
         }
         other
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -27,8 +27,8 @@
     pub value_most: usize,
     /// Rental requests under way at once.
     pub rentals_at_once: usize,
-    /// For how long a lessee may go on by itself, in microseconds; 0: there are no others.
-    pub block_lease: u64,
+    /// For how long a leaseholder may go on by itself, in microseconds; 0: there are no others.
+    pub shard_lease: u64,
 }
 
 /// A job as the state service has it.
@@ -95,17 +95,17 @@
     Heartbeat {
         reply: u64,
         heartbeat: Heartbeat,
-        /// The lessee that passed it on; None: it came here.
+        /// The leaseholder that passed it on; None: it came here.
         via: Option<usize>,
     },
-    /// Machines that a lessee has answered by itself.
+    /// Machines that a leaseholder has answered by itself.
     ShardHeartbeat {
         node: usize,
         machines: Vec<String>,
         /// Up to then it has answered nobody else; None: the list may be cut short.
-        covers: Option<u64>,
+        covers_until: Option<u64>,
         /// Its first heartbeats: an earlier life may have answered anybody until now.
-        fresh: bool,
+        first_of_incarnation: bool,
     },
     /// A worker's heartbeat in answer to a direct command.
     DirectCommandAnswered(Heartbeat),
@@ -160,21 +160,21 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    Answer {
+    HeartbeatResponse {
         reply: u64,
         /// None: nobody waits, and the answer must not renew a lease.
         renewal: Option<LeaseRenewal>,
         task_commands: Vec<TaskCommand>,
         /// The node that passed the heartbeat on may answer the next ones by itself if they say nothing new.
-        keep: bool,
+        cacheable: bool,
     },
-    /// A lessee is to pass this machine's next heartbeat on.
-    Wake {
+    /// A leaseholder is to pass this machine's next heartbeat on.
+    RequestWake {
         node: usize,
         machine: String,
     },
     /// Stops sent straight to a worker, which then need not wait for its next heartbeat.
-    Direct {
+    DirectCommands {
         machine: String,
         address: String,
         agent_epoch: u64,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! The single owner of jobs, tasks, machines and blocks. Commands come in batches, effects go out.
+//! The single owner of jobs, tasks, machines and shard. Commands come in batches, effects go out.
 //! Pure: no I/O, no clock, no globals; the random numbers are seeded.
 
 pub mod absence;
@@ -37,13 +37,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info};
 
-/// What this leader knows of a lessee.
+/// What this leader knows of a leaseholder.
 #[derive(Debug, Default, Clone, Copy)]
-struct Lessee {
+struct Leaseholder {
     /// Every answer that it gave before then is known here.
-    covered: u64,
-    /// When its lease was last renewed; it may go on for a block lease.
-    confirmed: u64,
+    covered_until: u64,
+    /// When its lease was last renewed; it may go on for a shard lease.
+    last_heartbeat_at: u64,
 }
 
 /// A heartbeat that waits for the next round of decisions. What its answer renews is noted already, so that no lease is
@@ -88,11 +88,11 @@
     /// All machines of earlier leaders are accounted for.
     reconciled: bool,
     /// Until when somebody else may have kept workers alive under a token of the past.
-    kept_alive: u64,
-    /// When each lessee was last out of touch: what reports through it may come another way for a while.
+    kept_alive_until: u64,
+    /// When each leaseholder was last out of touch: what reports through it may come another way for a while.
     out_of_touch: BTreeMap<usize, u64>,
     failure_detector: failure_detection::FailureDetector,
-    lessees: BTreeMap<usize, Lessee>,
+    leaseholders: BTreeMap<usize, Leaseholder>,
     /// Heartbeats of which nothing was taken in.
     ignored_heartbeats: IgnoredHeartbeats,
     /// Work of a job on average, as of the last round.
@@ -104,7 +104,7 @@
     pub fn new(config: Config, now: u64) -> Self {
         let writes = records::WriteBudget::new(config.write_rps, now);
         // Lessees may answer as long as that for the last leader.
-        let block_lease = config.block_lease;
+        let shard_lease = config.shard_lease;
         Scheduler {
             config,
             records: records::Records::default(),
@@ -130,10 +130,10 @@
             unreconciled: BTreeSet::new(),
             attempts: 0,
             reconciled: false,
-            kept_alive: now + limits::lengthened(block_lease),
+            kept_alive_until: now + limits::lengthened(shard_lease),
             out_of_touch: BTreeMap::new(),
             failure_detector: failure_detection::FailureDetector::default(),
-            lessees: BTreeMap::new(),
+            leaseholders: BTreeMap::new(),
             ignored_heartbeats: IgnoredHeartbeats::default(),
             typical_work: 0.0,
             effects: Vec::new(),
@@ -141,8 +141,8 @@
     }
 
     /// No worker lease ends earlier than a full one after this time.
-    pub fn kept_alive_until(&mut self, at: u64) {
-        self.kept_alive = self.kept_alive.max(at);
+    pub fn record_kept_alive_until(&mut self, at: u64) {
+        self.kept_alive_until = self.kept_alive_until.max(at);
     }
 
     /// These nodes are out of touch now.
@@ -189,13 +189,13 @@
                 }
                 return self.handle_heartbeat(reply, heartbeat, via);
             }
-            Command::ShardHeartbeat { node, machines, covers, fresh } => {
+            Command::ShardHeartbeat { node, machines, covers_until: covers, first_of_incarnation: fresh } => {
                 if fresh {
-                    // A lessee that crashes has forgotten whom it answered; its first word seemed to cover
+                    // A leaseholder that crashes has forgotten whom it answered; its first word seemed to cover
                     // that too, and a leader counted leases as over that ran (`leadership::tests`).
-                    self.kept_alive_until(self.now);
+                    self.record_kept_alive_until(self.now);
                 }
-                return self.heard_through(node, machines, covers);
+                return self.apply_shard_heartbeat(node, machines, covers);
             }
             Command::DirectCommandAnswered(heartbeat) => {
                 if self.apply_heartbeat(heartbeat, false) != HeartbeatOutcome::Changed {
@@ -242,7 +242,7 @@
             .get_mut(&name)
             .filter(|_| matches!(taken, HeartbeatOutcome::Changed | HeartbeatOutcome::Unchanged))
         {
-            machine.comes_by(via, now);
+            machine.set_route(via, now);
         }
         match taken {
             HeartbeatOutcome::Changed => {
@@ -256,14 +256,19 @@
             }
             HeartbeatOutcome::Overtaken => {
                 let renewal = self.record_renewal(&name);
-                self.effects.push(Effect::Answer { reply, renewal, task_commands: Vec::new(), keep: false });
+                self.effects.push(Effect::HeartbeatResponse {
+                    reply,
+                    renewal,
+                    task_commands: Vec::new(),
+                    cacheable: false,
+                });
             }
             HeartbeatOutcome::Stale => {
-                self.effects.push(Effect::Answer {
+                self.effects.push(Effect::HeartbeatResponse {
                     reply,
                     renewal: None,
                     task_commands: Vec::new(),
-                    keep: false,
+                    cacheable: false,
                 });
             }
         }
--- a/src/scheduler/model.rs
+++ b/src/scheduler/model.rs
@@ -258,11 +258,11 @@
     /// The node that its last heartbeat came through, if that was not this one, and whether that node answers
     /// by itself what says nothing new.
     pub via: Option<usize>,
-    pub kept: bool,
+    pub cached_by_leaseholder: bool,
     /// The way that it reported by before, and when it left that one.
-    pub left: Option<(Option<usize>, u64)>,
-    /// Its lessee has been told to pass its next heartbeat on.
-    pub woken: bool,
+    pub previous_route: Option<(Option<usize>, u64)>,
+    /// Its leaseholder has been told to pass its next heartbeat on.
+    pub wake_requested: bool,
     pub tasks: BTreeMap<TaskId, Placed>,
     /// The task list of the newest heartbeat, to tell an unchanged one by.
     pub listed: Vec<ReportedTask>,
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -57,7 +57,7 @@
             };
             machine.tasks.insert(id, placed);
         }
-        self.wake(name);
+        self.request_wake(name);
     }
 
     pub(super) fn stop(&mut self, name: &str, id: TaskId, grace_s: f64) {
@@ -75,7 +75,7 @@
         if placed.stopping.is_none_or(|(_, g)| g > grace) {
             placed.stopping = Some((now, grace));
             self.fleet.direct.insert(name.to_string());
-            self.wake(name);
+            self.request_wake(name);
         }
     }
 
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -55,11 +55,11 @@
         self.update_reachability();
         let lease = limits::worker_lease(self.config.workers.lease_s);
         let now = self.now;
-        let alive = self.started.max(self.kept_alive);
-        // A lessee may have answered anybody since its last word, until its own lease ends.
-        let block_lease = limits::lengthened(self.config.block_lease);
-        let open = self.lessees.values().filter(|h| now < h.confirmed + block_lease + lease);
-        let covered = open.map(|h| h.covered).min().unwrap_or(u64::MAX);
+        let alive = self.started.max(self.kept_alive_until);
+        // A leaseholder may have answered anybody since its last word, until its own lease ends.
+        let shard_lease = limits::lengthened(self.config.shard_lease);
+        let open = self.leaseholders.values().filter(|h| now < h.last_heartbeat_at + shard_lease + lease);
+        let covered = open.map(|h| h.covered_until).min().unwrap_or(u64::MAX);
         let ended: Vec<String> = self
             .machines
             .values()
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -107,7 +107,9 @@
                     self.deleted.extend(machines.iter().cloned());
                     answers.push(Command::Deleted { machines, outcome: Outcome::Done });
                 }
-                Effect::Answer { reply, task_commands, .. } => self.carry_out(reply as usize, task_commands),
+                Effect::HeartbeatResponse { reply, task_commands, .. } => {
+                    self.carry_out(reply as usize, task_commands)
+                }
                 _ => {}
             }
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use dockpier::scheduler::Config;
 use dockpier::settings::{Operator, Team, Workers};
 
-/// A leader of one team without limits, in two zones, with no lessees and nothing scarce.
+/// A leader of one team without limits, in two zones, with no leaseholders and nothing scarce.
 pub fn config() -> Config {
     Config {
         token: 1,
@@ -26,7 +26,7 @@
         record_machines: 3,
         value_most: 4_096,
         rentals_at_once: 10,
-        block_lease: 0,
+        shard_lease: 0,
     }
 }
 
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -125,7 +125,7 @@
                 tasks,
             };
             for effect in self.step(vec![Command::Heartbeat { reply: 1, heartbeat, via: None }]) {
-                let Effect::Answer { task_commands, .. } = effect else { continue };
+                let Effect::HeartbeatResponse { task_commands, .. } = effect else { continue };
                 let running = self.running.get_mut(&machine).unwrap();
                 for command in task_commands {
                     match command {
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -79,10 +79,10 @@
                     self.finished.push(job_id);
                     then.push(Command::Finished { job_id, outcome: Outcome::Done });
                 }
-                Effect::Answer { reply, task_commands, .. } if reply > 0 => {
+                Effect::HeartbeatResponse { reply, task_commands, .. } if reply > 0 => {
                     self.task_commands(reply as usize - 1, task_commands)
                 }
-                Effect::Direct { machine, task_commands, .. } => {
+                Effect::DirectCommands { machine, task_commands, .. } => {
                     let machine = machine.trim_start_matches("m-").parse().unwrap();
                     if !self.silent.contains(&machine) {
                         self.task_commands(machine, task_commands);
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -71,14 +71,14 @@
         for effect in self.scheduler.step(self.now, batch) {
             outcomes.extend(outcome(&effect));
             match effect {
-                Effect::Answer { reply, renewal, task_commands, .. } => {
+                Effect::HeartbeatResponse { reply, renewal, task_commands, .. } => {
                     if renewal.is_some() {
                         self.answered.insert(reply);
                     }
                     let machine = if reply < 1_000 { "m-000001" } else { "m-000002" };
                     self.carry_out(machine, &task_commands);
                 }
-                Effect::Direct { machine, .. } => self.stops_sent |= machine == "m-000001",
+                Effect::DirectCommands { machine, .. } => self.stops_sent |= machine == "m-000001",
                 _ => {}
             }
         }
--- a/tests/leases/interleavings.rs
+++ b/tests/leases/interleavings.rs
@@ -1,27 +1,27 @@
 //! Every order in which the messages around one lease can arrive, up to a depth: a worker that reports to the leader or
-//! through a lessee, stops that go straight to it, their answers, heartbeats of the lessee and confirmations. After
+//! through a leaseholder, stops that go straight to it, their answers, heartbeats of the leaseholder and confirmations. After
 //! each order the worker is silent, everything under way is lost, and its task must not be started elsewhere before the
 //! lease that it really has has ended.
 
 use super::common::{self, spec};
 use super::stand_ins::{heartbeat, machine_types, outcome};
-use dockpier::blocks::{Block, BlockAnswer, BlockHeartbeat};
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand};
 use dockpier::settings::{Operator, Workers};
+use dockpier::shard::{Shard, ShardHeartbeat, ShardResponse};
 use std::collections::BTreeMap;
 
 /// Long against the margin of a lease, so that one heartbeat that is not noted shows.
 const REPORT: u64 = 6 * SECOND;
 const LEASE: u64 = 20 * SECOND;
-const BLOCK_LEASE: u64 = 8 * SECOND;
+const SHARD_LEASE: u64 = 8 * SECOND;
 /// How long a worker waits for the answer to a heartbeat.
 const ANSWER_PATIENCE: u64 = 4 * SECOND;
 /// Events of an order, each a message delivered or a step of time, and steps of time among them at most.
 const DEPTH: usize = 6;
 const TICKS: usize = 1;
-/// The lessee's number among the nodes.
+/// The leaseholder's number among the nodes.
 const LESSEE: usize = 1;
 
 /// The worker whose lease is looked at, and the empty one beside it.
@@ -35,9 +35,9 @@
 enum Message {
     /// The worker's heartbeat, at its node.
     WorkerHeartbeat(Heartbeat),
-    /// A heartbeat that the lessee passed on, at the leader.
+    /// A heartbeat that the leaseholder passed on, at the leader.
     PassedOn(Heartbeat),
-    /// The leader's answer to it, at the lessee.
+    /// The leader's answer to it, at the leaseholder.
     Reply { heartbeat: Heartbeat, renews: bool, keep: bool, task_commands: Vec<TaskCommand> },
     /// The answer to the heartbeat of this sequence, at the worker; None: it is sent elsewhere.
     Answer { sequence: u64, task_commands: Option<Vec<TaskCommand>> },
@@ -46,10 +46,10 @@
     /// The worker's answer to them, at the leader.
     DirectAnswer(Heartbeat),
     /// At the leader.
-    Heartbeat { heartbeat: BlockHeartbeat, stamp: u64 },
-    /// At the lessee.
+    Heartbeat { heartbeat: ShardHeartbeat, stamp: u64 },
+    /// At the leaseholder.
     Confirmed(u64),
-    /// At the lessee: the leader has something to tell the watched worker.
+    /// At the leaseholder: the leader has something to tell the watched worker.
     Wake,
 }
 
@@ -67,10 +67,10 @@
 
 struct World {
     scheduler: Scheduler,
-    block: Block,
+    shard: Shard,
     now: u64,
-    /// The watched worker reports through the lessee.
-    by_lessee: bool,
+    /// The watched worker reports through the leaseholder.
+    by_leaseholder: bool,
     worker: Worker,
     empty: Worker,
     under_way: Vec<Message>,
@@ -122,7 +122,7 @@
 
 impl World {
     /// Both replicas run on the watched worker; its next heartbeat is under way, and one of them has just been cancelled.
-    fn new(by_lessee: bool) -> Self {
+    fn new(by_leaseholder: bool) -> Self {
         let workers = Workers {
             report_s: REPORT as f64 / SECOND as f64,
             lease_s: LEASE as f64 / SECOND as f64,
@@ -133,20 +133,20 @@
             workers,
             operator,
             zones: vec!["a".into()],
-            block_lease: BLOCK_LEASE,
+            shard_lease: SHARD_LEASE,
             ..common::config()
         };
         let mut world = World {
             scheduler: Scheduler::new(config, SECOND),
-            block: Block::new(8, 1),
+            shard: Shard::new(8, 1),
             now: SECOND,
-            by_lessee,
+            by_leaseholder,
             worker: Worker::default(),
             empty: Worker::default(),
             under_way: Vec::new(),
             started_elsewhere: None,
         };
-        world.block.follow(1);
+        world.shard.follow(1);
         world.leader(vec![machine_types(), Command::Load { jobs: vec![], records: vec![] }]);
         (0..3).for_each(|_| world.exchange());
         for job_id in [REPLICA.job_id, CANCELLED] {
@@ -154,8 +154,8 @@
             let stored = StoredJob { spec, version: 1, age: 0, done: Default::default() };
             world.leader(vec![Command::JobAdded(stored)]);
         }
-        // Until nothing that an earlier leader's lessees may have answered counts any more.
-        (0..2 + BLOCK_LEASE / SECOND).for_each(|_| world.exchange());
+        // Until nothing that an earlier leader's leaseholders may have answered counts any more.
+        (0..2 + SHARD_LEASE / SECOND).for_each(|_| world.exchange());
         assert_eq!(world.worker.tasks.len(), 2, "both replicas run on the watched worker");
         world.report_of_empty();
         world.tick(REPORT);
@@ -184,7 +184,7 @@
             self.worker.report_due = self.now + SECOND;
         }
         self.report_if_due();
-        if let Some(heartbeat) = self.block.tell(self.now) {
+        if let Some(heartbeat) = self.shard.next_heartbeat(self.now) {
             let stamp = self.now;
             self.send(Message::Heartbeat { heartbeat, stamp });
         }
@@ -208,7 +208,7 @@
 
     fn deliver(&mut self, at: usize) {
         match self.under_way.remove(at) {
-            Message::WorkerHeartbeat(heartbeat) if self.by_lessee => self.at_lessee(heartbeat),
+            Message::WorkerHeartbeat(heartbeat) if self.by_leaseholder => self.at_leaseholder(heartbeat),
             Message::WorkerHeartbeat(heartbeat) => {
                 let reply = heartbeat.sequence;
                 self.leader(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
@@ -217,7 +217,7 @@
             Message::Reply { heartbeat, renews, keep, task_commands } => {
                 let sequence = heartbeat.sequence;
                 if renews {
-                    self.block.passed(self.now, heartbeat, 1, keep);
+                    self.shard.record_relayed_response(self.now, heartbeat, 1, keep);
                 }
                 self.send(Message::Answer { sequence, task_commands: renews.then_some(task_commands) });
             }
@@ -235,24 +235,31 @@
             }
             Message::DirectAnswer(heartbeat) => self.leader(vec![Command::DirectCommandAnswered(heartbeat)]),
             Message::Heartbeat { heartbeat, stamp } => {
-                let BlockHeartbeat { id, whole, fresh, machines } = heartbeat;
+                let ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines } = heartbeat;
                 let covers = whole.then_some(stamp);
-                self.leader(vec![Command::ShardHeartbeat { node: LESSEE, machines, covers, fresh }]);
+                self.leader(vec![Command::ShardHeartbeat {
+                    node: LESSEE,
+                    machines,
+                    covers_until: covers,
+                    first_of_incarnation: fresh,
+                }]);
                 self.send(Message::Confirmed(id));
             }
             Message::Confirmed(id) => {
-                self.block.confirmed(id, BLOCK_LEASE);
+                self.shard.acknowledge(id, SHARD_LEASE);
             }
-            Message::Wake => self.block.wake(&[WATCHED.to_string()]),
+            Message::Wake => self.shard.request_wake(&[WATCHED.to_string()]),
         }
     }
 
-    fn at_lessee(&mut self, heartbeat: Heartbeat) {
+    fn at_leaseholder(&mut self, heartbeat: Heartbeat) {
         let sequence = heartbeat.sequence;
-        match self.block.answers(self.now, &heartbeat, true) {
-            BlockAnswer::Renews(..) => self.send(Message::Answer { sequence, task_commands: Some(vec![]) }),
-            BlockAnswer::Copy => self.send(Message::Answer { sequence, task_commands: None }),
-            BlockAnswer::NotOurs => self.send(Message::PassedOn(heartbeat)),
+        match self.shard.respond(self.now, &heartbeat, true) {
+            ShardResponse::Renewed(..) => {
+                self.send(Message::Answer { sequence, task_commands: Some(vec![]) })
+            }
+            ShardResponse::Duplicate => self.send(Message::Answer { sequence, task_commands: None }),
+            ShardResponse::NotResponsible => self.send(Message::PassedOn(heartbeat)),
         }
     }
 
@@ -260,7 +267,7 @@
         let reply = heartbeat.sequence;
         let first = self.under_way.len();
         self.leader(vec![Command::Heartbeat { reply, heartbeat: heartbeat.clone(), via: Some(LESSEE) }]);
-        // What the leader answers goes by way of the lessee.
+        // What the leader answers goes by way of the leaseholder.
         let answer =
             |message: &Message| matches!(message, Message::Answer { sequence, .. } if *sequence == reply);
         let Some(at) = self.under_way.iter().skip(first).position(answer) else { return };
@@ -281,17 +288,19 @@
         for effect in self.scheduler.step(self.now, batch) {
             outcomes.extend(outcome(&effect));
             match effect {
-                Effect::Answer { reply: 0, task_commands, .. } => self.answer_empty(&task_commands),
-                Effect::Answer { reply, renewal, task_commands, .. } => {
+                Effect::HeartbeatResponse { reply: 0, task_commands, .. } => {
+                    self.answer_empty(&task_commands)
+                }
+                Effect::HeartbeatResponse { reply, renewal, task_commands, .. } => {
                     self.send(Message::Answer {
                         sequence: reply,
                         task_commands: renewal.map(|_| task_commands),
                     });
                 }
-                Effect::Direct { machine, task_commands, .. } if machine == WATCHED => {
+                Effect::DirectCommands { machine, task_commands, .. } if machine == WATCHED => {
                     self.send(Message::Direct(task_commands));
                 }
-                Effect::Wake { .. } => self.send(Message::Wake),
+                Effect::RequestWake { .. } => self.send(Message::Wake),
                 _ => {}
             }
         }
@@ -308,31 +317,41 @@
         }
     }
 
-    /// The worker is silent and everything under way lost; the lessee goes on, or is not heard either. Checks the rule.
-    fn end(mut self, order: &[usize], lessee_heard: bool) {
+    /// The worker is silent and everything under way lost; the leaseholder goes on, or is not heard either. Checks the rule.
+    fn end(mut self, order: &[usize], leaseholder_heard: bool) {
         self.under_way.clear();
-        let until = self.now + BLOCK_LEASE + 2 * LEASE;
+        let until = self.now + SHARD_LEASE + 2 * LEASE;
         while self.now < until && self.started_elsewhere.is_none() {
             self.now += SECOND;
-            let heartbeat = self.block.tell(self.now).filter(|_| lessee_heard);
-            if let Some(BlockHeartbeat { id, whole, fresh, machines }) = heartbeat {
+            let heartbeat = self.shard.next_heartbeat(self.now).filter(|_| leaseholder_heard);
+            if let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines }) =
+                heartbeat
+            {
                 let covers = whole.then_some(self.now);
-                self.leader(vec![Command::ShardHeartbeat { node: LESSEE, machines, covers, fresh }]);
-                self.block.confirmed(id, BLOCK_LEASE);
+                self.leader(vec![Command::ShardHeartbeat {
+                    node: LESSEE,
+                    machines,
+                    covers_until: covers,
+                    first_of_incarnation: fresh,
+                }]);
+                self.shard.acknowledge(id, SHARD_LEASE);
             }
             let heartbeat = self.empty.heartbeat(EMPTY);
             self.leader(vec![Command::Heartbeat { reply: 0, heartbeat, via: None }]);
         }
         let started = self.started_elsewhere.unwrap_or_else(|| panic!("{order:?}: never started elsewhere"));
         let early_s = self.worker.lease_until.saturating_sub(started) as f64 / SECOND as f64;
-        let by_lessee = self.by_lessee;
-        assert_eq!(early_s, 0.0, "{by_lessee}, {lessee_heard}, order {order:?}: started elsewhere too early");
+        let by_leaseholder = self.by_leaseholder;
+        assert_eq!(
+            early_s, 0.0,
+            "{by_leaseholder}, {leaseholder_heard}, order {order:?}: started elsewhere too early"
+        );
     }
 }
 
 /// The world after an order of events: 0 lets a second pass, any other delivers the message of that number.
-fn play(by_lessee: bool, order: &[usize]) -> World {
-    let mut world = World::new(by_lessee);
+fn play(by_leaseholder: bool, order: &[usize]) -> World {
+    let mut world = World::new(by_leaseholder);
     for event in order {
         match event {
             0 => world.tick(SECOND),
@@ -343,10 +362,10 @@
 }
 
 /// Plays every order that begins like this one; returns how many there are.
-fn play_all(by_lessee: bool, lessee_heard: bool, order: &mut Vec<usize>) -> u64 {
-    let world = play(by_lessee, order);
+fn play_all(by_leaseholder: bool, leaseholder_heard: bool, order: &mut Vec<usize>) -> u64 {
+    let world = play(by_leaseholder, order);
     let messages = world.under_way.len();
-    world.end(order, lessee_heard);
+    world.end(order, leaseholder_heard);
     let mut played = 1;
     if order.len() == DEPTH {
         return played;
@@ -354,16 +373,16 @@
     let ticks = order.iter().filter(|event| **event == 0).count();
     for event in usize::from(ticks == TICKS)..=messages {
         order.push(event);
-        played += play_all(by_lessee, lessee_heard, order);
+        played += play_all(by_leaseholder, leaseholder_heard, order);
         order.pop();
     }
     played
 }
 
-fn no_order_ends_a_lease_early(by_lessee: bool, lessee_heard: bool, at_least: u64) {
-    let played = play_all(by_lessee, lessee_heard, &mut Vec::new());
+fn no_order_ends_a_lease_early(by_leaseholder: bool, leaseholder_heard: bool, at_least: u64) {
+    let played = play_all(by_leaseholder, leaseholder_heard, &mut Vec::new());
     println!(
-        "by_lessee {by_lessee}, lessee_heard {lessee_heard}: {played} task_commands up to {DEPTH} events"
+        "by_leaseholder {by_leaseholder}, leaseholder_heard {leaseholder_heard}: {played} task_commands up to {DEPTH} events"
     );
     assert!(played >= at_least, "{played} task_commands: too little was tested");
 }
@@ -374,11 +393,11 @@
 }
 
 #[test]
-fn no_order_of_messages_ends_a_lease_early_where_workers_report_through_a_lessee() {
+fn no_order_of_messages_ends_a_lease_early_where_workers_report_through_a_leaseholder() {
     no_order_ends_a_lease_early(true, true, 15_000);
 }
 
 #[test]
-fn no_order_of_messages_ends_a_lease_early_where_the_lessee_falls_silent_too() {
+fn no_order_of_messages_ends_a_lease_early_where_the_leaseholder_falls_silent_too() {
     no_order_ends_a_lease_early(true, false, 15_000);
 }
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -30,7 +30,7 @@
         record_machines: 3,
         value_most: 4_096,
         rentals_at_once: 10,
-        block_lease: 0,
+        shard_lease: 0,
     }
 }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -44,7 +44,7 @@
     job_writes: usize,
     /// Tasks never get past their fetch.
     fetching: bool,
-    /// The lessee that all reports come through.
+    /// The leaseholder that all reports come through.
     via: Option<usize>,
 }
 
@@ -151,7 +151,7 @@
                     self.job_writes += 2 + chunks.len();
                     more.push(Command::Finished { job_id, outcome: Outcome::Done });
                 }
-                Effect::Answer { reply, task_commands, .. } => {
+                Effect::HeartbeatResponse { reply, task_commands, .. } => {
                     self.carry_out(&name(reply as usize), task_commands)
                 }
                 _ => {}
@@ -368,12 +368,12 @@
     assert_eq!(fleet.width(1), 40);
 }
 
-/// A lessee heard the leader no more while the leader still heard it: what the leader told machines through
+/// A leaseholder heard the leader no more while the leader still heard it: what the leader told machines through
 /// it was lost, they seemed deaf, and 141 live machines were deleted.
 #[test]
-fn machines_that_do_not_hear_us_through_a_lessee_are_not_deaf() {
+fn machines_that_do_not_hear_us_through_a_leaseholder_are_not_deaf() {
     let mut fleet = Fleet::new(12);
-    fleet.scheduler.config.block_lease = 14 * SECOND;
+    fleet.scheduler.config.shard_lease = 14 * SECOND;
     fleet.via = Some(1);
     (0..2).for_each(|_| fleet.heartbeat());
     fleet.deaf.extend((0..2).map(name));
@@ -382,12 +382,12 @@
     assert!(fleet.deleted.is_empty());
 }
 
-/// The first machines to be missed after a lessee was lost were less than a quarter of its block, and were
+/// The first machines to be missed after a leaseholder was lost were less than a quarter of its shard, and were
 /// given up one by one as they fell due: 122 live machines.
 #[test]
-fn a_lost_lessee_does_not_take_its_block_with_it() {
+fn a_lost_leaseholder_does_not_take_its_block_with_it() {
     let mut fleet = Fleet::new(MACHINES);
-    fleet.scheduler.config.block_lease = 14 * SECOND;
+    fleet.scheduler.config.shard_lease = 14 * SECOND;
     fleet.via = Some(1);
     fleet.submit(spec(1, Kind::Array, Priority::Normal, MACHINES as u32 * SLOTS as u32));
     (0..3).for_each(|_| fleet.heartbeat());
@@ -503,7 +503,7 @@
     fleet.scheduler = Scheduler::new(fleet.scheduler.config.clone(), fleet.now);
     let records = vec![("1-1".to_string(), (0..16).map(recorded).collect())];
     fleet.step(vec![Command::Load { jobs: vec![], records }]);
-    // Four of sixteen are dead, and all the others report to a lessee.
+    // Four of sixteen are dead, and all the others report to a leaseholder.
     (fleet.machines, fleet.via, fleet.sequence) = (12, Some(1), 0);
     (0..4).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.deleted, (12..16).map(name).collect());
--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -4,7 +4,6 @@
 
 mod common;
 
-use dockpier::blocks::{Block, BlockAnswer, BlockHeartbeat};
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::drains::LoadedDrains;
@@ -13,6 +12,7 @@
     Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
 };
 use dockpier::settings::{ColdStartSettings, Draining, Operator, Team, Workers};
+use dockpier::shard::{Shard, ShardHeartbeat, ShardResponse};
 use dockpier_drain::budget::{Budget, Budgets, Cost, ANY_TEAM};
 use dockpier_drain::request::{DrainId, DrainRequest, StoredRequest, Target, Wish};
 use dockpier_virtual_fleet::Store;
@@ -22,7 +22,7 @@
 
 const LEASE_S: f64 = 10.0;
 const STEP: u64 = 100_000;
-const BLOCK_LEASE: u64 = 8 * SECOND;
+const SHARD_LEASE: u64 = 8 * SECOND;
 
 /// Where a world plays: its teams, its zones, and how long a machine takes to boot.
 #[derive(Clone)]
@@ -121,7 +121,7 @@
         },
         teams: deployment.teams.clone(),
         zones: deployment.zones.clone(),
-        block_lease: BLOCK_LEASE,
+        shard_lease: SHARD_LEASE,
         operator: Operator {
             draining: draining(deployment.drains),
             cold_start: ColdStartSettings { enabled: deployment.cold_start, pace: 2.0 },
@@ -211,7 +211,7 @@
     sick_until: u64,
     /// Until then it does not reach the leader.
     leader_cut_until: u64,
-    /// The lessee that it reports to; None: the leader.
+    /// The leaseholder that it reports to; None: the leader.
     via: Option<usize>,
     agent_epoch: u64,
     sequence: u64,
@@ -235,12 +235,12 @@
 const ANSWER_PATIENCE: u64 = 4 * SECOND;
 
 /// A controller that does not lead, and until when it and the leader do not hear one another.
-struct Lessee {
-    block: Block,
+struct Leaseholder {
+    shard: Shard,
     cut_until: u64,
 }
 
-const LESSEES: usize = 2;
+const LEASEHOLDERS: usize = 2;
 
 struct World {
     rng: SmallRng,
@@ -249,10 +249,10 @@
     token: u64,
     deployment: Deployment,
     workers: BTreeMap<String, Worker>,
-    lessees: Vec<Lessee>,
-    /// Heartbeats that lessees passed on, by number.
+    leaseholders: Vec<Leaseholder>,
+    /// Heartbeats that leaseholders passed on, by number.
     passed_on: BTreeMap<u64, (usize, Heartbeat)>,
-    answered_by_lessees: u64,
+    answered_by_leaseholders: u64,
     cloud_down_until: u64,
     specs: BTreeMap<JobId, JobSpec>,
     live: BTreeMap<JobId, (u64, BTreeSet<u32>)>,
@@ -294,9 +294,11 @@
             scheduler: Scheduler::new(config(1, &deployment), SECOND),
             token: 1,
             workers: BTreeMap::new(),
-            lessees: (0..LESSEES).map(|i| Lessee { block: Block::new(64, i as u64), cut_until: 0 }).collect(),
+            leaseholders: (0..LEASEHOLDERS)
+                .map(|i| Leaseholder { shard: Shard::new(64, i as u64), cut_until: 0 })
+                .collect(),
             passed_on: BTreeMap::new(),
-            answered_by_lessees: 0,
+            answered_by_leaseholders: 0,
             cloud_down_until: 0,
             specs: BTreeMap::new(),
             live: BTreeMap::new(),
@@ -478,7 +480,7 @@
         batch.extend(Vec::into_iter(due).map(|(_, c): (u64, Command)| c));
         self.run_gangs();
         self.run_workers(&mut batch);
-        self.run_lessees(&mut batch);
+        self.run_leaseholders(&mut batch);
         self.scheduler.time_of_day(self.now, self.now / 1_000);
         let effects = self.scheduler.step(self.now, batch);
         for effect in effects {
@@ -581,8 +583,8 @@
             let arrives = now + if slow { self.rng.random_range(1..15) * STEP } else { 0 };
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             if self.rng.random_bool(0.01) {
-                let via = self.rng.random_range(0..=LESSEES);
-                worker.via = (via < LESSEES).then_some(via);
+                let via = self.rng.random_range(0..=LEASEHOLDERS);
+                worker.via = (via < LEASEHOLDERS).then_some(via);
             }
             let via = worker.via;
             if via.is_none() && now < worker.leader_cut_until {
@@ -597,10 +599,11 @@
                 let reply = (self.token << 40) | (self.version << 20) | (self.replies.len() as u64 + 1);
                 self.version += 1;
                 if let Some(node) = via {
-                    let lessee = &mut self.lessees[node];
-                    let cut = now < lessee.cut_until;
-                    if let BlockAnswer::Renews(token, _) = lessee.block.answers(now, &heartbeat, !cut) {
-                        self.answered_by_lessees += 1;
+                    let leaseholder = &mut self.leaseholders[node];
+                    let cut = now < leaseholder.cut_until;
+                    if let ShardResponse::Renewed(token, _) = leaseholder.shard.respond(now, &heartbeat, !cut)
+                    {
+                        self.answered_by_leaseholders += 1;
                         if worker.token <= token && now >= worker.deaf_until {
                             worker.token = token;
                             worker.lease_until = now + limits::micros(LEASE_S);
@@ -634,9 +637,9 @@
             }
             let mut reply = 0;
             if let Some(node) = at {
-                let lessee = &mut self.lessees[node];
-                let cut = now < lessee.cut_until;
-                if lessee.block.answers(now, &heartbeat, !cut) != BlockAnswer::NotOurs || cut {
+                let leaseholder = &mut self.leaseholders[node];
+                let cut = now < leaseholder.cut_until;
+                if leaseholder.shard.respond(now, &heartbeat, !cut) != ShardResponse::NotResponsible || cut {
                     continue;
                 }
                 self.version += 1;
@@ -648,21 +651,28 @@
     }
 
     /// Lessees follow the leader and tell it whom they answered, while they hear one another.
-    fn run_lessees(&mut self, batch: &mut Vec<Command>) {
+    fn run_leaseholders(&mut self, batch: &mut Vec<Command>) {
         let (now, token) = (self.now, self.token);
-        for (node, lessee) in self.lessees.iter_mut().enumerate() {
-            if now < lessee.cut_until {
+        for (node, leaseholder) in self.leaseholders.iter_mut().enumerate() {
+            if now < leaseholder.cut_until {
                 continue;
             }
-            lessee.block.follow(token);
-            if let Some(BlockHeartbeat { id, whole, fresh, machines }) = lessee.block.tell(now) {
+            leaseholder.shard.follow(token);
+            if let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines }) =
+                leaseholder.shard.next_heartbeat(now)
+            {
                 // A word may be lost with its connection, and so may its confirmation: the next one repeats it.
                 if self.rng.random_bool(0.1) {
                     continue;
                 }
-                batch.push(Command::ShardHeartbeat { node, machines, covers: whole.then_some(now), fresh });
+                batch.push(Command::ShardHeartbeat {
+                    node,
+                    machines,
+                    covers_until: whole.then_some(now),
+                    first_of_incarnation: fresh,
+                });
                 if self.rng.random_bool(0.9) {
-                    lessee.block.confirmed(id, BLOCK_LEASE);
+                    leaseholder.shard.acknowledge(id, SHARD_LEASE);
                 }
             }
         }
@@ -671,14 +681,14 @@
     fn carry_out(&mut self, effect: Effect) {
         let soon = self.now + self.rng.random_range(1..3) * STEP;
         match effect {
-            Effect::Answer { reply, renewal, task_commands, keep } => {
+            Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: keep } => {
                 if let Some((node, heartbeat)) = self.passed_on.remove(&reply) {
-                    let lessee = &mut self.lessees[node];
-                    if self.now < lessee.cut_until {
+                    let leaseholder = &mut self.leaseholders[node];
+                    if self.now < leaseholder.cut_until {
                         return;
                     }
                     if renewal.is_some() {
-                        lessee.block.passed(self.now, heartbeat, self.token, keep);
+                        leaseholder.shard.record_relayed_response(self.now, heartbeat, self.token, keep);
                     }
                 }
                 // Nobody waits for the answer to a copy.
@@ -705,7 +715,7 @@
                 worker.lease_until = worker.lease_until.max(sent + limits::micros(LEASE_S));
                 self.task_commands(&name, &task_commands);
             }
-            Effect::Direct { machine, agent_epoch, task_commands, .. } => {
+            Effect::DirectCommands { machine, agent_epoch, task_commands, .. } => {
                 let Some(worker) = self.workers.get(&machine) else { return };
                 if worker.dead || self.now < worker.deaf_until {
                     return;
@@ -810,9 +820,9 @@
                 });
                 self.later.push((soon, Command::Deleted { machines, outcome: Outcome::Done }));
             }
-            Effect::Wake { node, machine } => {
-                if self.now >= self.lessees[node].cut_until {
-                    self.lessees[node].block.wake(&[machine]);
+            Effect::RequestWake { node, machine } => {
+                if self.now >= self.leaseholders[node].cut_until {
+                    self.leaseholders[node].shard.request_wake(&[machine]);
                 }
             }
             Effect::Deposed(_) => panic!("nobody else leads"),
@@ -961,26 +971,26 @@
             // All controllers are away for longer than a worker lease.
             13 => self.change_leader(limits::micros(LEASE_S) + 5 * SECOND),
             3 => self.change_leader(4 * SECOND),
-            // A lessee and its workers part from the leader, mostly while the cloud is down, so that only
+            // A leaseholder and its workers part from the leader, mostly while the cloud is down, so that only
             // the end of leases proves anything.
             5 | 7 | 8 => {
-                let node = self.rng.random_range(0..LESSEES);
-                self.lessees[node].cut_until = cut;
+                let node = self.rng.random_range(0..LEASEHOLDERS);
+                self.leaseholders[node].cut_until = cut;
                 for worker in self.workers.values_mut().filter(|w| w.via == Some(node)) {
                     worker.leader_cut_until = cut;
                 }
                 if kind > 5 {
                     self.cloud_down_until = cut;
                 }
-                // The lessee does not hear that another leads.
+                // The leaseholder does not hear that another leads.
                 if kind == 8 {
                     self.change_leader(4 * SECOND);
                 }
             }
-            // A lessee that ends has forgotten its block.
+            // A leaseholder that ends has forgotten its shard.
             6 => {
-                let node = self.rng.random_range(0..LESSEES);
-                self.lessees[node].block = Block::new(64, self.rng.random());
+                let node = self.rng.random_range(0..LEASEHOLDERS);
+                self.leaseholders[node].shard = Shard::new(64, self.rng.random());
             }
             4 => {
                 let live: Vec<JobId> = self.live.keys().copied().collect();
@@ -1114,7 +1124,7 @@
     }
     let stuck: Vec<_> = world.live.keys().filter_map(|u| world.scheduler.jobs.get(u)).collect();
     assert!(world.live.is_empty(), "seed {seed}: never done: {stuck:#?} {}", world.scheduler.fleet_line());
-    assert!(world.answered_by_lessees > 20, "seed {seed}: {}", world.answered_by_lessees);
+    assert!(world.answered_by_leaseholders > 20, "seed {seed}: {}", world.answered_by_leaseholders);
     let parts = world.drains.progress.values().flat_map(|parts| parts.values());
     let drained = parts.flat_map(|part| &part.machines).filter(|entry| entry.state.is_final()).count() as u64;
     let broken = world.gangs.len() as u64 - world.gangs_done;
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -74,9 +74,18 @@
         ("release", leadership(Message::Release { token: 4, successor: 1 })),
         ("summary", Payload::Summary(vec![(412, 3, 1), (413, 0, 0)])),
         ("report", Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat }),
-        ("reply", Payload::RelayedResponse { id: 9, token: Some(41), keep: true, task_commands }),
+        ("reply", Payload::RelayedResponse { id: 9, token: Some(41), cacheable: true, task_commands }),
         ("wake", Payload::WakeRequest(machines.clone())),
-        ("heard", Payload::ShardHeartbeat { id: 3, stamp: 4, whole: true, fresh: false, machines }),
+        (
+            "heard",
+            Payload::ShardHeartbeat {
+                id: 3,
+                stamp: 4,
+                complete: true,
+                first_of_incarnation: false,
+                machines,
+            },
+        ),
         ("confirmed", Payload::ShardHeartbeatAck { id: 3, lease_ms: 20_000 }),
     ]
 }
