--- a/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
@@ -15,7 +15,7 @@
         Action::Send(to, what) => message(node, *to, what),
         Action::Attest(to, what) => attestation(of("attest").with("to", to), what),
         Action::Probe => of("probe"),
-        Action::TakeOver { token, version, over_lock } => {
+        Action::TakeOver { token, version, ignore_lock: over_lock } => {
             of("take-over").with("token", token).with("version", version).with("over_lock", over_lock)
         }
         Action::Renew { lease } => of("renew").with("lease", lease),
@@ -30,8 +30,8 @@
     match message {
         Message::Heartbeat { token, sent } => of("heartbeat").with("token", token).with("sent", sent),
         Message::Grant { token, echo } => of("grant").with("token", token).with("echo", echo),
-        Message::PromiseRequest { sent } => of("promise-request").with("sent", sent),
-        Message::Promise { echo } => of("promise").with("echo", echo),
+        Message::VoteRequest { sent } => of("promise-request").with("sent", sent),
+        Message::Vote { echo } => of("promise").with("echo", echo),
         Message::Release { token, successor } => {
             of("release").with("token", token).with("successor", successor)
         }
@@ -51,22 +51,22 @@
 /// What a node answers to the public queries at this moment of its clock.
 pub fn queries(node: usize, now: u64, leadership: &Leadership) -> Line {
     let (until, token) = leadership.acts_until(now);
-    let followed = leadership.followed(now);
+    let followed = leadership.followed_leader(now);
     Line::new("queries")
         .with("node", node)
         .with("leads", leadership.is_leader())
         .optional("authority", leadership.authority(now))
         .with("acts_until", until)
         .optional("acts_with", token)
-        .optional("lease_keeper", leadership.lease_keeper(now))
+        .optional("lease_keeper", leadership.keep_alive_token(now))
         .with("block_lease", leadership.shard_lease(now))
         .with("autonomous_until", leadership.autonomous_until(now))
         .optional("leader_name", leadership.leader_name(now))
         .list("followed", followed.map(|(leader, token, stamp)| format!("{leader}:{token}:{stamp}")))
-        .list("out_of_touch", leadership.out_of_touch(now))
+        .list("out_of_touch", leadership.unreachable_peers(now))
         .with("peer_has_state", leadership.peer_has_state(now))
-        .with("hears_a_peer", leadership.hears_a_peer(now))
-        .list("told_state_age", (0..3).map(|to| leadership.told_state_age(now, to, 9_000_000)))
+        .with("hears_a_peer", leadership.has_live_peer(now))
+        .list("told_state_age", (0..3).map(|to| leadership.reported_state_age(now, to, 9_000_000)))
 }
 
 /// What a node knows of cancellations at this moment of its clock; `last_job` is the newest job.
--- a/crates/dockpier-virtual-fleet/examples/transcript/key_value_store.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/key_value_store.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the state service, as far as leadership uses it: epoch, lock, leases and live jobs.
 
-use dockpier::leadership::{Action, StoreAnswer};
+use dockpier::leadership::{Action, StoreResponse};
 use dockpier::limits;
 use dockpier::protocol::records::Epoch;
 use dockpier::scheduler::model::JobId;
@@ -36,11 +36,11 @@
 
 impl KeyValueStore {
     /// Carries out what a node asks for.
-    pub fn carry_out(&mut self, now: u64, action: Action, request: Request) -> StoreAnswer {
+    pub fn carry_out(&mut self, now: u64, action: Action, request: Request) -> StoreResponse {
         self.expire(now);
         match action {
-            Action::Probe => StoreAnswer::Probed { epoch: self.epoch.clone(), locked: self.lock.is_some() },
-            Action::TakeOver { token, version, over_lock } => {
+            Action::Probe => StoreResponse::Probed { epoch: self.epoch.clone(), locked: self.lock.is_some() },
+            Action::TakeOver { token, version, ignore_lock: over_lock } => {
                 self.take_over(now, (token, version, over_lock), request)
             }
             Action::Renew { lease } => {
@@ -48,13 +48,13 @@
                 if alive {
                     self.leases.insert(lease, now + LOCK_LEASE);
                 }
-                StoreAnswer::Renewed { lease, sent: request.sent, alive }
+                StoreResponse::Renewed { lease, sent: request.sent, alive }
             }
             Action::Release { lease } => {
                 self.leases.remove(&lease);
-                StoreAnswer::Failed
+                StoreResponse::Failed
             }
-            _ => StoreAnswer::Failed,
+            _ => StoreResponse::Failed,
         }
     }
 
@@ -68,10 +68,10 @@
         now: u64,
         (token, version, over_lock): (u64, u64, bool),
         request: Request,
-    ) -> StoreAnswer {
+    ) -> StoreResponse {
         let at = self.epoch.as_ref().map_or(0, |(_, revision)| *revision);
         if at != version || !over_lock && self.lock.is_some() {
-            return StoreAnswer::Lost { lease: None };
+            return StoreResponse::TakeoverFailed { lease: None };
         }
         self.revision += 1;
         self.next_lease += 1;
@@ -80,7 +80,7 @@
         self.lock = Some(lease);
         let epoch = Epoch { token, node: request.name.into(), incarnation: request.incarnation };
         self.epoch = Some((epoch, self.revision));
-        StoreAnswer::Won { lease, version: self.revision, lease_sent: request.sent }
+        StoreResponse::TakeoverCommitted { lease, version: self.revision, lease_sent: request.sent }
     }
 
     /// A user submits a job.
--- a/crates/dockpier-virtual-fleet/examples/transcript/network.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network.rs
@@ -9,7 +9,7 @@
 use crate::output::{Line, Transcript};
 use clients::Worker;
 use dockpier::cancellation_log::Attestation;
-use dockpier::leadership::{Action, Leadership, Message, Status, StoreAnswer};
+use dockpier::leadership::{Action, Leadership, Message, Status, StoreResponse};
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::JobId;
 use dockpier::shard::Shard;
@@ -33,7 +33,7 @@
     Message { from: usize, to: usize, life: u64, status: Status, message: Message },
     Attestation { from: usize, to: usize, life: u64, attestation: Attestation },
     ToStore { node: usize, life: u64, action: Action, sent: u64 },
-    FromStore { node: usize, life: u64, answer: StoreAnswer },
+    FromStore { node: usize, life: u64, answer: StoreResponse },
     Live { node: usize, life: u64, sent: u64, live: Vec<JobId> },
     Cancelled { node: usize, life: u64, job_id: JobId },
 }
@@ -241,7 +241,7 @@
         let (life, sent, delay) = (self.nodes[node].life, self.local(node), self.delay());
         let served = self.is_served(node);
         if !served && !matches!(action, Action::TakeOver { .. }) {
-            return self.send(delay, Wire::FromStore { node, life, answer: StoreAnswer::Failed });
+            return self.send(delay, Wire::FromStore { node, life, answer: StoreResponse::Failed });
         }
         // A transaction that is held back is carried out late.
         let held = if served { 0 } else { self.rng.random_range(0..20 * SECOND) };
@@ -258,12 +258,13 @@
             }
             Wire::Message { from, to, life, status, message } if self.is_up(to) => {
                 let now = self.local(to);
-                let actions = self.nodes[to].leadership.message(now, from, life, status, message);
+                let actions = self.nodes[to].leadership.handle_message(now, from, life, status, message);
                 self.act(to, actions);
             }
             Wire::Attestation { from, to, life, attestation } if self.is_up(to) => {
                 let now = self.local(to);
-                let (over, actions) = self.nodes[to].leadership.attested(now, from, life, &attestation);
+                let (over, actions) =
+                    self.nodes[to].leadership.handle_attestation(now, from, life, &attestation);
                 self.note_over("attested-over", to, over);
                 self.act(to, actions);
             }
@@ -290,19 +291,19 @@
         }
     }
 
-    fn take_answer(&mut self, node: usize, answer: StoreAnswer) {
+    fn take_answer(&mut self, node: usize, answer: StoreResponse) {
         let (now, served) = (self.local(node), self.is_served(node));
         let answer = match answer {
-            StoreAnswer::Won { .. } | StoreAnswer::Lost { .. } if !served => {
-                StoreAnswer::Lost { lease: None }
+            StoreResponse::TakeoverCommitted { .. } | StoreResponse::TakeoverFailed { .. } if !served => {
+                StoreResponse::TakeoverFailed { lease: None }
             }
-            _ if !served => StoreAnswer::Failed,
+            _ if !served => StoreResponse::Failed,
             answer => answer,
         };
-        if !matches!(answer, StoreAnswer::Failed) {
+        if !matches!(answer, StoreResponse::Failed) {
             self.nodes[node].state_answered = now;
         }
-        let actions = self.nodes[node].leadership.store(now, answer);
+        let actions = self.nodes[node].leadership.handle_store_response(now, answer);
         self.act(node, actions);
     }
 
--- a/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
@@ -106,7 +106,7 @@
     /// A user is to be told that the job is cancelled, and asks again where it may not be told yet.
     pub(super) fn confirm(&mut self, node: usize, job_id: JobId) {
         let (now, life) = (self.local(node), self.nodes[node].life);
-        let (news, may, actions) = self.nodes[node].leadership.confirm(now, job_id);
+        let (news, may, actions) = self.nodes[node].leadership.confirm_cancellation(now, job_id);
         let line = Line::new("confirm").with("node", node).with("job", job_id.0);
         self.note(line.with("news", news).with("may", may));
         self.act(node, actions);
@@ -121,7 +121,7 @@
     pub(super) fn run_lessees(&mut self) {
         for node in (0..NODES).filter(|node| self.is_up(*node)).collect::<Vec<_>>() {
             let now = self.local(node);
-            let Some((leader, token, _)) = self.nodes[node].leadership.followed(now) else { continue };
+            let Some((leader, token, _)) = self.nodes[node].leadership.followed_leader(now) else { continue };
             self.nodes[node].block.follow(token);
             let Some(heartbeat) = self.nodes[node].block.next_heartbeat(now) else { continue };
             let line = Line::new("network-block-heartbeat").with("node", node).with("id", heartbeat.id);
@@ -184,10 +184,10 @@
             let orders = leadership.cancellations.with_stops(Vec::new(), &report);
             return self.answered(line.with("by", "leader"), token, orders);
         }
-        if let Some((token, stops)) = leadership.lease_keeper(now).zip(keeps.clone()) {
+        if let Some((token, stops)) = leadership.keep_alive_token(now).zip(keeps.clone()) {
             return self.answered(line.with("by", "lease-keeper"), token, stops);
         }
-        let followed = leadership.followed(now);
+        let followed = leadership.followed_leader(now);
         let answer = self.nodes[node].block.respond(now, &report, followed.is_some());
         match (answer, keeps) {
             (ShardResponse::Renewed(token, renewal), Some(stops)) => {
@@ -218,12 +218,12 @@
     /// The leader that the node follows answers, or nobody does.
     fn pass_on(&mut self, node: usize, report: Heartbeat, line: Line) -> Option<(u64, BTreeSet<JobId>)> {
         let now = self.local(node);
-        let followed = self.nodes[node].leadership.followed(now);
+        let followed = self.nodes[node].leadership.followed_leader(now);
         let reached = followed.filter(|(leader, token, _)| {
             self.leads(*leader, *token) && self.cut_between(node, *leader).is_none()
         });
         let Some((leader, token, _)) = reached else {
-            let actions = self.nodes[node].leadership.seen_token(report.token, now);
+            let actions = self.nodes[node].leadership.observe_token(report.token, now);
             self.act(node, actions);
             self.note(line.with("by", "nobody"));
             return None;
@@ -242,6 +242,6 @@
     /// What a node that may keep workers alive by itself tells one to stop.
     fn keeps(&self, node: usize, report: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let (now, log) = (self.local(node), &self.nodes[node].leadership.cancellations);
-        (now + limits::GUARD < log.keeps_until()).then(|| log.stops(report)).flatten()
+        (now + limits::AUTHORITY_MARGIN < log.keeps_until()).then(|| log.stops(report)).flatten()
     }
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -190,7 +190,7 @@
         let later = |why: &str| Refusal::Later(why.into());
         let (to, answer) = oneshot::channel();
         self.events.try_send(Event::Cancelled(job_id, to)).map_err(|_| later("too many events at once"))?;
-        match tokio::time::timeout(limits::HELD_PATIENCE, answer).await {
+        match tokio::time::timeout(limits::CONFIRMATION_TIMEOUT, answer).await {
             Ok(Ok(true)) => Ok(()),
             _ => Err(later("withdrawn, and not known yet to all controllers")),
         }
--- a/src/cancellation_log.rs
+++ b/src/cancellation_log.rs
@@ -75,7 +75,7 @@
 impl CancellationLog {
     pub fn new(members: usize, me: usize, life: u64, now: u64, longest_autonomy: u64, kept: u64) -> Self {
         // An earlier life may have promised to be quiet right before it ended.
-        let member = Member { quiet_until: now + limits::QUIET, ..Member::default() };
+        let member = Member { quiet_until: now + limits::CONFIRMATION_SUSPENSION, ..Member::default() };
         CancellationLog {
             me,
             life,
@@ -228,13 +228,13 @@
         let member = self.members.get_mut(to).filter(|m| m.life != 0)?;
         let lacks = self.own.iter().filter(|(number, ..)| *number > member.holds);
         let cancelled: Vec<u64> =
-            lacks.map(|(_, _, job_id)| job_id.0).take(limits::ATTESTED_MOST + 1).collect();
-        if cancelled.len() > limits::ATTESTED_MOST {
+            lacks.map(|(_, _, job_id)| job_id.0).take(limits::MAX_ATTESTED_CANCELLATIONS + 1).collect();
+        if cancelled.len() > limits::MAX_ATTESTED_CANCELLATIONS {
             // Never on a day within the state service's limits: it would take minutes to commit as many.
             return None;
         }
         if lost {
-            member.quiet_until = member.quiet_until.max(now + limits::QUIET);
+            member.quiet_until = member.quiet_until.max(now + limits::CONFIRMATION_SUSPENSION);
         }
         let (to, echo, held) = (member.life, member.stamp, member.held);
         let age = now.saturating_sub(self.started);
@@ -265,7 +265,7 @@
         member.held = member.held.max(attestation.last);
         let began = now.saturating_sub(shortened(attestation.age));
         if began <= member.known.max(read) {
-            let quiet = if attestation.quiet { shortened(limits::QUIET) } else { 0 };
+            let quiet = if attestation.quiet { shortened(limits::CONFIRMATION_SUSPENSION) } else { 0 };
             member.known = member.known.max(attestation.echo + quiet);
         }
         let over = attestation.cancelled.iter().map(|job_id| JobId(*job_id));
--- a/src/cancellation_log_tests.rs
+++ b/src/cancellation_log_tests.rs
@@ -94,9 +94,9 @@
     assert_eq!(a.confirm(NOW + 29 * SECOND, JobId(2)), (true, false));
     b.heartbeat(0, 72, true, NOW);
     say(NOW + 29 * SECOND, (&mut a, 0, 72), (&mut b, 1, 71), false);
-    let promised = NOW + 22 * SECOND + limits::shortened(limits::QUIET);
+    let promised = NOW + 22 * SECOND + limits::shortened(limits::CONFIRMATION_SUSPENSION);
     assert_eq!(b.by_members(), promised.max(NOW + 29 * SECOND));
-    assert!(a.confirm(NOW + 28 * SECOND + limits::QUIET, JobId(2)).1);
+    assert!(a.confirm(NOW + 28 * SECOND + limits::CONFIRMATION_SUSPENSION, JobId(2)).1);
 }
 
 #[test]
@@ -138,7 +138,7 @@
     let (mut a, mut b) = pair();
     b.heartbeat(0, 70, true, NOW);
     a.heartbeat(1, 71, true, NOW);
-    let most = limits::ATTESTED_MOST as u64;
+    let most = limits::MAX_ATTESTED_CANCELLATIONS as u64;
     (0..most).for_each(|id| {
         a.confirm(NOW + SECOND, JobId(id));
     });
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats: answered by the leader's scheduler, by this node as the leaseholder of a shard, by a lease keeper, or
+//! Workers' heartbeats: answered by the leader's scheduler, by this node as the leaseholder of a shard, by a node in keep-alive mode, or
 //! sent elsewhere; and the frames about them between leader and leaseholders.
 
 use super::frames_ignored::IgnoredFrame;
@@ -44,7 +44,9 @@
     /// An answer of this node's own that keeps a worker alive: the stops that it bears, or None if it may not.
     pub(super) fn keeps(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let cancellations = &self.leadership.cancellations;
-        (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(heartbeat)).flatten()
+        (now + limits::AUTHORITY_MARGIN < cancellations.keeps_until())
+            .then(|| cancellations.stops(heartbeat))
+            .flatten()
     }
 
     /// A frame of the leader's to a leaseholder, or of a leaseholder's to the leader.
@@ -62,8 +64,8 @@
             Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
                 if !leads || !fresh(stamp) || now >= self.leadership.cancellations.keeps_until() {
                     self.frames_ignored.note(from, IgnoredFrame::Stale);
-                    // A lease keeper keeps workers alive whichever way they come.
-                    let care = self.leadership.lease_keeper(now).zip(self.keeps(now, &heartbeat));
+                    // A node in keep-alive mode keeps workers alive whichever way they come.
+                    let care = self.leadership.keep_alive_token(now).zip(self.keeps(now, &heartbeat));
                     let (token, task_commands) = care.unzip();
                     let task_commands = task_commands.unwrap_or_default();
                     self.send(from, Payload::RelayedResponse { id, token, cacheable: false, task_commands });
@@ -117,7 +119,7 @@
 
     /// What a leaseholder does as time passes: tells the leader whom it answered, and gives up waiting for it.
     pub(super) fn maintain_shard(&mut self, now: u64) {
-        let followed = self.leadership.followed(now);
+        let followed = self.leadership.followed_leader(now);
         if let Some((leader, token, stamp)) = followed {
             self.shard.follow(token);
             if let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines }) =
@@ -183,7 +185,7 @@
 
     /// A heartbeat at a node that does not lead: answered by itself, passed on, or sent elsewhere.
     pub(super) fn hold(&mut self, now: u64, heartbeat: Heartbeat, to: oneshot::Sender<HeartbeatReply>) {
-        let followed = self.leadership.followed(now);
+        let followed = self.leadership.followed_leader(now);
         if let Some((_, token, _)) = followed {
             self.shard.follow(token);
         }
@@ -201,7 +203,7 @@
             }
         }
         // A node that has forgotten everything learns the last token from the workers.
-        let actions = self.leadership.seen_token(heartbeat.token, now);
+        let actions = self.leadership.observe_token(heartbeat.token, now);
         self.act(actions);
         let leader = self.leadership.leader_name(now).map(str::to_string);
         debug!(machine = heartbeat.machine, leader, "heartbeat redirected");
@@ -225,11 +227,11 @@
             }
         };
         let leads = self.leadership.authority(now).filter(|_| self.scheduler.is_some());
-        // Before the jobs are loaded a leader knows no more than a lease keeper: the worker's lease runs on, and
+        // Before the jobs are loaded a leader knows no more than a node in keep-alive mode: the worker's lease runs on, and
         // there is nobody to say what it should do but stop what is cancelled.
         let loaded = self.scheduler.as_ref().is_some_and(|scheduler| scheduler.loaded);
         let unloaded = leads.filter(|_| !loaded).map(|token| (token, LeaseRenewal::before_load()));
-        let keeper = || Some((self.leadership.lease_keeper(now)?, LeaseRenewal::by_keep_alive()));
+        let keeper = || Some((self.leadership.keep_alive_token(now)?, LeaseRenewal::by_keep_alive()));
         if let Some((token, renewal)) = unloaded.or_else(keeper) {
             let reply = match self.keeps(now, &heartbeat) {
                 Some(stops) => {
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -60,7 +60,7 @@
             Effect::WriteDrain { key, value } => self.write_drain(key, value),
             Effect::Delete(names) => self.cloud_request(CloudRequest::Delete(names)),
             Effect::Deposed(token) => {
-                let actions = self.leadership.seen_token(token, self.clock.now());
+                let actions = self.leadership.observe_token(token, self.clock.now());
                 self.act(actions);
             }
         }
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -23,10 +23,10 @@
     }
 
     pub(super) fn judge_health(&mut self, now: u64) {
-        let lost = now.saturating_sub(self.store.answered()) >= limits::STATE_LOST;
+        let lost = now.saturating_sub(self.store.answered()) >= limits::STORE_LOST_TIMEOUT;
         // In an outage that everybody shares nobody serves users better than we do. A node that hears no
         // peer either is more likely alone in it.
-        let shared = self.leadership.hears_a_peer(now) && !self.leadership.peer_has_state(now);
+        let shared = self.leadership.has_live_peer(now) && !self.leadership.peer_has_state(now);
         self.health.cut_off.store(lost && !shared, Ordering::Relaxed);
         let healthy = !self.types.is_empty() && (!lost || shared);
         if self.health.healthy.swap(healthy, Ordering::Relaxed) != healthy {
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -6,7 +6,7 @@
 use super::drain_records::follow_drains;
 use super::live_jobs::follow_jobs;
 use super::{Controller, Event};
-use crate::leadership::{Action, Message, StoreAnswer};
+use crate::leadership::{Action, Message, StoreResponse};
 use crate::peer::Payload;
 use crate::protocol::records::Epoch;
 use crate::record_versions::RecordVersions;
@@ -25,7 +25,9 @@
                     self.send(to, Payload::Attestation(attestation));
                 }
                 Action::Probe => self.ask_store(probe),
-                Action::TakeOver { token, version, over_lock } => self.take_over(token, version, over_lock),
+                Action::TakeOver { token, version, ignore_lock: over_lock } => {
+                    self.take_over(token, version, over_lock)
+                }
                 Action::Renew { lease } => self.renew(lease),
                 Action::Release { lease } => {
                     let store = self.store.clone();
@@ -44,7 +46,7 @@
     fn send_message(&mut self, to: usize, message: Message) {
         let now = self.clock.now();
         let mut status = self.status(now);
-        status.state_age = self.leadership.told_state_age(now, to, status.state_age);
+        status.state_age = self.leadership.reported_state_age(now, to, status.state_age);
         // A full queue means a peer that does not answer; later messages replace this one.
         self.send(to, Payload::Leadership(status, message));
     }
@@ -54,8 +56,10 @@
         let epoch = Epoch { token, node, incarnation: self.incarnation };
         self.ask_store(move |store| async move {
             match store.take_over(&epoch, version, over_lock).await {
-                Ok((lease, version, lease_sent)) => StoreAnswer::Won { lease, version, lease_sent },
-                Err(lease) => StoreAnswer::Lost { lease },
+                Ok((lease, version, lease_sent)) => {
+                    StoreResponse::TakeoverCommitted { lease, version, lease_sent }
+                }
+                Err(lease) => StoreResponse::TakeoverFailed { lease },
             }
         });
     }
@@ -64,10 +68,10 @@
         let sent = self.clock.now();
         self.ask_store(move |store| async move {
             match store.extend(lease).await {
-                Ok(alive) => StoreAnswer::Renewed { lease, sent, alive },
+                Ok(alive) => StoreResponse::Renewed { lease, sent, alive },
                 Err(error) => {
                     debug!(%error, "renewal");
-                    StoreAnswer::Failed
+                    StoreResponse::Failed
                 }
             }
         });
@@ -75,7 +79,7 @@
 
     fn ask_store<F>(&self, ask: impl FnOnce(Store) -> F)
     where
-        F: std::future::Future<Output = StoreAnswer> + Send + 'static,
+        F: std::future::Future<Output = StoreResponse> + Send + 'static,
     {
         let (events, future) = (self.events.clone(), ask(self.store.clone()));
         tokio::spawn(async move {
@@ -147,12 +151,12 @@
     }
 }
 
-async fn probe(store: Store) -> StoreAnswer {
+async fn probe(store: Store) -> StoreResponse {
     match store.epoch().await {
-        Ok((epoch, locked)) => StoreAnswer::Probed { epoch, locked },
+        Ok((epoch, locked)) => StoreResponse::Probed { epoch, locked },
         Err(error) => {
             debug!(%error, "probe");
-            StoreAnswer::Failed
+            StoreResponse::Failed
         }
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -20,7 +20,7 @@
 use crate::cloud::Cloud;
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{wall_ms, Clock, Http};
-use crate::leadership::{Leadership, StoreAnswer};
+use crate::leadership::{Leadership, StoreResponse};
 use crate::lease_renewal::RenewalCounts;
 use crate::limits;
 use crate::live::Reading;
@@ -68,7 +68,7 @@
     Live(Reading),
     /// A user is to be told that the job is cancelled; the answer is whether that may be told now.
     Cancelled(JobId, oneshot::Sender<bool>),
-    Store(StoreAnswer),
+    Store(StoreResponse),
     /// For the scheduler of this token, and no other.
     Scheduler(u64, Command),
     Types(Types),
@@ -173,7 +173,7 @@
                 batch.commands.extend(over.into_iter().map(Command::JobRemoved));
             }
             Event::Cancelled(job_id, to) => {
-                let (news, _, actions) = self.leadership.confirm(now, job_id);
+                let (news, _, actions) = self.leadership.confirm_cancellation(now, job_id);
                 self.act(actions);
                 if news {
                     batch.commands.push(Command::JobRemoved(job_id));
@@ -181,7 +181,7 @@
                 self.confirming.push((job_id, to));
             }
             Event::Store(answer) => {
-                let actions = self.leadership.store(now, answer);
+                let actions = self.leadership.handle_store_response(now, answer);
                 self.act(actions);
             }
             Event::Scheduler(token, command) => {
@@ -200,11 +200,12 @@
         let Received { from, incarnation, payload } = received;
         match payload {
             Payload::Leadership(status, message) => {
-                let actions = self.leadership.message(now, from, incarnation, status, message);
+                let actions = self.leadership.handle_message(now, from, incarnation, status, message);
                 self.act(actions);
             }
             Payload::Attestation(attestation) => {
-                let (over, actions) = self.leadership.attested(now, from, incarnation, &attestation);
+                let (over, actions) =
+                    self.leadership.handle_attestation(now, from, incarnation, &attestation);
                 self.act(actions);
                 batch.commands.extend(over.into_iter().map(Command::JobRemoved));
             }
@@ -251,7 +252,7 @@
     fn step(&mut self, now: u64, commands: Vec<Command>) {
         let Some(scheduler) = &mut self.scheduler else { return };
         scheduler.record_kept_alive_until(self.leadership.autonomous_until(now));
-        scheduler.out_of_touch(now, self.leadership.out_of_touch(now));
+        scheduler.out_of_touch(now, self.leadership.unreachable_peers(now));
         scheduler.time_of_day(now, wall_ms());
         let effects = scheduler.step(now, commands);
         if now >= self.summary_due {
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -10,7 +10,7 @@
 mod election;
 mod handover;
 mod messages;
-mod store_answers;
+mod store_responses;
 
 use crate::cancellation_log::{Attestation, CancellationLog};
 use crate::limits::{self};
@@ -44,10 +44,10 @@
         token: u64,
         echo: u64,
     },
-    PromiseRequest {
+    VoteRequest {
         sent: u64,
     },
-    Promise {
+    Vote {
         echo: u64,
     },
     /// The leader stops and names who should follow.
@@ -69,7 +69,7 @@
     TakeOver {
         token: u64,
         version: u64,
-        over_lock: bool,
+        ignore_lock: bool,
     },
     Renew {
         lease: u64,
@@ -89,18 +89,18 @@
 }
 
 #[derive(Debug, Clone)]
-pub enum StoreAnswer {
+pub enum StoreResponse {
     Probed {
         epoch: Option<(Epoch, u64)>,
         locked: bool,
     },
-    Won {
+    TakeoverCommitted {
         lease: u64,
         version: u64,
         lease_sent: u64,
     },
     /// Refused, or without an answer (then the lease, if any, is to be ended).
-    Lost {
+    TakeoverFailed {
         lease: Option<u64>,
     },
     Renewed {
@@ -114,11 +114,11 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Peer {
     /// Their grant to us runs until then.
-    granted: u64,
-    promised: u64,
-    heard: u64,
+    grant_until: u64,
+    vote_until: u64,
+    last_message_at: u64,
     /// When its last heartbeat came.
-    beat: u64,
+    last_heartbeat_at: u64,
     status: Status,
 }
 
@@ -126,13 +126,13 @@
 enum Role {
     Follower,
     /// The takeover transaction is under way.
-    Taking {
+    TakingOver {
         token: u64,
-        by: By,
+        proof: TakeoverProof,
     },
     /// In a state outage without a leader: keeps workers alive under the last token, by grants of a
     /// majority, and gives no commands.
-    LeaseKeeper {
+    KeepAlive {
         token: u64,
     },
     Leader {
@@ -145,51 +145,51 @@
 
 /// What shows that nobody else acts, besides the lock being free.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum By {
-    Promises,
+enum TakeoverProof {
+    Votes,
     /// The epoch names this node's own last life.
-    Resuming,
+    PreviousIncarnation,
     /// The lock has been free for longer than anybody may act by peers alone.
-    Time,
+    LockExpired,
 }
 
 #[derive(Debug)]
 pub struct Leadership {
-    me: usize,
-    names: Vec<String>,
+    local_node: usize,
+    node_names: Vec<String>,
     incarnation: u64,
-    started: u64,
+    started_at: u64,
     role: Role,
     peers: Vec<Peer>,
     /// Our grant to another: to whom, until when.
-    grant_out: Option<(usize, u64)>,
-    promise_out: Option<(usize, u64)>,
+    grant_given: Option<(usize, u64)>,
+    vote_given: Option<(usize, u64)>,
     /// What this leader granted or promised another before it led runs until then.
     bound_until: u64,
     /// Highest token known.
-    token: u64,
+    highest_token: u64,
     /// The last leader heard: node, token, when.
     leader: Option<(usize, u64, u64)>,
     /// The send time, on its clock, of the last heartbeat of the leader heard last.
-    leader_stamp: u64,
+    leader_heartbeat_stamp: u64,
     /// Workers have reached the leader heard last.
-    leader_reached: bool,
+    leader_reached_by_workers: bool,
     epoch: Option<(Epoch, u64)>,
-    probed: bool,
+    epoch_known: bool,
     locked: bool,
     probed_at: u64,
-    probe_due: u64,
-    probing: bool,
-    heartbeat_due: u64,
-    renew_due: u64,
-    campaign_due: u64,
+    next_probe_at: u64,
+    probe_in_flight: bool,
+    next_heartbeat_at: u64,
+    next_renewal_at: u64,
+    next_campaign_at: u64,
     campaigning: bool,
     may_resume: bool,
     status: Status,
     /// Since when nobody reaches us although workers ask elsewhere or nobody at all is heard.
     unreached_since: Option<u64>,
     /// A worker has sent a heartbeat with this leader since it was elected.
-    reached: bool,
+    reached_by_workers: bool,
     autonomous_until: u64,
     /// How long workers may be kept alive without hearing of cancellations.
     longest_autonomy: u64,
@@ -198,7 +198,7 @@
     /// Up to when others may take what this node attested for proof of what it confirmed.
     attested_until: u64,
     /// Since when the lock is seen free under this version of the epoch, the state service never lost.
-    unlocked: Option<(u64, u64)>,
+    lock_free_since: Option<(u64, u64)>,
     rng: SmallRng,
 }
 
@@ -213,39 +213,39 @@
         seed: u64,
     ) -> Self {
         Leadership {
-            me,
+            local_node: me,
             cancellations: CancellationLog::new(names.len(), me, incarnation, now, longest_autonomy, kept),
             // An earlier life may have promised to be quiet right before it ended.
-            attested_until: now + limits::QUIET,
+            attested_until: now + limits::CONFIRMATION_SUSPENSION,
             peers: vec![Peer::default(); names.len()],
-            names,
+            node_names: names,
             incarnation,
-            started: now,
+            started_at: now,
             role: Role::Follower,
-            grant_out: None,
-            promise_out: None,
+            grant_given: None,
+            vote_given: None,
             bound_until: 0,
-            token: 0,
+            highest_token: 0,
             leader: None,
-            leader_stamp: 0,
-            leader_reached: false,
+            leader_heartbeat_stamp: 0,
+            leader_reached_by_workers: false,
             epoch: None,
-            probed: false,
+            epoch_known: false,
             locked: true,
             probed_at: 0,
-            probe_due: now,
-            probing: false,
-            heartbeat_due: now,
-            renew_due: 0,
-            campaign_due: now,
+            next_probe_at: now,
+            probe_in_flight: false,
+            next_heartbeat_at: now,
+            next_renewal_at: 0,
+            next_campaign_at: now,
             campaigning: false,
             may_resume: true,
             status: Status { state_age: u64::MAX, ..Status::default() },
             unreached_since: None,
-            reached: false,
+            reached_by_workers: false,
             autonomous_until: now,
             longest_autonomy,
-            unlocked: None,
+            lock_free_since: None,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -258,47 +258,49 @@
     pub fn leader_name(&self, now: u64) -> Option<&str> {
         let (node, _, heard) = self.leader?;
         // One that workers have stopped reaching is not named: they would hang there.
-        let lost = self.leader_reached && self.peers[node].status.workers == 0;
-        let known = node != self.me && now < heard + limits::PEER_WORD && !lost;
-        known.then(|| self.names[node].as_str())
+        let lost = self.leader_reached_by_workers && self.peers[node].status.workers == 0;
+        let known = node != self.local_node && now < heard + limits::PEER_TIMEOUT && !lost;
+        known.then(|| self.node_names[node].as_str())
     }
 
     /// The leader that this node follows: node, token, and the stamp of its last heartbeat.
-    pub fn followed(&self, now: u64) -> Option<(usize, u64, u64)> {
+    pub fn followed_leader(&self, now: u64) -> Option<(usize, u64, u64)> {
         let (node, token, heard) = self.leader?;
-        let fresh = node != self.me && now < heard + limits::PEER_WORD && !self.is_leader();
-        fresh.then_some((node, token, self.leader_stamp))
+        let fresh = node != self.local_node && now < heard + limits::PEER_TIMEOUT && !self.is_leader();
+        fresh.then_some((node, token, self.leader_heartbeat_stamp))
     }
 
     /// Nodes that this leader is not in touch with both ways: their grants echo its heartbeats, so that a
     /// node that is heard but does not hear us is among them.
-    pub fn out_of_touch(&self, now: u64) -> impl Iterator<Item = usize> + '_ {
-        self.others().filter(move |i| self.peers[*i].granted <= now)
+    pub fn unreachable_peers(&self, now: u64) -> impl Iterator<Item = usize> + '_ {
+        self.others().filter(move |i| self.peers[*i].grant_until <= now)
     }
 
     /// Whether some peer reaches the state service.
     pub fn peer_has_state(&self, now: u64) -> bool {
-        self.others().any(|i| self.fresh(i, now) && self.peers[i].status.state_age < limits::STATE_LOST)
+        self.others().any(|i| {
+            self.is_peer_alive(i, now) && self.peers[i].status.state_age < limits::STORE_LOST_TIMEOUT
+        })
     }
 
     /// Whether a peer is heard, or there is none.
-    pub fn hears_a_peer(&self, now: u64) -> bool {
-        self.names.len() == 1 || self.others().any(|i| self.fresh(i, now))
+    pub fn has_live_peer(&self, now: u64) -> bool {
+        self.node_names.len() == 1 || self.others().any(|i| self.is_peer_alive(i, now))
     }
 
     fn others(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.names.len()).filter(|i| *i != self.me)
+        (0..self.node_names.len()).filter(|i| *i != self.local_node)
     }
 
-    fn fresh(&self, peer: usize, now: u64) -> bool {
-        now < self.peers[peer].heard + limits::PEER_WORD && self.peers[peer].heard > 0
+    fn is_peer_alive(&self, peer: usize, now: u64) -> bool {
+        now < self.peers[peer].last_message_at + limits::PEER_TIMEOUT && self.peers[peer].last_message_at > 0
     }
 
     pub fn tick(&mut self, now: u64, status: Status) -> Vec<Action> {
         self.status = status;
         let mut actions = Vec::new();
         if self.is_leader() && self.authority(now).is_none() {
-            warn!("authority ran out");
+            warn!("authority expired");
             self.step_down(now, &mut actions);
         }
         if self.is_leader() {
@@ -306,10 +308,10 @@
         } else {
             self.follow(now, &mut actions);
         }
-        if now >= self.heartbeat_due {
-            self.heartbeat_due = now + limits::HEARTBEAT;
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + limits::HEARTBEAT_INTERVAL;
             let token = match self.role {
-                Role::Leader { token, .. } | Role::LeaseKeeper { token } => token,
+                Role::Leader { token, .. } | Role::KeepAlive { token } => token,
                 _ => 0,
             };
             let beat = Message::Heartbeat { token, sent: now };
@@ -320,26 +322,27 @@
 
     fn lead(&mut self, now: u64, actions: &mut Vec<Action>) {
         let Role::Leader { token, lease, elected, .. } = self.role else { return };
-        if let (true, Some(lease)) = (now >= self.renew_due, lease) {
-            self.renew_due = now + limits::RENEW;
+        if let (true, Some(lease)) = (now >= self.next_renewal_at, lease) {
+            self.next_renewal_at = now + limits::LOCK_RENEWAL_INTERVAL;
             actions.push(Action::Renew { lease });
-        } else if lease.is_none() && now >= self.probe_due && !self.probing {
-            self.probe(now, limits::PROBE_CALM, actions);
+        } else if lease.is_none() && now >= self.next_probe_at && !self.probe_in_flight {
+            self.probe(now, limits::PROBE_INTERVAL, actions);
         }
         // Refused by the state service while a peer is served: that peer can do more.
-        if self.status.state_age >= limits::STATE_LOST {
-            let served = self
-                .others()
-                .find(|i| self.fresh(*i, now) && self.peers[*i].status.state_age < limits::HEARTBEAT * 2);
+        if self.status.state_age >= limits::STORE_LOST_TIMEOUT {
+            let served = self.others().find(|i| {
+                self.is_peer_alive(*i, now)
+                    && self.peers[*i].status.state_age < limits::HEARTBEAT_INTERVAL * 2
+            });
             if let Some(successor) = served {
                 info!(
-                    successor = self.names[successor],
-                    "no state service here, a peer has it: handing over"
+                    successor = self.node_names[successor],
+                    "leadership handed over: only a peer reaches the key-value store"
                 );
                 return self.hand_over(token, successor, now, actions);
             }
         }
-        self.watch_reach(token, elected, now, actions);
+        self.check_reachability(token, elected, now, actions);
     }
 }
 
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -56,7 +56,7 @@
     FromStore {
         node: usize,
         life: u64,
-        answer: StoreAnswer,
+        answer: StoreResponse,
     },
     Attestation {
         from: usize,
@@ -145,7 +145,7 @@
     told: BTreeMap<JobId, u64>,
     /// How often a job is cancelled, once in so many steps; 0: never.
     cancels: u32,
-    /// Leases that leaders counted as over, and answers that leaseholders and lease keepers gave by themselves.
+    /// Leases that leaders counted as over, and answers that leaseholders and node in keep-alive modes gave by themselves.
     proofs: u64,
     autonomous_answers: u64,
     tokens: Vec<(u64, usize, u64)>,
@@ -267,7 +267,7 @@
                         || self.refused == Some(node)
                         || self.cut.as_ref().is_some_and(|(inside, state)| inside.contains(&node) && *state);
                     if unreachable && !matches!(action, Action::TakeOver { .. }) {
-                        self.send(delay, Wire::FromStore { node, life, answer: StoreAnswer::Failed });
+                        self.send(delay, Wire::FromStore { node, life, answer: StoreResponse::Failed });
                     } else {
                         // A held transaction is applied late; nobody hears of it in time.
                         let held =
@@ -295,16 +295,16 @@
         Status { state_age, workers, machines: 3, attests: !self.nodes[node].old }
     }
 
-    fn store(&mut self, action: Action, node: usize, sent: u64) -> StoreAnswer {
+    fn store(&mut self, action: Action, node: usize, sent: u64) -> StoreResponse {
         self.store.expire(self.now);
         match action {
             Action::Probe => {
-                StoreAnswer::Probed { epoch: self.store.epoch.clone(), locked: self.store.lock.is_some() }
+                StoreResponse::Probed { epoch: self.store.epoch.clone(), locked: self.store.lock.is_some() }
             }
-            Action::TakeOver { token, version, over_lock } => {
+            Action::TakeOver { token, version, ignore_lock: over_lock } => {
                 let at = self.store.epoch.as_ref().map_or(0, |(_, e)| *e);
                 if at != version || !over_lock && self.store.lock.is_some() {
-                    return StoreAnswer::Lost { lease: None };
+                    return StoreResponse::TakeoverFailed { lease: None };
                 }
                 self.store.revision += 1;
                 self.store.next_lease += 1;
@@ -315,20 +315,20 @@
                 let incarnation = self.nodes[node].leadership.incarnation;
                 let epoch = Epoch { token, node: names[node].into(), incarnation };
                 self.store.epoch = Some((epoch, self.store.revision));
-                StoreAnswer::Won { lease, version: self.store.revision, lease_sent: sent }
+                StoreResponse::TakeoverCommitted { lease, version: self.store.revision, lease_sent: sent }
             }
             Action::Renew { lease } => {
                 let alive = self.store.leases.contains_key(&lease);
                 if alive {
                     self.store.leases.insert(lease, self.now + limits::LOCK_LEASE_MS * 1000);
                 }
-                StoreAnswer::Renewed { lease, sent, alive }
+                StoreResponse::Renewed { lease, sent, alive }
             }
             Action::Release { lease } => {
                 self.store.leases.remove(&lease);
-                StoreAnswer::Failed
+                StoreResponse::Failed
             }
-            _ => StoreAnswer::Failed,
+            _ => StoreResponse::Failed,
         }
     }
 
@@ -340,13 +340,14 @@
                 }
                 let now = self.local(to);
                 let life = self.nodes[from].leadership.incarnation;
-                let actions = self.nodes[to].leadership.message(now, from, life, status, message);
+                let actions = self.nodes[to].leadership.handle_message(now, from, life, status, message);
                 self.act(to, actions);
             }
             Wire::Attestation { from, to, life, attestation } => {
                 if self.nodes[to].down_until.is_none() {
                     let now = self.local(to);
-                    let (_, actions) = self.nodes[to].leadership.attested(now, from, life, &attestation);
+                    let (_, actions) =
+                        self.nodes[to].leadership.handle_attestation(now, from, life, &attestation);
                     self.act(to, actions);
                 }
             }
@@ -366,7 +367,7 @@
                     return;
                 }
                 let now = self.local(node);
-                let (_, may, actions) = self.nodes[node].leadership.confirm(now, job_id);
+                let (_, may, actions) = self.nodes[node].leadership.confirm_cancellation(now, job_id);
                 self.act(node, actions);
                 if may {
                     self.told.entry(job_id).or_insert(self.now);
@@ -389,16 +390,18 @@
                 // An answer that does not get through is given up.
                 let lost = !self.served(node);
                 let answer = match answer {
-                    StoreAnswer::Won { .. } | StoreAnswer::Lost { .. } if lost => {
-                        StoreAnswer::Lost { lease: None }
+                    StoreResponse::TakeoverCommitted { .. } | StoreResponse::TakeoverFailed { .. }
+                        if lost =>
+                    {
+                        StoreResponse::TakeoverFailed { lease: None }
                     }
-                    _ if lost => StoreAnswer::Failed,
+                    _ if lost => StoreResponse::Failed,
                     answer => answer,
                 };
-                if !lost && !matches!(answer, StoreAnswer::Failed) {
+                if !lost && !matches!(answer, StoreResponse::Failed) {
                     self.nodes[node].state_answered = now;
                 }
-                let actions = self.nodes[node].leadership.store(now, answer);
+                let actions = self.nodes[node].leadership.handle_store_response(now, answer);
                 self.act(node, actions);
             }
         }
@@ -500,7 +503,9 @@
                 continue;
             }
             let now = self.local(node);
-            let Some((leader, token, stamp)) = self.nodes[node].leadership.followed(now) else { continue };
+            let Some((leader, token, stamp)) = self.nodes[node].leadership.followed_leader(now) else {
+                continue;
+            };
             self.nodes[node].shard.follow(token);
             let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: anew, machines }) =
                 self.nodes[node].shard.next_heartbeat(now)
@@ -602,12 +607,12 @@
             self.nodes[node].ledger.answered.insert(w, (now, self.now));
             return Some((token, job_ids(stops)));
         }
-        if let Some(token) = self.nodes[node].leadership.lease_keeper(now) {
+        if let Some(token) = self.nodes[node].leadership.keep_alive_token(now) {
             let stops = keeps?;
             self.autonomous_answers += 1;
             return Some((token, job_ids(stops)));
         }
-        let followed = self.nodes[node].leadership.followed(now);
+        let followed = self.nodes[node].leadership.followed_leader(now);
         if let Some((_, token, _)) = followed {
             self.nodes[node].shard.follow(token);
         }
@@ -630,7 +635,7 @@
             }
         }
         let token = self.workers[w].token;
-        let actions = self.nodes[node].leadership.seen_token(token, now);
+        let actions = self.nodes[node].leadership.observe_token(token, now);
         self.act(node, actions);
         None
     }
@@ -641,7 +646,9 @@
         if self.cancels == 0 {
             return Some(Vec::new());
         }
-        (now + limits::GUARD < cancellations.keeps_until()).then(|| cancellations.stops(heartbeat)).flatten()
+        (now + limits::AUTHORITY_MARGIN < cancellations.keeps_until())
+            .then(|| cancellations.stops(heartbeat))
+            .flatten()
     }
 
     /// What a leader that has loaded the jobs answers.
@@ -687,11 +694,11 @@
         assert!(acting.len() <= 1, "two leaders at {}: {acting:?}", self.now);
         let keeping: Vec<usize> = (0..3)
             .filter(|n| self.nodes[*n].down_until.is_none())
-            .filter(|n| self.nodes[*n].leadership.lease_keeper(self.local(*n)).is_some())
+            .filter(|n| self.nodes[*n].leadership.keep_alive_token(self.local(*n)).is_some())
             .collect();
         assert!(keeping.len() <= 1, "two lease keepers at {}: {keeping:?}", self.now);
         if let (Some((leader, _)), Some(keeper)) = (acting.first(), keeping.first()) {
-            // A leader beside a lease keeper must know that it may be one of two.
+            // A leader beside a node in keep-alive mode must know that it may be one of two.
             let now = self.local(*leader);
             let alone = self.nodes[*leader].leadership.autonomous_until(now);
             assert!(
@@ -841,9 +848,9 @@
     let mut node = Leadership::new(names, 0, 1, now, (limits::SECOND, 0), 0);
     // A promise echoing a clock that began elsewhere: beyond ours, or long run out.
     for echo in [now + 9, now - 10 * limits::SECOND] {
-        node.message(now + 1, 1, 7, Status::default(), Message::Promise { echo });
+        node.handle_message(now + 1, 1, 7, Status::default(), Message::Vote { echo });
     }
-    assert!(node.promises_until(now + 1) <= now + 1);
+    assert!(node.votes_until(now + 1) <= now + 1);
 }
 
 #[test]
@@ -886,7 +893,7 @@
 }
 
 /// The zone that holds the leader and a majority is cut off, state service and all. Inside, they may act and
-/// keep workers alive for the bounded time only, since cancellations outside pass them by (a lease keeper went on
+/// keep workers alive for the bounded time only, since cancellations outside pass them by (a node in keep-alive mode went on
 /// without end); outside, the one that is left leads once that time is over, though nobody promises it.
 #[test]
 fn a_majority_cut_off_from_the_state_service_stops_and_the_one_outside_leads() {
@@ -949,7 +956,7 @@
     }
 }
 
-/// Leaders, leaseholders and lease keepers together: whoever keeps a worker alive, the leader knows how long that may
+/// Leaders, leaseholders and node in keep-alive modes together: whoever keeps a worker alive, the leader knows how long that may
 /// last, and no task of a job lives longer than `CANCEL` after its user was told that it is cancelled.
 #[test]
 fn no_lease_is_counted_as_over_that_somebody_keeps_alive() {
@@ -1058,34 +1065,40 @@
         world.nodes[other].old = true;
         world.run(2 * limits::SECOND);
         let now = world.local(leader);
-        let told = |state_age| world.nodes[leader].leadership.told_state_age(now, other, state_age);
+        let told = |state_age| world.nodes[leader].leadership.reported_state_age(now, other, state_age);
         let recently = world.nodes[leader].leadership.cancellations.may_be_taken_blindly(now);
-        assert_eq!(told(limits::STATE_LOST) >= limits::STATE_LOST, recently);
+        assert_eq!(told(limits::STORE_LOST_TIMEOUT) >= limits::STORE_LOST_TIMEOUT, recently);
         world.state_down = true;
         world.run(AUTONOMY + 6 * limits::SECOND);
         assert_eq!(world.leader(), None, "seed {seed}");
     }
 }
 
-/// A node resumes its own epoch without promises. What it granted a lease keeper a moment ago still binds it: with
+/// A node resumes its own epoch without promises. What it granted a node in keep-alive mode a moment ago still binds it: with
 /// its own word and one grant it took itself for backed by a majority, and worker leases for over.
 #[test]
 fn a_resumed_leader_does_not_count_its_own_word_while_its_grant_to_another_runs() {
     let names = ["a", "b", "c"].map(String::from).to_vec();
     let begun = 1 << 45;
     let mut node = Leadership::new(names, 0, 2, begun, (AUTONOMY, KEPT), 0);
-    let now = begun + 2 * limits::GRANT;
-    let granted = node.message(now, 1, 7, Status::default(), Message::Heartbeat { token: 5, sent: 9 });
+    let now = begun + 2 * limits::GRANT_DURATION;
+    let granted = node.handle_message(now, 1, 7, Status::default(), Message::Heartbeat { token: 5, sent: 9 });
     assert!(granted.contains(&Action::Send(1, Message::Grant { token: 5, echo: 9 })));
     let epoch = Epoch { token: 5, node: "a".into(), incarnation: 1 };
-    let probed = StoreAnswer::Probed { epoch: Some((epoch, 3)), locked: true };
-    assert!(matches!(node.store(now, probed)[..], [Action::TakeOver { token: 6, over_lock: true, .. }]));
-    node.store(now, StoreAnswer::Won { lease: 1, version: 4, lease_sent: now });
-    node.message(now + 1, 2, 8, Status::default(), Message::Grant { token: 6, echo: now });
+    let probed = StoreResponse::Probed { epoch: Some((epoch, 3)), locked: true };
+    assert!(matches!(
+        node.handle_store_response(now, probed)[..],
+        [Action::TakeOver { token: 6, ignore_lock: true, .. }]
+    ));
+    node.handle_store_response(
+        now,
+        StoreResponse::TakeoverCommitted { lease: 1, version: 4, lease_sent: now },
+    );
+    node.handle_message(now + 1, 2, 8, Status::default(), Message::Grant { token: 6, echo: now });
     let soon = now + limits::SECOND;
     assert_eq!(node.autonomous_until(soon), soon, "a lease_keeper may keep workers alive beside it");
-    let later = now + lengthened(limits::GRANT) + 1;
-    node.message(later, 2, 8, Status::default(), Message::Grant { token: 6, echo: later });
+    let later = now + lengthened(limits::GRANT_DURATION) + 1;
+    node.handle_message(later, 2, 8, Status::default(), Message::Grant { token: 6, echo: later });
     assert!(node.autonomous_until(later + 1) <= later, "its word counts again");
 }
 
--- a/src/live.rs
+++ b/src/live.rs
@@ -67,7 +67,7 @@
         }
         let fresh = refresh(&store, &mut copy, &mut reading).await.map_err(Arc::new);
         rest = match &fresh {
-            Ok(()) => limits::LIVE_EVERY,
+            Ok(()) => limits::LIVE_JOBS_REFRESH_INTERVAL,
             Err(_) => Duration::from_millis(limits::STATE_PAUSE_MS),
         };
         if fresh.is_ok() && events.send(Event::Live(std::mem::take(&mut reading))).await.is_err() {
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -187,8 +187,8 @@
             let (kind, token, stamp) = match *message {
                 Message::Heartbeat { token, sent } => (HEARTBEAT, token, sent),
                 Message::Grant { token, echo } => (GRANT, token, echo),
-                Message::PromiseRequest { sent } => (PROMISE_REQUEST, 0, sent),
-                Message::Promise { echo } => (PROMISE, 0, echo),
+                Message::VoteRequest { sent } => (PROMISE_REQUEST, 0, sent),
+                Message::Vote { echo } => (PROMISE, 0, echo),
                 Message::Release { token, successor } => {
                     head.successor = (successor as u32).into();
                     (RELEASE, token, 0)
@@ -286,8 +286,8 @@
     let payload = match head.kind {
         HEARTBEAT => leadership(Message::Heartbeat { token, sent: stamp }),
         GRANT => leadership(Message::Grant { token, echo: stamp }),
-        PROMISE_REQUEST => leadership(Message::PromiseRequest { sent: stamp }),
-        PROMISE => leadership(Message::Promise { echo: stamp }),
+        PROMISE_REQUEST => leadership(Message::VoteRequest { sent: stamp }),
+        PROMISE => leadership(Message::Vote { echo: stamp }),
         RELEASE => leadership(Message::Release { token, successor: head.successor.get() as usize }),
         SUMMARY => {
             let lines = <[SummaryLine]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -12,8 +12,8 @@
     for message in [
         Message::Heartbeat { token: 4, sent: 11 },
         Message::Grant { token: 4, echo: 11 },
-        Message::PromiseRequest { sent: 3 },
-        Message::Promise { echo: 3 },
+        Message::VoteRequest { sent: 3 },
+        Message::Vote { echo: 3 },
         Message::Release { token: 4, successor: 1 },
     ] {
         let bytes = encode(sender, 6, &Payload::Leadership(status, message));
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -218,7 +218,7 @@
     /// Notes which zones and routes are unreachable.
     pub fn update_reachability(&mut self) {
         let mut detector = std::mem::take(&mut self.failure_detector);
-        let recent = |(_, last): &(&usize, &u64)| self.now < *last + limits::HEARTBEAT;
+        let recent = |(_, last): &(&usize, &u64)| self.now < *last + limits::HEARTBEAT_INTERVAL;
         let out_of_touch = self.out_of_touch.iter().filter(recent).map(|(node, _)| *node).collect();
         detector.observe(self.now, &self.patience(), &self.observed(), &out_of_touch);
         self.failure_detector = detector;
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -109,7 +109,7 @@
     /// Answers a heartbeat, if this node may do so without the leader.
     pub fn respond(&mut self, now: u64, heartbeat: &Heartbeat, has_leader: bool) -> ShardResponse {
         // A worker that has seen a higher token drops ours and would sit here while its lease runs out.
-        if heartbeat.token != self.token || now + limits::GUARD >= self.lease_until {
+        if heartbeat.token != self.token || now + limits::AUTHORITY_MARGIN >= self.lease_until {
             return ShardResponse::NotResponsible;
         }
         let kept = self.cached.get(&heartbeat.machine);
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -69,8 +69,8 @@
     vec![
         ("heartbeat", leadership(Message::Heartbeat { token: 4, sent: 11 })),
         ("grant", leadership(Message::Grant { token: 4, echo: 11 })),
-        ("promise-request", leadership(Message::PromiseRequest { sent: 3 })),
-        ("promise", leadership(Message::Promise { echo: 3 })),
+        ("promise-request", leadership(Message::VoteRequest { sent: 3 })),
+        ("promise", leadership(Message::Vote { echo: 3 })),
         ("release", leadership(Message::Release { token: 4, successor: 1 })),
         ("summary", Payload::Summary(vec![(412, 3, 1), (413, 0, 0)])),
         ("report", Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat }),
