--- a/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
@@ -39,11 +39,11 @@
 }
 
 fn attestation(line: Line, attestation: &Attestation) -> Line {
-    line.with("life", attestation.to)
+    line.with("life", attestation.for_incarnation)
         .with("echo", attestation.echo)
-        .with("age", attestation.age)
-        .with("quiet", attestation.quiet)
-        .with("held", attestation.held)
+        .with("age", attestation.incarnation_age)
+        .with("quiet", attestation.confirmations_suspended)
+        .with("held", attestation.acknowledged)
         .with("last", attestation.last)
         .list("cancelled", &attestation.cancelled)
 }
@@ -75,10 +75,10 @@
     let jobs = last_job.saturating_sub(JOBS_ASKED)..=last_job;
     Line::new("cancellations")
         .with("node", node)
-        .with("by_members", log.by_members())
-        .with("by_state", log.by_state())
-        .with("keeps_until", log.keeps_until())
-        .with("blindly", log.may_be_taken_blindly(now))
-        .list("over", jobs.clone().filter(|number| log.is_over(JobId(*number))))
+        .with("by_members", log.member_freshness())
+        .with("by_state", log.store_freshness())
+        .with("keeps_until", log.keep_alive_until())
+        .with("blindly", log.proves_no_recent_cancellation(now))
+        .list("over", jobs.clone().filter(|number| log.is_terminated(JobId(*number))))
         .list("live", jobs.filter(|number| log.is_live(JobId(*number))))
 }
--- a/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
@@ -98,7 +98,7 @@
 
     pub(super) fn take_live(&mut self, node: usize, sent: u64, live: &[JobId]) {
         let now = self.local(node);
-        let over = self.nodes[node].leadership.cancellations.read(now, sent, true, live, &[]);
+        let over = self.nodes[node].leadership.cancellations.apply_live_jobs(now, sent, true, live, &[]);
         self.nodes[node].state_answered = now;
         self.note_over("read-over", node, over);
     }
@@ -181,7 +181,7 @@
         let line = line.with("token", report.token).with("stops", known);
         let leadership = &self.nodes[node].leadership;
         if let Some(token) = leadership.authority(now) {
-            let orders = leadership.cancellations.with_stops(Vec::new(), &report);
+            let orders = leadership.cancellations.with_stop_commands(Vec::new(), &report);
             return self.answered(line.with("by", "leader"), token, orders);
         }
         if let Some((token, stops)) = leadership.keep_alive_token(now).zip(keeps.clone()) {
@@ -228,7 +228,7 @@
             self.note(line.with("by", "nobody"));
             return None;
         };
-        let orders = self.nodes[leader].leadership.cancellations.with_stops(Vec::new(), &report);
+        let orders = self.nodes[leader].leadership.cancellations.with_stop_commands(Vec::new(), &report);
         let wakes = self.rng.random_bool(0.1);
         let machine = report.machine.clone();
         let block = &mut self.nodes[node].block;
@@ -242,6 +242,6 @@
     /// What a node that may keep workers alive by itself tells one to stop.
     fn keeps(&self, node: usize, report: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let (now, log) = (self.local(node), &self.nodes[node].leadership.cancellations);
-        (now + limits::AUTHORITY_MARGIN < log.keeps_until()).then(|| log.stops(report)).flatten()
+        (now + limits::AUTHORITY_MARGIN < log.keep_alive_until()).then(|| log.stop_commands(report)).flatten()
     }
 }
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -44,8 +44,8 @@
     /// An answer of this node's own that keeps a worker alive: the stops that it bears, or None if it may not.
     pub(super) fn keeps(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let cancellations = &self.leadership.cancellations;
-        (now + limits::AUTHORITY_MARGIN < cancellations.keeps_until())
-            .then(|| cancellations.stops(heartbeat))
+        (now + limits::AUTHORITY_MARGIN < cancellations.keep_alive_until())
+            .then(|| cancellations.stop_commands(heartbeat))
             .flatten()
     }
 
@@ -62,7 +62,7 @@
         let fresh = |stamp: u64| stamp <= now && now < stamp + limits::RELAY_MAX_AGE;
         match payload {
             Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
-                if !leads || !fresh(stamp) || now >= self.leadership.cancellations.keeps_until() {
+                if !leads || !fresh(stamp) || now >= self.leadership.cancellations.keep_alive_until() {
                     self.frames_ignored.note(from, IgnoredFrame::Stale);
                     // A node in keep-alive mode keeps workers alive whichever way they come.
                     let care = self.leadership.keep_alive_token(now).zip(self.keeps(now, &heartbeat));
@@ -97,7 +97,7 @@
                 let reply = match token {
                     Some(token) => {
                         let task_commands =
-                            self.leadership.cancellations.with_stops(task_commands, &heartbeat);
+                            self.leadership.cancellations.with_stop_commands(task_commands, &heartbeat);
                         self.shard.record_relayed_response(now, heartbeat, token, keep);
                         self.renewing(token, LeaseRenewal::relayed(), &task_commands)
                     }
@@ -248,7 +248,7 @@
             return self.hold(now, heartbeat, to);
         }
         let reply = self.requests.take();
-        let stops = self.leadership.cancellations.with_stops(Vec::new(), &heartbeat);
+        let stops = self.leadership.cancellations.with_stop_commands(Vec::new(), &heartbeat);
         self.replies.insert(reply, ReplyTo::Worker(to, stops));
         commands.push(Command::Heartbeat { reply, heartbeat, via: None });
     }
@@ -264,7 +264,7 @@
         let Some(to) = self.replies.remove(&reply) else { return };
         // Checked again at the last moment: the round may have taken long.
         let now = self.clock.now();
-        let known = now < self.leadership.cancellations.keeps_until();
+        let known = now < self.leadership.cancellations.keep_alive_until();
         let entitled = self.leadership.authority(now).filter(|_| known).zip(renewal);
         let (to, stops) = match to {
             ReplyTo::Worker(to, stops) => (to, stops),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -169,7 +169,7 @@
             Event::Peer(received) => self.take_frame(now, received, batch),
             Event::Live(reading) => {
                 let Reading { sent, whole, added, removed } = reading;
-                let over = self.leadership.cancellations.read(now, sent, whole, &added, &removed);
+                let over = self.leadership.cancellations.apply_live_jobs(now, sent, whole, &added, &removed);
                 batch.commands.extend(over.into_iter().map(Command::JobRemoved));
             }
             Event::Cancelled(job_id, to) => {
@@ -223,9 +223,9 @@
     fn unless_over(&self, command: Command) -> Option<Command> {
         let cancellations = &self.leadership.cancellations;
         match command {
-            Command::JobAdded(job) if cancellations.is_over(job.spec.job_id) => None,
+            Command::JobAdded(job) if cancellations.is_terminated(job.spec.job_id) => None,
             Command::Load { mut jobs, records } => {
-                jobs.retain(|job| !cancellations.is_over(job.spec.job_id));
+                jobs.retain(|job| !cancellations.is_terminated(job.spec.job_id));
                 Some(Command::Load { jobs, records })
             }
             command => Some(command),
--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -65,15 +65,15 @@
         let granted = self
             .majority_until(self.own_vote_counts(now), |p| p.grant_until)
             .min(now + limits::GRANT_DURATION);
-        granted.max(self.votes_until(now)).min(self.cancellations.keeps_until())
+        granted.max(self.votes_until(now)).min(self.cancellations.keep_alive_until())
     }
 
     /// Until when a leader may act by its peers alone. What it read of the state service counts no longer than
     /// its lock does: a peer takes over by the time for which it has seen the lock free.
     pub(super) fn peer_authority_until(&self, lease_until: u64) -> u64 {
         let locked = lease_until.saturating_sub(limits::LOCK_LEASE_MS * 1_000);
-        let read = self.cancellations.by_state().min(locked);
-        self.cancellations.bound(read.max(self.cancellations.by_members()))
+        let read = self.cancellations.store_freshness().min(locked);
+        self.cancellations.keep_alive_limit(read.max(self.cancellations.member_freshness()))
     }
 
     /// How long a leaseholder that this leader has heard may go on by itself.
@@ -81,7 +81,7 @@
         if !self.is_leader() {
             return 0;
         }
-        self.cancellations.keeps_until().saturating_sub(now).min(self.longest_autonomy)
+        self.cancellations.keep_alive_until().saturating_sub(now).min(self.longest_autonomy)
     }
 
     /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader: until now
@@ -98,7 +98,7 @@
     /// What a peer is told of our state service. An earlier version takes it for proof, once all members lack
     /// it, that nothing is cancelled without it: it is told so only where that is true.
     pub fn reported_state_age(&self, now: u64, to: usize, state_age: u64) -> u64 {
-        let blind = !self.peers[to].status.attests && !self.cancellations.may_be_taken_blindly(now);
+        let blind = !self.peers[to].status.attests && !self.cancellations.proves_no_recent_cancellation(now);
         if blind {
             state_age.min(limits::STORE_LOST_TIMEOUT - 1)
         } else {
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -41,7 +41,7 @@
         if matches!(self.role, Role::TakingOver { .. }) || calm || now < self.next_campaign_at {
             return;
         }
-        let may_care = now + limits::GRANT_DURATION < self.cancellations.keeps_until();
+        let may_care = now + limits::GRANT_DURATION < self.cancellations.keep_alive_until();
         let outage = self.is_store_lost() && self.highest_token > 0 && !self.peer_has_state(now) && may_care;
         if !(readable || outage) || self.grant_given.is_some_and(|(_, until)| now < until) {
             return;
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -62,7 +62,8 @@
             // Counted from when it surely acted: it may have stood still since.
             let acted =
                 self.majority_until(self.own_vote_counts(now), |p| p.grant_until).max(lease_until).min(now);
-            let keep_until = (acted + shortened(self.longest_autonomy)).min(self.cancellations.keeps_until());
+            let keep_until =
+                (acted + shortened(self.longest_autonomy)).min(self.cancellations.keep_alive_until());
             actions.push(Action::Deposed { keep_until });
         }
         self.role = Role::Follower;
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -15,7 +15,7 @@
         life: u64,
         attestation: &Attestation,
     ) -> (Vec<JobId>, Vec<Action>) {
-        let (over, news) = self.cancellations.attested(now, from, life, attestation);
+        let (over, news) = self.cancellations.apply_attestation(now, from, life, attestation);
         let mut actions = Vec::new();
         // Answered only where it brought news: two members that do not take each other's attestations, of other
         // lives say, answered one another for ever, and every copy doubled what was under way (the network test).
@@ -64,7 +64,7 @@
         self.peers[from].status = status;
         if let Message::Heartbeat { sent, .. } = message {
             self.peers[from].last_heartbeat_at = now;
-            self.cancellations.heartbeat(from, life, status.attests, sent);
+            self.cancellations.observe_heartbeat(from, life, status.attests, sent);
             self.attest(now, from, &mut actions);
         }
         match message {
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -357,7 +357,7 @@
                 }
                 let now = self.local(node);
                 let live: Vec<JobId> = live.into_iter().collect();
-                self.nodes[node].leadership.cancellations.read(now, sent, true, &live, &[]);
+                self.nodes[node].leadership.cancellations.apply_live_jobs(now, sent, true, &live, &[]);
                 self.nodes[node].state_answered = now;
                 self.nodes[node].read = now;
             }
@@ -646,8 +646,8 @@
         if self.cancels == 0 {
             return Some(Vec::new());
         }
-        (now + limits::AUTHORITY_MARGIN < cancellations.keeps_until())
-            .then(|| cancellations.stops(heartbeat))
+        (now + limits::AUTHORITY_MARGIN < cancellations.keep_alive_until())
+            .then(|| cancellations.stop_commands(heartbeat))
             .flatten()
     }
 
@@ -661,7 +661,8 @@
         let known = |id: &TaskId| cancellations.is_live(id.job_id);
         let foreign = heartbeat.tasks.iter().filter(|t| !known(&t.id));
         let foreign = foreign.map(|t| TaskCommand::Stop { id: t.id, attempt: t.attempt, grace_s: 0.0 });
-        (now < cancellations.keeps_until()).then(|| cancellations.with_stops(foreign.collect(), heartbeat))
+        (now < cancellations.keep_alive_until())
+            .then(|| cancellations.with_stop_commands(foreign.collect(), heartbeat))
     }
 
     /// A leader that counts a lease as over is right.
@@ -1066,7 +1067,7 @@
         world.run(2 * limits::SECOND);
         let now = world.local(leader);
         let told = |state_age| world.nodes[leader].leadership.reported_state_age(now, other, state_age);
-        let recently = world.nodes[leader].leadership.cancellations.may_be_taken_blindly(now);
+        let recently = world.nodes[leader].leadership.cancellations.proves_no_recent_cancellation(now);
         assert_eq!(told(limits::STORE_LOST_TIMEOUT) >= limits::STORE_LOST_TIMEOUT, recently);
         world.state_down = true;
         world.run(AUTONOMY + 6 * limits::SECOND);
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -236,11 +236,11 @@
         Payload::Attestation(attested) => {
             (head.kind, head.stamp) = (ATTESTATION, attested.echo.into());
             let line = AttestationLine {
-                to: attested.to.into(),
-                age: attested.age.into(),
-                held: attested.held.into(),
+                to: attested.for_incarnation.into(),
+                age: attested.incarnation_age.into(),
+                held: attested.acknowledged.into(),
                 last: attested.last.into(),
-                quiet: attested.quiet.into(),
+                quiet: attested.confirmations_suspended.into(),
                 reserved: [0; 7],
             };
             body.extend_from_slice(line.as_bytes());
@@ -315,11 +315,11 @@
             let (line, rest) = AttestationLine::ref_from_prefix(rest).map_err(|_| "attestation too short")?;
             let cancelled = <[U64]>::ref_from_bytes(rest).map_err(|_| "wrong length")?;
             Payload::Attestation(Attestation {
-                to: line.to.get(),
+                for_incarnation: line.to.get(),
                 echo: stamp,
-                age: line.age.get(),
-                quiet: line.quiet != 0,
-                held: line.held.get(),
+                incarnation_age: line.age.get(),
+                confirmations_suspended: line.quiet != 0,
+                acknowledged: line.held.get(),
                 last: line.last.get(),
                 cancelled: cancelled.iter().map(|job_id| job_id.get()).collect(),
             })
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -115,7 +115,15 @@
 }
 
 fn attestation() -> Attestation {
-    Attestation { to: 7, echo: 11, age: 13, quiet: true, held: 3, last: 5, cancelled: vec![412, 9] }
+    Attestation {
+        for_incarnation: 7,
+        echo: 11,
+        incarnation_age: 13,
+        confirmations_suspended: true,
+        acknowledged: 3,
+        last: 5,
+        cancelled: vec![412, 9],
+    }
 }
 
 /// The first version with gangs attests as this one does: every frame is the same both ways.
