--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -10,7 +10,7 @@
 use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::model::{Heartbeat, JobId, Kind, MachineType, Resources, TaskId};
 use dockpier::scheduler::{
-    Command, Config, Effect, ListedMachine, Outcome, Scheduler, StoredJob, StoredMachine,
+    Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
 };
 use dockpier::settings::{Operator, Team, Workers};
 use dockpier::shard::{Shard, ShardResponse};
@@ -274,7 +274,7 @@
         let (now, token) = (self.now, self.config.token);
         let outcome = self.outcome();
         // Without an answer it is carried out all the same.
-        let carried_out = outcome != Outcome::Refused;
+        let carried_out = outcome != WriteOutcome::Refused;
         match effect {
             Effect::HeartbeatResponse { reply, renewal, task_commands: orders, cacheable: keep } => {
                 let Some((via, report)) = self.waiting.remove(&reply) else { return };
@@ -307,7 +307,7 @@
             }
             Effect::Finish { job_id, .. } => {
                 self.jobs.remove(&job_id);
-                self.answer_later(Command::Finished { job_id, outcome: Outcome::Done });
+                self.answer_later(Command::Finished { job_id, outcome: WriteOutcome::Done });
             }
             Effect::Rent { request, machine_type, zone, spot, count, .. } => {
                 self.rent(request, (machine_type, zone, spot), count, outcome);
@@ -324,20 +324,20 @@
         }
     }
 
-    fn outcome(&mut self) -> Outcome {
+    fn outcome(&mut self) -> WriteOutcome {
         match self.rng.random_range(0..100) {
-            0..=87 => Outcome::Done,
-            88..=94 => Outcome::Refused,
-            _ => Outcome::Unknown,
+            0..=87 => WriteOutcome::Done,
+            88..=94 => WriteOutcome::Refused,
+            _ => WriteOutcome::Unknown,
         }
     }
 
-    fn rent(&mut self, request: u64, kind: (String, String, bool), count: u32, outcome: Outcome) {
+    fn rent(&mut self, request: u64, kind: (String, String, bool), count: u32, outcome: WriteOutcome) {
         let free = MACHINES_MOST.saturating_sub(self.workers.len()).min(count as usize);
-        let outcome = if free == 0 { Outcome::Refused } else { outcome };
-        let made = if outcome == Outcome::Refused { 0 } else { free };
+        let outcome = if free == 0 { WriteOutcome::Refused } else { outcome };
+        let made = if outcome == WriteOutcome::Refused { 0 } else { free };
         let made: Vec<String> = (0..made).map(|_| self.make_machine(kind.clone(), 4 * SECOND)).collect();
-        let machines = (outcome == Outcome::Done).then_some(made);
+        let machines = (outcome == WriteOutcome::Done).then_some(made);
         self.answer_later(Command::Rented { request, machines, outcome });
     }
 }
--- a/crates/dockpier-virtual-fleet/src/lib.rs
+++ b/crates/dockpier-virtual-fleet/src/lib.rs
@@ -14,7 +14,7 @@
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{
-    Command, Config, Effect, ListedMachine, Outcome, Scheduler, StoredJob, StoredMachine,
+    Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
 };
 use dockpier::settings::{Operator, Team, Workers};
 use dockpier_drain::request::{DrainRequest, StoredRequest, Wish};
@@ -368,7 +368,7 @@
                     self.workers.remove(name);
                 }
                 self.history.returned.extend(machines.iter().cloned());
-                self.answer(Command::Deleted { machines, outcome: Outcome::Done });
+                self.answer(Command::Deleted { machines, outcome: WriteOutcome::Done });
             }
             Effect::ReadJob { job_id } => {
                 let (sent, reading) = (self.now, self.store.read_job(job_id));
@@ -376,7 +376,7 @@
             }
             Effect::Finish { job_id, .. } => {
                 self.store.jobs.remove(&job_id);
-                self.answer(Command::Finished { job_id, outcome: Outcome::Done });
+                self.answer(Command::Finished { job_id, outcome: WriteOutcome::Done });
             }
             effect => {
                 if let Some(command) = self.store.carry_out(effect) {
@@ -386,19 +386,25 @@
         }
     }
 
-    fn rent(&mut self, name: &str, zone: &str, spot: bool, count: u32) -> (Option<Vec<String>>, Outcome) {
+    fn rent(
+        &mut self,
+        name: &str,
+        zone: &str,
+        spot: bool,
+        count: u32,
+    ) -> (Option<Vec<String>>, WriteOutcome) {
         if let Some(machines) = self.rentals.get(name) {
-            return (Some(machines.clone()), Outcome::Done);
+            return (Some(machines.clone()), WriteOutcome::Done);
         }
         let here = self.workers.values().filter(|worker| worker.zone == zone).count();
         let free = self.layout.capacity.saturating_sub(here).min(count as usize);
         if free == 0 || spot {
-            return (None, Outcome::Refused);
+            return (None, WriteOutcome::Refused);
         }
         let boots = limits::micros(self.layout.boot_s);
         let names: Vec<String> = (0..free).map(|_| self.make_machine(zone, boots)).collect();
         self.rentals.insert(name.to_string(), names.clone());
-        (Some(names), Outcome::Done)
+        (Some(names), WriteOutcome::Done)
     }
 
     fn make_machine(&mut self, zone: &str, boots: u64) -> String {
--- a/crates/dockpier-virtual-fleet/src/store.rs
+++ b/crates/dockpier-virtual-fleet/src/store.rs
@@ -3,7 +3,7 @@
 use dockpier::scheduler::cold_start::{ColdStartReport, JobReading};
 use dockpier::scheduler::drains::{DrainKey, DrainValue, LoadedDrains};
 use dockpier::scheduler::model::JobId;
-use dockpier::scheduler::{Command, Effect, Outcome, StoredJob, StoredMachine};
+use dockpier::scheduler::{Command, Effect, StoredJob, StoredMachine, WriteOutcome};
 use dockpier_drain::ledger::LedgerRecord;
 use dockpier_drain::progress::Chunk;
 use dockpier_drain::request::{DrainId, StoredRequest};
@@ -70,9 +70,9 @@
     /// Carries out a change and says what the scheduler is told of it.
     pub fn carry_out(&mut self, effect: Effect) -> Option<Command> {
         let outcome = match (self.out, self.answers_lost) {
-            (true, _) => Outcome::Refused,
-            (false, true) => Outcome::Unknown,
-            (false, false) => Outcome::Done,
+            (true, _) => WriteOutcome::Refused,
+            (false, true) => WriteOutcome::Unknown,
+            (false, false) => WriteOutcome::Done,
         };
         let takes = !self.out;
         self.writes += 1;
--- a/src/api.rs
+++ b/src/api.rs
@@ -4,7 +4,7 @@
 use crate::controller::{Event, HeartbeatReply};
 use crate::http::wall_ms;
 use crate::limits;
-use crate::live::Live;
+use crate::live_job_cache::LiveJobCache;
 use crate::protocol;
 use crate::protocol::records::{FinalRecord, LiveRecord};
 use crate::protocol::users::{JobState, JobStatus, Submission};
@@ -13,7 +13,7 @@
 use crate::scheduler::overview::PageStart;
 use crate::scheduler::Scheduler;
 use crate::settings::{Draining, Team};
-use crate::store::{self, Committed, Store, StoreError};
+use crate::store::{self, CommitOutcome, KeyValueStore, StoreError};
 use poem::http::{header, StatusCode};
 use poem::web::{Data, Path, Query};
 use poem::{get, handler, post, Body, EndpointExt, IntoEndpoint, Response, Route};
@@ -53,8 +53,8 @@
 }
 
 pub struct Api {
-    pub store: Store,
-    live: Live,
+    pub store: KeyValueStore,
+    live: LiveJobCache,
     pub settings: ApiSettings,
     pub types: watch::Receiver<Types>,
     pub summary: watch::Receiver<Summary>,
@@ -123,7 +123,7 @@
 
 impl Api {
     pub fn new(
-        store: Store,
+        store: KeyValueStore,
         settings: ApiSettings,
         types: watch::Receiver<Types>,
         summary: watch::Receiver<Summary>,
@@ -132,7 +132,7 @@
         room: limits::Capacity,
     ) -> Self {
         Api {
-            live: Live::start(store.clone(), room.polls + room.changes, events.clone()),
+            live: LiveJobCache::start(store.clone(), room.polls + room.changes, events.clone()),
             store,
             settings,
             types,
@@ -163,7 +163,7 @@
     /// A request to the state service for one user alone, within the node's share of its limit.
     pub(crate) fn may_ask(&self, writes: u32) -> Result<(), Refusal> {
         let busy = || Refusal::Later("too many requests to the state service".into());
-        self.store.user_may_ask(writes).then_some(()).ok_or_else(busy)
+        self.store.try_acquire_user_budget(writes).then_some(()).ok_or_else(busy)
     }
 
     fn remember(&self, job_id: JobId, state: &JobState) {
@@ -265,19 +265,19 @@
         let (live, over) = (store::live(job.job_id), store::over(job.job_id));
         let record = LiveRecord { submission, accepted_ms: wall_ms() };
         let bytes = serde_json::to_vec(&record).map_err(|e| Refusal::Malformed(e.to_string()))?;
-        if bytes.len() > self.store.value_most() {
+        if bytes.len() > self.store.max_value_bytes() {
             return Err(Refusal::Never("its names are too long to be stored".into()));
         }
         let record = store::write(&live, &record).map_err(|e| Refusal::Malformed(e.to_string()))?;
         let absent = vec![store::compare(&live, 0), store::compare(&over, 0)];
         match self.store.commit(absent, vec![record]).await {
-            Committed::Done { .. } => {
+            CommitOutcome::Committed { .. } => {
                 info!(job = %job.job_id, class = job.class, team = job.team, tasks = job.tasks, "accepted");
                 Ok(json(StatusCode::CREATED, &JobState::without_counts(job.job_id, JobStatus::Pending)))
             }
-            Committed::Refused => Err(Refusal::Later("state service takes no changes now".into())),
+            CommitOutcome::Refused => Err(Refusal::Later("state service takes no changes now".into())),
             // Unknown: only what can be read back is told.
-            Committed::Conflict | Committed::Unknown => match self.state(job.job_id).await? {
+            CommitOutcome::Conflict | CommitOutcome::Unknown => match self.state(job.job_id).await? {
                 Some(state) => Ok(json(StatusCode::OK, &state)),
                 None => Err(Refusal::Later("not known whether it was stored".into())),
             },
@@ -311,16 +311,16 @@
             .map_err(|e| Refusal::Later(e.to_string()))?;
         let then = vec![record, store::remove(&live)];
         match self.store.commit(vec![store::compare(&live, version)], then).await {
-            Committed::Done { .. } => {
+            CommitOutcome::Committed { .. } => {
                 info!(job = %job_id, "cancelled");
                 let state = JobState::without_counts(job_id, JobStatus::Cancelled);
                 self.may_tell(job_id, &state).await?;
                 self.remember(job_id, &state);
                 Ok(json(StatusCode::OK, &state))
             }
-            Committed::Refused => Err(Refusal::Later("state service takes no changes now".into())),
+            CommitOutcome::Refused => Err(Refusal::Later("state service takes no changes now".into())),
             // Over by now, perhaps by this very request: its final state says.
-            Committed::Conflict | Committed::Unknown => match self.read_over(job_id).await? {
+            CommitOutcome::Conflict | CommitOutcome::Unknown => match self.read_over(job_id).await? {
                 Some(state) => Ok(json(StatusCode::OK, &state)),
                 None => Err(Refusal::Later("not known whether it was withdrawn".into())),
             },
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -4,7 +4,7 @@
 use crate::limits;
 use crate::protocol::cloud::{Catalog, MachineList, MachineNames, RentalRequest, FAILED};
 use crate::scheduler::model::{MachineType, Resources};
-use crate::scheduler::{ListedMachine, Outcome, StoredMachine};
+use crate::scheduler::{ListedMachine, StoredMachine, WriteOutcome};
 use reqwest::Method;
 use tracing::{debug, warn};
 
@@ -66,28 +66,28 @@
         Some((machines, page.has_more))
     }
 
-    pub async fn rent(&self, rental: &RentalRequest<'_>) -> (Outcome, Vec<String>) {
-        let Ok(body) = serde_json::to_vec(rental) else { return (Outcome::Refused, Vec::new()) };
+    pub async fn rent(&self, rental: &RentalRequest<'_>) -> (WriteOutcome, Vec<String>) {
+        let Ok(body) = serde_json::to_vec(rental) else { return (WriteOutcome::Refused, Vec::new()) };
         match self.call(Method::POST, "/rentals", Some(body)).await {
             Ok(a) if a.status == 200 => match serde_json::from_slice::<MachineNames>(&a.body) {
-                Ok(names) => (Outcome::Done, names.machines),
-                Err(_) => (Outcome::Unknown, Vec::new()),
+                Ok(names) => (WriteOutcome::Done, names.machines),
+                Err(_) => (WriteOutcome::Unknown, Vec::new()),
             },
             // Too many requests or trouble at the cloud: not carried out, worth another try.
-            Ok(a) if a.status == 429 || is_trouble(&a) => (Outcome::Unknown, Vec::new()),
-            Ok(_) => (Outcome::Refused, Vec::new()),
-            Err(_) => (Outcome::Unknown, Vec::new()),
+            Ok(a) if a.status == 429 || is_trouble(&a) => (WriteOutcome::Unknown, Vec::new()),
+            Ok(_) => (WriteOutcome::Refused, Vec::new()),
+            Err(_) => (WriteOutcome::Unknown, Vec::new()),
         }
     }
 
-    pub async fn delete(&self, names: &[String]) -> Outcome {
+    pub async fn delete(&self, names: &[String]) -> WriteOutcome {
         let Ok(body) = serde_json::to_vec(&MachineNames { machines: names.to_vec() }) else {
-            return Outcome::Refused;
+            return WriteOutcome::Refused;
         };
         match self.call(Method::POST, "/rentals/delete", Some(body)).await {
-            Ok(a) if a.status == 200 => Outcome::Done,
-            Ok(_) => Outcome::Refused,
-            Err(_) => Outcome::Unknown,
+            Ok(a) if a.status == 200 => WriteOutcome::Done,
+            Ok(_) => WriteOutcome::Refused,
+            Err(_) => WriteOutcome::Unknown,
         }
     }
 }
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -6,9 +6,9 @@
 use crate::http::Clock;
 use crate::limits;
 use crate::protocol::cloud::{Catalog, RentalRequest};
-use crate::scheduler::{Command, ListedMachine, Outcome};
+use crate::scheduler::{Command, ListedMachine, WriteOutcome};
 use crate::settings::CloudLimits;
-use crate::store::{self, Committed, Store};
+use crate::store::{self, CommitOutcome, KeyValueStore};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 /// the cloud, then from the cloud.
 pub(super) async fn keep_catalog(
     cloud: Cloud,
-    store: Store,
+    store: KeyValueStore,
     types: watch::Sender<Types>,
     events: mpsc::Sender<Event>,
 ) {
@@ -70,7 +70,7 @@
             // Whoever comes first; losing the race changes nothing.
             if let Ok(change) = store::write(store::CATALOG, &catalog) {
                 let outcome = store.commit(vec![store::compare(store::CATALOG, 0)], vec![change]).await;
-                kept = matches!(outcome, Committed::Done { .. } | Committed::Conflict);
+                kept = matches!(outcome, CommitOutcome::Committed { .. } | CommitOutcome::Conflict);
             }
         }
         tokio::time::sleep(limits::CATALOG_EVERY).await;
@@ -119,10 +119,10 @@
     match request {
         // Not sent: if this node leads still, it will ask again.
         CloudRequest::Delete(machines) if !gate.open() => {
-            Command::Deleted { machines, outcome: Outcome::Refused }
+            Command::Deleted { machines, outcome: WriteOutcome::Refused }
         }
         CloudRequest::Rent { request, .. } if !gate.open() => {
-            Command::Rented { request, machines: None, outcome: Outcome::Refused }
+            Command::Rented { request, machines: None, outcome: WriteOutcome::Refused }
         }
         CloudRequest::Delete(machines) => {
             let outcome = cloud.delete(&machines).await;
@@ -133,7 +133,7 @@
                 RentalRequest { request_id: &name, machine_type: &machine_type, zone: &zone, spot, count };
             let mut answer = cloud.rent(&rental).await;
             for _ in 0..2 {
-                if answer.0 == Outcome::Unknown && gate.open() {
+                if answer.0 == WriteOutcome::Unknown && gate.open() {
                     // The same name again rents nothing twice.
                     tokio::time::sleep(pace * 2).await;
                     answer = cloud.rent(&rental).await;
--- a/src/controller/drain_records.rs
+++ b/src/controller/drain_records.rs
@@ -7,7 +7,7 @@
 use crate::limits;
 use crate::scheduler::drains::{DrainKey, DrainValue};
 use crate::scheduler::Command;
-use crate::store::{self, Store};
+use crate::store::{self, KeyValueStore};
 use tokio::sync::mpsc;
 use tracing::{debug, warn};
 
@@ -24,7 +24,7 @@
 }
 
 /// Tells the scheduler of this token what operators ask for, whenever that changes.
-pub(super) async fn follow_drains(store: Store, events: mpsc::Sender<Event>, token: u64) {
+pub(super) async fn follow_drains(store: KeyValueStore, events: mpsc::Sender<Event>, token: u64) {
     let mut revision = 0;
     loop {
         match records::load_requests(&store).await {
@@ -46,7 +46,7 @@
 }
 
 /// Returns once some request may have changed, with the revision up to which nothing else has.
-async fn wait_for_change(store: &Store, mut revision: u64) -> u64 {
+async fn wait_for_change(store: &KeyValueStore, mut revision: u64) -> u64 {
     loop {
         match store.follow(records::REQUESTS, revision, limits::WATCH_MS).await {
             Ok(Some(log)) => {
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -7,12 +7,12 @@
 use crate::limits;
 use crate::peer::Payload;
 use crate::protocol::records::{FinalRecord, MachineRecord};
-use crate::protocol::state_service::Condition;
+use crate::protocol::state_service::Comparison;
 use crate::protocol::users::JobStatus;
 use crate::protocol::workers::{DirectCommands, WorkerCommand};
 use crate::scheduler::model::JobId;
-use crate::scheduler::{Command, Effect, Outcome, StoredMachine, TaskCommand};
-use crate::store::{self, Committed};
+use crate::scheduler::{Command, Effect, StoredMachine, TaskCommand, WriteOutcome};
+use crate::store::{self, CommitOutcome};
 use crate::worker;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -67,7 +67,7 @@
     }
 
     /// Every transaction of a leader rests on its epoch.
-    pub(super) fn while_leading(&self) -> Condition {
+    pub(super) fn while_leading(&self) -> Comparison {
         store::compare(store::EPOCH, self.version)
     }
 
@@ -114,7 +114,7 @@
             changes.extend(chunks.iter().map(|chunk| store::remove(&store::done(job_id, *chunk))));
             let conditions = vec![leads, store::compare(&store::live(job_id), version)];
             let outcome = outcome_of(store.commit(conditions, changes).await).await;
-            if outcome == Outcome::Done {
+            if outcome == WriteOutcome::Done {
                 info!(job = %job_id, "done");
                 let rest = rest.into_iter().map(|chunk| store::done(job_id, chunk)).collect();
                 tokio::spawn(sweep(store, rest, epoch));
@@ -151,15 +151,15 @@
 
 /// What the scheduler needs to know of a transaction. A failed one is reported after a pause, so that a
 /// service in trouble is not asked hot and an outage ends without a stampede.
-pub(super) async fn outcome_of(committed: Committed) -> Outcome {
-    if !matches!(committed, Committed::Done { .. }) {
+pub(super) async fn outcome_of(committed: CommitOutcome) -> WriteOutcome {
+    if !matches!(committed, CommitOutcome::Committed { .. }) {
         let pause = limits::STATE_PAUSE_MS;
         let pause = pause + rand::random_range(0..=pause);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
     match committed {
-        Committed::Done { .. } => Outcome::Done,
-        Committed::Conflict | Committed::Refused => Outcome::Refused,
-        Committed::Unknown => Outcome::Unknown,
+        CommitOutcome::Committed { .. } => WriteOutcome::Done,
+        CommitOutcome::Conflict | CommitOutcome::Refused => WriteOutcome::Refused,
+        CommitOutcome::Unknown => WriteOutcome::Unknown,
     }
 }
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -15,7 +15,7 @@
             self.recent_heartbeats.pop_front();
         }
         Status {
-            state_age: now.saturating_sub(self.store.answered()),
+            state_age: now.saturating_sub(self.store.last_response_at()),
             workers: self.recent_heartbeats.len() as u32,
             machines: self.scheduler.as_ref().map_or(0, Scheduler::machines_up),
             attests: true,
@@ -23,7 +23,7 @@
     }
 
     pub(super) fn judge_health(&mut self, now: u64) {
-        let lost = now.saturating_sub(self.store.answered()) >= limits::STORE_LOST_TIMEOUT;
+        let lost = now.saturating_sub(self.store.last_response_at()) >= limits::STORE_LOST_TIMEOUT;
         // In an outage that everybody shares nobody serves users better than we do. A node that hears no
         // peer either is more likely alone in it.
         let shared = self.leadership.has_live_peer(now) && !self.leadership.peer_has_state(now);
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -11,7 +11,7 @@
 use crate::protocol::records::Epoch;
 use crate::record_versions::RecordVersions;
 use crate::scheduler::{Command, Scheduler};
-use crate::store::Store;
+use crate::store::KeyValueStore;
 use tokio::sync::mpsc;
 use tracing::debug;
 
@@ -31,7 +31,7 @@
                 Action::Renew { lease } => self.renew(lease),
                 Action::Release { lease } => {
                     let store = self.store.clone();
-                    tokio::spawn(async move { store.release(lease).await });
+                    tokio::spawn(async move { store.revoke_lease(lease).await });
                 }
                 Action::Elected { token, version } => self.elected(token, version),
                 Action::Deposed { keep_until } => {
@@ -67,7 +67,7 @@
     fn renew(&self, lease: u64) {
         let sent = self.clock.now();
         self.ask_store(move |store| async move {
-            match store.extend(lease).await {
+            match store.renew_lease(lease).await {
                 Ok(alive) => StoreResponse::Renewed { lease, sent, alive },
                 Err(error) => {
                     debug!(%error, "renewal");
@@ -77,7 +77,7 @@
         });
     }
 
-    fn ask_store<F>(&self, ask: impl FnOnce(Store) -> F)
+    fn ask_store<F>(&self, ask: impl FnOnce(KeyValueStore) -> F)
     where
         F: std::future::Future<Output = StoreResponse> + Send + 'static,
     {
@@ -151,8 +151,8 @@
     }
 }
 
-async fn probe(store: Store) -> StoreResponse {
-    match store.epoch().await {
+async fn probe(store: KeyValueStore) -> StoreResponse {
+    match store.read_epoch().await {
         Ok((epoch, locked)) => StoreResponse::Probed { epoch, locked },
         Err(error) => {
             debug!(%error, "probe");
--- a/src/controller/live_jobs.rs
+++ b/src/controller/live_jobs.rs
@@ -12,7 +12,7 @@
 use crate::scheduler::model::JobId;
 use crate::scheduler::{Command, StoredJob, StoredMachine};
 use crate::settings::Team;
-use crate::store::{self, Store};
+use crate::store::{self, KeyValueStore};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -43,7 +43,7 @@
     revision: u64,
 }
 
-async fn load(store: &Store, versions: &RecordVersions) -> Result<Loaded, store::StoreError> {
+async fn load(store: &KeyValueStore, versions: &RecordVersions) -> Result<Loaded, store::StoreError> {
     let (live, revision) = store.list(store::LIVE).await?;
     let (done, _) = store.list(store::DONE).await?;
     let (fleet, _) = store.list(store::FLEET).await?;
@@ -92,7 +92,7 @@
 /// Loads the jobs and follows what users commit through any node. `drains_of`: drains are loaded first, with the
 /// ledgers of these teams.
 pub(super) async fn follow_jobs(
-    store: Store,
+    store: KeyValueStore,
     events: mpsc::Sender<Event>,
     token: u64,
     epoch: u64,
@@ -123,7 +123,7 @@
 
 /// Keeps the scheduler of one leadership up to date with the live jobs.
 struct Follower {
-    store: Store,
+    store: KeyValueStore,
     events: mpsc::Sender<Event>,
     token: u64,
     /// The jobs that the scheduler was told of.
@@ -205,7 +205,7 @@
 }
 
 /// Removes what cancelled jobs left behind, slowly enough to stay clear of the write limit.
-pub(super) async fn sweep(store: Store, orphans: Vec<String>, version: u64) {
+pub(super) async fn sweep(store: KeyValueStore, orphans: Vec<String>, version: u64) {
     for key in orphans {
         let _ = store.commit(vec![store::compare(store::EPOCH, version)], vec![store::remove(&key)]).await;
         tokio::time::sleep(Duration::from_millis(limits::STATE_PAUSE_MS)).await;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -23,7 +23,7 @@
 use crate::leadership::{Leadership, StoreResponse};
 use crate::lease_renewal::RenewalCounts;
 use crate::limits;
-use crate::live::Reading;
+use crate::live_job_cache::LiveJobsUpdate;
 use crate::peer::{Payload, Received, RequestIds};
 use crate::protocol::workers::HeartbeatRequest;
 use crate::record_versions::RecordVersions;
@@ -32,7 +32,7 @@
 use crate::scheduler::{Command, Config, Scheduler};
 use crate::settings::Settings;
 use crate::shard::Shard;
-use crate::store::Store;
+use crate::store::KeyValueStore;
 use checkins::{PassedOn, ReplyTo};
 use cloud_driver::CloudRequest;
 pub use frames_ignored::FrameCounts;
@@ -65,7 +65,7 @@
     Heartbeat(HeartbeatRequest, oneshot::Sender<HeartbeatReply>),
     Peer(Received),
     /// The live jobs were read.
-    Live(Reading),
+    LiveJobs(LiveJobsUpdate),
     /// A user is to be told that the job is cancelled; the answer is whether that may be told now.
     Cancelled(JobId, oneshot::Sender<bool>),
     Store(StoreResponse),
@@ -82,7 +82,7 @@
     /// For commands to workers' addresses.
     workers: Http,
     direct_command_permits: Arc<Semaphore>,
-    store: Store,
+    store: KeyValueStore,
     cloud: Cloud,
     events: mpsc::Sender<Event>,
     leadership: Leadership,
@@ -167,8 +167,8 @@
                 let _ = to.send(self.view(now, &start));
             }
             Event::Peer(received) => self.take_frame(now, received, batch),
-            Event::Live(reading) => {
-                let Reading { sent, whole, added, removed } = reading;
+            Event::LiveJobs(reading) => {
+                let LiveJobsUpdate { requested_at: sent, complete: whole, added, removed } = reading;
                 let over = self.leadership.cancellations.apply_live_jobs(now, sent, whole, &added, &removed);
                 batch.commands.extend(over.into_iter().map(Command::JobRemoved));
             }
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -15,7 +15,7 @@
 use crate::scheduler::Config;
 use crate::settings::{Operator, Settings};
 use crate::shard::Shard;
-use crate::store::Store;
+use crate::store::KeyValueStore;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use thiserror::Error;
@@ -59,7 +59,7 @@
     let clock = Clock::start();
     let http = Http::new()?;
     let deployment = settings.deployment.clone();
-    let store = Store::new(
+    let store = KeyValueStore::new(
         http.clone(),
         settings.external.state,
         clock,
--- a/src/drains/endpoint.rs
+++ b/src/drains/endpoint.rs
@@ -9,7 +9,7 @@
 use crate::protocol;
 use crate::protocol::records::MachineRecord;
 use crate::protocol::state_service::Record;
-use crate::store::{self, Committed};
+use crate::store::{self, CommitOutcome};
 use dockpier_drain::ledger::{Ledger, LedgerRecord};
 use dockpier_drain::progress::MachineEntry;
 use dockpier_drain::request::{DrainId, DrainRequest, Inventory, StoredRequest, Wish};
@@ -43,7 +43,7 @@
         request.check_against(&inventory).map_err(|e| Refusal::Malformed(e.to_string()))?;
         let stored = StoredRequest { request: request.clone(), accepted: now, wish: Wish::Run };
         match self.write_request(&stored, 0).await? {
-            Committed::Done { .. } => {
+            CommitOutcome::Committed { .. } => {
                 info!(drain = %request.id, reason = request.reason, "drain accepted");
                 Ok(json(StatusCode::CREATED, &DrainView::new(stored, None, Vec::new())))
             }
@@ -106,10 +106,12 @@
                 allowed(&stored, summary.as_ref())?;
                 stored.wish = action.wish();
                 match self.write_request(&stored, version).await? {
-                    Committed::Done { .. } => info!(drain = %id, action = action.path(), "drain changed"),
+                    CommitOutcome::Committed { .. } => {
+                        info!(drain = %id, action = action.path(), "drain changed")
+                    }
                     // Another operator came first, or this very change was carried out after all.
-                    Committed::Conflict | Committed::Unknown => continue,
-                    Committed::Refused => break,
+                    CommitOutcome::Conflict | CommitOutcome::Unknown => continue,
+                    CommitOutcome::Refused => break,
                 }
             }
             return Ok(json(StatusCode::OK, &DrainView::new(stored, summary, Vec::new())));
@@ -163,10 +165,10 @@
         Ok(chunks.into_iter().flat_map(|chunk| chunk.machines).collect())
     }
 
-    async fn write_request(&self, stored: &StoredRequest, version: u64) -> Result<Committed, Refusal> {
+    async fn write_request(&self, stored: &StoredRequest, version: u64) -> Result<CommitOutcome, Refusal> {
         let key = request_key(&stored.request.id);
         let bytes = serde_json::to_vec(stored).map_err(|e| Refusal::Malformed(e.to_string()))?;
-        if bytes.len() > limits::value_bytes(self.store.value_most() as f64 / 1_024.0) {
+        if bytes.len() > limits::value_bytes(self.store.max_value_bytes() as f64 / 1_024.0) {
             let why = "target.machines: too many names for one record; drain fewer, or by type and zone";
             return Err(Refusal::Malformed(why.into()));
         }
--- a/src/drains/records.rs
+++ b/src/drains/records.rs
@@ -4,7 +4,7 @@
 use crate::record_versions::RecordVersions;
 use crate::scheduler::drains::{DrainKey, LoadedDrains};
 use crate::settings::Team;
-use crate::store::{Store, StoreError};
+use crate::store::{KeyValueStore, StoreError};
 use dockpier_drain::ledger::LedgerRecord;
 use dockpier_drain::progress::Chunk;
 use dockpier_drain::request::{DrainId, StoredRequest};
@@ -84,7 +84,7 @@
 }
 
 /// What operators ask for now, and the revision from which to follow it.
-pub async fn load_requests(store: &Store) -> Result<(Vec<StoredRequest>, u64), StoreError> {
+pub async fn load_requests(store: &KeyValueStore) -> Result<(Vec<StoredRequest>, u64), StoreError> {
     let (records, revision) = store.list(REQUESTS).await?;
     Ok((records.iter().filter_map(read).collect(), revision))
 }
@@ -96,7 +96,7 @@
 
 /// Everything that a new leader reads.
 pub async fn load(
-    store: &Store,
+    store: &KeyValueStore,
     versions: &RecordVersions,
     teams: &[Team],
 ) -> Result<LoadedDrains, StoreError> {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod leadership;
 pub mod lease_renewal;
 pub mod limits;
-pub mod live;
+pub mod live_job_cache;
 pub mod operator;
 pub mod peer;
 pub mod protocol;
--- a/src/live.rs
+++ b/src/live_job_cache.rs
@@ -7,22 +7,22 @@
 use crate::controller::Event;
 use crate::limits;
 use crate::scheduler::model::JobId;
-use crate::store::{self, Store, StoreError};
+use crate::store::{self, KeyValueStore, StoreError};
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-type Question = (JobId, oneshot::Sender<Result<bool, Arc<StoreError>>>);
+type Query = (JobId, oneshot::Sender<Result<bool, Arc<StoreError>>>);
 
 #[derive(Clone)]
-pub struct Live(mpsc::Sender<Question>);
+pub struct LiveJobCache(mpsc::Sender<Query>);
 
-impl Live {
-    pub fn start(store: Store, at_once: usize, events: mpsc::Sender<Event>) -> Self {
+impl LiveJobCache {
+    pub fn start(store: KeyValueStore, at_once: usize, events: mpsc::Sender<Event>) -> Self {
         let (to, questions) = mpsc::channel(at_once);
-        tokio::spawn(keep(store, questions, events));
-        Live(to)
+        tokio::spawn(maintain(store, questions, events));
+        LiveJobCache(to)
     }
 
     /// Whether the job was live at some time after this question was asked; None when too many ask.
@@ -33,26 +33,26 @@
     }
 }
 
-struct Copy {
+struct CachedJobs {
     jobs: HashSet<JobId>,
     revision: u64,
 }
 
 /// What a reading showed.
 #[derive(Debug, Default)]
-pub struct Reading {
+pub struct LiveJobsUpdate {
     /// When its request left.
-    pub sent: u64,
+    pub requested_at: u64,
     /// All live jobs are among those added.
-    pub whole: bool,
+    pub complete: bool,
     pub added: Vec<JobId>,
     pub removed: Vec<JobId>,
 }
 
-async fn keep(store: Store, mut questions: mpsc::Receiver<Question>, events: mpsc::Sender<Event>) {
+async fn maintain(store: KeyValueStore, mut questions: mpsc::Receiver<Query>, events: mpsc::Sender<Event>) {
     let mut copy = None;
     // What was read and not passed on yet: a reading may fail half way.
-    let mut reading = Reading::default();
+    let mut reading = LiveJobsUpdate::default();
     // A process that has just started may keep nobody alive before it has read them: at once, and soon again.
     let mut rest = Duration::ZERO;
     loop {
@@ -61,7 +61,7 @@
             Ok(None) => return,
             Err(_) => None,
         };
-        let mut waiting: Vec<Question> = first.into_iter().collect();
+        let mut waiting: Vec<Query> = first.into_iter().collect();
         while let Ok(more) = questions.try_recv() {
             waiting.push(more);
         }
@@ -70,7 +70,7 @@
             Ok(()) => limits::LIVE_JOBS_REFRESH_INTERVAL,
             Err(_) => Duration::from_millis(limits::STATE_PAUSE_MS),
         };
-        if fresh.is_ok() && events.send(Event::Live(std::mem::take(&mut reading))).await.is_err() {
+        if fresh.is_ok() && events.send(Event::LiveJobs(std::mem::take(&mut reading))).await.is_err() {
             return;
         }
         for (job_id, to) in waiting {
@@ -86,17 +86,26 @@
     }
 }
 
-async fn refresh(store: &Store, copy: &mut Option<Copy>, reading: &mut Reading) -> Result<(), StoreError> {
+async fn refresh(
+    store: &KeyValueStore,
+    copy: &mut Option<CachedJobs>,
+    reading: &mut LiveJobsUpdate,
+) -> Result<(), StoreError> {
     loop {
-        reading.sent = store.now();
+        reading.requested_at = store.now();
         let mut now = match copy.take() {
             Some(copy) => copy,
             None => {
                 let (records, revision) = store.list(store::LIVE).await?;
                 let jobs: HashSet<JobId> = records.iter().filter_map(|r| job(&r.key)).collect();
                 let added = jobs.iter().copied().collect();
-                *reading = Reading { sent: reading.sent, whole: true, added, removed: Vec::new() };
-                Copy { jobs, revision }
+                *reading = LiveJobsUpdate {
+                    requested_at: reading.requested_at,
+                    complete: true,
+                    added,
+                    removed: Vec::new(),
+                };
+                CachedJobs { jobs, revision }
             }
         };
         let follow = match store.follow(store::LIVE, now.revision, 0).await {
--- a/src/protocol/state_service.rs
+++ b/src/protocol/state_service.rs
@@ -41,7 +41,7 @@
 
 /// A condition of a transaction: the key has this version; 0: it does not exist.
 #[derive(Debug, Serialize)]
-pub struct Condition {
+pub struct Comparison {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
@@ -92,7 +92,7 @@
 pub struct Transaction {
     /// What must hold.
     #[serde(rename = "when")]
-    pub conditions: Vec<Condition>,
+    pub conditions: Vec<Comparison>,
     /// What is changed then.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
--- a/src/record_versions.rs
+++ b/src/record_versions.rs
@@ -5,8 +5,8 @@
 //! would not know of machines that hold tasks, or of finished tasks.
 
 use crate::limits;
-use crate::protocol::state_service::{Change, Condition};
-use crate::store::{self, Committed, Store};
+use crate::protocol::state_service::{Change, Comparison};
+use crate::store::{self, CommitOutcome, KeyValueStore};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
@@ -31,25 +31,25 @@
     /// conflict the versions are read anew: a transaction that was given up may have been carried out after all.
     pub async fn commit(
         &self,
-        store: &Store,
-        mut conditions: Vec<Condition>,
+        store: &KeyValueStore,
+        mut conditions: Vec<Comparison>,
         changes: Vec<Change>,
-    ) -> Committed {
+    ) -> CommitOutcome {
         let keys: Vec<(String, bool)> =
             changes.iter().map(|change| (change.key().to_string(), change.writes())).collect();
         conditions.extend(keys.iter().map(|(key, _)| store::compare(key, self.of(key))));
         let committed = store.commit(conditions, changes).await;
         match committed {
-            Committed::Done { version } => {
+            CommitOutcome::Committed { version } => {
                 keys.iter().for_each(|(key, writes)| self.note(key, if *writes { version } else { 0 }));
             }
-            Committed::Conflict => self.read_again(store, &keys).await,
-            Committed::Refused | Committed::Unknown => {}
+            CommitOutcome::Conflict => self.read_again(store, &keys).await,
+            CommitOutcome::Refused | CommitOutcome::Unknown => {}
         }
         committed
     }
 
-    async fn read_again(&self, store: &Store, keys: &[(String, bool)]) {
+    async fn read_again(&self, store: &KeyValueStore, keys: &[(String, bool)]) {
         for (key, _) in keys {
             if let Ok(found) = store.get(key, limits::STATE_TIMEOUT).await {
                 self.note(key, found.map_or(0, |(_, version)| version));
--- a/src/scheduler/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -5,7 +5,7 @@
 
 use super::super::fleet::Offer;
 use super::super::model::Phase;
-use super::super::{Effect, Outcome, Scheduler, StoredMachine};
+use super::super::{Effect, Scheduler, StoredMachine, WriteOutcome};
 use crate::limits;
 use dockpier_drain::progress::MachineState;
 use dockpier_drain::request::DrainId;
@@ -98,11 +98,11 @@
         &mut self,
         request: u64,
         names: &Option<Vec<String>>,
-        outcome: Outcome,
+        outcome: WriteOutcome,
     ) -> bool {
         let Some((id, machine)) = self.drains.renting.remove(&request) else { return false };
         let offer = self.offer_of(&machine);
-        let name = names.iter().flatten().next().cloned().filter(|_| outcome == Outcome::Done);
+        let name = names.iter().flatten().next().cloned().filter(|_| outcome == WriteOutcome::Done);
         let now = self.now;
         let Some(drain) = self.drains.drains.get_mut(&id) else { return true };
         let Some(name) = name else {
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -1,7 +1,7 @@
 //! What of drains is stored, and how far its writing is. The leader's budget of changes comes first to everything
 //! else: a drain is never urgent.
 
-use super::super::{Effect, Outcome, Scheduler};
+use super::super::{Effect, Scheduler, WriteOutcome};
 use super::{Drain, Drains, TeamDisruption, Writing};
 use crate::limits;
 use dockpier_drain::budget::Cost;
@@ -207,8 +207,8 @@
     }
 
     /// The state service has answered. What it did not take for sure is written again.
-    pub(in super::super) fn drain_written(&mut self, key: &DrainKey, outcome: Outcome) {
-        let done = outcome == Outcome::Done;
+    pub(in super::super) fn drain_written(&mut self, key: &DrainKey, outcome: WriteOutcome) {
+        let done = outcome == WriteOutcome::Done;
         if let Some(writing) = self.writing_of(key) {
             writing.sent = false;
             writing.dirty |= !done;
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -3,7 +3,7 @@
 use super::absence::Absence;
 use super::model::*;
 use super::plan::Plan;
-use super::{Effect, ListedMachine, Outcome, Scheduler};
+use super::{Effect, ListedMachine, Scheduler, WriteOutcome};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info};
@@ -111,9 +111,9 @@
         }
     }
 
-    pub fn deleted(&mut self, names: Vec<String>, outcome: Outcome) {
+    pub fn deleted(&mut self, names: Vec<String>, outcome: WriteOutcome) {
         for name in names {
-            if outcome != Outcome::Done {
+            if outcome != WriteOutcome::Done {
                 if let Some(machine) = self.machines.get_mut(&name) {
                     machine.deleting = false;
                 }
@@ -142,13 +142,13 @@
         }
     }
 
-    pub fn rented(&mut self, request: u64, machines: Option<Vec<String>>, outcome: Outcome) {
+    pub fn rented(&mut self, request: u64, machines: Option<Vec<String>>, outcome: WriteOutcome) {
         if self.replacement_rented(request, &machines, outcome) {
             return;
         }
         let Some((offer, count)) = self.fleet.renting.remove(&request) else { return };
         let names = machines.unwrap_or_default();
-        if outcome == Outcome::Refused || (names.len() as u32) < count {
+        if outcome == WriteOutcome::Refused || (names.len() as u32) < count {
             let known = self.fleet.refused.get(&offer).copied();
             let (until, pause) = known.unwrap_or((0, limits::REFUSED_PAUSE / 2));
             // Requests made together that are refused together are one refusal.
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -62,7 +62,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum WriteOutcome {
     Done,
     Refused,
     /// No answer: it may have been carried out, or may yet be.
@@ -112,25 +112,25 @@
     Committed {
         job_id: JobId,
         tasks: BTreeSet<u32>,
-        outcome: Outcome,
+        outcome: WriteOutcome,
     },
     Finished {
         job_id: JobId,
-        outcome: Outcome,
+        outcome: WriteOutcome,
     },
     Recorded {
         key: String,
-        outcome: Outcome,
+        outcome: WriteOutcome,
     },
     Types(Vec<MachineType>),
     Rented {
         request: u64,
         machines: Option<Vec<String>>,
-        outcome: Outcome,
+        outcome: WriteOutcome,
     },
     Deleted {
         machines: Vec<String>,
-        outcome: Outcome,
+        outcome: WriteOutcome,
     },
     Listed(Vec<ListedMachine>),
     /// What the state service held of drains when this leader took over; comes before `Load`.
@@ -139,7 +139,7 @@
     DrainRequests(Vec<StoredRequest>),
     DrainWritten {
         key: DrainKey,
-        outcome: Outcome,
+        outcome: WriteOutcome,
     },
     /// What the store has of a job that reports name and the scheduler does not know; the reading left at `sent`.
     JobRead {
@@ -147,7 +147,7 @@
         sent: u64,
         reading: JobReading,
     },
-    ColdStartWritten(Outcome),
+    ColdStartWritten(WriteOutcome),
 }
 
 /// What a worker is told.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -204,7 +204,7 @@
             }
             Command::Committed { job_id, tasks, outcome } => self.committed(job_id, tasks, outcome),
             Command::Finished { job_id, outcome } => match outcome {
-                Outcome::Done => self.remove_job(job_id),
+                WriteOutcome::Done => self.remove_job(job_id),
                 // Cancelled meanwhile, or of unknown outcome: its record decides, and is tried again.
                 _ => {
                     if let Some(job) = self.jobs.get_mut(&job_id) {
@@ -228,7 +228,7 @@
             Command::DrainRequests(requests) => self.take_drain_requests(requests),
             Command::DrainWritten { key, outcome } => self.drain_written(&key, outcome),
             Command::JobRead { job_id, sent, reading } => self.job_read(job_id, sent, reading),
-            Command::ColdStartWritten(outcome) => self.cold_start_written(outcome == Outcome::Done),
+            Command::ColdStartWritten(outcome) => self.cold_start_written(outcome == WriteOutcome::Done),
         }
         self.news = true;
     }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -4,7 +4,7 @@
 //! are recorded, then finished tasks, then the rest.
 
 use super::model::*;
-use super::{Effect, Outcome, Scheduler, StoredMachine};
+use super::{Effect, Scheduler, StoredMachine, WriteOutcome};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -151,10 +151,10 @@
         }
     }
 
-    pub fn recorded(&mut self, key: &str, outcome: Outcome) {
+    pub fn recorded(&mut self, key: &str, outcome: WriteOutcome) {
         let Some(group) = self.records.groups.get_mut(key) else { return };
         let Some(written) = group.writing.take() else { return };
-        if outcome != Outcome::Done {
+        if outcome != WriteOutcome::Done {
             group.ask(Need::New, self.now);
             return;
         }
@@ -243,11 +243,11 @@
         true
     }
 
-    pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: Outcome) {
+    pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: WriteOutcome) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.committing = false;
-        if outcome == Outcome::Done {
+        if outcome == WriteOutcome::Done {
             job.stored.extend(tasks.iter().map(|t| t / limits::DONE_CHUNK));
             job.uncommitted.retain(|t| !tasks.contains(t));
             job.uncommitted_since = (!job.uncommitted.is_empty()).then_some(now);
--- a/src/store.rs
+++ b/src/store.rs
@@ -4,7 +4,7 @@
 use crate::limits;
 use crate::protocol::records::Epoch;
 use crate::protocol::state_service::{
-    Change, ChangeLog, Condition, Lease, Page, Record, Revision, Transaction, Value,
+    Change, ChangeLog, Comparison, Lease, Page, Record, Revision, Transaction, Value,
 };
 use crate::settings::StateLimits;
 use reqwest::Method;
@@ -27,8 +27,8 @@
 
 /// What became of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Committed {
-    Done {
+pub enum CommitOutcome {
+    Committed {
         /// The version of every key that it changed.
         version: u64,
     },
@@ -67,15 +67,15 @@
 }
 
 #[derive(Clone)]
-pub struct Store {
+pub struct KeyValueStore {
     http: Http,
     base: String,
     clock: Clock,
-    answered: Arc<AtomicU64>,
+    last_response_at: Arc<AtomicU64>,
     /// Bytes that a value may have.
-    value_most: usize,
+    max_value_bytes: usize,
     /// What users' requests of this node may ask of the service: requests, and puts and deletes.
-    users: Arc<Mutex<(Budget, Budget)>>,
+    user_budgets: Arc<Mutex<(Budget, Budget)>>,
 }
 
 fn json<T: for<'a> Deserialize<'a>>(answer: &Answer) -> Result<T, StoreError> {
@@ -90,11 +90,11 @@
     Change::Remove { key: key.into() }
 }
 
-pub fn compare(key: &str, version: u64) -> Condition {
-    Condition { key: key.into(), version }
+pub fn compare(key: &str, version: u64) -> Comparison {
+    Comparison { key: key.into(), version }
 }
 
-impl Store {
+impl KeyValueStore {
     pub fn new(
         http: Http,
         address: std::net::SocketAddr,
@@ -105,13 +105,13 @@
         let now = clock.now();
         let requests = Budget::new(limits.rps * crate::limits::USER_STATE_SHARE, 1.0, now);
         let writes = Budget::new(crate::limits::user_writes(limits.write_rps, nodes), 2.0, now);
-        Store {
+        KeyValueStore {
             http,
             base: format!("http://{address}"),
             clock,
-            answered: Arc::new(AtomicU64::new(0)),
-            value_most: (limits.value_kb * 1024.0) as usize,
-            users: Arc::new(Mutex::new((requests, writes))),
+            last_response_at: Arc::new(AtomicU64::new(0)),
+            max_value_bytes: (limits.value_kb * 1024.0) as usize,
+            user_budgets: Arc::new(Mutex::new((requests, writes))),
         }
     }
 
@@ -119,19 +119,19 @@
         self.clock.now()
     }
 
-    pub fn value_most(&self) -> usize {
-        self.value_most
+    pub fn max_value_bytes(&self) -> usize {
+        self.max_value_bytes
     }
 
     /// When it last answered this node.
-    pub fn answered(&self) -> u64 {
-        self.answered.load(Ordering::Relaxed)
+    pub fn last_response_at(&self) -> u64 {
+        self.last_response_at.load(Ordering::Relaxed)
     }
 
     /// Whether a user's request of this node may ask once more now, with so many puts and deletes.
-    pub fn user_may_ask(&self, writes: u32) -> bool {
+    pub fn try_acquire_user_budget(&self, writes: u32) -> bool {
         let now = self.clock.now();
-        let Ok(mut budgets) = self.users.lock() else { return true };
+        let Ok(mut budgets) = self.user_budgets.lock() else { return true };
         let (requests, puts) = &mut *budgets;
         (writes == 0 || puts.take(now, f64::from(writes))) && requests.take(now, 1.0)
     }
@@ -145,7 +145,7 @@
     ) -> Result<Answer, CallError> {
         let answer = self.http.call(method, &format!("{}{path}", self.base), body, timeout).await;
         match &answer {
-            Ok(a) if a.status != 503 => self.answered.store(self.clock.now(), Ordering::Relaxed),
+            Ok(a) if a.status != 503 => self.last_response_at.store(self.clock.now(), Ordering::Relaxed),
             Ok(_) => debug!(path, "state service answers 503"),
             Err(error) => debug!(path, %error, "state service"),
         }
@@ -187,24 +187,25 @@
         }
     }
 
-    pub async fn commit(&self, conditions: Vec<Condition>, changes: Vec<Change>) -> Committed {
+    pub async fn commit(&self, conditions: Vec<Comparison>, changes: Vec<Change>) -> CommitOutcome {
         let body = match serde_json::to_vec(&Transaction { conditions, changes }) {
             Ok(body) => body,
-            Err(_) => return Committed::Refused,
+            Err(_) => return CommitOutcome::Refused,
         };
         match self.call(Method::POST, "/multi", Some(body), limits::STATE_TIMEOUT).await {
             Ok(answer) => match answer.status {
-                200 => json::<Revision>(&answer)
-                    .map_or(Committed::Unknown, |done| Committed::Done { version: done.revision }),
-                409 => Committed::Conflict,
-                _ => Committed::Refused,
+                200 => json::<Revision>(&answer).map_or(CommitOutcome::Unknown, |done| {
+                    CommitOutcome::Committed { version: done.revision }
+                }),
+                409 => CommitOutcome::Conflict,
+                _ => CommitOutcome::Refused,
             },
-            Err(CallError::NotSent(_)) => Committed::Refused,
-            Err(CallError::NoAnswer(_)) => Committed::Unknown,
+            Err(CallError::NotSent(_)) => CommitOutcome::Refused,
+            Err(CallError::NoAnswer(_)) => CommitOutcome::Unknown,
         }
     }
 
-    pub async fn grant(&self, life_ms: u64) -> Result<u64, StoreError> {
+    pub async fn create_lease(&self, life_ms: u64) -> Result<u64, StoreError> {
         let body = serde_json::json!({ "life_ms": life_ms }).to_string().into_bytes();
         let answer = self.call(Method::POST, "/grants", Some(body), limits::STATE_TIMEOUT).await?;
         match answer.status {
@@ -214,7 +215,7 @@
     }
 
     /// Whether the lease still runs; an error leaves it open.
-    pub async fn extend(&self, lease: u64) -> Result<bool, StoreError> {
+    pub async fn renew_lease(&self, lease: u64) -> Result<bool, StoreError> {
         let path = format!("/grants/{lease}/extend");
         let answer = self.call(Method::POST, &path, Some(b"{}".to_vec()), limits::STATE_TIMEOUT).await?;
         match answer.status {
@@ -224,7 +225,7 @@
         }
     }
 
-    pub async fn release(&self, lease: u64) {
+    pub async fn revoke_lease(&self, lease: u64) {
         // Best effort: the lease ends by itself soon after.
         let path = format!("/grants/{lease}");
         let _ = self.call(Method::DELETE, &path, None, limits::STATE_TIMEOUT).await;
@@ -251,7 +252,7 @@
         }
     }
 
-    pub async fn epoch(&self) -> Result<(Option<(Epoch, u64)>, bool), StoreError> {
+    pub async fn read_epoch(&self) -> Result<(Option<(Epoch, u64)>, bool), StoreError> {
         // The lock first: an epoch read after an absent lock is at least as new as its end.
         let locked = self.get(LOCK, limits::STATE_TIMEOUT).await?.is_some();
         let epoch = self.get(EPOCH, limits::STATE_TIMEOUT).await?;
@@ -273,7 +274,7 @@
         over_lock: bool,
     ) -> Result<(u64, u64, u64), Option<u64>> {
         let sent = self.clock.now();
-        let lease = self.grant(limits::LOCK_LEASE_MS).await.map_err(|_| None)?;
+        let lease = self.create_lease(limits::LOCK_LEASE_MS).await.map_err(|_| None)?;
         let mut conditions = vec![compare(EPOCH, version)];
         if !over_lock {
             conditions.push(compare(LOCK, 0));
@@ -284,7 +285,7 @@
             Change::Write { key: LOCK.into(), value, lease: Some(lease) },
         ];
         match self.commit(conditions, changes).await {
-            Committed::Done { version } => Ok((lease, version, sent)),
+            CommitOutcome::Committed { version } => Ok((lease, version, sent)),
             _ => Err(Some(lease)),
         }
     }
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -4,7 +4,7 @@
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{
-    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
 use dockpier::settings::{Operator, Team};
 use std::collections::{BTreeMap, BTreeSet};
@@ -95,17 +95,17 @@
         for effect in self.scheduler.step(self.now, batch) {
             match effect {
                 Effect::Record { key, .. } => {
-                    answers.push(Command::Recorded { key, outcome: Outcome::Done });
+                    answers.push(Command::Recorded { key, outcome: WriteOutcome::Done });
                 }
                 Effect::CommitDone { job_id, tasks, .. } => {
-                    answers.push(Command::Committed { job_id, tasks, outcome: Outcome::Done });
+                    answers.push(Command::Committed { job_id, tasks, outcome: WriteOutcome::Done });
                 }
                 Effect::Finish { job_id, .. } => {
-                    answers.push(Command::Finished { job_id, outcome: Outcome::Done });
+                    answers.push(Command::Finished { job_id, outcome: WriteOutcome::Done });
                 }
                 Effect::Delete(machines) => {
                     self.deleted.extend(machines.iter().cloned());
-                    answers.push(Command::Deleted { machines, outcome: Outcome::Done });
+                    answers.push(Command::Deleted { machines, outcome: WriteOutcome::Done });
                 }
                 Effect::HeartbeatResponse { reply, task_commands, .. } => {
                     self.carry_out(reply as usize, task_commands)
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -6,7 +6,7 @@
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{
-    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
 use dockpier::settings::Operator;
 use proptest::prelude::*;
@@ -82,11 +82,11 @@
             .iter()
             .filter_map(|e| match e {
                 Effect::Record { key, .. } => {
-                    Some(Command::Recorded { key: key.clone(), outcome: Outcome::Done })
+                    Some(Command::Recorded { key: key.clone(), outcome: WriteOutcome::Done })
                 }
                 Effect::CommitDone { job_id, tasks, .. } => {
                     let (job_id, tasks) = (*job_id, tasks.clone());
-                    Some(Command::Committed { job_id, tasks, outcome: Outcome::Done })
+                    Some(Command::Committed { job_id, tasks, outcome: WriteOutcome::Done })
                 }
                 _ => None,
             })
@@ -270,7 +270,7 @@
     let mut bed = Bed::new(2, 0.0);
     bed.submit(spec(1, Kind::Array, Priority::Low, 2));
     let gone = "m-000001".to_string();
-    bed.step(vec![Command::Deleted { machines: vec![gone.clone()], outcome: Outcome::Done }]);
+    bed.step(vec![Command::Deleted { machines: vec![gone.clone()], outcome: WriteOutcome::Done }]);
     // The cut ends and delivers what the machine had reported before.
     bed.heartbeat();
     assert!(!bed.scheduler.machines.contains_key(&gone));
@@ -297,7 +297,7 @@
             stored.insert(key.clone(), machines);
             let all: BTreeSet<&String> = stored.values().flatten().map(|m| &m.name).collect();
             assert_eq!(all.len(), 3 * most, "a machine is in no record");
-            then.push(Command::Recorded { key, outcome: Outcome::Done });
+            then.push(Command::Recorded { key, outcome: WriteOutcome::Done });
         }
     }
     assert!(stored.values().all(|machines| machines.len() <= most), "the old record was left as it was");
@@ -321,7 +321,7 @@
     }
     let machines = std::mem::take(&mut bed.deleted);
     assert_eq!(machines, ["m-000003"]);
-    bed.step(vec![Command::Deleted { machines, outcome: Outcome::Done }]);
+    bed.step(vec![Command::Deleted { machines, outcome: WriteOutcome::Done }]);
     (0..2).for_each(|_| bed.heartbeat());
     assert_eq!(bed.width(1), 2);
 }
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -6,7 +6,7 @@
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{
-    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -74,10 +74,12 @@
         let mut then = Vec::new();
         for effect in self.scheduler.step(self.now, batch) {
             match effect {
-                Effect::Record { key, .. } => then.push(Command::Recorded { key, outcome: Outcome::Done }),
+                Effect::Record { key, .. } => {
+                    then.push(Command::Recorded { key, outcome: WriteOutcome::Done })
+                }
                 Effect::Finish { job_id, .. } => {
                     self.finished.push(job_id);
-                    then.push(Command::Finished { job_id, outcome: Outcome::Done });
+                    then.push(Command::Finished { job_id, outcome: WriteOutcome::Done });
                 }
                 Effect::HeartbeatResponse { reply, task_commands, .. } if reply > 0 => {
                     self.task_commands(reply as usize - 1, task_commands)
@@ -163,7 +165,7 @@
     fn lose(&mut self, machine: usize) {
         self.silent.insert(machine);
         self.on.remove(&machine);
-        self.step(vec![Command::Deleted { machines: vec![name(machine)], outcome: Outcome::Done }]);
+        self.step(vec![Command::Deleted { machines: vec![name(machine)], outcome: WriteOutcome::Done }]);
     }
 
     /// The next leader, which knows what is stored and no more.
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -5,7 +5,7 @@
 use super::stand_ins::{heartbeat, machine_types, outcome};
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::{Command, Config, Effect, Outcome, Scheduler, StoredJob, TaskCommand};
+use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand, WriteOutcome};
 use std::collections::{BTreeMap, BTreeSet};
 
 const REPORT_S: f64 = 3.0;
@@ -212,7 +212,7 @@
 fn a_check_in_of_a_deleted_machine_is_refused_and_counted() {
     let mut cluster = Cluster::new();
     let (_, heartbeat) = cluster.heartbeat("m-000001");
-    cluster.step(vec![Command::Deleted { machines: vec!["m-000001".into()], outcome: Outcome::Done }]);
+    cluster.step(vec![Command::Deleted { machines: vec!["m-000001".into()], outcome: WriteOutcome::Done }]);
     assert!(refused(&mut cluster, heartbeat));
 }
 
--- a/tests/leases/stand_ins.rs
+++ b/tests/leases/stand_ins.rs
@@ -1,7 +1,7 @@
 //! A state service that takes every record, a cloud that rents and deletes nothing, and reports.
 
 use dockpier::scheduler::model::*;
-use dockpier::scheduler::{Command, Effect, Outcome};
+use dockpier::scheduler::{Command, Effect, WriteOutcome};
 
 /// Machines of two slots in one zone.
 pub fn machine_types() -> Command {
@@ -19,12 +19,14 @@
 /// What the state service or the cloud answers to an effect of the leader's, if it is for them.
 pub fn outcome(effect: &Effect) -> Option<Command> {
     match effect {
-        Effect::Record { key, .. } => Some(Command::Recorded { key: key.clone(), outcome: Outcome::Done }),
+        Effect::Record { key, .. } => {
+            Some(Command::Recorded { key: key.clone(), outcome: WriteOutcome::Done })
+        }
         Effect::Rent { request, .. } => {
-            Some(Command::Rented { request: *request, machines: None, outcome: Outcome::Refused })
+            Some(Command::Rented { request: *request, machines: None, outcome: WriteOutcome::Refused })
         }
         Effect::Delete(machines) => {
-            Some(Command::Deleted { machines: machines.clone(), outcome: Outcome::Unknown })
+            Some(Command::Deleted { machines: machines.clone(), outcome: WriteOutcome::Unknown })
         }
         _ => None,
     }
--- a/tests/loopback/late_writes.rs
+++ b/tests/loopback/late_writes.rs
@@ -6,24 +6,24 @@
 use dockpier::http::{Clock, Http};
 use dockpier::record_versions::RecordVersions;
 use dockpier::settings::StateLimits;
-use dockpier::store::{self, Committed, Store};
+use dockpier::store::{self, CommitOutcome, KeyValueStore};
 
 /// A machine record, and a record of finished tasks.
 const RECORDS: [&str; 2] = ["fleet/machines/7-1", "done/job-000412/0"];
 
 /// A leader's client of a state service of its own.
-pub async fn leader() -> (std::sync::Arc<std::sync::Mutex<standins::State>>, Store, RecordVersions) {
+pub async fn leader() -> (std::sync::Arc<std::sync::Mutex<standins::State>>, KeyValueStore, RecordVersions) {
     let (state, address) = standins::state_service().await;
     let limits = StateLimits { rps: 1_000.0, write_rps: 500.0, value_kb: 8.0, txn_ops: 8, next: None };
-    let store = Store::new(Http::new().unwrap(), address, Clock::start(), &limits, 3);
+    let store = KeyValueStore::new(Http::new().unwrap(), address, Clock::start(), &limits, 3);
     (state, store, RecordVersions::default())
 }
 
-async fn write(store: &Store, versions: &RecordVersions, key: &str, value: &str) -> Committed {
+async fn write(store: &KeyValueStore, versions: &RecordVersions, key: &str, value: &str) -> CommitOutcome {
     versions.commit(store, Vec::new(), vec![store::write(key, value).unwrap()]).await
 }
 
-async fn read(store: &Store, key: &str) -> Option<String> {
+async fn read(store: &KeyValueStore, key: &str) -> Option<String> {
     let found = store.get(key, dockpier::limits::STATE_TIMEOUT).await.unwrap();
     found.and_then(|(value, _)| value.as_str().map(String::from))
 }
@@ -35,11 +35,11 @@
     on_runtime(async {
         for key in RECORDS {
             let (state, store, versions) = leader().await;
-            assert!(matches!(write(&store, &versions, key, "first").await, Committed::Done { .. }));
+            assert!(matches!(write(&store, &versions, key, "first").await, CommitOutcome::Committed { .. }));
             state.lock().unwrap().trouble = Some((key.into(), Trouble::Held));
-            assert_eq!(write(&store, &versions, key, "late").await, Committed::Unknown);
+            assert_eq!(write(&store, &versions, key, "late").await, CommitOutcome::Unknown);
             state.lock().unwrap().trouble = None;
-            assert!(matches!(write(&store, &versions, key, "newer").await, Committed::Done { .. }));
+            assert!(matches!(write(&store, &versions, key, "newer").await, CommitOutcome::Committed { .. }));
             assert_eq!(state.lock().unwrap().carry_out_held(), [409]);
             assert_eq!(read(&store, key).await.as_deref(), Some("newer"), "{key}");
         }
@@ -55,8 +55,8 @@
             // A removal writes nothing by itself: another record of the transaction marks it.
             state.lock().unwrap().trouble = Some(("marker".into(), Trouble::Held));
             let late = vec![store::remove(key), store::write("marker", "x").unwrap()];
-            assert_eq!(versions.commit(&store, Vec::new(), late).await, Committed::Unknown);
-            assert!(matches!(write(&store, &versions, key, "newer").await, Committed::Done { .. }));
+            assert_eq!(versions.commit(&store, Vec::new(), late).await, CommitOutcome::Unknown);
+            assert!(matches!(write(&store, &versions, key, "newer").await, CommitOutcome::Committed { .. }));
             assert_eq!(state.lock().unwrap().carry_out_held(), [409]);
             assert_eq!(read(&store, key).await.as_deref(), Some("newer"), "{key}");
         }
@@ -71,11 +71,11 @@
         for key in RECORDS {
             let (state, store, versions) = leader().await;
             state.lock().unwrap().trouble = Some((key.into(), Trouble::AnswerLost));
-            assert_eq!(write(&store, &versions, key, "first").await, Committed::Unknown);
+            assert_eq!(write(&store, &versions, key, "first").await, CommitOutcome::Unknown);
             assert_eq!(read(&store, key).await.as_deref(), Some("first"), "others read it at once");
             state.lock().unwrap().trouble = None;
-            assert_eq!(write(&store, &versions, key, "second").await, Committed::Conflict);
-            assert!(matches!(write(&store, &versions, key, "second").await, Committed::Done { .. }));
+            assert_eq!(write(&store, &versions, key, "second").await, CommitOutcome::Conflict);
+            assert!(matches!(write(&store, &versions, key, "second").await, CommitOutcome::Committed { .. }));
             assert_eq!(read(&store, key).await.as_deref(), Some("second"), "{key}");
         }
     });
--- a/tests/pinned_state/node_api.rs
+++ b/tests/pinned_state/node_api.rs
@@ -13,7 +13,7 @@
 use dockpier::scheduler::overview::{JobLine, MachineLine, Overview, PageStart};
 use dockpier::scheduler::IgnoredHeartbeats;
 use dockpier::settings::{Draining, StateLimits, Team};
-use dockpier::store::Store;
+use dockpier::store::KeyValueStore;
 use poem::listener::TcpAcceptor;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -87,9 +87,9 @@
 }
 
 /// A client of the state service with limits that no test reaches.
-pub fn store(address: SocketAddr) -> Store {
+pub fn store(address: SocketAddr) -> KeyValueStore {
     let limits = StateLimits { rps: 10_000.0, write_rps: 10_000.0, value_kb: 8.0, txn_ops: 8, next: None };
-    Store::new(Http::new().unwrap(), address, Clock::start(), &limits, 1)
+    KeyValueStore::new(Http::new().unwrap(), address, Clock::start(), &limits, 1)
 }
 
 fn teams() -> Vec<Team> {
--- a/tests/pinned_state/store_requests.rs
+++ b/tests/pinned_state/store_requests.rs
@@ -5,7 +5,7 @@
 use crate::node_api::store;
 use dockpier::protocol::records::Epoch;
 use dockpier::record_versions::RecordVersions;
-use dockpier::store::{self, Committed, Store};
+use dockpier::store::{self, CommitOutcome, KeyValueStore};
 
 const LOCK_VALUE: &str = r#"{"path":"leader/lock","value":{"token":41},"entry":9,"permit":5}"#;
 const EPOCH_VALUE: &str =
@@ -38,8 +38,8 @@
     Epoch { token, node: "berth-2".into(), incarnation: 77 }
 }
 
-async fn read(store: &Store) {
-    assert_eq!(store.epoch().await.unwrap(), (Some((epoch(41), 8)), true));
+async fn read(store: &KeyValueStore) {
+    assert_eq!(store.read_epoch().await.unwrap(), (Some((epoch(41), 8)), true));
     assert!(store.get("over/job-000001", dockpier::limits::POLL_TIMEOUT).await.unwrap().is_none());
     let (records, revision) = store.list(store::LIVE).await.unwrap();
     let keys: Vec<&str> = records.iter().map(|record| record.key.as_str()).collect();
@@ -52,17 +52,17 @@
     assert!(store.follow(store::LIVE, 1, 4_000).await.unwrap().is_none());
 }
 
-async fn write(store: &Store) {
+async fn write(store: &KeyValueStore) {
     for over_lock in [false, true] {
         let (lease, version, _) = store.take_over(&epoch(42), 8, over_lock).await.unwrap();
         assert_eq!((lease, version), (6, 32));
     }
-    assert!(store.extend(6).await.unwrap());
-    assert!(!store.extend(7).await.unwrap());
-    store.release(6).await;
+    assert!(store.renew_lease(6).await.unwrap());
+    assert!(!store.renew_lease(7).await.unwrap());
+    store.revoke_lease(6).await;
     let changes = vec![store::write("cold-start/report", 1).unwrap(), store::remove("live/job-000001")];
     let conditions = vec![store::compare("leader/epoch", 8), store::compare("live/job-000001", 0)];
-    assert_eq!(store.commit(conditions, changes).await, Committed::Done { version: 32 });
+    assert_eq!(store.commit(conditions, changes).await, CommitOutcome::Committed { version: 32 });
     let versions = RecordVersions::default();
     versions.note("drains/summaries/firmware-7", 17);
     for _ in 0..2 {
--- a/tests/pinned_wire/http_edge.rs
+++ b/tests/pinned_wire/http_edge.rs
@@ -9,7 +9,7 @@
 use dockpier::limits::Capacity;
 use dockpier::scheduler::model::{Heartbeat, JobId, MachineType, Resources};
 use dockpier::settings::{Draining, StateLimits, Team};
-use dockpier::store::Store;
+use dockpier::store::KeyValueStore;
 use poem::listener::TcpAcceptor;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -102,7 +102,7 @@
         tokio::spawn(own(setup.owner, queue, Arc::clone(&reports)));
         let (rps, write_rps) = setup.state_rps;
         let limits = StateLimits { rps, write_rps, value_kb: setup.value_kb, txn_ops: 8, next: None };
-        let store = Store::new(Http::new().unwrap(), state.address, Clock::start(), &limits, 3);
+        let store = KeyValueStore::new(Http::new().unwrap(), state.address, Clock::start(), &limits, 3);
         let health = Arc::new(Health::default());
         health.healthy.store(setup.healthy, Ordering::Relaxed);
         health.cut_off.store(setup.cut_off, Ordering::Relaxed);
--- a/tests/pinned_wire/spell.rs
+++ b/tests/pinned_wire/spell.rs
@@ -4,7 +4,7 @@
 use dockpier::scheduler::model::{
     ExitReason, Heartbeat, JobSpec, Kind, MachineType, Priority, Resources, TaskStatus,
 };
-use dockpier::scheduler::{ListedMachine, Outcome};
+use dockpier::scheduler::{ListedMachine, WriteOutcome};
 
 /// A job as it was submitted.
 pub fn job(job: &JobSpec) -> String {
@@ -113,10 +113,10 @@
 }
 
 /// What became of a request to the cloud.
-pub fn cloud_outcome(outcome: Outcome) -> &'static str {
+pub fn cloud_outcome(outcome: WriteOutcome) -> &'static str {
     match outcome {
-        Outcome::Done => "done",
-        Outcome::Refused => "refused",
-        Outcome::Unknown => "unknown",
+        WriteOutcome::Done => "done",
+        WriteOutcome::Refused => "refused",
+        WriteOutcome::Unknown => "unknown",
     }
 }
--- a/tests/pinned_wire/state_requests.rs
+++ b/tests/pinned_wire/state_requests.rs
@@ -7,7 +7,7 @@
 use dockpier::protocol::records::Epoch;
 use dockpier::protocol::state_service::{Change, ChangeLog, Record};
 use dockpier::settings::StateLimits;
-use dockpier::store::{self, Committed, Store, StoreError};
+use dockpier::store::{self, CommitOutcome, KeyValueStore, StoreError};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 
 /// A client with plenty of everything.
-fn client(address: SocketAddr) -> Store {
+fn client(address: SocketAddr) -> KeyValueStore {
     let limits = StateLimits { rps: 1000.0, write_rps: 500.0, value_kb: 8.0, txn_ops: 8, next: None };
-    Store::new(Http::new().unwrap(), address, Clock::start(), &limits, 3)
+    KeyValueStore::new(Http::new().unwrap(), address, Clock::start(), &limits, 3)
 }
 
 /// What went wrong, without the port.
@@ -29,12 +29,12 @@
     result.map(spell).unwrap_or_else(|error| failure(error, address))
 }
 
-fn committed(outcome: Committed) -> String {
+fn committed(outcome: CommitOutcome) -> String {
     match outcome {
-        Committed::Done { version } => format!("done at {version}"),
-        Committed::Conflict => "conflict".into(),
-        Committed::Refused => "refused".into(),
-        Committed::Unknown => "unknown".into(),
+        CommitOutcome::Committed { version } => format!("done at {version}"),
+        CommitOutcome::Conflict => "conflict".into(),
+        CommitOutcome::Refused => "refused".into(),
+        CommitOutcome::Unknown => "unknown".into(),
     }
 }
 
@@ -190,17 +190,17 @@
         ] {
             let service = StandIn::answering(status, body).await;
             let store = client(service.address);
-            let granted = store.grant(5_000).await;
+            let granted = store.create_lease(5_000).await;
             transcript.case(format!("asked for, answered {status} {body}"), service.asked_text());
             transcript.case("outcome", shown(granted, service.address, |lease| format!("lease {lease}")));
-            let extended = store.extend(7).await;
+            let extended = store.renew_lease(7).await;
             transcript.case(format!("extended, answered {status} {body}"), service.asked_text());
             transcript.case("outcome", shown(extended, service.address, |runs| format!("runs: {runs}")));
-            store.release(7).await;
+            store.revoke_lease(7).await;
             transcript.case(format!("ended, answered {status} {body}"), service.asked_text());
         }
         let address = nobody();
-        let granted = client(address).grant(5_000).await;
+        let granted = client(address).create_lease(5_000).await;
         transcript.case("nobody there", shown(granted, address, |lease| format!("lease {lease}")));
         transcript.must_equal(include_str!("../golden/wire-state-leases.txt"));
     });
@@ -229,7 +229,7 @@
             r#"{"path":"leader/epoch","value":{"token":41},"entry":9}"#,
         ] {
             let service = StandIn::answering(200, body).await;
-            let read = client(service.address).epoch().await;
+            let read = client(service.address).read_epoch().await;
             transcript.case(format!("epoch asked, answered {body}"), service.asked_text());
             let spell = |(epoch, locked): (Option<(Epoch, u64)>, bool)| {
                 let (epoch, version) = epoch.unwrap();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -7,7 +7,7 @@
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::overview::PageStart;
 use dockpier::scheduler::{
-    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
 use dockpier::settings::{Operator, Workers};
 use std::collections::{BTreeMap, BTreeSet};
@@ -128,28 +128,28 @@
             match effect {
                 Effect::Record { key, .. } => {
                     self.machine_writes += 1;
-                    more.push(Command::Recorded { key, outcome: Outcome::Done });
+                    more.push(Command::Recorded { key, outcome: WriteOutcome::Done });
                 }
                 Effect::Delete(machines) => {
                     self.deleted.extend(machines.iter().cloned());
-                    more.push(Command::Deleted { machines, outcome: Outcome::Done });
+                    more.push(Command::Deleted { machines, outcome: WriteOutcome::Done });
                 }
                 Effect::Rent { request, count, .. } => {
                     let names = (0..count).map(|i| format!("r-{:06}", self.rented + i)).collect();
                     self.rented += count;
                     let (machines, outcome) = match self.rents {
-                        true => (Some(names), Outcome::Done),
-                        false => (None, Outcome::Refused),
+                        true => (Some(names), WriteOutcome::Done),
+                        false => (None, WriteOutcome::Refused),
                     };
                     more.push(Command::Rented { request, machines, outcome });
                 }
                 Effect::CommitDone { job_id, tasks, .. } => {
                     self.job_writes += 1;
-                    more.push(Command::Committed { job_id, tasks, outcome: Outcome::Done });
+                    more.push(Command::Committed { job_id, tasks, outcome: WriteOutcome::Done });
                 }
                 Effect::Finish { job_id, chunks, .. } => {
                     self.job_writes += 2 + chunks.len();
-                    more.push(Command::Finished { job_id, outcome: Outcome::Done });
+                    more.push(Command::Finished { job_id, outcome: WriteOutcome::Done });
                 }
                 Effect::HeartbeatResponse { reply, task_commands, .. } => {
                     self.carry_out(&name(reply as usize), task_commands)
--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -9,7 +9,7 @@
 use dockpier::scheduler::drains::LoadedDrains;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{
-    Command, Config, Effect, Outcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
+    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
 use dockpier::settings::{ColdStartSettings, Draining, Operator, Team, Workers};
 use dockpier::shard::{Shard, ShardHeartbeat, ShardResponse};
@@ -410,7 +410,7 @@
         self.writes = writes;
         for (at, key, machines) in Vec::<(u64, String, Vec<StoredMachine>)>::into_iter(due) {
             self.write(key.clone(), machines);
-            self.later.push((at, Command::Recorded { key, outcome: Outcome::Done }));
+            self.later.push((at, Command::Recorded { key, outcome: WriteOutcome::Done }));
         }
     }
 
@@ -731,20 +731,20 @@
                 let outcome = match self.live.get_mut(&job_id) {
                     Some((at, done)) if *at == version => {
                         done.extend(tasks.iter().copied());
-                        Outcome::Done
+                        WriteOutcome::Done
                     }
-                    _ => Outcome::Refused,
+                    _ => WriteOutcome::Refused,
                 };
                 self.later.push((soon, Command::Committed { job_id, tasks, outcome }));
             }
             Effect::Finish { job_id, .. } => {
-                let mut outcome = Outcome::Refused;
+                let mut outcome = WriteOutcome::Refused;
                 if self.live.remove(&job_id).is_some() {
                     let done = self.completed.get(&job_id).map_or(0, BTreeSet::len);
                     assert_eq!(done as u32, self.specs[&job_id].tasks, "not_done: {job_id} is called done");
                     self.over.insert(job_id);
                     self.finished += 1;
-                    outcome = Outcome::Done;
+                    outcome = WriteOutcome::Done;
                 }
                 self.later.push((soon, Command::Finished { job_id, outcome }));
             }
@@ -768,7 +768,7 @@
             }
             Effect::Rent { request, name: Some(name), .. } if self.rentals.contains_key(&name) => {
                 let machines = self.rentals.get(&name).cloned();
-                self.later.push((soon, Command::Rented { request, machines, outcome: Outcome::Done }));
+                self.later.push((soon, Command::Rented { request, machines, outcome: WriteOutcome::Done }));
             }
             Effect::Rent { request, name: rental, zone, spot, count, .. } => {
                 let left = self
@@ -805,20 +805,20 @@
                     self.workers.insert(name.clone(), worker);
                     names.push(name);
                 }
-                let outcome = if names.is_empty() { Outcome::Refused } else { Outcome::Done };
-                if let Some(rental) = rental.filter(|_| outcome == Outcome::Done) {
+                let outcome = if names.is_empty() { WriteOutcome::Refused } else { WriteOutcome::Done };
+                if let Some(rental) = rental.filter(|_| outcome == WriteOutcome::Done) {
                     self.rentals.insert(rental, names.clone());
                 }
                 self.later.push((soon, Command::Rented { request, machines: Some(names), outcome }));
             }
             Effect::Delete(machines) if self.now < self.cloud_down_until => {
-                self.later.push((soon, Command::Deleted { machines, outcome: Outcome::Unknown }));
+                self.later.push((soon, Command::Deleted { machines, outcome: WriteOutcome::Unknown }));
             }
             Effect::Delete(machines) => {
                 machines.iter().for_each(|name| {
                     self.workers.remove(name);
                 });
-                self.later.push((soon, Command::Deleted { machines, outcome: Outcome::Done }));
+                self.later.push((soon, Command::Deleted { machines, outcome: WriteOutcome::Done }));
             }
             Effect::RequestWake { node, machine } => {
                 if self.now >= self.leaseholders[node].cut_until {
