--- a/crates/dockpier-drain/src/progress.rs
+++ b/crates/dockpier-drain/src/progress.rs
@@ -7,7 +7,7 @@
 /// How far a machine is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum MachineState {
+pub enum MachineDrainState {
     /// Nothing has happened to it.
     Waiting,
     /// A machine like it is being rented. The attempt is part of the rental's name, so that the same rental is
@@ -35,20 +35,20 @@
     Gone,
 }
 
-impl MachineState {
+impl MachineDrainState {
     /// Whether nothing more happens to the machine.
     pub fn is_final(&self) -> bool {
-        matches!(self, MachineState::Returned { .. } | MachineState::Gone)
+        matches!(self, MachineDrainState::Returned { .. } | MachineDrainState::Gone)
     }
 
     /// Whether the machine is between its first and its last state.
     pub fn under_way(&self) -> bool {
-        matches!(self, MachineState::Replacing { .. } | MachineState::Cordoned { .. })
+        matches!(self, MachineDrainState::Replacing { .. } | MachineDrainState::Cordoned { .. })
     }
 
     /// Whether a machine may go from this state to another.
-    pub fn may_become(&self, next: &MachineState) -> bool {
-        use MachineState::*;
+    pub fn may_become(&self, next: &MachineDrainState) -> bool {
+        use MachineDrainState::*;
         match (self, next) {
             (Waiting, Replacing { attempt: 1, machine: None } | Cordoned { replacement: None } | Gone) => {
                 true
@@ -69,10 +69,10 @@
     /// The machine that is to take the place of this one, if the cloud has named it.
     pub fn replacement(&self) -> Option<&str> {
         match self {
-            MachineState::Replacing { machine: replacement, .. }
-            | MachineState::Cordoned { replacement }
-            | MachineState::Returned { replacement } => replacement.as_deref(),
-            MachineState::Waiting | MachineState::Gone => None,
+            MachineDrainState::Replacing { machine: replacement, .. }
+            | MachineDrainState::Cordoned { replacement }
+            | MachineDrainState::Returned { replacement } => replacement.as_deref(),
+            MachineDrainState::Waiting | MachineDrainState::Gone => None,
         }
     }
 }
@@ -83,7 +83,7 @@
     /// Its name.
     pub machine: String,
     /// How far it is.
-    pub state: MachineState,
+    pub state: MachineDrainState,
 }
 
 /// A part of a drain's machines that is stored as one value.
@@ -136,7 +136,7 @@
             }
             room = room.saturating_sub(bytes);
             if let Some(chunk) = chunks.last_mut() {
-                chunk.machines.push(MachineEntry { machine, state: MachineState::Waiting });
+                chunk.machines.push(MachineEntry { machine, state: MachineDrainState::Waiting });
             }
         }
         Progress::restore(chunks)
@@ -159,13 +159,13 @@
     }
 
     /// How far a machine is; `None`: it is not of this drain.
-    pub fn state(&self, machine: &str) -> Option<&MachineState> {
+    pub fn state(&self, machine: &str) -> Option<&MachineDrainState> {
         let (chunk, within) = self.places.get(machine)?;
         Some(&self.chunks.get(*chunk)?.machines.get(*within)?.state)
     }
 
     /// Takes a machine on, if that is a step that it may take. Returns the part that is to be stored again.
-    pub fn advance(&mut self, machine: &str, next: MachineState) -> Option<usize> {
+    pub fn advance(&mut self, machine: &str, next: MachineDrainState) -> Option<usize> {
         let (chunk, within) = *self.places.get(machine)?;
         let entry = self.chunks.get_mut(chunk)?.machines.get_mut(within)?;
         if !entry.state.may_become(&next) {
@@ -176,7 +176,7 @@
     }
 
     /// All machines with their states, in the order of the record.
-    pub fn machines(&self) -> impl Iterator<Item = (&str, &MachineState)> {
+    pub fn machines(&self) -> impl Iterator<Item = (&str, &MachineDrainState)> {
         let entries = self.chunks.iter().flat_map(|chunk| &chunk.machines);
         entries.map(|entry| (entry.machine.as_str(), &entry.state))
     }
@@ -186,14 +186,14 @@
         let mut counts = Counts::default();
         for (_, state) in self.machines() {
             match state {
-                MachineState::Waiting => counts.waiting += 1,
-                MachineState::Replacing { .. } => counts.replacing += 1,
-                MachineState::Cordoned { .. } => counts.cordoned += 1,
-                MachineState::Returned { replacement } => {
+                MachineDrainState::Waiting => counts.waiting += 1,
+                MachineDrainState::Replacing { .. } => counts.replacing += 1,
+                MachineDrainState::Cordoned { .. } => counts.cordoned += 1,
+                MachineDrainState::Returned { replacement } => {
                     counts.returned += 1;
                     counts.replaced += usize::from(replacement.is_some());
                 }
-                MachineState::Gone => counts.gone += 1,
+                MachineDrainState::Gone => counts.gone += 1,
             }
         }
         counts
--- a/crates/dockpier-drain/tests/requests.rs
+++ b/crates/dockpier-drain/tests/requests.rs
@@ -2,7 +2,7 @@
 
 use dockpier_drain::budget::{Budget, Cost};
 use dockpier_drain::ledger::{Allowance, Ledger};
-use dockpier_drain::progress::{Chunk, MachineState, Progress};
+use dockpier_drain::progress::{Chunk, MachineDrainState, Progress};
 use dockpier_drain::request::{DrainRequest, Inventory};
 use dockpier_drain::status::Wait;
 use dockpier_drain::stops::{advise, Advice, TaskKind, TaskView};
@@ -59,10 +59,10 @@
     let mut progress = Progress::of(names.clone(), 2_048);
     for name in &names {
         let replacement = format!("machine-with-a-longer-name-{name}");
-        assert!(progress.advance(name, MachineState::Replacing { attempt: 1, machine: None }).is_some());
-        let named = MachineState::Replacing { attempt: 1, machine: Some(replacement.clone()) };
+        assert!(progress.advance(name, MachineDrainState::Replacing { attempt: 1, machine: None }).is_some());
+        let named = MachineDrainState::Replacing { attempt: 1, machine: Some(replacement.clone()) };
         assert!(progress.advance(name, named).is_some());
-        let cordoned = MachineState::Cordoned { replacement: Some(replacement) };
+        let cordoned = MachineDrainState::Cordoned { replacement: Some(replacement) };
         assert!(progress.advance(name, cordoned).is_some());
     }
     let sizes: Vec<usize> =
@@ -77,15 +77,15 @@
     let named = |name: &str| Some(name.to_string());
     let mut progress = Progress::of(["m".to_string()], 4_096);
     let mut try_step = |state| progress.advance("m", state).is_some();
-    assert!(!try_step(MachineState::Returned { replacement: None }), "not cordoned yet");
-    assert!(!try_step(MachineState::Replacing { attempt: 2, machine: None }), "the first attempt is 1");
-    assert!(try_step(MachineState::Replacing { attempt: 1, machine: None }));
-    assert!(!try_step(MachineState::Cordoned { replacement: None }), "its replacement is not there");
-    assert!(try_step(MachineState::Replacing { attempt: 1, machine: named("r") }));
-    assert!(!try_step(MachineState::Cordoned { replacement: named("other") }));
-    assert!(try_step(MachineState::Cordoned { replacement: named("r") }));
-    assert!(try_step(MachineState::Returned { replacement: named("r") }));
-    assert!(!try_step(MachineState::Gone), "it has ended");
+    assert!(!try_step(MachineDrainState::Returned { replacement: None }), "not cordoned yet");
+    assert!(!try_step(MachineDrainState::Replacing { attempt: 2, machine: None }), "the first attempt is 1");
+    assert!(try_step(MachineDrainState::Replacing { attempt: 1, machine: None }));
+    assert!(!try_step(MachineDrainState::Cordoned { replacement: None }), "its replacement is not there");
+    assert!(try_step(MachineDrainState::Replacing { attempt: 1, machine: named("r") }));
+    assert!(!try_step(MachineDrainState::Cordoned { replacement: named("other") }));
+    assert!(try_step(MachineDrainState::Cordoned { replacement: named("r") }));
+    assert!(try_step(MachineDrainState::Returned { replacement: named("r") }));
+    assert!(!try_step(MachineDrainState::Gone), "it has ended");
 }
 
 fn task(kind: TaskKind) -> TaskView {
@@ -146,7 +146,7 @@
         "buckets": [{"at": 1_000_000, "length": 10_000, "unplanned": [1.5, 0.0]}]});
     assert_eq!(record, form);
     let mut progress = Progress::of(["m".to_string(), "n".to_string()], 4_096);
-    progress.advance("m", MachineState::Replacing { attempt: 1, machine: None });
+    progress.advance("m", MachineDrainState::Replacing { attempt: 1, machine: None });
     let form = json!({"machines": [{"machine": "m", "state": {"replacing": {"attempt": 1}}},
         {"machine": "n", "state": "waiting"}]});
     assert_eq!(serde_json::to_value(&progress.chunks()[0]).unwrap(), form);
--- a/crates/dockpier-virtual-fleet/examples/transcript/drain_records.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/drain_records.rs
@@ -4,7 +4,7 @@
 use dockpier::scheduler::drains::{DrainKey, DrainValue};
 use dockpier_drain::budget::{Budget, Cost};
 use dockpier_drain::ledger::{Bucket, Ledger, LedgerRecord};
-use dockpier_drain::progress::{MachineEntry, MachineState};
+use dockpier_drain::progress::{MachineDrainState, MachineEntry};
 use dockpier_drain::status::{DrainState, Summary, Wait};
 
 /// A record that is to be written.
@@ -26,17 +26,17 @@
 fn entry(entry: &MachineEntry) -> String {
     let none = || "none".to_string();
     let state = match &entry.state {
-        MachineState::Waiting => "waiting".to_string(),
-        MachineState::Replacing { attempt, machine } => {
+        MachineDrainState::Waiting => "waiting".to_string(),
+        MachineDrainState::Replacing { attempt, machine } => {
             format!("replacing:{attempt}:{}", machine.clone().unwrap_or_else(none))
         }
-        MachineState::Cordoned { replacement } => {
+        MachineDrainState::Cordoned { replacement } => {
             format!("cordoned:{}", replacement.clone().unwrap_or_else(none))
         }
-        MachineState::Returned { replacement } => {
+        MachineDrainState::Returned { replacement } => {
             format!("returned:{}", replacement.clone().unwrap_or_else(none))
         }
-        MachineState::Gone => "gone".to_string(),
+        MachineDrainState::Gone => "gone".to_string(),
     };
     format!("{}:{state}", entry.machine)
 }
--- a/crates/dockpier-virtual-fleet/examples/transcript/draw.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/draw.rs
@@ -83,7 +83,7 @@
         one_of(rng, &[Priority::Low, Priority::Normal, Priority::Normal, Priority::High, Priority::Critical]);
     let size: f64 = one_of(rng, &[0.5, 1.0, 1.0, 1.5, 2.0]);
     let size = size.min(slots);
-    spec.needs = Resources::needed(size, one_of(rng, &[0.0, 0.5, size]), size);
+    spec.resource_request = Resources::needed(size, one_of(rng, &[0.0, 0.5, size]), size);
     spec.image = format!("image-{}", rng.random_range(1..=6));
     spec.spread = kind == Kind::Service && rng.random_bool(0.6);
     spec.one_zone = kind == Kind::Gang || !spec.spread && rng.random_bool(0.2);
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -126,7 +126,7 @@
     fn machine_type(&self, name: &str, slots: f64, price: f64) -> MachineType {
         MachineType {
             name: name.into(),
-            has: Resources::offered(slots, slots, slots),
+            capacity: Resources::offered(slots, slots, slots),
             price,
             spot_price: Some(price / 3.0),
             boot_s: 4.0,
@@ -301,7 +301,7 @@
             }
             Effect::CommitDone { job_id, tasks, .. } => {
                 if let Some(job) = self.jobs.get_mut(&job_id).filter(|_| carried_out) {
-                    job.done.extend(&tasks);
+                    job.succeeded.extend(&tasks);
                 }
                 self.answer_later(Command::Committed { job_id, tasks, outcome });
             }
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees/events.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees/events.rs
@@ -46,7 +46,7 @@
         }
         self.submitted += 1;
         let spec = draw::spec(&mut self.rng, self.submitted, &self.config.zones, SLOTS);
-        let stored = StoredJob { version: spec.job_id.0, spec, age: 0, done: BTreeSet::new() };
+        let stored = StoredJob { version: spec.job_id.0, spec, age: 0, succeeded: BTreeSet::new() };
         self.out.write(self.now, Line::new("submit").with("job", stored.spec.job_id.0));
         self.jobs.insert(stored.spec.job_id, stored.clone());
         self.decide(vec![Command::JobAdded(stored)]);
--- a/crates/dockpier-virtual-fleet/src/lib.rs
+++ b/crates/dockpier-virtual-fleet/src/lib.rs
@@ -177,7 +177,7 @@
 
     /// A user submits a job.
     pub fn submit(&mut self, spec: JobSpec) {
-        let stored = StoredJob { version: spec.job_id.0, spec, age: 0, done: BTreeSet::new() };
+        let stored = StoredJob { version: spec.job_id.0, spec, age: 0, succeeded: BTreeSet::new() };
         self.store.jobs.insert(stored.spec.job_id, stored.clone());
         self.step(vec![Command::JobAdded(stored)]);
     }
@@ -444,7 +444,7 @@
         let slots = self.layout.slots;
         let machine_type = MachineType {
             name: MACHINE_TYPE.into(),
-            has: Resources::offered(slots, slots, slots),
+            capacity: Resources::offered(slots, slots, slots),
             price: 1.0,
             spot_price: None,
             boot_s: self.layout.boot_s,
@@ -501,7 +501,7 @@
         kind,
         priority: if service { Priority::Critical } else { Priority::Normal },
         tasks,
-        needs: Resources::needed(1.0, 1.0, 1.0),
+        resource_request: Resources::needed(1.0, 1.0, 1.0),
         image: format!("image-{id}"),
         image_gb: 1.0,
         types: None,
--- a/crates/dockpier-virtual-fleet/src/store.rs
+++ b/crates/dockpier-virtual-fleet/src/store.rs
@@ -87,7 +87,7 @@
             }
             Effect::CommitDone { job_id, tasks, .. } => {
                 if let Some(job) = self.jobs.get_mut(&job_id).filter(|_| takes) {
-                    job.done.extend(&tasks);
+                    job.succeeded.extend(&tasks);
                 }
                 Some(Command::Committed { job_id, tasks, outcome })
             }
--- a/src/api.rs
+++ b/src/api.rs
@@ -233,7 +233,7 @@
             return Ok(Some(format!("unknown team {}", job.team)));
         };
         let count = if job.kind == Kind::Array { 1 } else { i64::from(job.tasks) };
-        let needs = job.needs.times(count);
+        let needs = job.resource_request.times(count);
         let limit = Resources::offered(team.cpus_max, team.gpus_max, 0.0);
         if team.cpus_max > 0.0 && needs.cpus > limit.cpus || team.gpus_max > 0.0 && needs.gpus > limit.gpus {
             return Ok(Some(format!("needs more than the limit of team {}", team.name)));
--- a/src/client/render.rs
+++ b/src/client/render.rs
@@ -1,7 +1,7 @@
 //! Drains as text for people.
 
 use crate::drains::view::{DrainList, DrainView, TeamList};
-use dockpier_drain::progress::{MachineEntry, MachineState};
+use dockpier_drain::progress::{MachineDrainState, MachineEntry};
 use dockpier_drain::request::{DrainRequest, Target};
 use dockpier_drain::status::DrainState;
 use std::fmt::Write;
@@ -134,15 +134,17 @@
 
 fn machine(entry: &MachineEntry) -> String {
     let state = match &entry.state {
-        MachineState::Waiting => "waiting".to_string(),
-        MachineState::Replacing { attempt, machine: None } => {
+        MachineDrainState::Waiting => "waiting".to_string(),
+        MachineDrainState::Replacing { attempt, machine: None } => {
             format!("rents a replacement (attempt {attempt})")
         }
-        MachineState::Replacing { machine: Some(name), .. } => format!("waits for its replacement {name}"),
-        MachineState::Cordoned { .. } => "being emptied".to_string(),
-        MachineState::Returned { replacement: Some(name) } => format!("returned, replaced by {name}"),
-        MachineState::Returned { replacement: None } => "returned".to_string(),
-        MachineState::Gone => "gone before it was empty".to_string(),
+        MachineDrainState::Replacing { machine: Some(name), .. } => {
+            format!("waits for its replacement {name}")
+        }
+        MachineDrainState::Cordoned { .. } => "being emptied".to_string(),
+        MachineDrainState::Returned { replacement: Some(name) } => format!("returned, replaced by {name}"),
+        MachineDrainState::Returned { replacement: None } => "returned".to_string(),
+        MachineDrainState::Gone => "gone before it was empty".to_string(),
     };
     format!("{}: {state}", entry.machine)
 }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -102,7 +102,7 @@
         .iter()
         .map(|entry| MachineType {
             name: entry.name.clone(),
-            has: Resources::offered(entry.cpus, entry.gpus, entry.memory_gb),
+            capacity: Resources::offered(entry.cpus, entry.gpus, entry.memory_gb),
             price: entry.price,
             spot_price: entry.spot_price,
             boot_s: entry.boot_s,
--- a/src/controller/live_jobs.rs
+++ b/src/controller/live_jobs.rs
@@ -25,7 +25,7 @@
         Ok((spec, accepted_ms)) => {
             let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
             let age = age_ms.min(limits::AGE_MOST_MS) * 1_000;
-            Some(StoredJob { spec, version: record.version, age, done: BTreeSet::new() })
+            Some(StoredJob { spec, version: record.version, age, succeeded: BTreeSet::new() })
         }
         Err(error) => {
             warn!(key = record.key, error, "unreadable job record: skipped");
@@ -64,7 +64,7 @@
             continue;
         };
         let tasks = job.spec.tasks;
-        job.done.extend(
+        job.succeeded.extend(
             decode_bits(bits).map(|t| t + chunk.saturating_mul(limits::DONE_CHUNK)).filter(|t| *t < tasks),
         );
     }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -149,7 +149,7 @@
             kind: self.kind.into(),
             priority: self.priority.into(),
             tasks: self.tasks,
-            needs: Resources::needed(self.cpus, self.gpus, self.memory_gb),
+            resource_request: Resources::needed(self.cpus, self.gpus, self.memory_gb),
             image: self.image.clone(),
             image_gb: self.image_gb,
             types: self.machine_types.clone(),
--- a/src/scheduler/answers.rs
+++ b/src/scheduler/answers.rs
@@ -10,7 +10,7 @@
         let own = machine.tasks.iter().filter_map(|(id, t)| {
             t.stopping.map(|(_, grace_s)| TaskCommand::Stop { id: *id, attempt: t.attempt, grace_s })
         });
-        let foreign = machine.foreign.iter().map(|(id, attempt)| TaskCommand::Stop {
+        let foreign = machine.orphaned.iter().map(|(id, attempt)| TaskCommand::Stop {
             id: *id,
             attempt: *attempt,
             grace_s: 0.0,
@@ -49,7 +49,7 @@
         {
             let Some(machine) = self.machines.get_mut(name) else { return (Vec::new(), false) };
             machine.wake_requested = false;
-            machine.told_token = machine.via.is_none() && !machine.reconciled;
+            machine.token_unacknowledged = machine.via.is_none() && !machine.reconciled;
             task_commands = Self::stop_commands(machine).collect();
             reconciled_and_recorded = machine.reconciled && machine.recorded;
         }
@@ -57,7 +57,7 @@
         for ((id, attempt), reason) in &machine.exited {
             // The result on the worker is the only one until ours is committed.
             let job = self.jobs.get(&id.job_id);
-            let kept = *reason == ExitReason::Done && job.is_some_and(|j| j.uncommitted.contains(&id.task));
+            let kept = *reason == ExitReason::Done && job.is_some_and(|j| j.unrecorded.contains(&id.task));
             if !kept {
                 task_commands.push(TaskCommand::Forget { id: *id, attempt: *attempt });
             }
@@ -65,14 +65,14 @@
         if let Some(machine) = self.machines.get_mut(name).filter(|_| reconciled_and_recorded) {
             let newest = (machine.agent_epoch, machine.sequence);
             for (id, placed) in &mut machine.tasks {
-                if placed.sent.is_none() && !placed.seen && placed.stopping.is_none() {
-                    placed.sent = Some(newest);
+                if placed.start_sent_in.is_none() && !placed.confirmed && placed.stopping.is_none() {
+                    placed.start_sent_in = Some(newest);
                     task_commands.push(TaskCommand::Start { id: *id, attempt: placed.attempt });
                 }
             }
             // What goes through a leaseholder may be lost between it and us; that says nothing of the machine.
             if machine.via.is_none() {
-                machine.told.clone_from(&task_commands);
+                machine.unacknowledged_commands.clone_from(&task_commands);
             }
         }
         let shard = self.config.shard_lease > 0;
@@ -80,7 +80,7 @@
         machine.cached_by_leaseholder = shard
             && machine.via.is_some()
             && task_commands.is_empty()
-            && machine.calm()
+            && machine.is_settled()
             && machine.exited.is_empty();
         (task_commands, machine.cached_by_leaseholder)
     }
@@ -99,7 +99,7 @@
             // Come back to a leaseholder that still knew it, it says nothing new there, and was taken for silent on
             // the way that it had left; what it did elsewhere meanwhile the leaseholder can't tell.
             let came = machine.set_route(Some(node), now);
-            if came || !machine.calm() {
+            if came || !machine.is_settled() {
                 (machine.wake_requested, machine.cached_by_leaseholder) = (false, true);
                 self.request_wake(&name);
             }
@@ -122,7 +122,7 @@
         for name in std::mem::take(&mut self.fleet.direct) {
             let Some(machine) = self.machines.get(&name) else { continue };
             let task_commands: Vec<TaskCommand> = Self::stop_commands(machine).collect();
-            if machine.phase == Phase::Up && !task_commands.is_empty() {
+            if machine.state == MachineState::Ready && !task_commands.is_empty() {
                 self.effects.push(Effect::DirectCommands {
                     machine: name,
                     address: machine.address.clone(),
--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -218,7 +218,7 @@
             self.cold_start.verdicts = self.reconciliation().counts();
         }
         let wanted = |jobs: &BTreeMap<JobId, Job>, id: &TaskId| {
-            jobs.get(&id.job_id).is_some_and(|job| !job.over && job.waiting.contains(&id.task))
+            jobs.get(&id.job_id).is_some_and(|job| !job.terminated && job.pending_tasks.contains(&id.task))
         };
         let jobs = &self.jobs;
         self.cold_start.missing.retain(|id| wanted(jobs, id));
@@ -237,8 +237,8 @@
         for machine in self.machines.values() {
             all.learn(Fact::Machine(machine.name.clone(), machine_fact(machine)));
         }
-        for job in self.jobs.values().filter(|job| !job.over && job.inherited) {
-            let finished = job.done.difference(&job.uncommitted).copied().collect();
+        for job in self.jobs.values().filter(|job| !job.terminated && job.inherited) {
+            let finished = job.succeeded.difference(&job.unrecorded).copied().collect();
             let fact = JobFact::Live { tasks: job.spec.tasks, finished };
             all.learn(Fact::Job(job.spec.job_id.0, fact));
         }
@@ -250,7 +250,7 @@
 
     /// Jobs that reports name and nobody knows: the store is asked, again and again while there are any.
     fn ask_about_unknown_jobs(&mut self) {
-        let unknown = self.machines.values().flat_map(|machine| machine.unknown.keys());
+        let unknown = self.machines.values().flat_map(|machine| machine.unverified.keys());
         let unknown: BTreeSet<JobId> = unknown.map(|(id, _)| id.job_id).collect();
         self.cold_start.asked.retain(|job_id, _| unknown.contains(job_id));
         let (now, asked) = (self.now, &self.cold_start.asked);
@@ -281,12 +281,12 @@
     /// The job is known after all: its tasks are where the newest reports list them. Left to the next reports, they
     /// were ordered a second time in between.
     fn adopt_unknown(&mut self, job_id: JobId) {
-        let lists = |machine: &&Machine| machine.unknown.keys().any(|(id, _)| id.job_id == job_id);
+        let lists = |machine: &&Machine| machine.unverified.keys().any(|(id, _)| id.job_id == job_id);
         let listing: Vec<(String, Vec<ReportedTask>)> = self
             .machines
             .values()
             .filter(lists)
-            .map(|machine| (machine.name.clone(), machine.listed.clone()))
+            .map(|machine| (machine.name.clone(), machine.reported_tasks.clone()))
             .collect();
         for (name, listed) in listing {
             self.take_listed(&name, &listed);
@@ -299,16 +299,16 @@
         let mut stopped = Vec::new();
         for machine in self.machines.values_mut() {
             let over: Vec<(TaskId, u64)> = machine
-                .unknown
+                .unverified
                 .iter()
                 .filter(|((id, _), seen)| id.job_id == job_id && **seen < sent)
                 .map(|(key, _)| *key)
                 .collect();
             for key in over {
-                let seen = machine.unknown.remove(&key).unwrap_or(now);
+                let seen = machine.unverified.remove(&key).unwrap_or(now);
                 let seconds = (now - seen) as f64 / limits::SECOND as f64;
                 info!(task = %key.0, machine = machine.name, seconds, "of a job that is over: stopped");
-                machine.foreign.insert(key);
+                machine.orphaned.insert(key);
                 stopped.push(machine.name.clone());
             }
         }
@@ -351,8 +351,9 @@
             self.machines.get(*name).is_some_and(|m| machine_fact(m) == MachineFact::Unheard)
         };
         let open: Vec<&String> = cold_start.inherited.iter().filter(unheard).collect();
-        let lost =
-            |name: &&String| self.machines.get(*name).is_none_or(|m| m.phase == super::model::Phase::Lost);
+        let lost = |name: &&String| {
+            self.machines.get(*name).is_none_or(|m| m.state == super::model::MachineState::Lost)
+        };
         let gone = cold_start.inherited.iter().filter(lost).count();
         let phase = match (cold_start.reconciled, cold_start.ended) {
             (_, Some(_)) => Phase::Ended,
@@ -360,13 +361,13 @@
             (None, None) => Phase::Reconciling,
         };
         let lease = limits::worker_lease(self.config.workers.lease_s);
-        let until = self.started.max(self.kept_alive_until) + lease;
+        let until = self.started_at.max(self.kept_alive_until) + lease;
         let waits_for = match phase {
             Phase::Reconciling => "machines that have not reported".to_string(),
             Phase::Restarting => "places and the pace for missing tasks".to_string(),
             Phase::Ended => String::new(),
         };
-        let unknown = self.machines.values().flat_map(|machine| machine.unknown.keys());
+        let unknown = self.machines.values().flat_map(|machine| machine.unverified.keys());
         ColdStartReport {
             phase,
             token: self.config.token,
@@ -396,7 +397,7 @@
 
 /// What this leader knows of a machine.
 fn machine_fact(machine: &Machine) -> MachineFact {
-    if machine.phase == super::model::Phase::Lost {
+    if machine.state == super::model::MachineState::Lost {
         return MachineFact::Gone(GoneBy::LeaseOver);
     }
     if !machine.reconciled {
@@ -418,6 +419,6 @@
     MachineFact::Heard {
         number: ReportNumber(machine.agent_epoch, machine.sequence),
         at: machine.last_heartbeat_at,
-        tasks: machine.listed.iter().map(reported).collect(),
+        tasks: machine.reported_tasks.iter().map(reported).collect(),
     }
 }
--- a/src/scheduler/consolidate.rs
+++ b/src/scheduler/consolidate.rs
@@ -18,7 +18,7 @@
     /// Marks, zone by zone, the machines that fixed work and the reserve could do without, emptiest
     /// first, as far as the other machines have room for what runs on them and for what waits.
     pub fn mark_surplus(&mut self) {
-        self.machines.values_mut().for_each(|m| m.surplus = false);
+        self.machines.values_mut().for_each(|m| m.consolidation_target = false);
         // Without critical services nothing is held back for them, and ordinary machines are needed only for work
         // that may not use spot machines: a deployment of arrays alone kept its ordinary machines for ever.
         let fixed = self.critical_shape().or_else(|| self.largest(|j| !j.spec.spot));
@@ -31,11 +31,11 @@
         }
         candidates.sort();
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
-        let slots = |m: &Machine| elastic.count_in(&m.free());
+        let slots = |m: &Machine| elastic.count_in(&m.available());
         let reserve = self.reserve_places() * count(self.config.zones.len());
         let waiting: usize =
-            self.jobs.values().filter(|j| j.spec.spot && !j.over).map(|j| j.waiting.len()).sum();
-        let mut free: i64 = self.machines.values().filter(|m| self.usable(m)).map(slots).sum();
+            self.jobs.values().filter(|j| j.spec.spot && !j.terminated).map(|j| j.pending_tasks.len()).sum();
+        let mut free: i64 = self.machines.values().filter(|m| self.is_schedulable(m)).map(slots).sum();
         free -= reserve + count(waiting);
         let mut surplus = BTreeSet::new();
         for (_, name) in candidates {
@@ -49,7 +49,7 @@
         }
         for name in surplus {
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.surplus = true;
+                machine.consolidation_target = true;
             }
         }
     }
@@ -60,20 +60,20 @@
         let mut here: Vec<(usize, usize, &Machine)> = self
             .machines
             .values()
-            .filter(|m| !m.spot && m.zone == *zone && self.usable(m))
+            .filter(|m| !m.spot && m.zone == *zone && self.is_schedulable(m))
             .map(|m| (m.tasks.keys().filter(|id| self.is_fixed(id)).count(), m.tasks.len(), m))
             .collect();
         here.sort_by(|a, b| (b.0, b.1, &a.2.name).cmp(&(a.0, a.1, &b.2.name)));
         let fixed: usize = here.iter().map(|(n, _, _)| n).sum();
         let waiting: usize =
-            self.jobs.values().filter(|j| !j.spec.spot && !j.over).map(|j| j.waiting.len()).sum();
+            self.jobs.values().filter(|j| !j.spec.spot && !j.terminated).map(|j| j.pending_tasks.len()).sum();
         let mut need = (fixed + waiting) as i64 + self.reserve_places();
         let mut beyond = Vec::new();
         for (_, tasks, machine) in here {
             if need <= 0 {
                 beyond.push((tasks, machine.name.clone()));
             }
-            need -= shape.count_in(&machine.has);
+            need -= shape.count_in(&machine.capacity);
         }
         beyond
     }
@@ -82,9 +82,9 @@
     /// and only while all is calm: a move costs its users a few seconds.
     pub fn move_replicas(&mut self) {
         let calm = self.reconciled
-            && self.now >= self.started + limits::MOVE_CALM
+            && self.now >= self.started_at + limits::MOVE_CALM
             && self.now >= self.fleet.moved + limits::MOVE_PAUSE
-            && self.jobs.values().all(|j| j.over || j.spec.spot || j.waiting.is_empty());
+            && self.jobs.values().all(|j| j.terminated || j.spec.spot || j.pending_tasks.is_empty());
         if !calm {
             return;
         }
@@ -92,7 +92,7 @@
         let replicas: usize = self.machines.values().map(fixed).sum();
         let most = (replicas / limits::MOVE_OF_REPLICAS).max(1);
         let mut sources: Vec<&Machine> =
-            self.machines.values().filter(|m| m.surplus && fixed(m) > 0).collect();
+            self.machines.values().filter(|m| m.consolidation_target && fixed(m) > 0).collect();
         sources.sort_by_key(|m| (m.tasks.len(), m.name.clone()));
         let mut warm = self.warm_room();
         let mut moves: Vec<(String, TaskId)> = Vec::new();
@@ -119,7 +119,7 @@
             self.fleet.moved = self.now;
             let now = self.now;
             if let Some(job) = self.jobs.get_mut(&id.job_id) {
-                job.rescaled = now;
+                job.last_resized_at = now;
             }
             self.stop(&machine, id, 0.0);
         }
@@ -127,27 +127,28 @@
 
     /// Machines that stay and have room.
     fn warm_room(&self) -> BTreeMap<String, Resources> {
-        let staying = self.machines.values().filter(|m| !m.surplus && !m.spot && self.usable(m));
-        let room = staying.map(|m| (m.name.clone(), m.free()));
+        let staying =
+            self.machines.values().filter(|m| !m.consolidation_target && !m.spot && self.is_schedulable(m));
+        let room = staying.map(|m| (m.name.clone(), m.available()));
         room.filter(|(_, free)| free.cpus > 0).collect()
     }
 
     /// Whether a task of the job could go from this machine to another at once, without a fetch; the
     /// place is then taken.
     fn take_warm_place(&self, job: &Job, from: &Machine, warm: &mut BTreeMap<String, Resources>) -> bool {
-        if job.spec.kind != Kind::Service || job.rescaled + limits::MOVE_JOB_PAUSE > self.now {
+        if job.spec.kind != Kind::Service || job.last_resized_at + limits::MOVE_JOB_PAUSE > self.now {
             return false;
         }
         let mut zones = ZoneCount::of(job, &self.machines);
         zones.remove(&from.zone);
         let place = warm.iter_mut().find(|(name, free)| {
-            job.spec.needs.fits(free)
+            job.spec.resource_request.fits(free)
                 && self.machines.get(*name).is_some_and(|m| {
                     place::allowed(job, m) && zones.allows(job, &m.zone) && m.images.contains(&job.spec.image)
                 })
         });
         let Some((_, free)) = place else { return false };
-        *free = free.minus(&job.spec.needs);
+        *free = free.minus(&job.spec.resource_request);
         true
     }
 }
--- a/src/scheduler/drains/disruption.rs
+++ b/src/scheduler/drains/disruption.rs
@@ -1,7 +1,7 @@
 //! What really happens to the teams' tasks: when a replica stops serving and serves again, what a lost machine takes
 //! with it. Planned stops are settled with it, losses that nobody planned count against the same budgets.
 
-use super::super::model::{Job, Kind, Machine, Placed, TaskId, TaskStatus};
+use super::super::model::{Job, Kind, Machine, Placement, TaskId, TaskStatus};
 use super::super::Scheduler;
 use super::OpenDisruption;
 use crate::limits;
@@ -26,7 +26,7 @@
 
     fn serving_replicas(&self) -> BTreeSet<TaskId> {
         let is_service = |id: &TaskId| {
-            self.jobs.get(&id.job_id).is_some_and(|job| !job.over && job.spec.kind == Kind::Service)
+            self.jobs.get(&id.job_id).is_some_and(|job| !job.terminated && job.spec.kind == Kind::Service)
         };
         let placed = self.machines.values().flat_map(|machine| &machine.tasks);
         placed.filter(|(id, task)| runs_on(task) && is_service(id)).map(|(id, _)| *id).collect()
@@ -37,7 +37,8 @@
     fn count_what_was_missed(&mut self, serving: &BTreeSet<TaskId>) {
         let day = self.day_ms();
         let mut missed: Vec<(TaskId, Cost)> = Vec::new();
-        for job in self.jobs.values().filter(|j| j.inherited && !j.over && j.spec.kind == Kind::Service) {
+        for job in self.jobs.values().filter(|j| j.inherited && !j.terminated && j.spec.kind == Kind::Service)
+        {
             let as_of = self.drains.teams.get(&job.spec.team).and_then(|team| team.as_of);
             let down_s = as_of.map_or(0.0, |as_of| day.saturating_sub(as_of) as f64 / 1_000.0);
             let tasks = (0..job.spec.tasks).map(|task| TaskId { job_id: job.spec.job_id, task });
@@ -51,7 +52,7 @@
 
     /// A task was lost without a plan, unless its planned stop is what is seen.
     fn open_loss(&mut self, task: TaskId, cost: Cost) {
-        let Some(job) = self.jobs.get(&task.job_id).filter(|job| !job.over) else { return };
+        let Some(job) = self.jobs.get(&task.job_id).filter(|job| !job.terminated) else { return };
         if self.drains.disrupted.contains_key(&task) {
             return;
         }
@@ -89,12 +90,12 @@
 
     /// What is lost with a task that runs and ends now: a replica's time since its machine was last heard, the run
     /// time that other tasks have to repeat.
-    fn lost_with(&self, machine: &Machine, task: &Placed, job: &Job) -> Option<Cost> {
-        if job.over || !matches!(task.status, TaskStatus::Running | TaskStatus::Saving) {
+    fn lost_with(&self, machine: &Machine, task: &Placement, job: &Job) -> Option<Cost> {
+        if job.terminated || !matches!(task.status, TaskStatus::Running | TaskStatus::Saving) {
             return None;
         }
         if job.spec.kind == Kind::Service {
-            let silent = self.now.saturating_sub(machine.last_heartbeat_at.max(self.started));
+            let silent = self.now.saturating_sub(machine.last_heartbeat_at.max(self.started_at));
             return Some(Cost::replica(silent as f64 / limits::SECOND as f64));
         }
         let (ran_s, saved_every) = (self.ran_s(task), job.spec.checkpoint_s);
@@ -102,8 +103,8 @@
     }
 
     /// For how long the task has run, as far as this leader knows.
-    pub(super) fn ran_s(&self, task: &Placed) -> f64 {
-        let since = task.runs_since.unwrap_or(task.since);
+    pub(super) fn ran_s(&self, task: &Placement) -> f64 {
+        let since = task.running_since.unwrap_or(task.placed_at);
         self.now.saturating_sub(since) as f64 / limits::SECOND as f64
     }
 
@@ -122,11 +123,11 @@
     }
 
     fn is_disrupted(&self, id: &TaskId) -> bool {
-        let Some(job) = self.jobs.get(&id.job_id).filter(|job| !job.over) else { return false };
-        if job.done.contains(&id.task) || id.task >= job.spec.tasks {
+        let Some(job) = self.jobs.get(&id.job_id).filter(|job| !job.terminated) else { return false };
+        if job.succeeded.contains(&id.task) || id.task >= job.spec.tasks {
             return false;
         }
-        let places = job.places.get(&id.task).into_iter().flatten();
+        let places = job.placements.get(&id.task).into_iter().flatten();
         let mut on = places.filter_map(|name| self.machines.get(name)?.tasks.get(id));
         !on.any(runs_on)
     }
@@ -142,13 +143,16 @@
 }
 
 /// It runs, and nobody has told it to stop.
-pub(super) fn runs_on(task: &Placed) -> bool {
+pub(super) fn runs_on(task: &Placement) -> bool {
     task.status == TaskStatus::Running && task.stopping.is_none()
 }
 
 impl Machine {
     /// Nothing is on it, and nothing of it has to be taken over first.
     pub(super) fn is_empty(&self) -> bool {
-        self.tasks.is_empty() && self.foreign.is_empty() && self.unknown.is_empty() && self.exited.is_empty()
+        self.tasks.is_empty()
+            && self.orphaned.is_empty()
+            && self.unverified.is_empty()
+            && self.exited.is_empty()
     }
 }
--- a/src/scheduler/drains/emptying.rs
+++ b/src/scheduler/drains/emptying.rs
@@ -1,6 +1,6 @@
 //! Emptying cordoned machines: which of their tasks are stopped now, and where replicas go.
 
-use super::super::model::{Job, Kind, Machine, Phase, TaskId, TaskStatus};
+use super::super::model::{Job, Kind, Machine, MachineState, TaskId, TaskStatus};
 use super::super::place::{self, ZoneCount};
 use super::super::Scheduler;
 use super::disruption::runs_on;
@@ -9,7 +9,7 @@
 use crate::limits;
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::Allowance;
-use dockpier_drain::progress::MachineState;
+use dockpier_drain::progress::MachineDrainState;
 use dockpier_drain::request::{DrainId, Wish};
 use dockpier_drain::status::Wait;
 use dockpier_drain::stops::{advise, Advice, TaskKind, TaskView};
@@ -67,7 +67,7 @@
                     continue;
                 }
                 let cordoned =
-                    chunk.machines.iter().filter(|e| matches!(e.state, MachineState::Cordoned { .. }));
+                    chunk.machines.iter().filter(|e| matches!(e.state, MachineDrainState::Cordoned { .. }));
                 found.extend(cordoned.map(|e| Cordoned {
                     drain: id.clone(),
                     machine: e.machine.clone(),
@@ -81,7 +81,7 @@
     /// Spot notices, faults and silence have faster ways of their own: a drain gives way to them.
     fn leaves_by_itself(&self, machine: &Machine) -> bool {
         let silent = self.now >= machine.last_heartbeat_at + limits::silent(self.config.workers.report_s);
-        machine.deleting || machine.recall_at.is_some() || machine.phase != Phase::Up || silent
+        machine.deleting || machine.recall_at.is_some() || machine.state != MachineState::Ready || silent
     }
 
     fn return_drained(&mut self, name: &str) {
@@ -96,7 +96,7 @@
         let Some(state) = drain.progress.state(&cordoned.machine) else { return };
         let replacement = state.replacement().map(str::to_string);
         info!(drain = %cordoned.drain, machine = cordoned.machine, "drained machine is gone");
-        drain.advance(&cordoned.machine, MachineState::Returned { replacement });
+        drain.advance(&cordoned.machine, MachineDrainState::Returned { replacement });
     }
 
     fn empty_machine(&mut self, cordoned: &Cordoned, left: &mut Left) {
@@ -178,10 +178,10 @@
     fn is_whole(&self, job: &Job) -> bool {
         let same = |id: &TaskId| id.job_id == job.spec.job_id;
         let moving = self.drains.moves.keys().any(same) || self.drains.disrupted.keys().any(same);
-        job.waiting.is_empty()
+        job.pending_tasks.is_empty()
             && !moving
             && !self.drains.pending_stops().any(|stop| same(&stop.task))
-            && self.placed(job).all(|(_, _, task)| runs_on(task))
+            && self.placements_of(job).all(|(_, _, task)| runs_on(task))
     }
 
     /// For how long a replica is down that is stopped here and started on a machine, or on one without its image: the
@@ -211,13 +211,15 @@
             let free = kept.free(machine);
             // A replacement brings the places of the machine that it stands for.
             let lost = match shape.filter(|_| !machine.spot && !self.drains.is_kept(&machine.name)) {
-                Some(shape) => shape.count_in(&free) - shape.count_in(&free.minus(&job.spec.needs)),
+                Some(shape) => {
+                    shape.count_in(&free) - shape.count_in(&free.minus(&job.spec.resource_request))
+                }
                 None => 0,
             };
-            self.usable(machine)
+            self.is_schedulable(machine)
                 && place::allowed(job, machine)
                 && zones.allows(job, &machine.zone)
-                && job.spec.needs.fits(&free)
+                && job.spec.resource_request.fits(&free)
                 && !job.failed_on.contains(&machine.name)
                 && (lost == 0 || lost <= spare.get(&machine.zone).copied().unwrap_or(0))
         };
@@ -235,9 +237,9 @@
     }
 
     fn gang_is_reachable(&self, job: &Job) -> bool {
-        job.waiting.is_empty()
+        job.pending_tasks.is_empty()
             && self.can_be_told_at_once(job)
-            && self.placed(job).all(|(_, _, task)| task.status == TaskStatus::Running)
+            && self.placements_of(job).all(|(_, _, task)| task.status == TaskStatus::Running)
     }
 
     /// Sets the estimate aside; the stop follows when that is stored.
@@ -291,7 +293,7 @@
 
     fn may_stop(&self, stop: &PendingStop) -> bool {
         let wanted = self.drains.drains.get(&stop.drain).is_some_and(|drain| drain.stored.wish == Wish::Run);
-        let Some(job) = self.jobs.get(&stop.task.job_id).filter(|job| wanted && !job.over) else {
+        let Some(job) = self.jobs.get(&stop.task.job_id).filter(|job| wanted && !job.terminated) else {
             return false;
         };
         if self.drains.disrupted.contains_key(&stop.task) {
@@ -305,14 +307,14 @@
         let kept = self.kept_rooms();
         let place_is_there = stop.to.as_ref().is_none_or(|to| {
             let machine = self.machines.get(to);
-            machine.is_some_and(|m| self.usable(m) && job.spec.needs.fits(&kept.free(m)))
+            machine.is_some_and(|m| self.is_schedulable(m) && job.spec.resource_request.fits(&kept.free(m)))
         });
         runs_on(task) && self.drains.is_cordoned(&stop.machine) && place_is_there
     }
 
     /// Another task of the gang has just been told.
     fn is_being_stopped(&self, job: &Job) -> bool {
-        self.placed(job).any(|(_, _, task)| task.stopping.is_some())
+        self.placements_of(job).any(|(_, _, task)| task.stopping.is_some())
     }
 
     fn tell_stop(&mut self, team: &str, stop: PendingStop) {
--- a/src/scheduler/drains/holds.rs
+++ b/src/scheduler/drains/holds.rs
@@ -16,7 +16,7 @@
     /// Free room beyond what is kept.
     pub(super) fn free(&self, machine: &Machine) -> Resources {
         let kept = self.0.get(&machine.name).copied().unwrap_or_default();
-        machine.free().minus(&kept)
+        machine.available().minus(&kept)
     }
 }
 
@@ -29,7 +29,7 @@
         for (id, to) in moves.chain(pending) {
             let Some(job) = self.jobs.get(&id.job_id) else { continue };
             let room = kept.entry(to.clone()).or_default();
-            *room = room.plus(&job.spec.needs);
+            *room = room.plus(&job.spec.resource_request);
         }
         KeptRooms(kept)
     }
@@ -40,7 +40,7 @@
         let reserved = self.reserve_places();
         let mut spare: BTreeMap<String, i64> =
             self.config.zones.iter().map(|zone| (zone.clone(), -reserved)).collect();
-        for machine in self.machines.values().filter(|m| !m.spot && self.usable(m)) {
+        for machine in self.machines.values().filter(|m| !m.spot && self.is_schedulable(m)) {
             let places = shape.count_in(&kept.free(machine)).max(0);
             *spare.entry(machine.zone.clone()).or_default() += places;
         }
@@ -61,11 +61,11 @@
         let moves: Vec<(TaskId, String, u64)> =
             self.drains.moves.iter().map(|(id, to)| (*id, to.to.clone(), to.since)).collect();
         for (id, to, since) in moves {
-            let Some(job) = self.jobs.get(&id.job_id).filter(|job| !job.over) else {
+            let Some(job) = self.jobs.get(&id.job_id).filter(|job| !job.terminated) else {
                 self.drains.moves.remove(&id);
                 continue;
             };
-            if !job.waiting.contains(&id.task) {
+            if !job.pending_tasks.contains(&id.task) {
                 // It has not ended yet, or has been placed already.
                 if self.now >= since + patience || !self.drains.disrupted.contains_key(&id) {
                     self.drains.moves.remove(&id);
@@ -88,11 +88,11 @@
     fn may_start_on(&self, job_id: JobId, name: &str, kept: &KeptRooms) -> bool {
         let Some(job) = self.jobs.get(&job_id) else { return false };
         let Some(machine) = self.machines.get(name) else { return false };
-        self.usable(machine)
+        self.is_schedulable(machine)
             && place::allowed(job, machine)
             && ZoneCount::of(job, &self.machines).allows(job, &machine.zone)
-            && job.spec.needs.fits(&kept.free(machine))
-            && job.paused_until <= self.now
+            && job.spec.resource_request.fits(&kept.free(machine))
+            && job.backoff_until <= self.now
             && (!job.inherited || self.reconciled_for(job))
     }
 }
--- a/src/scheduler/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -20,7 +20,7 @@
 use crate::limits;
 use dockpier_drain::budget::Budget;
 use dockpier_drain::ledger::{Allowance, DisruptionId, Ledger};
-use dockpier_drain::progress::{MachineState, Progress};
+use dockpier_drain::progress::{MachineDrainState, Progress};
 use dockpier_drain::request::{DrainId, StoredRequest, Wish};
 use dockpier_drain::status::{DrainState, Summary, Wait};
 use std::collections::{BTreeMap, BTreeSet};
@@ -78,7 +78,7 @@
     }
 
     /// Takes a machine on; what has changed is to be stored.
-    fn advance(&mut self, machine: &str, next: MachineState) -> bool {
+    fn advance(&mut self, machine: &str, next: MachineDrainState) -> bool {
         let Some(chunk) = self.progress.advance(machine, next) else { return false };
         self.writing[chunk].dirty = true;
         true
@@ -281,10 +281,10 @@
         for drain in drains.drains.values().filter(|drain| drain.stored.wish != Wish::Cancel) {
             for (machine, state) in drain.progress.machines() {
                 match state {
-                    MachineState::Waiting => {
+                    MachineDrainState::Waiting => {
                         drains.targeted.insert(machine.to_string());
                     }
-                    MachineState::Cordoned { .. } => {
+                    MachineDrainState::Cordoned { .. } => {
                         drains.cordoned.insert(machine.to_string());
                     }
                     _ => {}
--- a/src/scheduler/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -4,10 +4,10 @@
 //! and the cloud rents one machine however often it is asked.
 
 use super::super::fleet::Offer;
-use super::super::model::Phase;
+use super::super::model::MachineState;
 use super::super::{Effect, Scheduler, StoredMachine, WriteOutcome};
 use crate::limits;
-use dockpier_drain::progress::MachineState;
+use dockpier_drain::progress::MachineDrainState;
 use dockpier_drain::request::DrainId;
 use dockpier_drain::status::Wait;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
     pub(super) fn advance_replacements(&mut self) {
         for replacing in self.replacements_under_way() {
             if !self.machines.contains_key(&replacing.machine) {
-                self.advance(&replacing, MachineState::Gone);
+                self.advance(&replacing, MachineDrainState::Gone);
                 continue;
             }
             match &replacing.replacement {
@@ -43,7 +43,7 @@
             let drain = &self.drains.drains[&id];
             for (at, chunk) in drain.progress.chunks().iter().enumerate() {
                 for entry in &chunk.machines {
-                    if let MachineState::Replacing { attempt, machine } = &entry.state {
+                    if let MachineDrainState::Replacing { attempt, machine } = &entry.state {
                         found.push(Replacing {
                             drain: id.clone(),
                             machine: entry.machine.clone(),
@@ -58,7 +58,7 @@
         found
     }
 
-    fn advance(&mut self, replacing: &Replacing, next: MachineState) {
+    fn advance(&mut self, replacing: &Replacing, next: MachineDrainState) {
         if let Some(drain) = self.drains.drains.get_mut(&replacing.drain) {
             drain.advance(&replacing.machine, next);
         }
@@ -109,11 +109,12 @@
             drain.refused_until = now + limits::REFUSED_PAUSE;
             return true;
         };
-        let Some(MachineState::Replacing { attempt, machine: None }) = drain.progress.state(&machine) else {
+        let Some(MachineDrainState::Replacing { attempt, machine: None }) = drain.progress.state(&machine)
+        else {
             return true;
         };
         let attempt = *attempt;
-        drain.advance(&machine, MachineState::Replacing { attempt, machine: Some(name.clone()) });
+        drain.advance(&machine, MachineDrainState::Replacing { attempt, machine: Some(name.clone()) });
         if let Some((machine_type, zone, spot)) = offer {
             self.machine(&StoredMachine {
                 name: name.clone(),
@@ -130,15 +131,16 @@
 
     /// The replacement is named: once it is up its machine is cordoned; if it never comes another one is rented.
     fn await_replacement(&mut self, replacing: &Replacing, name: &str) {
-        let up = self.machines.get(name).is_some_and(|m| m.phase == Phase::Up && self.usable(m));
+        let up =
+            self.machines.get(name).is_some_and(|m| m.state == MachineState::Ready && self.is_schedulable(m));
         if up {
             let replacement = Some(name.to_string());
-            return self.advance(replacing, MachineState::Cordoned { replacement });
+            return self.advance(replacing, MachineDrainState::Cordoned { replacement });
         }
         if !self.machines.contains_key(name) {
             info!(drain = %replacing.drain, machine = replacing.machine, name, "its replacement did not come");
             let attempt = replacing.attempt + 1;
-            return self.advance(replacing, MachineState::Replacing { attempt, machine: None });
+            return self.advance(replacing, MachineDrainState::Replacing { attempt, machine: None });
         }
         let wait = Wait::ReplacementStarting { machine: replacing.machine.clone() };
         self.drain_waits(&replacing.drain, wait);
--- a/src/scheduler/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -1,6 +1,6 @@
 //! The next step: which machines are replaced or cordoned now.
 
-use super::super::model::{Job, Kind, Machine, Phase, Resources};
+use super::super::model::{Job, Kind, Machine, MachineState, Resources};
 use super::super::Scheduler;
 use super::disruption::runs_on;
 use super::holds::KeptRooms;
@@ -8,7 +8,7 @@
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::Allowance;
 use dockpier_drain::plan::{self, Amounts, Candidate, Expected, Limits, Refusal, ZoneRoom};
-use dockpier_drain::progress::MachineState;
+use dockpier_drain::progress::MachineDrainState;
 use dockpier_drain::request::DrainId;
 use dockpier_drain::status::Wait;
 use std::collections::BTreeMap;
@@ -72,7 +72,7 @@
             let waiting: Vec<String> = self.drains.drains[id]
                 .progress
                 .machines()
-                .filter(|(_, state)| **state == MachineState::Waiting)
+                .filter(|(_, state)| **state == MachineDrainState::Waiting)
                 .map(|(machine, _)| machine.to_string())
                 .collect();
             if caps[at] == 0 {
@@ -99,12 +99,13 @@
         for name in waiting {
             let Some(machine) = self.machines.get(&name) else {
                 if let Some(drain) = self.drains.drains.get_mut(id) {
-                    drain.advance(&name, MachineState::Gone);
+                    drain.advance(&name, MachineDrainState::Gone);
                 }
                 continue;
             };
             // It is on its way out already.
-            let leaving = machine.deleting || machine.recall_at.is_some() || machine.phase != Phase::Up;
+            let leaving =
+                machine.deleting || machine.recall_at.is_some() || machine.state != MachineState::Ready;
             if !leaving {
                 here.push((machine.tasks.len(), name));
             }
@@ -114,7 +115,8 @@
     }
 
     fn candidate(&self, drain: usize, machine: &Machine, replace: bool, kept: &KeptRooms) -> Candidate {
-        let shape = self.critical_shape().filter(|_| !machine.spot && !replace && self.usable(machine));
+        let shape =
+            self.critical_shape().filter(|_| !machine.spot && !replace && self.is_schedulable(machine));
         let replicas = self.replicas_on(machine);
         let moves = replicas.iter().fold(Resources::default(), |sum, needs| sum.plus(needs));
         Candidate {
@@ -130,7 +132,9 @@
 
     fn replicas_on(&self, machine: &Machine) -> Vec<Resources> {
         let jobs = machine.tasks.keys().filter_map(|id| self.jobs.get(&id.job_id));
-        jobs.filter(|job| job.spec.kind == Kind::Service && !job.over).map(|job| job.spec.needs).collect()
+        jobs.filter(|job| job.spec.kind == Kind::Service && !job.terminated)
+            .map(|job| job.spec.resource_request)
+            .collect()
     }
 
     /// What emptying the machine takes of each team: its replicas are down for a while, one after the other. Elastic
@@ -138,7 +142,7 @@
     fn expected(&self, machine: &Machine) -> BTreeMap<String, Expected> {
         let mut teams: BTreeMap<String, Expected> = BTreeMap::new();
         for (id, task) in &machine.tasks {
-            let service = |job: &&Job| job.spec.kind == Kind::Service && !job.over;
+            let service = |job: &&Job| job.spec.kind == Kind::Service && !job.terminated;
             let Some(job) = self.jobs.get(&id.job_id).filter(service) else { continue };
             if runs_on(task) {
                 let expected = teams.entry(job.spec.team.clone()).or_default();
@@ -177,7 +181,9 @@
             let spare_places = spare.remove(zone).unwrap_or(0);
             zones.insert(zone.clone(), ZoneRoom { free: Amounts::default(), spare_places });
         }
-        for machine in self.machines.values().filter(|m| self.usable(m) && !self.drains.is_kept(&m.name)) {
+        for machine in
+            self.machines.values().filter(|m| self.is_schedulable(m) && !self.drains.is_kept(&m.name))
+        {
             let Some(zone) = zones.get_mut(&machine.zone) else { continue };
             let free = amounts(&kept.free(machine));
             zone.free.cpus += free.cpus.max(0);
@@ -190,8 +196,8 @@
     fn begin_machine(&mut self, id: &DrainId, machine: &str) {
         let Some(drain) = self.drains.drains.get_mut(id) else { return };
         let next = match drain.stored.request.replace {
-            true => MachineState::Replacing { attempt: 1, machine: None },
-            false => MachineState::Cordoned { replacement: None },
+            true => MachineDrainState::Replacing { attempt: 1, machine: None },
+            false => MachineDrainState::Cordoned { replacement: None },
         };
         drain.advance(machine, next);
     }
--- a/src/scheduler/elastic/alike.rs
+++ b/src/scheduler/elastic/alike.rs
@@ -74,7 +74,7 @@
             machine_type: *machine_type,
             zone: *zone,
             spot: machine.spot,
-            surplus: machine.surplus,
+            surplus: machine.consolidation_target,
             slow: machine.slow_until > self.scheduler.now,
             drain_kept: self.scheduler.drains.is_kept(&machine.name),
             drain_targeted: self.scheduler.drains.is_targeted(&machine.name),
@@ -102,14 +102,14 @@
         if job.spec.kind == Kind::Gang || !job.failed_on.is_empty() {
             return None;
         }
-        let warm = self.warm.get(&job.spec.image);
+        let warm = self.machines_by_image.get(&job.spec.image);
         let few = warm.is_none_or(|warm| warm.len() <= FEW);
         let mut names: BTreeSet<&str> = alike.single.iter().map(String::as_str).collect();
         if few {
             names.extend(warm.into_iter().flatten().map(String::as_str));
         }
         for (group, members) in alike.groups.iter() {
-            if !job.spec.needs.fits(&group.room) {
+            if !job.spec.resource_request.fits(&group.room) {
                 continue;
             }
             let (mut with_image, mut without) = (if few { 0 } else { want }, want);
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -54,7 +54,7 @@
     }
 
     fn free_on(&self, machine: &Machine) -> Resources {
-        self.free.get(&machine.name).copied().unwrap_or_else(|| machine.free())
+        self.free.get(&machine.name).copied().unwrap_or_else(|| machine.available())
     }
 
     fn set(&mut self, machine: &Machine, free: Resources) {
@@ -91,7 +91,10 @@
     pub(super) fn capacity(&mut self, order: &[JobId], steps: &mut usize) -> FreeCapacity {
         self.note_unreconciled();
         let jobs = || order.iter().filter_map(|job_id| self.jobs.get(job_id));
-        let least = jobs().filter(|j| !j.waiting.is_empty()).map(|j| j.spec.needs).reduce(|a, b| a.least(&b));
+        let least = jobs()
+            .filter(|j| !j.pending_tasks.is_empty())
+            .map(|j| j.spec.resource_request)
+            .reduce(|a, b| a.least(&b));
         let mut capacity = FreeCapacity {
             free: BTreeMap::new(),
             alike: AlikeMachines::default(),
@@ -101,11 +104,11 @@
             shape: self.critical_shape(),
             kept: self.reserve_places(),
             lowest: jobs()
-                .filter(|j| j.spec.kind == Kind::Array && !j.places.is_empty())
+                .filter(|j| j.spec.kind == Kind::Array && !j.placements.is_empty())
                 .map(|j| j.spec.priority)
                 .min(),
             yielding: None,
-            fixed_work: self.jobs.values().any(|j| !j.over && !j.spec.spot),
+            fixed_work: self.jobs.values().any(|j| !j.terminated && !j.spec.spot),
             teams: self.team_usage(),
         };
         let mut grouping = Grouping::new(self);
@@ -116,16 +119,16 @@
                     *capacity.stopping.entry(id.job_id).or_default() += 1;
                 }
             }
-            if !self.usable(machine) {
+            if !self.is_schedulable(machine) {
                 continue;
             }
-            let free = machine.free();
+            let free = machine.available();
             if least.is_some_and(|least| least.fits(&free)) {
                 capacity.free.insert(machine.name.clone(), free);
                 capacity.count_places(machine, None, free);
                 grouping.add(machine, free);
             }
-            let pending = machine.free_soon(self.now).minus(&free);
+            let pending = machine.available_soon(self.now).minus(&free);
             if pending != Resources::default() {
                 capacity.pending.insert(machine.name.clone(), pending);
             }
--- a/src/scheduler/elastic/find.rs
+++ b/src/scheduler/elastic/find.rs
@@ -30,7 +30,7 @@
         steps: &mut usize,
     ) -> Vec<String> {
         let mut zones = ZoneCount::of(job, &self.machines);
-        let pinned = if job.spec.one_zone && job.places.is_empty() {
+        let pinned = if job.spec.one_zone && job.placements.is_empty() {
             match self.best_zone(job, capacity) {
                 Some(zone) => Some(zone),
                 None => return Vec::new(),
@@ -38,7 +38,7 @@
         } else {
             None
         };
-        let needs = &job.spec.needs;
+        let needs = &job.spec.resource_request;
         let mut reserve = self.reserve_room(capacity, job);
         let mut by_zone: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
         let names = self.names_to_weigh(job, want, &capacity.alike, steps).unwrap_or_else(|| {
@@ -52,7 +52,7 @@
             let failed_here = !job.is_suspected() && job.failed_on.contains(name);
             if !place::allowed(job, machine)
                 || failed_here
-                || machine.surplus && job.spec.spot
+                || machine.consolidation_target && job.spec.spot
                 || job.spec.priority != Priority::Critical && self.drains.is_kept(name)
                 || machine.slow_until > self.now && job.spec.kind != Kind::Service
                 || pinned.as_ref().is_some_and(|z| *z != machine.zone)
@@ -119,10 +119,10 @@
         let gang = job.spec.kind == Kind::Gang;
         for (name, free) in &capacity.free {
             if let Some(machine) = self.machines.get(name).filter(|m| place::allowed(job, m)) {
-                let places = job.spec.needs.count_in(free).min(tasks);
+                let places = job.spec.resource_request.count_in(free).min(tasks);
                 if places > 0 {
                     let due = if gang { self.heartbeat_due_s(machine) } else { 0 };
-                    let cold = if gang { machine.fetches(&job.spec.image) } else { 0 };
+                    let cold = if gang { machine.image_fetches(&job.spec.image) } else { 0 };
                     zones.entry(&machine.zone).or_default().push((cold, due, places));
                 }
             }
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -22,7 +22,8 @@
 
 impl Scheduler {
     fn in_gap(&self, job: &Job) -> bool {
-        job.rescaled > 0 && self.now < job.rescaled + limits::micros(self.config.operator.rescale_gap_s)
+        job.last_resized_at > 0
+            && self.now < job.last_resized_at + limits::micros(self.config.operator.rescale_gap_s)
     }
 
     /// One round within its budget of decision steps. What it could not reach is taken up by the next round.
@@ -49,7 +50,10 @@
         }
         // Room that no job outside the gap takes would lie idle: it goes to those inside.
         for job_id in order {
-            let in_gap = self.jobs.get(&job_id).is_some_and(|j| j.waits_for == GAP && !j.waiting.is_empty());
+            let in_gap = self
+                .jobs
+                .get(&job_id)
+                .is_some_and(|j| j.pending_reason == GAP && !j.pending_tasks.is_empty());
             if in_gap && steps < budget && !capacity.free.is_empty() {
                 self.consider(job_id, true, &mut capacity, &mut steps);
             }
@@ -57,25 +61,25 @@
         self.steps += steps as u64;
         let idle = if self.cursor.is_some() { 0 } else { limits::ROUND_IDLE };
         let rest = limits::round_rest(steps, self.config.cpu_share);
-        self.round_from = self.now + rest;
-        self.round_due = self.now + rest.max(idle);
+        self.earliest_round_at = self.now + rest;
+        self.next_round_at = self.now + rest.max(idle);
     }
 
     pub fn wait(&mut self, job_id: JobId, why: &'static str) {
         if let Some(job) = self.jobs.get_mut(&job_id) {
-            if job.waits_for != why {
-                debug!(job = %job_id, why, waiting = job.waiting.len(), "waits");
-                job.waits_for = why;
+            if job.pending_reason != why {
+                debug!(job = %job_id, why, waiting = job.pending_tasks.len(), "waits");
+                job.pending_reason = why;
             }
         }
     }
 
     fn consider(&mut self, job_id: JobId, leftover: bool, capacity: &mut FreeCapacity, steps: &mut usize) {
         let Some(job) = self.jobs.get(&job_id) else { return };
-        if job.waiting.is_empty() {
+        if job.pending_tasks.is_empty() {
             return;
         }
-        if job.paused_until > self.now {
+        if job.backoff_until > self.now {
             return self.wait(job_id, "its tasks failed");
         }
         // A task of an earlier leader's may be on a machine that has not reported yet, if it is one that
@@ -83,10 +87,10 @@
         if job.inherited && !self.reconciled_for(job) {
             return self.wait(job_id, "machines of the last leader have not reported");
         }
-        let held = job.places.len() as u32;
+        let held = job.placements.len() as u32;
         // A gang starts only whole.
         if job.spec.kind == Kind::Gang && held > 0 {
-            return self.mend_gang(job_id, capacity, steps);
+            return self.repair_gang(job_id, capacity, steps);
         }
         let running = held.saturating_sub(capacity.stopping.get(&job_id).copied().unwrap_or(0));
         let fresh = held == 0;
@@ -96,7 +100,7 @@
         } else {
             job.width.max(job.minimum())
         };
-        let want = target.saturating_sub(held).min(job.waiting.len() as u32);
+        let want = target.saturating_sub(held).min(job.pending_tasks.len() as u32);
         if want == 0 {
             return self.wait(job_id, GAP);
         }
@@ -117,21 +121,21 @@
         if want == 0 || held + want < job.admission() {
             return self.wait(job_id, "team limit");
         }
-        let patient = self.now < job.arrived.max(job.rescaled) + limits::FETCH_PATIENCE;
+        let patient = self.now < job.submitted_at.max(job.last_resized_at) + limits::FETCH_PATIENCE;
         let found = self.find(job, want, patient, capacity, steps);
         if !found.is_empty() && held + found.len() as u32 >= job.admission().min(held + want) {
             if found.len() as u32 + running > job.width {
                 let now = self.now;
                 if let Some(job) = self.jobs.get_mut(&job_id) {
                     job.width = found.len() as u32 + running;
-                    job.rescaled = now;
+                    job.last_resized_at = now;
                 }
             }
             let attempt = self.next_attempt();
             for machine in found {
                 self.assign(job_id, &machine, attempt, capacity);
             }
-            if self.jobs.get(&job_id).is_none_or(|j| j.waiting.is_empty()) {
+            if self.jobs.get(&job_id).is_none_or(|j| j.pending_tasks.is_empty()) {
                 return;
             }
             self.wait(job_id, "no further free slot");
@@ -143,8 +147,8 @@
             return;
         }
         let Some(job) = self.jobs.get(&job_id) else { return };
-        let held = job.places.len() as u32;
-        let missing = job.minimum().saturating_sub(held).max(1).min(job.waiting.len() as u32);
+        let held = job.placements.len() as u32;
+        let missing = job.minimum().saturating_sub(held).max(1).min(job.pending_tasks.len() as u32);
         let service = job.spec.kind == Kind::Service;
         if !self.shrink_for(job_id, missing, capacity, steps) && service && missing > 1 {
             // Its replicas serve each by itself: one is better than none.
@@ -154,14 +158,14 @@
 
     pub fn assign(&mut self, job_id: JobId, machine: &str, attempt: u64, capacity: &mut FreeCapacity) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
-        let Some(task) = job.waiting.pop_first() else { return };
-        job.places.entry(task).or_default().push(machine.into());
-        let (needs, image) = (job.spec.needs, job.spec.image.clone());
+        let Some(task) = job.pending_tasks.pop_first() else { return };
+        job.placements.entry(task).or_default().push(machine.into());
+        let (needs, image) = (job.spec.resource_request, job.spec.image.clone());
         capacity.teams.add(&job.spec.team, &needs);
         if let Some(machine) = self.machines.get(machine) {
             capacity.take(machine, &needs);
         }
-        self.place_on(machine, TaskId { job_id, task }, needs, image, attempt);
+        self.reserve_placement(machine, TaskId { job_id, task }, needs, image, attempt);
     }
 }
 
--- a/src/scheduler/elastic/rank.rs
+++ b/src/scheduler/elastic/rank.rs
@@ -16,36 +16,36 @@
     /// job of which nothing has begun for long ages fastest, so that the widest are not put off for ever.
     pub fn rank(&self, job: &Job) -> u64 {
         let rank = self.plain_rank(job, self.size(job));
-        if job.begun() || job.spec.priority == Priority::Critical {
+        if job.has_started() || job.spec.priority == Priority::Critical {
             return rank;
         }
-        rank.max(self.aged(job, job.arrived + limits::BEGIN_AFTER, limits::BEGIN_AGING))
+        rank.max(self.aged(job, job.submitted_at + limits::BEGIN_AFTER, limits::BEGIN_AGING))
     }
 
     pub(super) fn plain_rank(&self, job: &Job, size: f64) -> u64 {
         if job.spec.priority == Priority::Critical {
             return Priority::Critical as u64 * 1000;
         }
-        let age = self.now.saturating_sub(job.arrived);
+        let age = self.now.saturating_sub(job.submitted_at);
         let aging = limits::micros(self.config.operator.aging_s);
         let due = job.spec.deadline_s.map(limits::micros).filter(|due| *due > 0 && age <= *due);
         let aging = due.map_or(aging, |due| aging.min(due)) as f64 * size;
-        self.aged(job, job.arrived, (aging as u64).max(1))
+        self.aged(job, job.submitted_at, (aging as u64).max(1))
     }
 
     /// How much work is left of a job, as a multiple of what a job brings on average now.
     pub(super) fn size(&self, job: &Job) -> f64 {
-        if self.typical_work <= 0.0 {
+        if self.mean_job_work <= 0.0 {
             return 1.0;
         }
-        let size = job.work(job.unfinished()) / self.typical_work;
+        let size = job.work(job.unfinished()) / self.mean_job_work;
         size.clamp(1.0 / limits::SIZE_RANGE, limits::SIZE_RANGE)
     }
 
     pub(super) fn note_typical_work(&mut self) {
-        let elastic = self.jobs.values().filter(|j| !j.over && j.spec.kind != Kind::Service);
+        let elastic = self.jobs.values().filter(|j| !j.terminated && j.spec.kind != Kind::Service);
         let works: Vec<f64> = elastic.map(|j| j.work(j.spec.tasks)).collect();
-        self.typical_work = works.iter().sum::<f64>() / works.len().max(1) as f64;
+        self.mean_job_work = works.iter().sum::<f64>() / works.len().max(1) as f64;
     }
 
     /// The rank of a job that gains a class in `aging` from `since` on; age never lifts anybody above
@@ -58,9 +58,9 @@
     /// The order in which jobs yield: lowest class with its age first, the latest first on ties. The work that
     /// is left does not count here: it would make the long jobs feed everybody else.
     pub(super) fn yielding(&self) -> Arc<[JobId]> {
-        let running = self.jobs.values().filter(|j| !j.over && !j.places.is_empty());
+        let running = self.jobs.values().filter(|j| !j.terminated && !j.placements.is_empty());
         let mut order: Vec<_> = running
-            .map(|j| (self.plain_rank(j, 1.0), std::cmp::Reverse((j.arrived, j.version)), j.spec.job_id))
+            .map(|j| (self.plain_rank(j, 1.0), std::cmp::Reverse((j.submitted_at, j.version)), j.spec.job_id))
             .collect();
         order.sort();
         order.into_iter().map(|(_, _, job_id)| job_id).collect()
@@ -71,8 +71,8 @@
         let mut order: Vec<_> = self
             .jobs
             .values()
-            .filter(|j| !j.over && (!j.waiting.is_empty() || !j.places.is_empty()))
-            .map(|j| (std::cmp::Reverse(self.rank(j)), j.arrived, j.version, j.spec.job_id))
+            .filter(|j| !j.terminated && (!j.pending_tasks.is_empty() || !j.placements.is_empty()))
+            .map(|j| (std::cmp::Reverse(self.rank(j)), j.submitted_at, j.version, j.spec.job_id))
             .collect();
         order.sort();
         order.into_iter().map(|(_, _, _, job_id)| job_id).collect()
--- a/src/scheduler/elastic/shrink.rs
+++ b/src/scheduler/elastic/shrink.rs
@@ -18,7 +18,7 @@
         steps: &mut usize,
     ) -> bool {
         let Some(job) = self.jobs.get(&job_id) else { return false };
-        let needs = job.spec.needs;
+        let needs = job.spec.resource_request;
         // Room that stops under way will free counts as found, so that nobody shrinks twice for it.
         let soon = capacity.soon(&self.machines);
         // So does room whose machine is fetching for somebody else.
@@ -62,11 +62,11 @@
             let now = self.now;
             let grace = self.jobs.get(&id.job_id).map_or(0.0, |j| j.spec.save_s);
             if let Some(victim) = self.jobs.get_mut(&id.job_id) {
-                victim.rescaled = now;
+                victim.last_resized_at = now;
                 victim.width = victim.width.saturating_sub(1).max(victim.minimum());
                 let freed = capacity.pending.entry(machine.clone()).or_default();
-                *freed = freed.plus(&victim.spec.needs);
-                capacity.teams.stop(&victim.spec.team, &victim.spec.needs);
+                *freed = freed.plus(&victim.spec.resource_request);
+                capacity.teams.stop(&victim.spec.team, &victim.spec.resource_request);
                 *capacity.stopping.entry(id.job_id).or_default() += 1;
             }
             self.stop(&machine, id, grace);
@@ -89,13 +89,13 @@
         let mut stops = Vec::new();
         for victim in order.iter().filter_map(|v| self.jobs.get(v)) {
             *steps += 1;
-            if victim.places.is_empty() || gap && self.in_gap(victim) {
+            if victim.placements.is_empty() || gap && self.in_gap(victim) {
                 continue;
             }
             let mut running: Vec<_> = self
-                .placed(victim)
+                .placements_of(victim)
                 .filter(|(_, _, t)| t.stopping.is_none())
-                .map(|(id, name, t)| (t.since, id, name))
+                .map(|(id, name, t)| (t.placed_at, id, name))
                 .collect();
             running.sort();
             let floor = if minimum { victim.minimum() } else { 0 };
@@ -103,13 +103,15 @@
             while running.len() as u32 > floor && self.may_preempt(job, victim, &soon.teams) {
                 let Some((_, id, name)) = running.pop() else { break };
                 *steps += 1;
-                let Some(machine) = self.machines.get(name).filter(|m| self.usable(m)) else { continue };
+                let Some(machine) = self.machines.get(name).filter(|m| self.is_schedulable(m)) else {
+                    continue;
+                };
                 // A stop that cannot help the newcomer would be for nothing.
                 if !place::allowed(job, machine) {
                     continue;
                 }
-                soon.give(machine, &victim.spec.needs);
-                soon.teams.stop(&victim.spec.team, &victim.spec.needs);
+                soon.give(machine, &victim.spec.resource_request);
+                soon.teams.stop(&victim.spec.team, &victim.spec.resource_request);
                 stops.push((name.to_string(), id));
                 if self.find(job, missing, false, soon, steps).len() as u32 >= missing {
                     return stops;
@@ -129,7 +131,7 @@
         if job.spec.team == victim.spec.team {
             return higher;
         }
-        let guaranteed = self.within_guarantee(&job.spec.team, &job.spec.needs, teams);
+        let guaranteed = self.within_guarantee(&job.spec.team, &job.spec.resource_request, teams);
         let victim_guaranteed = self.within_guarantee(&victim.spec.team, &Resources::default(), teams);
         // Without the second condition borrowed capacity went back and forth: what a team got back within its
         // guarantee was stopped again for a job of a higher class that its own team's guarantee did not cover.
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -36,7 +36,7 @@
 fn machine_type(name: &str, slots: f64, zones: &[String]) -> MachineType {
     MachineType {
         name: name.into(),
-        has: Resources::offered(slots, slots, slots),
+        capacity: Resources::offered(slots, slots, slots),
         price: 1.0,
         spot_price: Some(0.5),
         boot_s: 10.0,
@@ -56,7 +56,7 @@
         kind,
         priority: if kind == Kind::Service { Priority::Critical } else { priorities[rng.random_range(0..3)] },
         tasks: rng.random_range(1..60),
-        needs: Resources::needed(slots, slots, slots),
+        resource_request: Resources::needed(slots, slots, slots),
         image: format!("i{}", rng.random_range(0..4)),
         image_gb: 1.0,
         types: rng.random_bool(0.3).then(|| vec!["m".to_string()]),
@@ -96,25 +96,25 @@
         let images = (0..4).filter(|image| popular && *image == 0 || rng.random_bool(0.05));
         let images: BTreeSet<String> = images.map(|image| format!("i{image}")).collect();
         for image in &images {
-            scheduler.warm.entry(image.clone()).or_default().insert(name.clone());
+            scheduler.machines_by_image.entry(image.clone()).or_default().insert(name.clone());
         }
         let Some(machine) = scheduler.machines.get_mut(&name) else { continue };
-        (machine.phase, machine.reconciled, machine.recorded) = (Phase::Up, true, true);
+        (machine.state, machine.reconciled, machine.recorded) = (MachineState::Ready, true, true);
         (machine.last_heartbeat_at, machine.images) = (limits::SECOND, images);
-        machine.surplus = !machine.spot && rng.random_bool(0.2);
+        machine.consolidation_target = !machine.spot && rng.random_bool(0.2);
         machine.slow_until = if rng.random_bool(0.1) { 100 * limits::SECOND } else { 0 };
         for task in 0..rng.random_range(0..4u32) {
             let id = TaskId { job_id: JobId(900_000 + number as u64), task };
             let fetching = rng.random_bool(0.1);
-            let placed = Placed {
+            let placed = Placement {
                 attempt: 1,
-                needs: Resources::needed(1.0, 1.0, 1.0),
-                sent: None,
-                seen: true,
+                resource_request: Resources::needed(1.0, 1.0, 1.0),
+                start_sent_in: None,
+                confirmed: true,
                 status: if fetching { TaskStatus::Fetching } else { TaskStatus::Running },
-                runs_since: None,
+                running_since: None,
                 image: "other".into(),
-                since: 0,
+                placed_at: 0,
                 stopping: None,
             };
             machine.tasks.insert(id, placed);
@@ -133,7 +133,7 @@
         let specs: Vec<JobSpec> = (1..12).map(|id| draw_job(&mut rng, id)).collect();
         for spec in specs {
             let version = spec.job_id.0;
-            scheduler.add_job(StoredJob { spec, version, age: 0, done: BTreeSet::new() }, false);
+            scheduler.add_job(StoredJob { spec, version, age: 0, succeeded: BTreeSet::new() }, false);
         }
         let order: Vec<JobId> = scheduler.jobs.keys().copied().collect();
         let mut steps = 0;
@@ -147,7 +147,7 @@
             let found = scheduler.find(job, want, patient, &grouped, &mut steps);
             assert_eq!(found, scheduler.find(job, want, patient, &each, &mut steps), "seed {seed}, {job_id}");
             found_any += usize::from(!found.is_empty());
-            let needs = job.spec.needs;
+            let needs = job.spec.resource_request;
             for name in found.iter().take(rng.random_range(0..8)) {
                 grouped.take(&scheduler.machines[name], &needs);
             }
--- a/src/scheduler/exits.rs
+++ b/src/scheduler/exits.rs
@@ -15,11 +15,11 @@
         let held = machine.tasks.get(&id).is_some_and(|t| t.attempt == attempt);
         let intended = machine.tasks.get(&id).is_some_and(|t| t.stopping.is_some());
         if held {
-            let ran = machine.tasks.remove(&id).and_then(|t| t.runs_since).map(|since| now - since);
+            let ran = machine.tasks.remove(&id).and_then(|t| t.running_since).map(|since| now - since);
             if let (ExitReason::Done, Some(ran)) = (reason, ran) {
                 self.judge_speed(name, id.job_id, ran);
             }
-            self.unplace(name, id, Absence::Exited);
+            self.remove_placement(name, id, Absence::Exited);
         }
         if !news {
             return;
@@ -30,7 +30,8 @@
         }
         match reason {
             ExitReason::Done => {
-                if let Some(job) = self.jobs.get_mut(&id.job_id).filter(|j| !j.over && id.task < j.spec.tasks)
+                if let Some(job) =
+                    self.jobs.get_mut(&id.job_id).filter(|j| !j.terminated && id.task < j.spec.tasks)
                 {
                     // The tasks of a gang complete together: its record must not wait for the heartbeat of a
                     // machine that is lost.
@@ -39,12 +40,12 @@
                         Kind::Gang => 0..job.spec.tasks,
                         Kind::Array => id.task..id.task + 1,
                     };
-                    let before = job.done.len();
-                    job.done.extend(ended.clone());
-                    if job.done.len() > before {
-                        job.waiting.retain(|task| !ended.contains(task));
-                        job.uncommitted.extend(ended);
-                        job.uncommitted_since.get_or_insert(now);
+                    let before = job.succeeded.len();
+                    job.succeeded.extend(ended.clone());
+                    if job.succeeded.len() > before {
+                        job.pending_tasks.retain(|task| !ended.contains(task));
+                        job.unrecorded.extend(ended);
+                        job.unrecorded_since.get_or_insert(now);
                     }
                 }
                 self.note_success(id.job_id);
@@ -60,7 +61,7 @@
             }
             ExitReason::NoRoom | ExitReason::Busy => {
                 if let Some(machine) = self.machines.get_mut(name) {
-                    machine.no_room_until = now + limits::NO_ROOM_PAUSE;
+                    machine.no_room_backoff_until = now + limits::NO_ROOM_PAUSE;
                 }
             }
             _ => {}
@@ -71,8 +72,8 @@
     /// against its machine, and a second one in a row keeps arrays off it for a while.
     fn judge_speed(&mut self, name: &str, job_id: JobId, ran: u64) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
-        let (sum, count) = job.ran;
-        job.ran = (sum + ran, count + 1);
+        let (sum, count) = job.run_times;
+        job.run_times = (sum + ran, count + 1);
         if count < limits::SLOW_AGAINST {
             return;
         }
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -194,13 +194,13 @@
             heartbeat_interval: limits::micros(report_s),
             silent: limits::silent(report_s),
             shard_lease: self.config.shard_lease,
-            started: self.started,
+            started: self.started_at,
         }
     }
 
     fn observed(&self) -> Vec<Observed<'_>> {
-        let expected = |m: &Machine| m.inherited && !m.reconciled && m.phase == Phase::Expected;
-        let heard = self.machines.values().filter(|m| m.phase != Phase::Expected || expected(m));
+        let expected = |m: &Machine| m.inherited && !m.reconciled && m.state == MachineState::Pending;
+        let heard = self.machines.values().filter(|m| m.state != MachineState::Pending || expected(m));
         heard
             .map(|m| Observed {
                 name: &m.name,
@@ -208,9 +208,9 @@
                 route: m.via,
                 previous_route: m.previous_route,
                 last_heartbeat_at: m.last_heartbeat_at,
-                unresponsive: m.unheard >= limits::UNHEARD_DEAF,
+                unresponsive: m.unacknowledged_heartbeats >= limits::UNHEARD_DEAF,
                 expected: expected(m),
-                lost: m.phase == Phase::Lost,
+                lost: m.state == MachineState::Lost,
             })
             .collect()
     }
--- a/src/scheduler/faults.rs
+++ b/src/scheduler/faults.rs
@@ -12,7 +12,7 @@
 impl Job {
     /// Nothing of it has finished, and it has failed on several machines: most likely it is wrong itself.
     pub(super) fn is_suspected(&self) -> bool {
-        self.done.is_empty() && self.failed_on.len() >= limits::JOB_FAULT_MACHINES
+        self.succeeded.is_empty() && self.failed_on.len() >= limits::JOB_FAULT_MACHINES
     }
 }
 
@@ -22,22 +22,22 @@
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.failed_on.insert(machine.to_string());
-        let proven = !job.done.is_empty();
+        let proven = !job.succeeded.is_empty();
         let suspected = job.is_suspected();
         if suspected || !at_run {
             // A job that fails everywhere must not loop hot.
             let pause = limits::JOB_PAUSE << job.failures.min(10);
             job.failures += 1;
-            job.paused_until = now + pause.min(limits::JOB_PAUSE_MAX);
+            job.backoff_until = now + pause.min(limits::JOB_PAUSE_MAX);
         }
         if !at_run {
             return;
         }
         if let Some(machine) = self.machines.get_mut(machine) {
             // Other machines first.
-            machine.no_room_until = now + limits::NO_ROOM_PAUSE;
+            machine.no_room_backoff_until = now + limits::NO_ROOM_PAUSE;
             if !suspected {
-                machine.errors.insert(job_id);
+                machine.failed_jobs.insert(job_id);
             }
         }
         self.judge_faults(machine, proven);
@@ -46,7 +46,7 @@
     /// A task of the job finished: where others of it failed, the machine is at fault.
     pub(super) fn note_success(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get_mut(&job_id).filter(|job| !job.failed_on.is_empty()) else { return };
-        job.paused_until = 0;
+        job.backoff_until = 0;
         job.failures = 0;
         for machine in std::mem::take(&mut job.failed_on) {
             self.judge_faults(&machine, true);
@@ -58,7 +58,7 @@
         let Some(machine) = self.machines.get_mut(name) else { return };
         // Jobs that have come under suspicion since say nothing of the machine.
         let suspected = |job_id: &JobId| jobs.get(job_id).is_some_and(Job::is_suspected);
-        let accusing = machine.errors.iter().filter(|job_id| !suspected(job_id)).count();
+        let accusing = machine.failed_jobs.iter().filter(|job_id| !suspected(job_id)).count();
         if (proven || accusing >= limits::MACHINE_ERRORS) && !machine.draining {
             warn!(machine = name, "tasks fail on it: replacing it");
             machine.draining = true;
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -26,7 +26,7 @@
     /// When a replica was last moved.
     pub moved: u64,
     /// Machines that are provably gone, and since when; names are never used again.
-    pub gone: BTreeMap<String, u64>,
+    pub deleted: BTreeMap<String, u64>,
     /// A plan that its budget did not suffice for; the next round goes on with it.
     pub plan: Option<Plan>,
 }
@@ -64,8 +64,8 @@
         let now = self.now;
         let operator = self.config.operator.clone();
         let mut back = Vec::new();
-        for machine in self.machines.values_mut().filter(|m| m.phase == Phase::Up && !m.deleting) {
-            if !machine.tasks.is_empty() || !machine.foreign.is_empty() || !machine.unknown.is_empty() {
+        for machine in self.machines.values_mut().filter(|m| m.state == MachineState::Ready && !m.deleting) {
+            if !machine.tasks.is_empty() || !machine.orphaned.is_empty() || !machine.unverified.is_empty() {
                 machine.idle_since = now;
                 continue;
             }
@@ -90,8 +90,8 @@
         // One in an unreachable zone may be up and unheard, and holds an image for when the zone is back.
         let may_go = |m: &&Machine| !m.deleting && !self.failure_detector.zone_unreachable(&m.zone);
         for machine in self.machines.values().filter(may_go) {
-            let never_up = machine.phase == Phase::Expected && now >= machine.boot_give_up;
-            if never_up || machine.phase == Phase::Lost {
+            let never_up = machine.state == MachineState::Pending && now >= machine.boot_deadline;
+            if never_up || machine.state == MachineState::Lost {
                 back.push(machine.name.clone());
             }
         }
@@ -120,8 +120,8 @@
                 continue;
             }
             // The cloud's 200 is proof: the machine and everything on it are gone.
-            self.clear_machine(&name, Absence::Deleted);
-            self.fleet.gone.insert(name.clone(), self.now);
+            self.release_machine(&name, Absence::Deleted);
+            self.fleet.deleted.insert(name.clone(), self.now);
             self.fleet.missing.remove(&name);
             self.note_machine_gone(&name);
             if let Some(machine) = self.machines.remove(&name) {
@@ -133,10 +133,10 @@
 
     fn forget_images(&mut self, machine: &Machine) {
         for image in &machine.images {
-            if let Some(warm) = self.warm.get_mut(image) {
+            if let Some(warm) = self.machines_by_image.get_mut(image) {
                 warm.remove(&machine.name);
                 if warm.is_empty() {
-                    self.warm.remove(image);
+                    self.machines_by_image.remove(image);
                 }
             }
         }
@@ -179,21 +179,21 @@
 
     pub fn listed(&mut self, list: Vec<ListedMachine>) {
         let now = self.now;
-        self.fleet.gone.retain(|_, since| now < *since + limits::GONE_KEPT);
+        self.fleet.deleted.retain(|_, since| now < *since + limits::GONE_KEPT);
         let mut shown = BTreeSet::new();
         let mut failed = Vec::new();
         for listed in list {
             shown.insert(listed.machine.name.clone());
             let name = &listed.machine.name;
-            let known = self.machines.contains_key(name) || self.fleet.gone.contains_key(name);
+            let known = self.machines.contains_key(name) || self.fleet.deleted.contains_key(name);
             if !known && self.loaded {
                 // A late rental, or one of an earlier leader's: used, or returned when idle.
                 debug!(machine = listed.machine.name, "listed and not known: adopted");
                 let now = self.now;
                 let machine = self.machine(&listed.machine);
                 let age = limits::micros(listed.age_s);
-                machine.boot_give_up =
-                    machine.boot_give_up.saturating_sub(age).max(now + 10 * limits::SECOND);
+                machine.boot_deadline =
+                    machine.boot_deadline.saturating_sub(age).max(now + 10 * limits::SECOND);
             }
             if listed.failed {
                 failed.push(listed.machine.name);
@@ -206,7 +206,7 @@
         let vanished: Vec<String> = self
             .machines
             .values()
-            .filter(|m| m.inherited && !m.reconciled && m.phase == Phase::Expected && !m.deleting)
+            .filter(|m| m.inherited && !m.reconciled && m.state == MachineState::Pending && !m.deleting)
             .filter(|m| !shown.contains(&m.name))
             .map(|m| m.name.clone())
             .collect();
@@ -234,14 +234,14 @@
     /// For the operators' log: how the fleet stands.
     pub fn fleet_line(&self) -> String {
         let count = |f: &dyn Fn(&Machine) -> bool| self.machines.values().filter(|m| f(m)).count();
-        let waiting: usize = self.jobs.values().map(|j| j.waiting.len()).sum();
+        let waiting: usize = self.jobs.values().map(|j| j.pending_tasks.len()).sum();
         let placed: usize = self.machines.values().map(|m| m.tasks.len()).sum();
         format!(
             "ordinary {} spot {} expected {} lost {} tasks placed {} waiting {} jobs {}",
-            count(&|m| m.phase == Phase::Up && !m.spot),
-            count(&|m| m.phase == Phase::Up && m.spot),
-            count(&|m| m.phase == Phase::Expected),
-            count(&|m| m.phase == Phase::Lost),
+            count(&|m| m.state == MachineState::Ready && !m.spot),
+            count(&|m| m.state == MachineState::Ready && m.spot),
+            count(&|m| m.state == MachineState::Pending),
+            count(&|m| m.state == MachineState::Lost),
             placed,
             waiting,
             self.jobs.len()
@@ -251,7 +251,9 @@
     /// Whether any machine could ever run the job: None while the types are not known.
     pub fn fits_some_type(job: &JobSpec, types: &BTreeMap<String, MachineType>) -> bool {
         types.values().any(|t| {
-            job.allows_type(&t.name) && job.needs.fits(&t.has) && t.zones.iter().any(|z| job.allows_zone(z))
+            job.allows_type(&t.name)
+                && job.resource_request.fits(&t.capacity)
+                && t.zones.iter().any(|z| job.allows_zone(z))
         })
     }
 }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -26,27 +26,27 @@
     pub fn stage(&self, job: &Job) -> Stage {
         let mut attempts = BTreeSet::new();
         let mut broken = false;
-        for (_, _, task) in self.placed(job) {
+        for (_, _, task) in self.placements_of(job) {
             attempts.insert(task.attempt);
             let runs = matches!(task.status, TaskStatus::Running | TaskStatus::Saving);
-            let part = (job.places.len() as u32) < job.spec.tasks;
+            let part = (job.placements.len() as u32) < job.spec.tasks;
             broken |= task.stopping.is_some() || runs && part || task.attempt <= job.ended_attempt;
         }
         match attempts.first() {
             None => Stage::Nowhere,
             Some(_) if broken || attempts.len() > 1 => Stage::Broken,
-            Some(_) if job.places.len() as u32 == job.spec.tasks => Stage::Whole,
+            Some(_) if job.placements.len() as u32 == job.spec.tasks => Stage::Whole,
             Some(attempt) => Stage::Waiting { attempt: *attempt },
         }
     }
 
     /// A gang of which something is placed and something waits.
-    pub fn mend_gang(&mut self, job_id: JobId, capacity: &mut FreeCapacity, steps: &mut usize) {
+    pub fn repair_gang(&mut self, job_id: JobId, capacity: &mut FreeCapacity, steps: &mut usize) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         match self.stage(job) {
             Stage::Waiting { attempt } => {
                 let now = self.now;
-                let missing = job.waiting.len() as u32;
+                let missing = job.pending_tasks.len() as u32;
                 let may = self.team_room(job, &capacity.teams) >= missing;
                 let found = if may { self.find(job, missing, false, capacity, steps) } else { Vec::new() };
                 if found.len() as u32 == missing {
@@ -55,18 +55,18 @@
                     }
                     // The next task that it loses has its own time.
                     if let Some(job) = self.jobs.get_mut(&job_id) {
-                        job.short_since = None;
+                        job.incomplete_since = None;
                     }
                     return;
                 }
                 // Its places must not idle until the workers give up by themselves.
                 let patience = limits::gang_patience(self.config.workers.gang_wait_s);
                 let Some(job) = self.jobs.get_mut(&job_id) else { return };
-                let since = *job.short_since.get_or_insert(now);
+                let since = *job.incomplete_since.get_or_insert(now);
                 if now < since + patience {
                     return self.wait(job_id, "no free slot for the rest of its gang");
                 }
-                job.short_since = None;
+                job.incomplete_since = None;
                 self.stop_all(job_id);
                 self.wait(job_id, "its gang was not complete in time");
             }
@@ -76,8 +76,9 @@
                 let saves = |grace: f64, at: u64| {
                     grace > 0.0 && self.now < at + limits::micros(grace) + limits::STOP_PATIENCE
                 };
-                let saving =
-                    self.placed(job).any(|(_, _, t)| t.stopping.is_some_and(|(at, grace)| saves(grace, at)));
+                let saving = self
+                    .placements_of(job)
+                    .any(|(_, _, t)| t.stopping.is_some_and(|(at, grace)| saves(grace, at)));
                 if !saving {
                     self.stop_all(job_id);
                 }
@@ -96,7 +97,8 @@
         } else {
             0.0
         };
-        let places: Vec<_> = self.placed(job).map(|(id, machine, _)| (id, machine.to_string())).collect();
+        let places: Vec<_> =
+            self.placements_of(job).map(|(id, machine, _)| (id, machine.to_string())).collect();
         for (id, machine) in places {
             self.stop(&machine, id, grace);
         }
@@ -105,8 +107,10 @@
     /// Every machine that holds a task of the job is heard, and hears us.
     pub(super) fn can_be_told_at_once(&self, job: &Job) -> bool {
         let silent = limits::silent(self.config.workers.report_s);
-        self.placed(job).all(|(_, name, _)| {
-            self.machines.get(name).is_some_and(|m| self.now < m.last_heartbeat_at + silent && m.unheard == 0)
+        self.placements_of(job).all(|(_, name, _)| {
+            self.machines
+                .get(name)
+                .is_some_and(|m| self.now < m.last_heartbeat_at + silent && m.unacknowledged_heartbeats == 0)
         })
     }
 
--- a/src/scheduler/hearing.rs
+++ b/src/scheduler/hearing.rs
@@ -16,14 +16,15 @@
 
     /// A machine whose heartbeats arrive may be deaf: no answer and no command reaches it. It shows when
     /// heartbeats running bear no trace of anything that the answers before them said.
-    pub(super) fn judge_hearing(&mut self, heartbeat: &Heartbeat, token: u64) {
+    pub(super) fn assess_reachability(&mut self, heartbeat: &Heartbeat, token: u64) {
         if heartbeat.agent_epoch > self.agent_epoch {
             // Its lease ended although we answered, unless nobody answered it for as long.
-            self.unheard += u32::from(self.agent_epoch > 0 && !self.told.is_empty());
-            self.told.clear();
+            self.unacknowledged_heartbeats +=
+                u32::from(self.agent_epoch > 0 && !self.unacknowledged_commands.is_empty());
+            self.unacknowledged_commands.clear();
             return;
         }
-        if self.told.is_empty() && !self.told_token {
+        if self.unacknowledged_commands.is_empty() && !self.token_unacknowledged {
             return;
         }
         let status = |id: &TaskId, attempt: u64| {
@@ -37,9 +38,10 @@
                 !matches!(status(id, *attempt), Some(TaskStatus::Fetching | TaskStatus::Running))
             }
         };
-        let heard = self.told_token && heartbeat.token == token || self.told.iter().any(carried_out);
-        self.unheard = if heard { 0 } else { self.unheard + 1 };
-        self.told.clear();
-        self.told_token = false;
+        let heard = self.token_unacknowledged && heartbeat.token == token
+            || self.unacknowledged_commands.iter().any(carried_out);
+        self.unacknowledged_heartbeats = if heard { 0 } else { self.unacknowledged_heartbeats + 1 };
+        self.unacknowledged_commands.clear();
+        self.token_unacknowledged = false;
     }
 }
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -38,7 +38,7 @@
     pub version: u64,
     /// Time since its submission, in microseconds.
     pub age: u64,
-    pub done: BTreeSet<u32>,
+    pub succeeded: BTreeSet<u32>,
 }
 
 /// A machine as the state service has it.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -58,7 +58,7 @@
 pub struct Scheduler {
     pub config: Config,
     pub now: u64,
-    pub started: u64,
+    pub started_at: u64,
     pub loaded: bool,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<String, Machine>,
@@ -67,21 +67,21 @@
     drains: Drains,
     cold_start: cold_start::ColdStart,
     /// Machines that have each image, as far as is known.
-    warm: BTreeMap<String, BTreeSet<String>>,
+    machines_by_image: BTreeMap<String, BTreeSet<String>>,
     ledger: overview::Ledger,
     records: records::Records,
     writes: records::WriteBudget,
     /// Where the last round of decisions stopped.
     cursor: Option<JobId>,
     /// The next round is due without news then, and allowed with news from then on.
-    round_due: u64,
-    round_from: u64,
-    news: bool,
+    next_round_at: u64,
+    earliest_round_at: u64,
+    round_requested: bool,
     /// Probes of all rounds so far: what a test bounds instead of time.
     pub steps: u64,
     /// heartbeats whose heartbeats brought news: answered by the next round, which may have a start for them.
     pending_heartbeats: Vec<PendingHeartbeat>,
-    expire_due: u64,
+    next_expiry_check_at: u64,
     /// Kinds of machine (type, zone, spot) of which earlier leaders' have not all reported.
     unreconciled: BTreeSet<fleet::Offer>,
     attempts: u64,
@@ -96,7 +96,7 @@
     /// Heartbeats of which nothing was taken in.
     ignored_heartbeats: IgnoredHeartbeats,
     /// Work of a job on average, as of the last round.
-    typical_work: f64,
+    mean_job_work: f64,
     effects: Vec<Effect>,
 }
 
@@ -110,7 +110,7 @@
             records: records::Records::default(),
             writes,
             now,
-            started: now,
+            started_at: now,
             loaded: false,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -118,15 +118,15 @@
             fleet: Fleet::new(now),
             drains: Drains::default(),
             cold_start: cold_start::ColdStart::default(),
-            warm: BTreeMap::new(),
+            machines_by_image: BTreeMap::new(),
             ledger: overview::Ledger::default(),
             cursor: None,
-            round_due: 0,
-            round_from: 0,
-            news: true,
+            next_round_at: 0,
+            earliest_round_at: 0,
+            round_requested: true,
             steps: 0,
             pending_heartbeats: Vec::new(),
-            expire_due: 0,
+            next_expiry_check_at: 0,
             unreconciled: BTreeSet::new(),
             attempts: 0,
             reconciled: false,
@@ -135,7 +135,7 @@
             failure_detector: failure_detection::FailureDetector::default(),
             leaseholders: BTreeMap::new(),
             ignored_heartbeats: IgnoredHeartbeats::default(),
-            typical_work: 0.0,
+            mean_job_work: 0.0,
             effects: Vec::new(),
         }
     }
@@ -156,9 +156,11 @@
         for command in batch {
             self.take(command);
         }
-        self.expire();
-        if self.loaded && (self.news && self.now >= self.round_from || self.now >= self.round_due) {
-            self.news = false;
+        self.expire_leases();
+        if self.loaded
+            && (self.round_requested && self.now >= self.earliest_round_at || self.now >= self.next_round_at)
+        {
+            self.round_requested = false;
             self.round();
         }
         if self.loaded {
@@ -169,7 +171,7 @@
             self.direct_stops();
         }
         // A heartbeat with news waits for the round, which is never far.
-        let held = self.news && self.loaded;
+        let held = self.round_requested && self.loaded;
         let replies = if held { Vec::new() } else { std::mem::take(&mut self.pending_heartbeats) };
         for PendingHeartbeat { reply, machine, renewal } in replies {
             self.answer(reply, &machine, renewal);
@@ -208,7 +210,7 @@
                 // Cancelled meanwhile, or of unknown outcome: its record decides, and is tried again.
                 _ => {
                     if let Some(job) = self.jobs.get_mut(&job_id) {
-                        job.committing = false;
+                        job.write_in_flight = false;
                     }
                 }
             },
@@ -217,7 +219,7 @@
                 self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
                 for machine in self.machines.values_mut() {
                     if let Some(t) = self.types.get(&machine.machine_type) {
-                        machine.has = t.has;
+                        machine.capacity = t.capacity;
                     }
                 }
             }
@@ -230,7 +232,7 @@
             Command::JobRead { job_id, sent, reading } => self.job_read(job_id, sent, reading),
             Command::ColdStartWritten(outcome) => self.cold_start_written(outcome == WriteOutcome::Done),
         }
-        self.news = true;
+        self.round_requested = true;
     }
 
     fn handle_heartbeat(&mut self, reply: u64, heartbeat: Heartbeat, via: Option<usize>) {
@@ -246,7 +248,7 @@
         }
         match taken {
             HeartbeatOutcome::Changed => {
-                self.news = true;
+                self.round_requested = true;
                 let renewal = self.record_renewal(&name);
                 self.pending_heartbeats.push(PendingHeartbeat { reply, machine: name, renewal });
             }
@@ -283,7 +285,7 @@
             self.load_record(key, machines);
         }
         // heartbeats before this point were answered without being noted: leases count from here.
-        self.started = self.now;
+        self.started_at = self.now;
         self.loaded = true;
         self.begin_cold_start();
     }
@@ -295,33 +297,33 @@
         }
         debug!(job = %job_id, tasks = stored.spec.tasks, inherited, "job known");
         let arrived = self.now.saturating_sub(stored.age);
-        let job = Job::new(stored.spec, stored.version, arrived, inherited, stored.done);
+        let job = Job::new(stored.spec, stored.version, arrived, inherited, stored.succeeded);
         self.jobs.insert(job_id, job);
     }
 
     /// The job is over: nothing of it starts, and what runs is stopped.
     fn remove_job(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
-        job.over = true;
-        job.waiting.clear();
+        job.terminated = true;
+        job.pending_tasks.clear();
         self.stop_all(job_id);
-        self.drop_if_over(job_id);
+        self.remove_if_terminated(job_id);
     }
 
     pub fn machines_up(&self) -> u32 {
-        self.machines.values().filter(|m| m.phase == Phase::Up && !m.deleting).count() as u32
+        self.machines.values().filter(|m| m.state == MachineState::Ready && !m.deleting).count() as u32
     }
 
     /// (job, finished tasks, running tasks) for display.
     pub fn summary(&self) -> Vec<(JobId, u32, u32)> {
         let running = |job: &Job| {
-            let on = self.placed(job).filter(|(_, _, t)| t.status == TaskStatus::Running);
+            let on = self.placements_of(job).filter(|(_, _, t)| t.status == TaskStatus::Running);
             on.map(|(id, _, _)| id).collect::<BTreeSet<_>>().len() as u32
         };
         self.jobs
             .values()
-            .filter(|j| !j.over)
-            .map(|j| (j.spec.job_id, j.done.len() as u32, running(j)))
+            .filter(|j| !j.terminated)
+            .map(|j| (j.spec.job_id, j.succeeded.len() as u32, running(j)))
             .collect()
     }
 }
--- a/src/scheduler/model.rs
+++ b/src/scheduler/model.rs
@@ -115,7 +115,7 @@
     pub kind: Kind,
     pub priority: Priority,
     pub tasks: u32,
-    pub needs: Resources,
+    pub resource_request: Resources,
     pub image: String,
     pub image_gb: f64,
     pub types: Option<Vec<String>>,
@@ -151,7 +151,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
     pub name: String,
-    pub has: Resources,
+    pub capacity: Resources,
     pub price: f64,
     pub spot_price: Option<f64>,
     pub boot_s: f64,
@@ -203,29 +203,29 @@
 
 /// A task that is, or may be, on a machine.
 #[derive(Debug, Clone)]
-pub struct Placed {
+pub struct Placement {
     pub attempt: u64,
-    pub needs: Resources,
+    pub resource_request: Resources,
     /// (agent epoch, sequence) of the heartbeat whose answer bore the start; None until the answer is made.
-    pub sent: Option<(u64, u64)>,
+    pub start_sent_in: Option<(u64, u64)>,
     /// Whether a heartbeat has listed it.
-    pub seen: bool,
+    pub confirmed: bool,
     pub status: TaskStatus,
     /// When this leader first saw it run, if it saw it start.
-    pub runs_since: Option<u64>,
+    pub running_since: Option<u64>,
     pub image: String,
     /// When this leader placed or first saw it: a shrink stops the newest.
-    pub since: u64,
+    pub placed_at: u64,
     /// When a stop was first asked for, and its grace.
     pub stopping: Option<(u64, f64)>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum MachineState {
     /// Rented or listed; its worker has not reported to this leader.
-    Expected,
+    Pending,
     /// Its worker reports.
-    Up,
+    Ready,
     /// Its lease has ended or it is gone: it holds nothing.
     Lost,
 }
@@ -237,8 +237,8 @@
     pub zone: String,
     pub spot: bool,
     pub address: String,
-    pub has: Resources,
-    pub phase: Phase,
+    pub capacity: Resources,
+    pub state: MachineState,
     pub agent_epoch: u64,
     pub sequence: u64,
     /// A heartbeat has stated this leader's token: the task list is exact.
@@ -254,7 +254,7 @@
     /// too, and overtake heartbeats that are under way.
     pub last_heartbeat_sequence: u64,
     /// A late or repeated heartbeat of it was logged.
-    pub sent_stale: bool,
+    pub stale_heartbeat_logged: bool,
     /// The node that its last heartbeat came through, if that was not this one, and whether that node answers
     /// by itself what says nothing new.
     pub via: Option<usize>,
@@ -263,15 +263,15 @@
     pub previous_route: Option<(Option<usize>, u64)>,
     /// Its leaseholder has been told to pass its next heartbeat on.
     pub wake_requested: bool,
-    pub tasks: BTreeMap<TaskId, Placed>,
+    pub tasks: BTreeMap<TaskId, Placement>,
     /// The task list of the newest heartbeat, to tell an unchanged one by.
-    pub listed: Vec<ReportedTask>,
+    pub reported_tasks: Vec<ReportedTask>,
     /// Exited tasks still listed: (task, attempt) -> cause.
     pub exited: BTreeMap<(TaskId, u64), ExitReason>,
     /// Tasks of jobs that this leader does not know, to be stopped: (task, attempt).
-    pub foreign: BTreeSet<(TaskId, u64)>,
+    pub orphaned: BTreeSet<(TaskId, u64)>,
     /// Tasks of jobs that are not known here, and when they were first reported: kept until the store has been asked.
-    pub unknown: BTreeMap<(TaskId, u64), u64>,
+    pub unverified: BTreeMap<(TaskId, u64), u64>,
     pub images: BTreeSet<String>,
     /// Its record in the state service does not name all of them yet.
     pub images_changed: bool,
@@ -279,41 +279,41 @@
     pub recall_at: Option<u64>,
     pub draining: bool,
     /// An ordinary machine that fixed work and the reserve could do without.
-    pub surplus: bool,
+    pub consolidation_target: bool,
     pub deleting: bool,
     /// What the last answer said that the next heartbeat must show some trace of, our token included.
-    pub told: Vec<super::TaskCommand>,
-    pub told_token: bool,
+    pub unacknowledged_commands: Vec<super::TaskCommand>,
+    pub token_unacknowledged: bool,
     /// Heartbeats running that show no trace of what the answer before them said.
-    pub unheard: u32,
-    pub errors: BTreeSet<JobId>,
-    pub no_room_until: u64,
+    pub unacknowledged_heartbeats: u32,
+    pub failed_jobs: BTreeSet<JobId>,
+    pub no_room_backoff_until: u64,
     /// Tasks in a row that took far longer here than the rest of their job elsewhere.
     pub slow_votes: u32,
     /// Until then no array or gang is started here.
     pub slow_until: u64,
     pub idle_since: u64,
     pub known_since: u64,
-    pub boot_give_up: u64,
+    pub boot_deadline: u64,
 }
 
 impl Machine {
     /// Nothing is under way between it and us: it would be told nothing, and a heartbeat that lists what
     /// the last one did says nothing new.
-    pub fn calm(&self) -> bool {
-        self.phase == Phase::Up
+    pub fn is_settled(&self) -> bool {
+        self.state == MachineState::Ready
             && self.reconciled
             && self.recorded
             && self.recall_at.is_none()
-            && self.told.is_empty()
-            && self.foreign.is_empty()
-            && self.unknown.is_empty()
-            && self.tasks.values().all(|t| t.seen && t.stopping.is_none())
+            && self.unacknowledged_commands.is_empty()
+            && self.orphaned.is_empty()
+            && self.unverified.is_empty()
+            && self.tasks.values().all(|t| t.confirmed && t.stopping.is_none())
     }
 
     /// How long a task with this image would wait for it, in fetches: none where the image is, and
     /// one more for every other image that is being fetched, since they share the rate.
-    pub fn fetches(&self, image: &str) -> i64 {
+    pub fn image_fetches(&self, image: &str) -> i64 {
         if self.images.contains(image) {
             return 0;
         }
@@ -325,18 +325,21 @@
         1 + others.len() as i64
     }
 
-    pub fn free(&self) -> Resources {
-        self.tasks.values().fold(self.has, |room, t| room.minus(&t.needs))
+    pub fn available(&self) -> Resources {
+        self.tasks.values().fold(self.capacity, |room, t| room.minus(&t.resource_request))
     }
 
     /// Room once every stop under way is confirmed. A stop that has taken long is not counted on.
-    pub fn free_soon(&self, now: u64) -> Resources {
-        let under_way = |t: &Placed| {
+    pub fn available_soon(&self, now: u64) -> Resources {
+        let under_way = |t: &Placement| {
             t.stopping.is_some_and(|(at, grace)| {
                 now < at + crate::limits::micros(grace) + crate::limits::STOP_PATIENCE
             })
         };
-        self.tasks.values().filter(|t| !under_way(t)).fold(self.has, |room, t| room.minus(&t.needs))
+        self.tasks
+            .values()
+            .filter(|t| !under_way(t))
+            .fold(self.capacity, |room, t| room.minus(&t.resource_request))
     }
 }
 
@@ -344,43 +347,43 @@
 pub struct Job {
     pub spec: JobSpec,
     /// When it was submitted: ages and order of arrival count from here.
-    pub arrived: u64,
+    pub submitted_at: u64,
     /// Version of its record.
     pub version: u64,
     /// It may have been started by an earlier leader.
     pub inherited: bool,
-    pub waiting: BTreeSet<u32>,
+    pub pending_tasks: BTreeSet<u32>,
     /// Machines that hold, or may hold, each task.
-    pub places: BTreeMap<u32, Vec<String>>,
+    pub placements: BTreeMap<u32, Vec<String>>,
     /// Where waiting tasks were before.
-    pub last_places: BTreeMap<u32, LastPlace>,
-    pub done: BTreeSet<u32>,
+    pub previous_placements: BTreeMap<u32, LastPlace>,
+    pub succeeded: BTreeSet<u32>,
     /// Finished tasks not yet in the state service.
-    pub uncommitted: BTreeSet<u32>,
+    pub unrecorded: BTreeSet<u32>,
     /// Since when some of them wait to be written.
-    pub uncommitted_since: Option<u64>,
+    pub unrecorded_since: Option<u64>,
     /// The keys of finished tasks that are in the state service.
-    pub stored: BTreeSet<u32>,
-    pub committing: bool,
+    pub recorded_chunks: BTreeSet<u32>,
+    pub write_in_flight: bool,
     /// Cancelled or otherwise over: its tasks are stopped, nothing starts.
-    pub over: bool,
+    pub terminated: bool,
     /// The last change of its width.
-    pub rescaled: u64,
+    pub last_resized_at: u64,
     /// The width that it was last given.
     pub width: u32,
     /// How often it failed while it was under suspicion: each time it waits twice as long.
     pub failures: u32,
     /// Machines on which its tasks failed since one of them last finished.
     pub failed_on: BTreeSet<String>,
-    pub paused_until: u64,
+    pub backoff_until: u64,
     /// Run times of its finished tasks: sum in microseconds, and how many.
-    pub ran: (u64, u64),
+    pub run_times: (u64, u64),
     /// The last attempt of a gang that is known to be over.
     pub ended_attempt: u64,
     /// Since when a gang that waits for some of its tasks has found no room for them.
-    pub short_since: Option<u64>,
+    pub incomplete_since: Option<u64>,
     /// Why it waits, for the operators.
-    pub waits_for: &'static str,
+    pub pending_reason: &'static str,
 }
 
 impl Job {
@@ -389,36 +392,36 @@
         let stored = done.iter().map(|t| t / crate::limits::DONE_CHUNK).collect();
         Job {
             spec,
-            arrived,
+            submitted_at: arrived,
             version,
             inherited,
-            waiting,
-            places: BTreeMap::new(),
-            last_places: BTreeMap::new(),
-            done,
-            uncommitted: BTreeSet::new(),
-            uncommitted_since: None,
-            stored,
-            committing: false,
-            over: false,
-            rescaled: 0,
+            pending_tasks: waiting,
+            placements: BTreeMap::new(),
+            previous_placements: BTreeMap::new(),
+            succeeded: done,
+            unrecorded: BTreeSet::new(),
+            unrecorded_since: None,
+            recorded_chunks: stored,
+            write_in_flight: false,
+            terminated: false,
+            last_resized_at: 0,
             width: 0,
             failures: 0,
             failed_on: BTreeSet::new(),
-            paused_until: 0,
-            ran: (0, 0),
+            backoff_until: 0,
+            run_times: (0, 0),
             ended_attempt: 0,
-            short_since: None,
-            waits_for: "",
+            incomplete_since: None,
+            pending_reason: "",
         }
     }
 
-    pub fn begun(&self) -> bool {
-        !self.places.is_empty() || !self.done.is_empty()
+    pub fn has_started(&self) -> bool {
+        !self.placements.is_empty() || !self.succeeded.is_empty()
     }
 
     pub fn unfinished(&self) -> u32 {
-        self.spec.tasks - self.done.len() as u32
+        self.spec.tasks - self.succeeded.len() as u32
     }
 
     /// What so many of its tasks take, by their owner's estimate, in seconds of one slot.
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -79,10 +79,10 @@
             class: job.spec.class.clone(),
             team: job.spec.team.clone(),
             priority: format!("{:?}", job.spec.priority).to_lowercase(),
-            placed: job.places.len(),
-            waiting: job.waiting.len(),
-            done: job.done.len(),
-            waits_for: if job.waiting.is_empty() { "" } else { job.waits_for },
+            placed: job.placements.len(),
+            waiting: job.pending_tasks.len(),
+            done: job.succeeded.len(),
+            waits_for: if job.pending_tasks.is_empty() { "" } else { job.pending_reason },
         }
     }
 }
@@ -90,7 +90,7 @@
 impl Scheduler {
     /// Keeps a decision for the overview; the log has it too.
     pub(super) fn decided(&mut self, decision: String) {
-        let seconds = (self.now - self.started) / limits::SECOND;
+        let seconds = (self.now - self.started_at) / limits::SECOND;
         self.ledger.decisions.push_back(format!("{seconds} s into token {}: {decision}", self.config.token));
         if self.ledger.decisions.len() > limits::DECISIONS_KEPT {
             self.ledger.decisions.pop_front();
@@ -122,7 +122,7 @@
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            phase: format!("{:?}", machine.phase).to_lowercase(),
+            phase: phase_word(machine.state).to_string(),
             tasks: machine.tasks.len(),
             leaving: leaving || self.drains.is_cordoned(&machine.name),
         }
@@ -131,17 +131,17 @@
     /// Adds up what runs, and writes it to the log now and then: the sum of all `usage` lines of all
     /// nodes is what each job and team has used, changes of leader included.
     pub(super) fn account(&mut self) {
-        let since = self.now.saturating_sub(self.ledger.counted.max(self.started));
+        let since = self.now.saturating_sub(self.ledger.counted.max(self.started_at));
         self.ledger.counted = self.now;
         let running = self.machines.values().flat_map(|m| m.tasks.iter().map(move |(id, t)| (m, id, t)));
         for (machine, id, task) in running.filter(|(_, _, t)| t.status == TaskStatus::Running) {
             let Some(job) = self.jobs.get(&id.job_id) else { continue };
             let key = (job.spec.team.clone(), job.spec.class.clone(), id.job_id);
             let used = self.ledger.uses.entry(key).or_default();
-            used.cpus += i128::from(task.needs.cpus) * i128::from(since);
-            used.gpus += i128::from(task.needs.gpus) * i128::from(since);
+            used.cpus += i128::from(task.resource_request.cpus) * i128::from(since);
+            used.gpus += i128::from(task.resource_request.gpus) * i128::from(since);
             if machine.spot {
-                used.spot_gpus += i128::from(task.needs.gpus) * i128::from(since);
+                used.spot_gpus += i128::from(task.resource_request.gpus) * i128::from(since);
             }
         }
         if self.now >= self.ledger.written + limits::USAGE_EVERY {
@@ -166,3 +166,12 @@
         }
     }
 }
+
+/// The word that operators read for a machine's state.
+fn phase_word(state: super::model::MachineState) -> &'static str {
+    match state {
+        MachineState::Pending => "expected",
+        MachineState::Ready => "up",
+        MachineState::Lost => "lost",
+    }
+}
--- a/src/scheduler/place.rs
+++ b/src/scheduler/place.rs
@@ -14,7 +14,7 @@
         if !job.spec.spread && !job.spec.one_zone && job.spec.priority != Priority::Critical {
             return count;
         }
-        for machine in job.places.values().flatten().filter_map(|name| machines.get(name)) {
+        for machine in job.placements.values().flatten().filter_map(|name| machines.get(name)) {
             count.add(&machine.zone);
         }
         count
@@ -66,13 +66,13 @@
 pub fn cost(job: &Job, machine: &Machine, room: &Resources, fixed_work: bool) -> ([i64; 3], i64) {
     let dearer = job.spec.spot && !machine.spot;
     let kind = i64::from(dearer && fixed_work);
-    let cold = machine.fetches(&job.spec.image);
-    let last_resort = i64::from(machine.surplus) + i64::from(dearer);
+    let cold = machine.image_fetches(&job.spec.image);
+    let last_resort = i64::from(machine.consolidation_target) + i64::from(dearer);
     ([kind, cold, last_resort], emptiness(job, room))
 }
 
 /// What a task would leave of the room.
 pub fn emptiness(job: &Job, room: &Resources) -> i64 {
-    let left = room.minus(&job.spec.needs);
+    let left = room.minus(&job.spec.resource_request);
     left.gpus * 1000 + left.cpus
 }
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -8,23 +8,27 @@
 impl Scheduler {
     pub(super) fn stop_all(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get(&job_id) else { return };
-        let places: Vec<_> = self.placed(job).map(|(id, machine, _)| (id, machine.to_string())).collect();
+        let places: Vec<_> =
+            self.placements_of(job).map(|(id, machine, _)| (id, machine.to_string())).collect();
         for (id, machine) in places {
             self.stop(&machine, id, 0.0);
         }
     }
 
     /// Every place where a task of the job is, or may be.
-    pub(super) fn placed<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = (TaskId, &'a str, &'a Placed)> {
-        let places = job.places.iter().flat_map(|(task, names)| names.iter().map(move |n| (*task, n)));
+    pub(super) fn placements_of<'a>(
+        &'a self,
+        job: &'a Job,
+    ) -> impl Iterator<Item = (TaskId, &'a str, &'a Placement)> {
+        let places = job.placements.iter().flat_map(|(task, names)| names.iter().map(move |n| (*task, n)));
         places.filter_map(|(task, name)| {
             let id = TaskId { job_id: job.spec.job_id, task };
             Some((id, name.as_str(), self.machines.get(name)?.tasks.get(&id)?))
         })
     }
 
-    pub(super) fn drop_if_over(&mut self, job_id: JobId) {
-        if self.jobs.get(&job_id).is_some_and(|j| j.over && j.places.is_empty()) {
+    pub(super) fn remove_if_terminated(&mut self, job_id: JobId) {
+        if self.jobs.get(&job_id).is_some_and(|j| j.terminated && j.placements.is_empty()) {
             self.jobs.remove(&job_id);
         }
     }
@@ -37,22 +41,29 @@
     }
 
     /// Reserves the place; the start goes out with the answer to the machine's next heartbeat.
-    pub(super) fn place_on(&mut self, name: &str, id: TaskId, needs: Resources, image: String, attempt: u64) {
+    pub(super) fn reserve_placement(
+        &mut self,
+        name: &str,
+        id: TaskId,
+        needs: Resources,
+        image: String,
+        attempt: u64,
+    ) {
         let now = self.now;
         self.note_order(id);
-        let previous = self.jobs.get_mut(&id.job_id).and_then(|job| job.last_places.remove(&id.task));
+        let previous = self.jobs.get_mut(&id.job_id).and_then(|job| job.previous_placements.remove(&id.task));
         if let Some(machine) = self.machines.get_mut(name) {
             let previous = previous.map(tracing::field::display);
             debug!(task = %id, machine = name, attempt, previous, "place");
-            let placed = Placed {
+            let placed = Placement {
                 attempt,
-                needs,
-                sent: None,
-                seen: false,
+                resource_request: needs,
+                start_sent_in: None,
+                confirmed: false,
                 status: TaskStatus::Fetching,
-                runs_since: None,
+                running_since: None,
                 image,
-                since: now,
+                placed_at: now,
                 stopping: None,
             };
             machine.tasks.insert(id, placed);
@@ -64,10 +75,10 @@
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
         let Some(placed) = machine.tasks.get_mut(&id) else { return };
-        if placed.sent.is_none() && !placed.seen {
+        if placed.start_sent_in.is_none() && !placed.confirmed {
             // Its start has not left: it is provably nowhere.
             machine.tasks.remove(&id);
-            self.unplace(name, id, Absence::NotSent);
+            self.remove_placement(name, id, Absence::NotSent);
             return;
         }
         // A later stop with less grace ends the saving.
@@ -80,31 +91,31 @@
     }
 
     /// The task is provably not on this machine any more.
-    pub(super) fn unplace(&mut self, name: &str, id: TaskId, absence: Absence) {
+    pub(super) fn remove_placement(&mut self, name: &str, id: TaskId, absence: Absence) {
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
-        if let Some(names) = job.places.get_mut(&id.task) {
+        if let Some(names) = job.placements.get_mut(&id.task) {
             names.retain(|n| n != name);
             if names.is_empty() {
-                job.places.remove(&id.task);
-                if !job.over && !job.done.contains(&id.task) {
-                    job.waiting.insert(id.task);
-                    job.last_places.insert(id.task, LastPlace { machine: name.to_string(), absence });
+                job.placements.remove(&id.task);
+                if !job.terminated && !job.succeeded.contains(&id.task) {
+                    job.pending_tasks.insert(id.task);
+                    job.previous_placements.insert(id.task, LastPlace { machine: name.to_string(), absence });
                 }
             }
         }
-        self.drop_if_over(id.job_id);
+        self.remove_if_terminated(id.job_id);
     }
 
     /// Everything on the machine is gone.
-    pub(super) fn clear_machine(&mut self, name: &str, absence: Absence) {
+    pub(super) fn release_machine(&mut self, name: &str, absence: Absence) {
         self.note_lost_work(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         let tasks: Vec<_> = std::mem::take(&mut machine.tasks).into_keys().collect();
         machine.exited.clear();
-        machine.foreign.clear();
-        machine.unknown.clear();
+        machine.orphaned.clear();
+        machine.unverified.clear();
         for id in tasks {
-            self.unplace(name, id, absence);
+            self.remove_placement(name, id, absence);
         }
     }
 }
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -45,7 +45,7 @@
     /// Puts up to `left` tasks on machines of one group; returns how many found room there.
     fn fill(&mut self, at: usize, job: &Job, zones: &mut ZoneCount, left: u32) -> u32 {
         let group = &self.coming[at];
-        let needs = &job.spec.needs;
+        let needs = &job.spec.resource_request;
         let each = u32::try_from(needs.count_in(&group.room)).unwrap_or(u32::MAX);
         let all = each.saturating_mul(group.count);
         let tasks = left.min(all).min(zones.room(job, &group.offer.1));
@@ -69,9 +69,9 @@
     /// Takes up the plan. Machines in an unreachable zone, booting or not, help nobody until it is back, so that none
     /// is counted on or rented there.
     pub fn begin_plan(&mut self) {
-        let queue = self.jobs.values().filter(|j| !j.over && !j.waiting.is_empty());
-        let mut queue: Vec<&Job> = queue.filter(|j| j.paused_until <= self.now).collect();
-        queue.sort_by_key(|j| (std::cmp::Reverse(self.rank(j)), j.arrived, j.spec.job_id));
+        let queue = self.jobs.values().filter(|j| !j.terminated && !j.pending_tasks.is_empty());
+        let mut queue: Vec<&Job> = queue.filter(|j| j.backoff_until <= self.now).collect();
+        queue.sort_by_key(|j| (std::cmp::Reverse(self.rank(j)), j.submitted_at, j.spec.job_id));
         let queue: Vec<JobId> = queue.into_iter().map(|j| j.spec.job_id).collect();
         let mut plan = Plan {
             queue: queue.into_iter(),
@@ -80,7 +80,7 @@
             wanted: BTreeMap::new(),
             teams: self.team_usage(),
         };
-        let booting = self.machines.values().filter(|m| m.phase == Phase::Expected && !m.deleting);
+        let booting = self.machines.values().filter(|m| m.state == MachineState::Pending && !m.deleting);
         let booting = booting.filter(|m| !self.drains.is_kept(&m.name));
         for machine in booting {
             let offer = (machine.machine_type.clone(), machine.zone.clone(), machine.spot);
@@ -93,7 +93,7 @@
             if let Some(machine_type) =
                 self.types.get(&offer.0).filter(|_| !self.failure_detector.zone_unreachable(&offer.1))
             {
-                plan.add(&offer, machine_type.has, false, n);
+                plan.add(&offer, machine_type.capacity, false, n);
             }
         }
         self.fleet.plan = Some(plan);
@@ -109,7 +109,7 @@
                 self.carry_out_plan(plan);
                 return true;
             };
-            if let Some(job) = self.jobs.get(&job_id).filter(|j| !j.over) {
+            if let Some(job) = self.jobs.get(&job_id).filter(|j| !j.terminated) {
                 self.plan_job(job, &mut plan, &mut steps);
             }
         }
@@ -162,10 +162,10 @@
     }
 
     fn plan_job(&self, job: &Job, plan: &mut Plan, steps: &mut usize) {
-        let needs = &job.spec.needs;
+        let needs = &job.spec.resource_request;
         let mut zones = ZoneCount::of(job, &self.machines);
         let most = self.team_room(job, &plan.teams);
-        let mut left = (job.waiting.len() as u32).min(most);
+        let mut left = (job.pending_tasks.len() as u32).min(most);
         // What is coming, machines in use and with the least room first.
         *steps += 1 + plan.coming.len();
         plan.coming.retain(|g| g.count > 0);
@@ -183,10 +183,10 @@
         if left == 0 {
             return;
         }
-        let patient = self.now < job.arrived + limits::micros(self.config.operator.spot_patience_s);
+        let patient = self.now < job.submitted_at + limits::micros(self.config.operator.spot_patience_s);
         let mut offers = self.offers(|t| job.spec.allows_type(t), |_| true, job.spec.spot);
         offers.retain(|(_, o)| {
-            let fits = self.types.get(&o.0).is_some_and(|t| needs.fits(&t.has));
+            let fits = self.types.get(&o.0).is_some_and(|t| needs.fits(&t.capacity));
             fits && !(job.spec.spot && !o.2 && patient) && !self.refused(o)
         });
         while left > 0 {
@@ -201,13 +201,13 @@
             let Some((_, offer)) = best else { return };
             let Some(t) = self.types.get(&offer.0) else { return };
             // One task at a time would be fairer to the zones, but a machine that is paid for is filled.
-            let each = u32::try_from(needs.count_in(&t.has)).unwrap_or(u32::MAX);
+            let each = u32::try_from(needs.count_in(&t.capacity)).unwrap_or(u32::MAX);
             let tasks = left.min(each).min(zones.room(job, &offer.1));
             zones.add_many(&offer.1, tasks);
             left -= tasks;
             *plan.wanted.entry(offer.clone()).or_default() += 1;
             *plan.count.entry(offer.clone()).or_default() += 1;
-            plan.add(offer, t.has.minus(&needs.times(tasks.into())), true, 1);
+            plan.add(offer, t.capacity.minus(&needs.times(tasks.into())), true, 1);
         }
     }
 
@@ -220,8 +220,8 @@
             let mut here: Vec<(&Machine, i64)> = self
                 .machines
                 .values()
-                .filter(|m| self.usable(m) && !m.spot && m.zone == *zone)
-                .map(|m| (m, shape.count_in(&m.free())))
+                .filter(|m| self.is_schedulable(m) && !m.spot && m.zone == *zone)
+                .map(|m| (m, shape.count_in(&m.available())))
                 .filter(|(_, n)| *n > 0)
                 .collect();
             // Places on machines that run something anyway cost nothing more.
@@ -237,11 +237,11 @@
             while open > 0 {
                 let offers = self.offers(|_| true, |z| z == zone, false);
                 let fits = offers.into_iter().find(|(_, o)| {
-                    !self.refused(o) && self.types.get(&o.0).is_some_and(|t| shape.fits(&t.has))
+                    !self.refused(o) && self.types.get(&o.0).is_some_and(|t| shape.fits(&t.capacity))
                 });
                 let Some((_, offer)) = fits else { break };
                 let Some(t) = self.types.get(&offer.0) else { break };
-                open -= shape.count_in(&t.has).max(1);
+                open -= shape.count_in(&t.capacity).max(1);
                 *plan.wanted.entry(offer).or_default() += 1;
             }
         }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -13,19 +13,19 @@
         self.reconciled
     }
 
-    pub fn usable(&self, machine: &Machine) -> bool {
-        machine.phase == Phase::Up
+    pub fn is_schedulable(&self, machine: &Machine) -> bool {
+        machine.state == MachineState::Ready
             && machine.reconciled
             && machine.recorded
             && !machine.draining
             && !machine.deleting
             && !self.drains.is_cordoned(&machine.name)
             && machine.recall_at.is_none()
-            && machine.foreign.is_empty()
-            && machine.unknown.is_empty()
-            && machine.no_room_until <= self.now
+            && machine.orphaned.is_empty()
+            && machine.unverified.is_empty()
+            && machine.no_room_backoff_until <= self.now
             && !self.failure_detector.zone_unreachable(&machine.zone)
-            && machine.unheard < limits::UNHEARD_DEAF
+            && machine.unacknowledged_heartbeats < limits::UNHEARD_DEAF
             && self.now < machine.last_heartbeat_at + limits::silent(self.config.workers.report_s)
     }
 
@@ -47,15 +47,15 @@
         };
     }
 
-    pub(super) fn expire(&mut self) {
-        if self.now < self.expire_due {
+    pub(super) fn expire_leases(&mut self) {
+        if self.now < self.next_expiry_check_at {
             return;
         }
-        self.expire_due = self.now + limits::EXPIRE_EVERY;
+        self.next_expiry_check_at = self.now + limits::EXPIRE_EVERY;
         self.update_reachability();
         let lease = limits::worker_lease(self.config.workers.lease_s);
         let now = self.now;
-        let alive = self.started.max(self.kept_alive_until);
+        let alive = self.started_at.max(self.kept_alive_until);
         // A leaseholder may have answered anybody since its last word, until its own lease ends.
         let shard_lease = limits::lengthened(self.config.shard_lease);
         let open = self.leaseholders.values().filter(|h| now < h.last_heartbeat_at + shard_lease + lease);
@@ -63,11 +63,13 @@
         let ended: Vec<String> = self
             .machines
             .values()
-            .filter(|m| m.phase != Phase::Lost)
+            .filter(|m| m.state != MachineState::Lost)
             // A worker first heard of may have begun its lease as late as then: without its heartbeat in the
             // sum, every machine younger than this leader was given up the moment it came up.
             .filter(|m| now.min(covered) >= m.last_renewal.at().max(m.last_heartbeat_at).max(alive) + lease)
-            .filter(|m| m.phase == Phase::Up || !m.tasks.is_empty() || (m.inherited && !m.reconciled))
+            .filter(|m| {
+                m.state == MachineState::Ready || !m.tasks.is_empty() || (m.inherited && !m.reconciled)
+            })
             .map(|m| m.name.clone())
             .collect();
         for name in ended {
@@ -75,19 +77,22 @@
                 continue;
             };
             info!(machine = name, proof = %absence, "lease ended: everything on it is gone");
-            self.clear_machine(&name, absence);
+            self.release_machine(&name, absence);
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.phase = Phase::Lost;
+                machine.state = MachineState::Lost;
                 machine.reconciled = true;
             }
-            self.news = true;
+            self.round_requested = true;
         }
         if !self.reconciled && self.loaded {
             let open = |m: &&Machine| m.inherited && !m.reconciled;
             self.reconciled = now >= alive + lease || self.machines.values().filter(open).count() == 0;
             if self.reconciled {
-                info!(after_ms = (now - self.started) / 1000, "all machines of earlier leaders reconciled");
-                self.news = true;
+                info!(
+                    after_ms = (now - self.started_at) / 1000,
+                    "all machines of earlier leaders reconciled"
+                );
+                self.round_requested = true;
                 self.note_all_accounted_for();
             }
         }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -123,7 +123,7 @@
             machine.inherited = true;
             machine.images.clone_from(&stored.images);
             for image in stored.images {
-                self.warm.entry(image).or_default().insert(stored.name.clone());
+                self.machines_by_image.entry(image).or_default().insert(stored.name.clone());
             }
         }
         let most = self.config.record_machines.max(1);
@@ -213,7 +213,7 @@
             if !self.writes.take(2.0 + chunks.len() as f64) {
                 return false;
             }
-            job.committing = true;
+            job.write_in_flight = true;
             let (version, tasks) = (job.version, job.spec.tasks);
             self.effects.push(Effect::Finish { job_id, version, tasks, chunks });
         }
@@ -225,19 +225,19 @@
     fn commit_done(&mut self) -> bool {
         let now = self.now;
         let ready = |j: &&Job| {
-            let waits = j.uncommitted_since.is_some_and(|since| now >= since + limits::COMMIT_WAIT);
-            waits && !j.committing && !j.over && !j.uncommitted.is_empty() && j.unfinished() > 0
+            let waits = j.unrecorded_since.is_some_and(|since| now >= since + limits::COMMIT_WAIT);
+            waits && !j.write_in_flight && !j.terminated && !j.unrecorded.is_empty() && j.unfinished() > 0
         };
         let mut ready: Vec<_> =
-            self.jobs.values().filter(ready).map(|j| (j.uncommitted_since, j.spec.job_id)).collect();
+            self.jobs.values().filter(ready).map(|j| (j.unrecorded_since, j.spec.job_id)).collect();
         ready.sort_unstable();
         for (_, job_id) in ready {
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
             if !self.writes.take(1.0) {
                 return false;
             }
-            job.committing = true;
-            let (version, tasks, all_done) = (job.version, job.uncommitted.clone(), job.done.clone());
+            job.write_in_flight = true;
+            let (version, tasks, all_done) = (job.version, job.unrecorded.clone(), job.succeeded.clone());
             self.effects.push(Effect::CommitDone { job_id, version, tasks, all_done });
         }
         true
@@ -246,11 +246,11 @@
     pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: WriteOutcome) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
-        job.committing = false;
+        job.write_in_flight = false;
         if outcome == WriteOutcome::Done {
-            job.stored.extend(tasks.iter().map(|t| t / limits::DONE_CHUNK));
-            job.uncommitted.retain(|t| !tasks.contains(t));
-            job.uncommitted_since = (!job.uncommitted.is_empty()).then_some(now);
+            job.recorded_chunks.extend(tasks.iter().map(|t| t / limits::DONE_CHUNK));
+            job.unrecorded.retain(|t| !tasks.contains(t));
+            job.unrecorded_since = (!job.unrecorded.is_empty()).then_some(now);
         }
     }
 }
@@ -282,11 +282,11 @@
 
 impl Job {
     fn ready_to_finish(&self) -> bool {
-        self.spec.kind != Kind::Service && self.unfinished() == 0 && !self.committing && !self.over
+        self.spec.kind != Kind::Service && self.unfinished() == 0 && !self.write_in_flight && !self.terminated
     }
 
     /// The keys of finished tasks that may have been written.
     fn chunks(&self) -> Vec<u32> {
-        self.stored.iter().copied().collect()
+        self.recorded_chunks.iter().copied().collect()
     }
 }
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -12,7 +12,7 @@
     /// The machine of this name, made known if it is new.
     pub fn machine(&mut self, stored: &StoredMachine) -> &mut Machine {
         let type_known = self.types.get(&stored.machine_type);
-        let has = type_known.map(|t| t.has).unwrap_or_default();
+        let has = type_known.map(|t| t.capacity).unwrap_or_default();
         let boot = type_known.map_or(60.0, |t| t.boot_s) * limits::BOOT_GIVE_UP;
         let now = self.now;
         self.machines.entry(stored.name.clone()).or_insert_with(|| Machine {
@@ -21,8 +21,8 @@
             zone: stored.zone.clone(),
             spot: stored.spot,
             address: stored.address.clone(),
-            has,
-            phase: Phase::Expected,
+            capacity: has,
+            state: MachineState::Pending,
             agent_epoch: 0,
             sequence: 0,
             reconciled: false,
@@ -31,32 +31,32 @@
             last_heartbeat_at: 0,
             last_renewal: LastRenewal::default(),
             last_heartbeat_sequence: 0,
-            sent_stale: false,
+            stale_heartbeat_logged: false,
             via: None,
             cached_by_leaseholder: false,
             previous_route: None,
             wake_requested: false,
             tasks: BTreeMap::new(),
-            listed: Vec::new(),
+            reported_tasks: Vec::new(),
             exited: BTreeMap::new(),
-            foreign: BTreeSet::new(),
-            unknown: BTreeMap::new(),
+            orphaned: BTreeSet::new(),
+            unverified: BTreeMap::new(),
             images: BTreeSet::new(),
             images_changed: false,
             recall_at: None,
             draining: false,
-            surplus: false,
+            consolidation_target: false,
             deleting: false,
-            told: Vec::new(),
-            told_token: false,
-            unheard: 0,
-            errors: BTreeSet::new(),
-            no_room_until: 0,
+            unacknowledged_commands: Vec::new(),
+            token_unacknowledged: false,
+            unacknowledged_heartbeats: 0,
+            failed_jobs: BTreeSet::new(),
+            no_room_backoff_until: 0,
             slow_votes: 0,
             slow_until: 0,
             idle_since: now,
             known_since: now,
-            boot_give_up: now + limits::micros(boot),
+            boot_deadline: now + limits::micros(boot),
         })
     }
 
@@ -68,7 +68,7 @@
         if !self.loaded {
             return HeartbeatOutcome::Unchanged;
         }
-        if self.fleet.gone.contains_key(&heartbeat.machine) {
+        if self.fleet.deleted.contains_key(&heartbeat.machine) {
             self.ignored_heartbeats.stale += 1;
             return HeartbeatOutcome::Stale;
         }
@@ -79,13 +79,13 @@
                 && heartbeat.sequence > machine.sequence
                 && heartbeat.token == token
                 && heartbeat.notice_s.is_none()
-                && machine.calm()
-                && heartbeat.tasks == machine.listed;
+                && machine.is_settled()
+                && heartbeat.tasks == machine.reported_tasks;
             if unchanged {
                 machine.sequence = heartbeat.sequence;
                 machine.last_heartbeat_sequence = heartbeat.sequence;
                 machine.last_heartbeat_at = now;
-                machine.unheard = 0;
+                machine.unacknowledged_heartbeats = 0;
                 return HeartbeatOutcome::Unchanged;
             }
         }
@@ -104,7 +104,7 @@
             return self.ignore_late_heartbeat(&heartbeat, periodic);
         }
         if periodic {
-            machine.judge_hearing(&heartbeat, token);
+            machine.assess_reachability(&heartbeat, token);
         }
         if heartbeat.agent_epoch > machine.agent_epoch {
             if machine.agent_epoch > 0 {
@@ -115,7 +115,7 @@
                 );
             }
             // Whatever an earlier agent epoch held died with its lease.
-            self.clear_machine(
+            self.release_machine(
                 &heartbeat.machine,
                 Absence::NewAgentEpoch { agent_epoch: heartbeat.agent_epoch },
             );
@@ -144,10 +144,10 @@
         }
         if periodic {
             machine.last_heartbeat_at = now;
-            if machine.phase != Phase::Up {
+            if machine.state != MachineState::Ready {
                 info!(machine = heartbeat.machine, zone = machine.zone, spot = machine.spot, "machine up");
                 machine.idle_since = now;
-                machine.phase = Phase::Up;
+                machine.state = MachineState::Ready;
             }
         }
         let listed = self.take_listed(&heartbeat.machine, &heartbeat.tasks);
@@ -165,7 +165,7 @@
             self.record(&heartbeat.machine);
         }
         if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
-            machine.listed = heartbeat.tasks;
+            machine.reported_tasks = heartbeat.tasks;
         }
         HeartbeatOutcome::Changed
     }
@@ -183,7 +183,10 @@
                 continue;
             }
             living.insert((task.id, task.attempt));
-            let known = self.jobs.get(&task.id.job_id).map(|j| (j.spec.needs, j.over, j.spec.image.clone()));
+            let known = self
+                .jobs
+                .get(&task.id.job_id)
+                .map(|j| (j.spec.resource_request, j.terminated, j.spec.image.clone()));
             let Some((needs, over, image)) = known else {
                 self.take_unknown(name, (task.id, task.attempt), &mut foreign, &mut unknown);
                 continue;
@@ -196,30 +199,30 @@
                 }
                 if machine.images.insert(image.clone()) {
                     machine.images_changed = true;
-                    self.warm.entry(image.clone()).or_default().insert(name.to_string());
+                    self.machines_by_image.entry(image.clone()).or_default().insert(name.to_string());
                 }
             }
             match machine.tasks.get_mut(&task.id) {
-                Some(placed) if placed.attempt == task.attempt || !placed.seen => {
+                Some(placed) if placed.attempt == task.attempt || !placed.confirmed => {
                     placed.attempt = task.attempt;
-                    placed.seen = true;
+                    placed.confirmed = true;
                     if placed.status != TaskStatus::Running && task.status == TaskStatus::Running {
-                        placed.runs_since = Some(now);
+                        placed.running_since = Some(now);
                     }
                     placed.status = task.status;
                 }
                 // Two attempts of one task on one machine are ruled out by the worker.
                 Some(_) => {}
                 None => {
-                    let placed = Placed {
+                    let placed = Placement {
                         attempt: task.attempt,
-                        needs,
-                        sent: None,
-                        seen: true,
+                        resource_request: needs,
+                        start_sent_in: None,
+                        confirmed: true,
                         status: task.status,
-                        runs_since: None,
+                        running_since: None,
                         image,
-                        since: now,
+                        placed_at: now,
                         stopping: None,
                     };
                     machine.tasks.insert(task.id, placed);
@@ -229,8 +232,8 @@
         }
         if let Some(machine) = self.machines.get_mut(name) {
             machine.exited.retain(|key, _| exited.contains(key));
-            machine.foreign = foreign;
-            machine.unknown = unknown;
+            machine.orphaned = foreign;
+            machine.unverified = unknown;
         }
         living
     }
@@ -244,26 +247,26 @@
         unknown: &mut BTreeMap<(TaskId, u64), u64>,
     ) {
         let machine = self.machines.get(name);
-        let known_to_be_over = machine.is_some_and(|machine| machine.foreign.contains(&key));
+        let known_to_be_over = machine.is_some_and(|machine| machine.orphaned.contains(&key));
         if known_to_be_over || !self.keeps_unknown_tasks() {
             foreign.insert(key);
             return;
         }
-        let seen = machine.and_then(|machine| machine.unknown.get(&key)).copied();
+        let seen = machine.and_then(|machine| machine.unverified.get(&key)).copied();
         unknown.insert(key, seen.unwrap_or(self.now));
     }
 
     /// A task that an earlier leader started here.
     fn adopt(&mut self, name: &str, id: TaskId, over: bool) {
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
-        let elsewhere = job.places.get(&id.task).is_some_and(|n| !n.is_empty());
-        let finished = job.done.contains(&id.task) || id.task >= job.spec.tasks;
-        job.waiting.remove(&id.task);
-        let names = job.places.entry(id.task).or_default();
+        let elsewhere = job.placements.get(&id.task).is_some_and(|n| !n.is_empty());
+        let finished = job.succeeded.contains(&id.task) || id.task >= job.spec.tasks;
+        job.pending_tasks.remove(&id.task);
+        let names = job.placements.entry(id.task).or_default();
         if !names.iter().any(|n| n == name) {
             names.push(name.into());
         }
-        let held = job.places.len() as u32;
+        let held = job.placements.len() as u32;
         job.width = job.width.max(held);
         if elsewhere {
             warn!(task = %id, machine = name, "a task is on two machines; stopping this one");
@@ -287,7 +290,7 @@
             .iter()
             .filter(|(id, t)| !listed.contains(&(**id, t.attempt)))
             // A start whose answer is still under way is only disproved by the next heartbeat.
-            .filter(|(_, t)| t.seen || periodic && t.sent.is_some_and(|sent| newest > sent))
+            .filter(|(_, t)| t.confirmed || periodic && t.start_sent_in.is_some_and(|sent| newest > sent))
             .map(|(id, _)| *id)
             .collect();
         for id in gone {
@@ -295,7 +298,7 @@
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.tasks.remove(&id);
             }
-            self.unplace(name, id, Absence::NotListed { heartbeat: newest });
+            self.remove_placement(name, id, Absence::NotListed { heartbeat: newest });
         }
     }
 
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -19,7 +19,7 @@
 
     /// Room that holds a task of any of these jobs.
     pub(super) fn largest(&self, of: impl Fn(&Job) -> bool) -> Option<Resources> {
-        let needs = self.jobs.values().filter(|j| of(j)).map(|j| j.spec.needs);
+        let needs = self.jobs.values().filter(|j| of(j)).map(|j| j.spec.resource_request);
         needs.reduce(|a, b| Resources {
             cpus: a.cpus.max(b.cpus),
             gpus: a.gpus.max(b.gpus),
--- a/src/scheduler/stale_reports.rs
+++ b/src/scheduler/stale_reports.rs
@@ -28,7 +28,7 @@
         let overtaken = periodic
             && heartbeat.agent_epoch == machine.agent_epoch
             && heartbeat.sequence > machine.last_heartbeat_sequence
-            && machine.phase != Phase::Lost;
+            && machine.state != MachineState::Lost;
         let (agent_epoch, sequence, newest) = (heartbeat.agent_epoch, heartbeat.sequence, machine.sequence);
         if overtaken {
             debug!(
@@ -44,7 +44,7 @@
             machine = heartbeat.machine,
             agent_epoch, sequence, newest, periodic, "late heartbeat ignored"
         );
-        if periodic && !std::mem::replace(&mut machine.sent_stale, true) {
+        if periodic && !std::mem::replace(&mut machine.stale_heartbeat_logged, true) {
             info!(
                 machine = heartbeat.machine,
                 agent_epoch, sequence, newest, "late or duplicate heartbeat; further ones are only counted"
--- a/src/scheduler/teams.rs
+++ b/src/scheduler/teams.rs
@@ -69,7 +69,7 @@
         let mut last: Option<(JobId, &str)> = None;
         for machine in self.machines.values() {
             if self.may_hold_unknown_tasks(machine) {
-                let whole = Some(machine.has).filter(|has| *has != Resources::default());
+                let whole = Some(machine.capacity).filter(|has| *has != Resources::default());
                 usage.unaccounted = usage.unaccounted.zip(whole).map(|(sum, whole)| sum.plus(&whole));
             }
             for (id, task) in &machine.tasks {
@@ -79,9 +79,9 @@
                 };
                 let Some(team) = team else { continue };
                 last = Some((id.job_id, team));
-                usage.add(team, &task.needs);
+                usage.add(team, &task.resource_request);
                 if task.stopping.is_some() {
-                    usage.stop(team, &task.needs);
+                    usage.stop(team, &task.resource_request);
                 }
             }
         }
@@ -93,7 +93,7 @@
     /// to wait until all had reported kept every team of a fleet without work behind one machine that had died.
     fn may_hold_unknown_tasks(&self, machine: &Machine) -> bool {
         let unreconciled = !self.reconciled && machine.inherited && !machine.reconciled;
-        unreconciled || !machine.foreign.is_empty() || !machine.unknown.is_empty()
+        unreconciled || !machine.orphaned.is_empty() || !machine.unverified.is_empty()
     }
 
     /// How many more tasks of the job its team's limit allows.
@@ -110,7 +110,7 @@
             ..Resources::offered(most(team.cpus_max), most(team.gpus_max), 0.0)
         };
         let room = limit.minus(&usage.of(&team.name)).minus(&unaccounted);
-        job.spec.needs.count_in(&room).clamp(0, i64::from(u32::MAX)) as u32
+        job.spec.resource_request.count_in(&room).clamp(0, i64::from(u32::MAX)) as u32
     }
 
     /// Whether the team's use that stays and `more` fit its guarantee; a guarantee of 0 is none.
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -46,7 +46,7 @@
 fn machine_type() -> MachineType {
     MachineType {
         name: "m".into(),
-        has: Resources::offered(SLOTS, SLOTS, SLOTS),
+        capacity: Resources::offered(SLOTS, SLOTS, SLOTS),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
@@ -57,7 +57,7 @@
 
 fn stored(spec: JobSpec) -> StoredJob {
     let version = spec.job_id.0;
-    StoredJob { spec, version, age: 0, done: BTreeSet::new() }
+    StoredJob { spec, version, age: 0, succeeded: BTreeSet::new() }
 }
 
 impl Cluster {
--- a/tests/clusters/faults.rs
+++ b/tests/clusters/faults.rs
@@ -53,7 +53,7 @@
     assert!(
         !cluster.is_known(1),
         "{:?}",
-        cluster.scheduler.jobs.values().map(|j| j.waits_for).collect::<Vec<_>>()
+        cluster.scheduler.jobs.values().map(|j| j.pending_reason).collect::<Vec<_>>()
     );
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -39,7 +39,7 @@
         kind,
         priority,
         tasks,
-        needs: Resources::needed(1.0, 1.0, 1.0),
+        resource_request: Resources::needed(1.0, 1.0, 1.0),
         image: "i".into(),
         image_gb: 0.0,
         types: None,
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -4,7 +4,7 @@
 use dockpier::scheduler::model::*;
 use dockpier::settings::{Draining, Operator, Team};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
-use dockpier_drain::progress::MachineState;
+use dockpier_drain::progress::MachineDrainState;
 use dockpier_drain::request::{DrainId, DrainRequest, Target, Wish};
 use dockpier_drain::status::{DrainState, Summary, Wait};
 use dockpier_virtual_fleet::{job, Fleet, Layout};
@@ -249,7 +249,7 @@
     let begun = |fleet: &Fleet, nth: usize| {
         let parts = fleet.store.progress.values().flat_map(|chunks| chunks.values());
         let entries = parts.flat_map(|chunk| &chunk.machines);
-        let mut cordoned = entries.filter(|entry| matches!(entry.state, MachineState::Cordoned { .. }));
+        let mut cordoned = entries.filter(|entry| matches!(entry.state, MachineDrainState::Cordoned { .. }));
         let well = |name: &String| fleet.workers().any(|(n, w)| n == name && !w.dead && !w.tasks.is_empty());
         cordoned.by_ref().map(|entry| entry.machine.clone()).filter(well).nth(nth)
     };
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -15,7 +15,7 @@
 fn types() -> Vec<MachineType> {
     vec![MachineType {
         name: "m".into(),
-        has: Resources::offered(1.0, 1.0, 1.0),
+        capacity: Resources::offered(1.0, 1.0, 1.0),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
@@ -143,7 +143,7 @@
 
     fn submit(&mut self, spec: JobSpec) {
         let version = spec.job_id.0;
-        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, done: BTreeSet::new() })]);
+        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, succeeded: BTreeSet::new() })]);
         (0..3).for_each(|_| self.heartbeat());
     }
 
@@ -232,7 +232,7 @@
     bed.scheduler.config.round_steps = 3;
     let batch = (1..7u64).map(|job_id| {
         let spec = spec(job_id, Kind::Array, Priority::Low, 1);
-        Command::JobAdded(StoredJob { spec, version: job_id, age: 0, done: BTreeSet::new() })
+        Command::JobAdded(StoredJob { spec, version: job_id, age: 0, succeeded: BTreeSet::new() })
     });
     bed.step(batch.collect());
     (0..4).for_each(|_| bed.heartbeat());
@@ -274,8 +274,8 @@
     // The cut ends and delivers what the machine had reported before.
     bed.heartbeat();
     assert!(!bed.scheduler.machines.contains_key(&gone));
-    let places: usize = bed.scheduler.jobs[&JobId(1)].places.values().map(Vec::len).sum();
-    assert_eq!((places, bed.scheduler.jobs[&JobId(1)].waiting.len()), (1, 1));
+    let places: usize = bed.scheduler.jobs[&JobId(1)].placements.values().map(Vec::len).sum();
+    assert_eq!((places, bed.scheduler.jobs[&JobId(1)].pending_tasks.len()), (1, 1));
 }
 
 /// A record that an earlier version made may be larger than the state service takes from now on: written again as
@@ -308,8 +308,12 @@
     let mut bed = Bed::new(3, 0.0);
     // The next leader: four machines are on record, three of them report.
     bed.scheduler = Scheduler::new(bed.scheduler.config.clone(), bed.now);
-    let job =
-        StoredJob { spec: spec(1, Kind::Array, Priority::Low, 2), version: 1, age: 0, done: BTreeSet::new() };
+    let job = StoredJob {
+        spec: spec(1, Kind::Array, Priority::Low, 2),
+        version: 1,
+        age: 0,
+        succeeded: BTreeSet::new(),
+    };
     let load = Command::Load { jobs: vec![job], records: vec![("1-1".into(), (0..4).map(known).collect())] };
     bed.step(vec![Command::Types(types()), load]);
     let begun = bed.now;
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -33,7 +33,7 @@
 fn types() -> Command {
     Command::Types(vec![MachineType {
         name: "m".into(),
-        has: Resources::offered(1.0, 1.0, 1.0),
+        capacity: Resources::offered(1.0, 1.0, 1.0),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
@@ -45,7 +45,7 @@
 fn gang() -> StoredJob {
     let spec =
         JobSpec { checkpoint_s: 20.0, save_s: 3.0, one_zone: true, ..spec(1, Kind::Gang, Priority::High, 3) };
-    StoredJob { spec, version: 1, age: 0, done: BTreeSet::new() }
+    StoredJob { spec, version: 1, age: 0, succeeded: BTreeSet::new() }
 }
 
 impl Bed {
@@ -212,7 +212,7 @@
         spec: spec(2, Kind::Array, Priority::Critical, 2),
         version: 2,
         age: 0,
-        done: BTreeSet::new(),
+        succeeded: BTreeSet::new(),
     };
     bed.step(vec![Command::JobAdded(job)]);
     bed.heartbeats(3);
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -28,7 +28,7 @@
 
 fn service(job_id: JobId) -> Command {
     let spec = spec(job_id.0, Kind::Service, Priority::Critical, 1);
-    Command::JobAdded(StoredJob { spec, version: 1, age: 0, done: BTreeSet::new() })
+    Command::JobAdded(StoredJob { spec, version: 1, age: 0, succeeded: BTreeSet::new() })
 }
 
 impl Cluster {
--- a/tests/leases/interleavings.rs
+++ b/tests/leases/interleavings.rs
@@ -151,7 +151,7 @@
         (0..3).for_each(|_| world.exchange());
         for job_id in [REPLICA.job_id, CANCELLED] {
             let spec = spec(job_id.0, Kind::Service, Priority::Critical, 1);
-            let stored = StoredJob { spec, version: 1, age: 0, done: Default::default() };
+            let stored = StoredJob { spec, version: 1, age: 0, succeeded: Default::default() };
             world.leader(vec![Command::JobAdded(stored)]);
         }
         // Until nothing that an earlier leader's leaseholders may have answered counts any more.
--- a/tests/leases/stand_ins.rs
+++ b/tests/leases/stand_ins.rs
@@ -7,7 +7,7 @@
 pub fn machine_types() -> Command {
     Command::Types(vec![MachineType {
         name: "m".into(),
-        has: Resources::offered(2.0, 2.0, 2.0),
+        capacity: Resources::offered(2.0, 2.0, 2.0),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
--- a/tests/pinned_state/domain.rs
+++ b/tests/pinned_state/domain.rs
@@ -4,7 +4,7 @@
 use dockpier::protocol::users::{JobKind, JobPriority, Submission};
 use dockpier_drain::budget::{Budget, Cost};
 use dockpier_drain::ledger::{Allowance, Ledger, LedgerRecord};
-use dockpier_drain::progress::{Counts, MachineEntry, MachineState};
+use dockpier_drain::progress::{Counts, MachineDrainState, MachineEntry};
 use dockpier_drain::request::{DrainId, DrainRequest, StoredRequest, Target, Wish};
 use dockpier_drain::status::{DrainState, Summary, Wait};
 
@@ -109,16 +109,17 @@
 pub fn machine_entries() -> Vec<MachineEntry> {
     let other = || Some("m-000901".to_string());
     let states = [
-        MachineState::Waiting,
-        MachineState::Replacing { attempt: 2, machine: None },
-        MachineState::Replacing { attempt: 1, machine: other() },
-        MachineState::Cordoned { replacement: None },
-        MachineState::Cordoned { replacement: other() },
-        MachineState::Returned { replacement: None },
-        MachineState::Returned { replacement: other() },
-        MachineState::Gone,
+        MachineDrainState::Waiting,
+        MachineDrainState::Replacing { attempt: 2, machine: None },
+        MachineDrainState::Replacing { attempt: 1, machine: other() },
+        MachineDrainState::Cordoned { replacement: None },
+        MachineDrainState::Cordoned { replacement: other() },
+        MachineDrainState::Returned { replacement: None },
+        MachineDrainState::Returned { replacement: other() },
+        MachineDrainState::Gone,
     ];
-    let named = |(at, state): (usize, MachineState)| MachineEntry { machine: format!("m-{at:06}"), state };
+    let named =
+        |(at, state): (usize, MachineDrainState)| MachineEntry { machine: format!("m-{at:06}"), state };
     states.into_iter().enumerate().map(named).collect()
 }
 
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -42,7 +42,7 @@
         kind,
         priority,
         tasks: 2,
-        needs: Resources::needed(1.0, 1.0, 1.0),
+        resource_request: Resources::needed(1.0, 1.0, 1.0),
         image: "img-07".into(),
         image_gb: 0.0,
         types: None,
@@ -55,7 +55,7 @@
         save_s: 0.0,
         deadline_s: None,
     };
-    StoredJob { spec, version: number, age: 0, done: [0].into() }
+    StoredJob { spec, version: number, age: 0, succeeded: [0].into() }
 }
 
 fn machine(name: &str, spot: bool) -> StoredMachine {
--- a/tests/pinned_wire/spell.rs
+++ b/tests/pinned_wire/spell.rs
@@ -23,7 +23,8 @@
         "id {} class {:?} team {:?} kind {kind} priority {priority} tasks {}",
         job.job_id.0, job.class, job.team, job.tasks
     );
-    let needs = format!("needs {} image {:?} {:?} GB", resources(&job.needs), job.image, job.image_gb);
+    let needs =
+        format!("needs {} image {:?} {:?} GB", resources(&job.resource_request), job.image, job.image_gb);
     let places = format!(
         "types {:?} zone {:?} one-zone {} spread {} spot {}",
         job.types, job.zone, job.one_zone, job.spread, job.spot
@@ -89,7 +90,7 @@
     format!(
         "type {:?} has {} {prices} boot {:?} s fetch {:?} GB/s zones {:?}",
         found.name,
-        resources(&found.has),
+        resources(&found.capacity),
         found.boot_s,
         found.fetch_gb_per_s,
         found.zones
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -55,7 +55,7 @@
 fn machine_type(config: &Config) -> MachineType {
     MachineType {
         name: "m".into(),
-        has: Resources::offered(SLOTS as f64, SLOTS as f64, SLOTS as f64),
+        capacity: Resources::offered(SLOTS as f64, SLOTS as f64, SLOTS as f64),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
@@ -222,7 +222,7 @@
 
     fn submit(&mut self, spec: JobSpec) {
         let version = spec.job_id.0;
-        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, done: BTreeSet::new() })]);
+        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, succeeded: BTreeSet::new() })]);
     }
 
     /// All that runs of the job ends by itself, and is reported so.
--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -144,7 +144,7 @@
 fn types(deployment: &Deployment) -> Vec<MachineType> {
     vec![MachineType {
         name: "m".into(),
-        has: Resources::offered(12.0, 2.0, 48.0),
+        capacity: Resources::offered(12.0, 2.0, 48.0),
         price: 4.0,
         spot_price: Some(1.0),
         boot_s: 5.0,
@@ -166,7 +166,7 @@
     let tasks = rng.random_range(1..6).min(most);
     JobSpec {
         team: team.name.clone(),
-        needs: Resources::needed(4.0, 1.0, 14.0),
+        resource_request: Resources::needed(4.0, 1.0, 14.0),
         image: format!("i{}", rng.random_range(0..3)),
         image_gb: 1.0,
         zone: rng.random_bool(0.1).then(|| "a".into()),
@@ -336,7 +336,7 @@
         self.version += 1;
         self.live.insert(spec.job_id, (self.version, BTreeSet::new()));
         self.specs.insert(spec.job_id, spec.clone());
-        let stored = StoredJob { spec, version: self.version, age: 0, done: BTreeSet::new() };
+        let stored = StoredJob { spec, version: self.version, age: 0, succeeded: BTreeSet::new() };
         self.later.push((self.now + STEP, Command::JobAdded(stored)));
     }
 
@@ -370,7 +370,7 @@
                 spec: self.specs[job_id].clone(),
                 version: *version,
                 age: 0,
-                done: done.clone(),
+                succeeded: done.clone(),
             })
             .collect();
         let records = self.recorded.clone().into_iter().collect();
@@ -757,7 +757,7 @@
                     spec: self.specs[&job_id].clone(),
                     version: *version,
                     age: 0,
-                    done: done.clone(),
+                    succeeded: done.clone(),
                 });
                 let reading = stored.map_or(JobReading::Absent, |job| JobReading::Live(Box::new(job)));
                 self.later.push((soon, Command::JobRead { job_id, sent: self.now, reading }));
@@ -900,7 +900,7 @@
 
     /// An invariant of the scheduler rather than a rule: it counts no lease as over that still runs.
     fn check_leases(&mut self) {
-        let lost = self.scheduler.machines.values().filter(|machine| machine.phase == Phase::Lost);
+        let lost = self.scheduler.machines.values().filter(|machine| machine.state == MachineState::Lost);
         let lost: BTreeMap<String, u64> = lost.map(|m| (m.name.clone(), m.agent_epoch)).collect();
         for (name, agent_epoch) in lost.iter().filter(|(name, _)| !self.lost.contains_key(*name)) {
             let Some(worker) = self.workers.get(name) else { continue };
