--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -307,7 +307,7 @@
             for key in over {
                 let seen = machine.unverified.remove(&key).unwrap_or(now);
                 let seconds = (now - seen) as f64 / limits::SECOND as f64;
-                info!(task = %key.0, machine = machine.name, seconds, "of a job that is over: stopped");
+                info!(task = %key.0, machine = machine.name, seconds, "orphaned task stopped");
                 machine.orphaned.insert(key);
                 stopped.push(machine.name.clone());
             }
--- a/src/scheduler/exits.rs
+++ b/src/scheduler/exits.rs
@@ -1,7 +1,7 @@
 //! Tasks that exited: what follows for their jobs and their machines.
 
-use super::absence::Absence;
 use super::model::*;
+use super::termination_proof::TerminationProof;
 use super::Scheduler;
 use crate::limits;
 use tracing::{debug, info, warn};
@@ -19,7 +19,7 @@
             if let (ExitReason::Done, Some(ran)) = (reason, ran) {
                 self.judge_speed(name, id.job_id, ran);
             }
-            self.remove_placement(name, id, Absence::Exited);
+            self.remove_placement(name, id, TerminationProof::Exited);
         }
         if !news {
             return;
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,8 +1,8 @@
 //! What to rent, keep, drain and return. Renting follows the queue.
 
-use super::absence::Absence;
 use super::model::*;
 use super::plan::Plan;
+use super::termination_proof::TerminationProof;
 use super::{Effect, ListedMachine, Scheduler, WriteOutcome};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
@@ -120,7 +120,7 @@
                 continue;
             }
             // The cloud's 200 is proof: the machine and everything on it are gone.
-            self.release_machine(&name, Absence::Deleted);
+            self.release_machine(&name, TerminationProof::Deleted);
             self.fleet.deleted.insert(name.clone(), self.now);
             self.fleet.missing.remove(&name);
             self.note_machine_gone(&name);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,7 +1,6 @@
 //! The single owner of jobs, tasks, machines and shard. Commands come in batches, effects go out.
 //! Pure: no I/O, no clock, no globals; the random numbers are seeded.
 
-pub mod absence;
 mod answers;
 pub mod cold_start;
 pub mod consolidate;
@@ -25,6 +24,7 @@
 mod reserve;
 mod stale_reports;
 pub mod teams;
+pub mod termination_proof;
 
 pub use messages::*;
 pub use stale_reports::IgnoredHeartbeats;
--- a/src/scheduler/model.rs
+++ b/src/scheduler/model.rs
@@ -1,6 +1,6 @@
 //! The domain: jobs, tasks, machines, and what is told about them.
 
-use super::absence::LastPlace;
+use super::termination_proof::PreviousPlacement;
 use crate::lease_renewal::LastRenewal;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -356,7 +356,7 @@
     /// Machines that hold, or may hold, each task.
     pub placements: BTreeMap<u32, Vec<String>>,
     /// Where waiting tasks were before.
-    pub previous_placements: BTreeMap<u32, LastPlace>,
+    pub previous_placements: BTreeMap<u32, PreviousPlacement>,
     pub succeeded: BTreeSet<u32>,
     /// Finished tasks not yet in the state service.
     pub unrecorded: BTreeSet<u32>,
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -1,7 +1,7 @@
 //! Where tasks are: placed, told to stop, and provably gone.
 
-use super::absence::{Absence, LastPlace};
 use super::model::*;
+use super::termination_proof::{PreviousPlacement, TerminationProof};
 use super::Scheduler;
 use tracing::debug;
 
@@ -78,7 +78,7 @@
         if placed.start_sent_in.is_none() && !placed.confirmed {
             // Its start has not left: it is provably nowhere.
             machine.tasks.remove(&id);
-            self.remove_placement(name, id, Absence::NotSent);
+            self.remove_placement(name, id, TerminationProof::NeverSent);
             return;
         }
         // A later stop with less grace ends the saving.
@@ -91,7 +91,7 @@
     }
 
     /// The task is provably not on this machine any more.
-    pub(super) fn remove_placement(&mut self, name: &str, id: TaskId, absence: Absence) {
+    pub(super) fn remove_placement(&mut self, name: &str, id: TaskId, proof: TerminationProof) {
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
         if let Some(names) = job.placements.get_mut(&id.task) {
             names.retain(|n| n != name);
@@ -99,7 +99,8 @@
                 job.placements.remove(&id.task);
                 if !job.terminated && !job.succeeded.contains(&id.task) {
                     job.pending_tasks.insert(id.task);
-                    job.previous_placements.insert(id.task, LastPlace { machine: name.to_string(), absence });
+                    job.previous_placements
+                        .insert(id.task, PreviousPlacement { machine: name.to_string(), proof });
                 }
             }
         }
@@ -107,7 +108,7 @@
     }
 
     /// Everything on the machine is gone.
-    pub(super) fn release_machine(&mut self, name: &str, absence: Absence) {
+    pub(super) fn release_machine(&mut self, name: &str, proof: TerminationProof) {
         self.note_lost_work(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         let tasks: Vec<_> = std::mem::take(&mut machine.tasks).into_keys().collect();
@@ -115,7 +116,7 @@
         machine.orphaned.clear();
         machine.unverified.clear();
         for id in tasks {
-            self.remove_placement(name, id, absence);
+            self.remove_placement(name, id, proof);
         }
     }
 }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -1,7 +1,7 @@
 //! What is known of earlier leaders' machines, and when a machine may be counted on or its lease is over.
 
-use super::absence::Absence;
 use super::model::*;
+use super::termination_proof::TerminationProof;
 use super::{fleet, Scheduler};
 use crate::limits;
 use std::collections::BTreeSet;
@@ -73,11 +73,12 @@
             .map(|m| m.name.clone())
             .collect();
         for name in ended {
-            let Some(absence) = self.machines.get(&name).map(|m| Absence::lease_ended(m, now)) else {
+            let Some(proof) = self.machines.get(&name).map(|m| TerminationProof::lease_expired(m, now))
+            else {
                 continue;
             };
-            info!(machine = name, proof = %absence, "lease ended: everything on it is gone");
-            self.release_machine(&name, absence);
+            info!(machine = name, proof = %proof, "lease expired: its tasks have ended");
+            self.release_machine(&name, proof);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.state = MachineState::Lost;
                 machine.reconciled = true;
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -1,7 +1,7 @@
 //! What workers report, and what they are told.
 
-use super::absence::Absence;
 use super::model::*;
+use super::termination_proof::TerminationProof;
 use super::{HeartbeatOutcome, Scheduler, StoredMachine};
 use crate::lease_renewal::LastRenewal;
 use crate::limits;
@@ -117,7 +117,7 @@
             // Whatever an earlier agent epoch held died with its lease.
             self.release_machine(
                 &heartbeat.machine,
-                Absence::NewAgentEpoch { agent_epoch: heartbeat.agent_epoch },
+                TerminationProof::NewAgentEpoch { agent_epoch: heartbeat.agent_epoch },
             );
         }
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
@@ -298,7 +298,7 @@
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.tasks.remove(&id);
             }
-            self.remove_placement(name, id, Absence::NotListed { heartbeat: newest });
+            self.remove_placement(name, id, TerminationProof::NotListed { heartbeat: newest });
         }
     }
 
--- a/src/scheduler/absence.rs
+++ b/src/scheduler/termination_proof.rs
@@ -6,9 +6,9 @@
 
 /// Why a task is known to be gone from a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Absence {
+pub enum TerminationProof {
     /// Its start never left the leader.
-    NotSent,
+    NeverSent,
     /// The worker reported that it exited.
     Exited,
     /// A heartbeat that is newer than its start does not list it.
@@ -22,9 +22,9 @@
         agent_epoch: u64,
     },
     /// The worker's lease is over.
-    LeaseEnded {
+    LeaseExpired {
         /// When the last answer was noted that may have renewed it.
-        answered: u64,
+        last_renewal: u64,
         /// The leaseholder that told of it, or passed the heartbeat on.
         via: Option<usize>,
         /// When it was counted as over.
@@ -34,44 +34,44 @@
     Deleted,
 }
 
-impl Absence {
+impl TerminationProof {
     /// The lease of this machine is counted as over.
-    pub(super) fn lease_ended(machine: &Machine, now: u64) -> Self {
+    pub(super) fn lease_expired(machine: &Machine, now: u64) -> Self {
         let answered = machine.last_renewal.at().max(machine.last_heartbeat_at);
-        Absence::LeaseEnded { answered, via: machine.via, at: now }
+        TerminationProof::LeaseExpired { last_renewal: answered, via: machine.via, at: now }
     }
 }
 
-impl fmt::Display for Absence {
+impl fmt::Display for TerminationProof {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Absence::NotSent => f.write_str("start never left"),
-            Absence::Exited => f.write_str("exit reported"),
-            Absence::NotListed { heartbeat: (agent_epoch, sequence) } => {
+            TerminationProof::NeverSent => f.write_str("start never left"),
+            TerminationProof::Exited => f.write_str("exit reported"),
+            TerminationProof::NotListed { heartbeat: (agent_epoch, sequence) } => {
                 write!(f, "not listed in heartbeat {agent_epoch}/{sequence}")
             }
-            Absence::NewAgentEpoch { agent_epoch } => write!(f, "agent epoch {agent_epoch} began"),
-            Absence::LeaseEnded { answered, via, at } => {
+            TerminationProof::NewAgentEpoch { agent_epoch } => write!(f, "agent epoch {agent_epoch} began"),
+            TerminationProof::LeaseExpired { last_renewal: answered, via, at } => {
                 let silent_s = at.saturating_sub(*answered) as f64 / limits::SECOND as f64;
                 write!(f, "lease ended {silent_s:.3} s after the last answer")?;
                 via.map_or(Ok(()), |node| write!(f, " by way of node {node}"))
             }
-            Absence::Deleted => f.write_str("deleted by the cloud"),
+            TerminationProof::Deleted => f.write_str("deleted by the cloud"),
         }
     }
 }
 
 /// Where a task was last, and why it is not there any more.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LastPlace {
+pub struct PreviousPlacement {
     /// The machine's name.
     pub machine: String,
     /// The proof.
-    pub absence: Absence,
+    pub proof: TerminationProof,
 }
 
-impl fmt::Display for LastPlace {
+impl fmt::Display for PreviousPlacement {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.machine, self.absence)
+        write!(f, "{}: {}", self.machine, self.proof)
     }
 }
