--- a/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
@@ -50,7 +50,7 @@
 
 /// What a node answers to the public queries at this moment of its clock.
 pub fn queries(node: usize, now: u64, leadership: &Leadership) -> Line {
-    let (until, token) = leadership.acts_until(now);
+    let (until, token) = leadership.authority_until(now);
     let followed = leadership.followed_leader(now);
     Line::new("queries")
         .with("node", node)
--- a/src/controller/checkins.rs
+++ b/src/controller/checkins.rs
@@ -28,13 +28,13 @@
 }
 
 /// An answer that this node gives without the leader, as far as it knows.
-fn log_renewal(heartbeat: &Heartbeat, renewal: &LeaseRenewal, token: u64) {
+fn log_lease_renewal(heartbeat: &Heartbeat, renewal: &LeaseRenewal, token: u64) {
     let Heartbeat { machine, agent_epoch, sequence, .. } = heartbeat;
     debug!(machine, agent_epoch, sequence, token, basis = ?renewal.basis(), "lease renewed");
 }
 
 /// A heartbeat on its way to the leader.
-pub(super) struct PassedOn {
+pub(super) struct RelayedHeartbeat {
     pub(super) to: oneshot::Sender<HeartbeatReply>,
     pub(super) heartbeat: Heartbeat,
     pub(super) sent: u64,
@@ -42,7 +42,7 @@
 
 impl Controller {
     /// An answer of this node's own that keeps a worker alive: the stops that it bears, or None if it may not.
-    pub(super) fn keeps(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
+    pub(super) fn keep_alive_stops(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let cancellations = &self.leadership.cancellations;
         (now + limits::AUTHORITY_MARGIN < cancellations.keep_alive_until())
             .then(|| cancellations.stop_commands(heartbeat))
@@ -65,15 +65,16 @@
                 if !leads || !fresh(stamp) || now >= self.leadership.cancellations.keep_alive_until() {
                     self.frames_ignored.note(from, IgnoredFrame::Stale);
                     // A node in keep-alive mode keeps workers alive whichever way they come.
-                    let care = self.leadership.keep_alive_token(now).zip(self.keeps(now, &heartbeat));
+                    let care =
+                        self.leadership.keep_alive_token(now).zip(self.keep_alive_stops(now, &heartbeat));
                     let (token, task_commands) = care.unzip();
                     let task_commands = task_commands.unwrap_or_default();
                     self.send(from, Payload::RelayedResponse { id, token, cacheable: false, task_commands });
                     return;
                 }
                 self.recent_heartbeats.push_back(now);
-                let reply = self.requests.take();
-                self.replies.insert(reply, ReplyTo::Leaseholder(from, id));
+                let reply = self.request_ids.take();
+                self.pending_replies.insert(reply, ReplyTo::Leaseholder(from, id));
                 commands.push(Command::Heartbeat { reply, heartbeat, via: Some(from) });
             }
             Payload::ShardHeartbeat { id, stamp, complete: whole, first_of_incarnation: anew, machines }
@@ -91,7 +92,7 @@
                 self.send(from, Payload::ShardHeartbeatAck { id, lease_ms });
             }
             Payload::RelayedResponse { id, token, cacheable: keep, task_commands } => {
-                let Some(PassedOn { to, heartbeat, .. }) = self.passed_on.remove(&id) else {
+                let Some(RelayedHeartbeat { to, heartbeat, .. }) = self.relayed_heartbeats.remove(&id) else {
                     return self.frames_ignored.note(from, IgnoredFrame::Unasked);
                 };
                 let reply = match token {
@@ -99,9 +100,9 @@
                         let task_commands =
                             self.leadership.cancellations.with_stop_commands(task_commands, &heartbeat);
                         self.shard.record_relayed_response(now, heartbeat, token, keep);
-                        self.renewing(token, LeaseRenewal::relayed(), &task_commands)
+                        self.accept_heartbeat(token, LeaseRenewal::relayed(), &task_commands)
                     }
-                    None => self.refusing(None),
+                    None => self.redirect_heartbeat(None),
                 };
                 let _ = to.send(reply);
             }
@@ -137,19 +138,19 @@
                 );
             }
         }
-        while let Some(entry) = self.passed_on.first_entry() {
+        while let Some(entry) = self.relayed_heartbeats.first_entry() {
             if now < entry.get().sent + limits::RELAY_TIMEOUT {
                 return;
             }
-            let PassedOn { to, heartbeat, .. } = entry.remove();
-            let reply = self.holds(now, &heartbeat, false);
-            let reply = reply.unwrap_or_else(|| self.refusing(None));
+            let RelayedHeartbeat { to, heartbeat, .. } = entry.remove();
+            let reply = self.respond_as_leaseholder(now, &heartbeat, false);
+            let reply = reply.unwrap_or_else(|| self.redirect_heartbeat(None));
             let _ = to.send(reply);
         }
     }
 
     /// An answer that renews a worker's lease.
-    fn renewing<'a>(
+    fn accept_heartbeat<'a>(
         &mut self,
         token: u64,
         renewal: LeaseRenewal,
@@ -160,54 +161,59 @@
     }
 
     /// No answer here: the worker is to ask another node.
-    fn refusing(&mut self, leader: Option<String>) -> HeartbeatReply {
+    fn redirect_heartbeat(&mut self, leader: Option<String>) -> HeartbeatReply {
         self.renewal_counts.count_refused();
         HeartbeatReply::Redirected(leader)
     }
 
     /// The answer of this node as a leaseholder, if it may answer by itself.
-    pub(super) fn holds(
+    pub(super) fn respond_as_leaseholder(
         &mut self,
         now: u64,
         heartbeat: &Heartbeat,
         leader_heard: bool,
     ) -> Option<HeartbeatReply> {
-        let stops = self.keeps(now, heartbeat)?;
+        let stops = self.keep_alive_stops(now, heartbeat)?;
         match self.shard.respond(now, heartbeat, leader_heard) {
             ShardResponse::Renewed(token, renewal) => {
-                log_renewal(heartbeat, &renewal, token);
-                Some(self.renewing(token, renewal, &stops))
+                log_lease_renewal(heartbeat, &renewal, token);
+                Some(self.accept_heartbeat(token, renewal, &stops))
             }
-            ShardResponse::Duplicate => Some(self.refusing(None)),
+            ShardResponse::Duplicate => Some(self.redirect_heartbeat(None)),
             ShardResponse::NotResponsible => None,
         }
     }
 
     /// A heartbeat at a node that does not lead: answered by itself, passed on, or sent elsewhere.
-    pub(super) fn hold(&mut self, now: u64, heartbeat: Heartbeat, to: oneshot::Sender<HeartbeatReply>) {
+    pub(super) fn relay_or_redirect(
+        &mut self,
+        now: u64,
+        heartbeat: Heartbeat,
+        to: oneshot::Sender<HeartbeatReply>,
+    ) {
         let followed = self.leadership.followed_leader(now);
         if let Some((_, token, _)) = followed {
             self.shard.follow(token);
         }
-        if let Some(reply) = self.holds(now, &heartbeat, followed.is_some()) {
+        if let Some(reply) = self.respond_as_leaseholder(now, &heartbeat, followed.is_some()) {
             let _ = to.send(reply);
             return;
         }
         if let Some((leader, token, stamp)) = followed {
             if heartbeat.token <= token && peer::carries(&heartbeat) {
-                let id = self.requests.take();
+                let id = self.request_ids.take();
                 if self.send(leader, Payload::RelayedHeartbeat { id, stamp, heartbeat: heartbeat.clone() }) {
-                    self.passed_on.insert(id, PassedOn { to, heartbeat, sent: now });
+                    self.relayed_heartbeats.insert(id, RelayedHeartbeat { to, heartbeat, sent: now });
                     return;
                 }
             }
         }
         // A node that has forgotten everything learns the last token from the workers.
         let actions = self.leadership.observe_token(heartbeat.token, now);
-        self.act(actions);
+        self.apply_actions(actions);
         let leader = self.leadership.leader_name(now).map(str::to_string);
         debug!(machine = heartbeat.machine, leader, "heartbeat redirected");
-        let _ = to.send(self.refusing(leader));
+        let _ = to.send(self.redirect_heartbeat(leader));
     }
 
     pub(super) fn route_heartbeat(
@@ -233,35 +239,35 @@
         let unloaded = leads.filter(|_| !loaded).map(|token| (token, LeaseRenewal::before_load()));
         let keeper = || Some((self.leadership.keep_alive_token(now)?, LeaseRenewal::by_keep_alive()));
         if let Some((token, renewal)) = unloaded.or_else(keeper) {
-            let reply = match self.keeps(now, &heartbeat) {
+            let reply = match self.keep_alive_stops(now, &heartbeat) {
                 Some(stops) => {
-                    log_renewal(&heartbeat, &renewal, token);
-                    self.renewing(token, renewal, &stops)
+                    log_lease_renewal(&heartbeat, &renewal, token);
+                    self.accept_heartbeat(token, renewal, &stops)
                 }
-                None => self.refusing(None),
+                None => self.redirect_heartbeat(None),
             };
             // The worker may have given up meanwhile.
             let _ = to.send(reply);
             return;
         }
         if leads.is_none() {
-            return self.hold(now, heartbeat, to);
+            return self.relay_or_redirect(now, heartbeat, to);
         }
-        let reply = self.requests.take();
+        let reply = self.request_ids.take();
         let stops = self.leadership.cancellations.with_stop_commands(Vec::new(), &heartbeat);
-        self.replies.insert(reply, ReplyTo::Worker(to, stops));
+        self.pending_replies.insert(reply, ReplyTo::Worker(to, stops));
         commands.push(Command::Heartbeat { reply, heartbeat, via: None });
     }
 
     /// Gives the leader's answer to a heartbeat.
-    pub(super) fn answer(
+    pub(super) fn respond(
         &mut self,
         reply: u64,
         renewal: Option<LeaseRenewal>,
         task_commands: Vec<TaskCommand>,
         keep: bool,
     ) {
-        let Some(to) = self.replies.remove(&reply) else { return };
+        let Some(to) = self.pending_replies.remove(&reply) else { return };
         // Checked again at the last moment: the round may have taken long.
         let now = self.clock.now();
         let known = now < self.leadership.cancellations.keep_alive_until();
@@ -276,8 +282,10 @@
         };
         let missing = stops.iter().filter(|stop| !task_commands.contains(stop));
         let reply = match entitled {
-            Some((token, renewal)) => self.renewing(token, renewal, task_commands.iter().chain(missing)),
-            None => self.refusing(None),
+            Some((token, renewal)) => {
+                self.accept_heartbeat(token, renewal, task_commands.iter().chain(missing))
+            }
+            None => self.redirect_heartbeat(None),
         };
         let _ = to.send(reply);
     }
--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -14,7 +14,7 @@
     pub(super) fn read_job(&self, job_id: JobId) {
         let store = self.store.clone();
         let sent = self.clock.now();
-        self.ask(async move {
+        self.spawn_scheduler_request(async move {
             let key = store::live(job_id);
             let reading = match store.get(&key, limits::STATE_TIMEOUT).await {
                 Ok(Some((value, version))) => match stored_job(&Record { key, value, version }) {
@@ -29,8 +29,9 @@
     }
 
     pub(super) fn write_cold_start(&self, report: ColdStartReport) {
-        let (store, versions, leads) = (self.store.clone(), self.versions.clone(), self.while_leading());
-        self.ask(async move {
+        let (store, versions, leads) =
+            (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
+        self.spawn_scheduler_request(async move {
             let changes = store::write(store::COLD_START, report).into_iter().collect();
             Command::ColdStartWritten(outcome_of(versions.commit(&store, vec![leads], changes).await).await)
         });
--- a/src/controller/drain_records.rs
+++ b/src/controller/drain_records.rs
@@ -14,8 +14,9 @@
 impl Controller {
     /// Stores a record of a drain, under the version that is known of it.
     pub(super) fn write_drain(&self, key: DrainKey, value: DrainValue) {
-        let (store, versions, leads) = (self.store.clone(), self.versions.clone(), self.while_leading());
-        self.ask(async move {
+        let (store, versions, leads) =
+            (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
+        self.spawn_scheduler_request(async move {
             let changes = store::write(&records::key_of(&key), value).into_iter().collect();
             let outcome = outcome_of(versions.commit(&store, vec![leads], changes).await).await;
             Command::DrainWritten { key, outcome }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -23,7 +23,7 @@
 
 impl Controller {
     /// Runs something for the scheduler of the present token and hands it the outcome.
-    pub(super) fn ask<F>(&self, future: F)
+    pub(super) fn spawn_scheduler_request<F>(&self, future: F)
     where
         F: std::future::Future<Output = Command> + Send + 'static,
     {
@@ -34,10 +34,10 @@
     }
 
     /// Carries out one effect of the scheduler.
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    pub(super) fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: keep } => {
-                self.answer(reply, renewal, task_commands, keep)
+                self.respond(reply, renewal, task_commands, keep)
             }
             Effect::RequestWake { node, machine } => {
                 self.send(node, Payload::WakeRequest(vec![machine]));
@@ -61,14 +61,14 @@
             Effect::Delete(names) => self.cloud_request(CloudRequest::Delete(names)),
             Effect::Deposed(token) => {
                 let actions = self.leadership.observe_token(token, self.clock.now());
-                self.act(actions);
+                self.apply_actions(actions);
             }
         }
     }
 
     /// Every transaction of a leader rests on its epoch.
-    pub(super) fn while_leading(&self) -> Comparison {
-        store::compare(store::EPOCH, self.version)
+    pub(super) fn epoch_comparison(&self) -> Comparison {
+        store::compare(store::EPOCH, self.epoch_version)
     }
 
     fn send_direct(&self, machine: &str, address: String, agent_epoch: u64, task_commands: &[TaskCommand]) {
@@ -77,7 +77,7 @@
         let commands = DirectCommands { token, agent_epoch, commands };
         // The next heartbeat brings the stops as well.
         let Ok(turn) = self.direct_command_permits.clone().try_acquire_owned() else { return };
-        let (http, events, gate) = (self.workers.clone(), self.events.clone(), self.gate());
+        let (http, events, gate) = (self.worker_client.clone(), self.events.clone(), self.gate());
         debug!(machine, stops = commands.commands.len(), "direct stops");
         tokio::spawn(async move {
             let answer = match gate.open() {
@@ -93,8 +93,9 @@
 
     fn commit_done(&self, job_id: JobId, version: u64, tasks: BTreeSet<u32>, all_done: BTreeSet<u32>) {
         let most = self.settings.deployment.state.txn_ops;
-        let (store, versions, leads) = (self.store.clone(), self.versions.clone(), self.while_leading());
-        self.ask(async move {
+        let (store, versions, leads) =
+            (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
+        self.spawn_scheduler_request(async move {
             let (tasks, changes) = done_changes(job_id, tasks, &all_done, most);
             let conditions = vec![leads, store::compare(&store::live(job_id), version)];
             let outcome = outcome_of(versions.commit(&store, conditions, changes).await).await;
@@ -106,8 +107,8 @@
         // What does not fit the transaction is removed after it: readers ask for the job first.
         let fit = self.settings.deployment.state.txn_ops.saturating_sub(FINAL_CHANGES);
         let rest = chunks.split_off(fit.min(chunks.len()));
-        let (store, epoch, leads) = (self.store.clone(), self.version, self.while_leading());
-        self.ask(async move {
+        let (store, epoch, leads) = (self.store.clone(), self.epoch_version, self.epoch_comparison());
+        self.spawn_scheduler_request(async move {
             let record = FinalRecord { status: JobStatus::Done, tasks };
             let mut changes: Vec<_> = store::write(&store::over(job_id), record).into_iter().collect();
             changes.push(store::remove(&store::live(job_id)));
@@ -124,8 +125,9 @@
     }
 
     fn record(&self, key: String, machines: Vec<StoredMachine>) {
-        let (store, versions, leads) = (self.store.clone(), self.versions.clone(), self.while_leading());
-        self.ask(async move {
+        let (store, versions, leads) =
+            (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
+        self.spawn_scheduler_request(async move {
             let path = format!("{}{key}", store::FLEET);
             let records: Vec<MachineRecord> = machines.into_iter().map(MachineRecord::from).collect();
             let change = if records.is_empty() {
@@ -139,11 +141,11 @@
     }
 
     pub(super) fn gate(&self) -> Gate {
-        Gate { clock: self.clock, until: self.acts_until.clone() }
+        Gate { clock: self.clock, until: self.authority_until.clone() }
     }
 
     fn cloud_request(&self, request: CloudRequest) {
-        if let Some(queue) = &self.cloud_queue {
+        if let Some(queue) = &self.cloud_requests {
             let _ = queue.send(request);
         }
     }
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -17,14 +17,14 @@
 
 impl Controller {
     /// Carries out actions of leadership in order.
-    pub(super) fn act(&mut self, actions: Vec<Action>) {
+    pub(super) fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => self.send_message(to, message),
                 Action::Attest(to, attestation) => {
                     self.send(to, Payload::Attestation(attestation));
                 }
-                Action::Probe => self.ask_store(probe),
+                Action::Probe => self.spawn_store_request(probe),
                 Action::TakeOver { token, version, ignore_lock: over_lock } => {
                     self.take_over(token, version, over_lock)
                 }
@@ -33,11 +33,11 @@
                     let store = self.store.clone();
                     tokio::spawn(async move { store.revoke_lease(lease).await });
                 }
-                Action::Elected { token, version } => self.elected(token, version),
+                Action::Elected { token, version } => self.begin_leadership(token, version),
                 Action::Deposed { keep_until } => {
                     // Its workers are a shard now like any other's.
                     self.shard.retain_after_leadership(self.config.token, keep_until);
-                    self.deposed();
+                    self.end_leadership();
                 }
             }
         }
@@ -54,7 +54,7 @@
     fn take_over(&self, token: u64, version: u64, over_lock: bool) {
         let node = self.settings.node_name.clone();
         let epoch = Epoch { token, node, incarnation: self.incarnation };
-        self.ask_store(move |store| async move {
+        self.spawn_store_request(move |store| async move {
             match store.take_over(&epoch, version, over_lock).await {
                 Ok((lease, version, lease_sent)) => {
                     StoreResponse::TakeoverCommitted { lease, version, lease_sent }
@@ -66,7 +66,7 @@
 
     fn renew(&self, lease: u64) {
         let sent = self.clock.now();
-        self.ask_store(move |store| async move {
+        self.spawn_store_request(move |store| async move {
             match store.renew_lease(lease).await {
                 Ok(alive) => StoreResponse::Renewed { lease, sent, alive },
                 Err(error) => {
@@ -77,7 +77,7 @@
         });
     }
 
-    fn ask_store<F>(&self, ask: impl FnOnce(KeyValueStore) -> F)
+    fn spawn_store_request<F>(&self, ask: impl FnOnce(KeyValueStore) -> F)
     where
         F: std::future::Future<Output = StoreResponse> + Send + 'static,
     {
@@ -87,50 +87,50 @@
         });
     }
 
-    fn elected(&mut self, token: u64, version: u64) {
-        self.deposed();
+    fn begin_leadership(&mut self, token: u64, version: u64) {
+        self.end_leadership();
         let now = self.clock.now();
         self.config.token = token;
-        self.version = version;
-        self.versions = RecordVersions::default();
+        self.epoch_version = version;
+        self.record_versions = RecordVersions::default();
         let mut scheduler = Scheduler::new(self.config.clone(), now);
         let types = Command::Types(self.types.values().cloned().collect());
         let effects = scheduler.step(now, vec![types]);
         self.scheduler = Some(scheduler);
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
         let (to, queue) = mpsc::unbounded_channel();
-        self.cloud_queue = Some(to);
+        self.cloud_requests = Some(to);
         let events = self.events.clone();
         let rps = self.settings.deployment.cloud.rps;
         let cloud_limits = self.settings.deployment.cloud.clone();
         let draining = self.config.operator.draining.enabled;
-        self.leading = vec![
+        self.leadership_tasks = vec![
             tokio::spawn(follow_jobs(
                 self.store.clone(),
                 events.clone(),
                 token,
                 version,
-                self.versions.clone(),
+                self.record_versions.clone(),
                 draining.then(|| self.config.teams.clone()),
             )),
             tokio::spawn(drive_cloud(self.cloud.clone(), events.clone(), queue, token, rps, self.gate())),
             tokio::spawn(list_machines(self.cloud.clone(), events.clone(), token, cloud_limits)),
         ];
         if draining {
-            self.leading.push(tokio::spawn(follow_drains(self.store.clone(), events, token)));
+            self.leadership_tasks.push(tokio::spawn(follow_drains(self.store.clone(), events, token)));
         }
     }
 
-    fn deposed(&mut self) {
-        self.leading.drain(..).for_each(|task| task.abort());
-        self.cloud_queue = None;
+    fn end_leadership(&mut self) {
+        self.leadership_tasks.drain(..).for_each(|task| task.abort());
+        self.cloud_requests = None;
         if let Some(mut scheduler) = self.scheduler.take() {
             scheduler.write_usage();
         }
         self.config.token = 0;
-        for (_, to) in std::mem::take(&mut self.replies) {
+        for (_, to) in std::mem::take(&mut self.pending_replies) {
             match to {
                 ReplyTo::Worker(to, _) => {
                     let _ = to.send(HeartbeatReply::Redirected(None));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -33,7 +33,7 @@
 use crate::settings::Settings;
 use crate::shard::Shard;
 use crate::store::KeyValueStore;
-use checkins::{PassedOn, ReplyTo};
+use checkins::{RelayedHeartbeat, ReplyTo};
 use cloud_driver::CloudRequest;
 pub use frames_ignored::FrameCounts;
 use frames_ignored::FramesIgnored;
@@ -80,40 +80,40 @@
     settings: Settings,
     clock: Clock,
     /// For commands to workers' addresses.
-    workers: Http,
+    worker_client: Http,
     direct_command_permits: Arc<Semaphore>,
     store: KeyValueStore,
     cloud: Cloud,
     events: mpsc::Sender<Event>,
     leadership: Leadership,
     incarnation: u64,
-    outgoing: Vec<Option<mpsc::Sender<Payload>>>,
+    peer_queues: Vec<Option<mpsc::Sender<Payload>>>,
     scheduler: Option<Scheduler>,
     /// Version of the epoch that every transaction of this leader rests on.
-    version: u64,
-    versions: RecordVersions,
-    replies: BTreeMap<u64, ReplyTo>,
-    requests: RequestIds,
+    epoch_version: u64,
+    record_versions: RecordVersions,
+    pending_replies: BTreeMap<u64, ReplyTo>,
+    request_ids: RequestIds,
     frames_ignored: FramesIgnored,
     renewal_counts: RenewalCounts,
     /// The workers that heartbeat here while another node leads.
     shard: Shard,
-    passed_on: BTreeMap<u64, PassedOn>,
+    relayed_heartbeats: BTreeMap<u64, RelayedHeartbeat>,
     /// Tasks that only run while this node leads.
-    leading: Vec<JoinHandle<()>>,
-    cloud_queue: Option<mpsc::UnboundedSender<CloudRequest>>,
+    leadership_tasks: Vec<JoinHandle<()>>,
+    cloud_requests: Option<mpsc::UnboundedSender<CloudRequest>>,
     summary: watch::Sender<Summary>,
     health: Arc<Health>,
     types: Types,
     /// When workers sent a heartbeat lately.
     recent_heartbeats: VecDeque<u64>,
     /// Until when rentals, deletions and orders may leave.
-    acts_until: Arc<AtomicU64>,
-    summary_due: u64,
-    report_due: u64,
+    authority_until: Arc<AtomicU64>,
+    next_summary_at: u64,
+    next_usage_log_at: u64,
     limit_warnings: LimitWarnings,
     /// Cancellations that members must hold before they are told.
-    confirming: Vec<(JobId, oneshot::Sender<bool>)>,
+    pending_confirmations: Vec<(JobId, oneshot::Sender<bool>)>,
 }
 
 /// A heartbeat and where its answer goes.
@@ -135,38 +135,38 @@
             let wait = Duration::from_millis(100);
             // A timeout is a tick without news.
             let _ = tokio::time::timeout(wait, queue.recv_many(&mut batch, limits::BATCH)).await;
-            self.turn(std::mem::take(&mut batch));
+            self.process_batch(std::mem::take(&mut batch));
         }
     }
 
     /// Takes a batch of events and does what is due.
-    fn turn(&mut self, events: Vec<Event>) {
+    fn process_batch(&mut self, events: Vec<Event>) {
         let now = self.clock.now();
         let mut batch = Batch::default();
         for event in events {
-            self.take(now, event, &mut batch);
+            self.handle_event(now, event, &mut batch);
         }
         let status = self.status(now);
         let actions = self.leadership.tick(now, status);
-        self.act(actions);
-        self.acts_until.store(self.leadership.acts_until(now).0, Ordering::Relaxed);
+        self.apply_actions(actions);
+        self.authority_until.store(self.leadership.authority_until(now).0, Ordering::Relaxed);
         self.judge_health(now);
-        self.tell_confirmed(now);
+        self.answer_pending_confirmations(now);
         let Batch { mut commands, heartbeats } = batch;
         for (heartbeat_request, to) in heartbeats {
             self.route_heartbeat(now, heartbeat_request, to, &mut commands);
         }
-        self.step(now, commands);
+        self.run_scheduler(now, commands);
         self.maintain_shard(now);
     }
 
-    fn take(&mut self, now: u64, event: Event, batch: &mut Batch) {
+    fn handle_event(&mut self, now: u64, event: Event, batch: &mut Batch) {
         match event {
             Event::Heartbeat(heartbeat_request, to) => batch.heartbeats.push((heartbeat_request, to)),
             Event::Overview(start, to) => {
                 let _ = to.send(self.view(now, &start));
             }
-            Event::Peer(received) => self.take_frame(now, received, batch),
+            Event::Peer(received) => self.handle_frame(now, received, batch),
             Event::LiveJobs(reading) => {
                 let LiveJobsUpdate { requested_at: sent, complete: whole, added, removed } = reading;
                 let over = self.leadership.cancellations.apply_live_jobs(now, sent, whole, &added, &removed);
@@ -174,19 +174,19 @@
             }
             Event::Cancelled(job_id, to) => {
                 let (news, _, actions) = self.leadership.confirm_cancellation(now, job_id);
-                self.act(actions);
+                self.apply_actions(actions);
                 if news {
                     batch.commands.push(Command::JobRemoved(job_id));
                 }
-                self.confirming.push((job_id, to));
+                self.pending_confirmations.push((job_id, to));
             }
             Event::Store(answer) => {
                 let actions = self.leadership.handle_store_response(now, answer);
-                self.act(actions);
+                self.apply_actions(actions);
             }
             Event::Scheduler(token, command) => {
                 if token == self.config.token {
-                    batch.commands.extend(self.unless_over(command));
+                    batch.commands.extend(self.unless_terminated(command));
                 }
             }
             Event::Types(types) => {
@@ -196,17 +196,17 @@
         }
     }
 
-    fn take_frame(&mut self, now: u64, received: Received, batch: &mut Batch) {
+    fn handle_frame(&mut self, now: u64, received: Received, batch: &mut Batch) {
         let Received { from, incarnation, payload } = received;
         match payload {
             Payload::Leadership(status, message) => {
                 let actions = self.leadership.handle_message(now, from, incarnation, status, message);
-                self.act(actions);
+                self.apply_actions(actions);
             }
             Payload::Attestation(attestation) => {
                 let (over, actions) =
                     self.leadership.handle_attestation(now, from, incarnation, &attestation);
-                self.act(actions);
+                self.apply_actions(actions);
                 batch.commands.extend(over.into_iter().map(Command::JobRemoved));
             }
             Payload::Summary(lines) => {
@@ -220,7 +220,7 @@
     }
 
     /// What the state service says of a job may come later than a member's word that it is cancelled.
-    fn unless_over(&self, command: Command) -> Option<Command> {
+    fn unless_terminated(&self, command: Command) -> Option<Command> {
         let cancellations = &self.leadership.cancellations;
         match command {
             Command::JobAdded(job) if cancellations.is_terminated(job.spec.job_id) => None,
@@ -233,47 +233,49 @@
     }
 
     /// Answers those who want to tell a user of a cancellation, as soon as it may be told.
-    fn tell_confirmed(&mut self, now: u64) {
-        for (job_id, to) in std::mem::take(&mut self.confirming) {
+    fn answer_pending_confirmations(&mut self, now: u64) {
+        for (job_id, to) in std::mem::take(&mut self.pending_confirmations) {
             let (_, may) = self.leadership.cancellations.confirm(now, job_id);
             if may {
                 let _ = to.send(true);
             } else if !to.is_closed() {
-                self.confirming.push((job_id, to));
+                self.pending_confirmations.push((job_id, to));
             }
         }
     }
 
     pub(super) fn send(&self, node: usize, payload: Payload) -> bool {
         // A full queue means a peer that does not answer; later frames make up for this one.
-        self.outgoing.get(node).is_some_and(|to| to.as_ref().is_some_and(|to| to.try_send(payload).is_ok()))
+        self.peer_queues
+            .get(node)
+            .is_some_and(|to| to.as_ref().is_some_and(|to| to.try_send(payload).is_ok()))
     }
 
-    fn step(&mut self, now: u64, commands: Vec<Command>) {
+    fn run_scheduler(&mut self, now: u64, commands: Vec<Command>) {
         let Some(scheduler) = &mut self.scheduler else { return };
         scheduler.record_kept_alive_until(self.leadership.autonomous_until(now));
         scheduler.out_of_touch(now, self.leadership.unreachable_peers(now));
         scheduler.time_of_day(now, wall_ms());
         let effects = scheduler.step(now, commands);
-        if now >= self.summary_due {
-            self.summary_due = now + limits::SECOND;
+        if now >= self.next_summary_at {
+            self.next_summary_at = now + limits::SECOND;
             let lines = scheduler.summary();
             let own = lines.iter().map(|(u, d, r)| (*u, (*d, *r))).collect();
             self.summary.send_replace(Arc::new(own));
             // A job that is not named counts as without a task; a frame holds some four thousand.
             let begun = lines.into_iter().filter(|(_, done, running)| done + running > 0);
             let lines: Vec<_> = begun.map(|(job_id, done, running)| (job_id.0, done, running)).collect();
-            for to in self.outgoing.iter().flatten() {
+            for to in self.peer_queues.iter().flatten() {
                 let _ = to.try_send(Payload::Summary(lines.clone()));
             }
         }
-        if now >= self.report_due {
-            self.report_due = now + 10 * limits::SECOND;
+        if now >= self.next_usage_log_at {
+            self.next_usage_log_at = now + 10 * limits::SECOND;
             info!(token = self.config.token, "{}", scheduler.fleet_line());
             self.limit_warnings.judge(scheduler.machines.len(), &self.settings.deployment);
         }
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
     }
 }
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -119,7 +119,7 @@
     let longest_autonomy = limits::longest_autonomy(workers.cancel_s, workers.lease_s);
     let (seed, kept) = (sender.incarnation, limits::cancelled_kept(workers.cancel_s));
     let leadership = Leadership::new(names, me, sender.incarnation, now, (longest_autonomy, kept), seed);
-    let hub = Controller {
+    let controller = Controller {
         config: Config {
             token: 0,
             operator,
@@ -140,36 +140,36 @@
         },
         settings,
         clock,
-        workers: Http::to_many()?,
+        worker_client: Http::to_many()?,
         direct_command_permits: Arc::new(Semaphore::new(room.direct_commands)),
         store,
         cloud,
         events,
         leadership,
         incarnation: sender.incarnation,
-        outgoing,
+        peer_queues: outgoing,
         scheduler: None,
-        version: 0,
-        versions: RecordVersions::default(),
-        replies: BTreeMap::new(),
-        requests: RequestIds::of(sender.incarnation),
+        epoch_version: 0,
+        record_versions: RecordVersions::default(),
+        pending_replies: BTreeMap::new(),
+        request_ids: RequestIds::of(sender.incarnation),
         frames_ignored: FramesIgnored::default(),
         renewal_counts: RenewalCounts::default(),
         shard: Shard::new(room.shard, sender.incarnation),
-        passed_on: BTreeMap::new(),
-        leading: Vec::new(),
-        cloud_queue: None,
+        relayed_heartbeats: BTreeMap::new(),
+        leadership_tasks: Vec::new(),
+        cloud_requests: None,
         summary: summary_to,
         health,
         types: Types::default(),
         recent_heartbeats: VecDeque::new(),
-        acts_until: Arc::default(),
-        summary_due: 0,
-        report_due: 0,
+        authority_until: Arc::default(),
+        next_summary_at: 0,
+        next_usage_log_at: 0,
         limit_warnings: LimitWarnings::default(),
-        confirming: Vec::new(),
+        pending_confirmations: Vec::new(),
     };
-    hub.run(queue).await;
+    controller.run(queue).await;
     Err(ServeError::Ended)
 }
 
--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -39,11 +39,11 @@
 
     /// The token this node may act with at this moment.
     pub fn authority(&self, now: u64) -> Option<u64> {
-        self.acts_until(now).1
+        self.authority_until(now).1
     }
 
     /// Until when what this node sends may leave, as far as is known now, and the token, if that is later.
-    pub fn acts_until(&self, now: u64) -> (u64, Option<u64>) {
+    pub fn authority_until(&self, now: u64) -> (u64, Option<u64>) {
         let Role::Leader { token, lease_until, .. } = &self.role else { return (0, None) };
         let peers = self
             .majority_until(self.own_vote_counts(now), |p| p.grant_until)
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -928,7 +928,7 @@
     world.run(29 * limits::SECOND + 900 * MS);
     let node = &world.nodes[leader].leadership;
     assert!(node.is_leader(), "it does not know yet");
-    assert_eq!(node.acts_until(world.local(leader)).1, None);
+    assert_eq!(node.authority_until(world.local(leader)).1, None);
     assert!(world.leader().is_some_and(|n| n != leader));
     world.run(limits::SECOND);
     assert!(!world.nodes[leader].leadership.is_leader());
