--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -103,7 +103,7 @@
         teams: ["t", "u", "v"].map(team).to_vec(),
         zones: vec!["a".into(), "b".into(), "c".into()],
         list_lag_s: 3.0,
-        round_steps: limits::ROUND_STEPS,
+        round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: 1.0,
         write_rps: 50.0,
         record_machines: 8,
--- a/crates/dockpier-virtual-fleet/src/lib.rs
+++ b/crates/dockpier-virtual-fleet/src/lib.rs
@@ -481,7 +481,7 @@
         teams: layout.teams.clone(),
         zones: layout.zones.clone(),
         list_lag_s: 3.0,
-        round_steps: limits::ROUND_STEPS,
+        round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: 1.0,
         write_rps: layout.write_rps,
         record_machines: limits::record_machines(layout.value_most as f64 / 1_024.0),
--- a/src/api.rs
+++ b/src/api.rs
@@ -115,7 +115,7 @@
 }
 
 async fn read_body(body: Body) -> Result<Vec<u8>, Refusal> {
-    body.into_bytes_limit(limits::BODY)
+    body.into_bytes_limit(limits::MAX_BODY_BYTES)
         .await
         .map(Into::into)
         .map_err(|e| Refusal::Malformed(format!("body: {e}")))
@@ -329,7 +329,7 @@
 
     async fn cold_start(&self) -> Result<Response, Refusal> {
         self.may_ask(0)?;
-        match self.store.get(store::COLD_START, limits::STATE_TIMEOUT).await? {
+        match self.store.get(store::COLD_START, limits::STORE_TIMEOUT).await? {
             Some((heartbeat, _)) => Ok(json(StatusCode::OK, &heartbeat)),
             None => Err(Refusal::NotFound("no cold start has been reported".into())),
         }
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -57,7 +57,7 @@
                     last = format!("{node}: {why}");
                 }
             }
-            tokio::time::sleep(limits::CLIENT_PAUSE).await;
+            tokio::time::sleep(limits::CLIENT_RETRY_INTERVAL).await;
         }
         let changes = method != Method::GET;
         let done = match (changes, sent) {
--- a/src/client/drains.rs
+++ b/src/client/drains.rs
@@ -161,7 +161,7 @@
             let text = format!("{id} is recorded, and will be carried out; so far {why}.");
             return Err(ClientError::Unavailable(text));
         }
-        tokio::time::sleep(limits::CLIENT_PAUSE).await;
+        tokio::time::sleep(limits::CLIENT_RETRY_INTERVAL).await;
     }
 }
 
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -46,7 +46,8 @@
     /// One page of the machine list, and whether more follow.
     pub async fn page(&self, from: &str) -> Option<(Vec<ListedMachine>, bool)> {
         let from = if from.is_empty() { String::new() } else { format!("from={from}&") };
-        let page: MachineList = self.read(&format!("/rentals?{from}limit={}", limits::LIST_PAGE)).await?;
+        let page: MachineList =
+            self.read(&format!("/rentals?{from}limit={}", limits::MACHINE_LIST_PAGE_SIZE)).await?;
         let machines = page
             .machines
             .into_iter()
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -49,7 +49,7 @@
         types.send_replace(known.clone());
         Event::Types(known)
     };
-    let stored = store.get(store::CATALOG, limits::STATE_TIMEOUT).await;
+    let stored = store.get(store::CATALOG, limits::STORE_TIMEOUT).await;
     let mut kept = false;
     if let Ok(Some((value, _))) = &stored {
         if let Ok(catalog) = serde_json::from_value(value.clone()) {
@@ -73,7 +73,7 @@
                 kept = matches!(outcome, CommitOutcome::Committed { .. } | CommitOutcome::Conflict);
             }
         }
-        tokio::time::sleep(limits::CATALOG_EVERY).await;
+        tokio::time::sleep(limits::CATALOG_REFRESH_INTERVAL).await;
     }
 }
 
@@ -153,7 +153,7 @@
     allowed: CloudLimits,
 ) {
     let every = Duration::from_secs_f64(allowed.list_lag_s.clamp(4.0, 30.0));
-    let pace = Duration::from_secs_f64(limits::LIST_PACE / allowed.rps.max(0.1));
+    let pace = Duration::from_secs_f64(limits::MACHINE_LIST_PACE / allowed.rps.max(0.1));
     loop {
         // Half a list would make machines seem missing.
         if let Some(all) = whole_list(&cloud, pace).await {
@@ -180,7 +180,7 @@
                     return Some(all);
                 }
             }
-            None if refusals < limits::LIST_REFUSALS => refusals += 1,
+            None if refusals < limits::MAX_LIST_REFUSALS => refusals += 1,
             None => return None,
         }
         tokio::time::sleep(pace).await;
--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -16,7 +16,7 @@
         let sent = self.clock.now();
         self.spawn_scheduler_request(async move {
             let key = store::live(job_id);
-            let reading = match store.get(&key, limits::STATE_TIMEOUT).await {
+            let reading = match store.get(&key, limits::STORE_TIMEOUT).await {
                 Ok(Some((value, version))) => match stored_job(&Record { key, value, version }) {
                     Some(job) => JobReading::Live(Box::new(job)),
                     None => JobReading::Unreadable,
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -155,7 +155,7 @@
 /// service in trouble is not asked hot and an outage ends without a stampede.
 pub(super) async fn outcome_of(committed: CommitOutcome) -> WriteOutcome {
     if !matches!(committed, CommitOutcome::Committed { .. }) {
-        let pause = limits::STATE_PAUSE_MS;
+        let pause = limits::STORE_RETRY_DELAY_MS;
         let pause = pause + rand::random_range(0..=pause);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
--- a/src/controller/finished_tasks.rs
+++ b/src/controller/finished_tasks.rs
@@ -14,14 +14,16 @@
     all_done: &BTreeSet<u32>,
     most: usize,
 ) -> (BTreeSet<u32>, Vec<Change>) {
-    let chunks: BTreeSet<u32> = tasks.iter().map(|t| t / limits::DONE_CHUNK).collect();
+    let chunks: BTreeSet<u32> = tasks.iter().map(|t| t / limits::FINISHED_TASKS_CHUNK).collect();
     let chunks: BTreeSet<u32> = chunks.into_iter().take(most).collect();
-    let covered = tasks.into_iter().filter(|t| chunks.contains(&(t / limits::DONE_CHUNK))).collect();
+    let covered =
+        tasks.into_iter().filter(|t| chunks.contains(&(t / limits::FINISHED_TASKS_CHUNK))).collect();
     let changes = chunks
         .iter()
         .filter_map(|chunk| {
-            let first = chunk * limits::DONE_CHUNK;
-            let bits = encode_bits(all_done.range(first..first + limits::DONE_CHUNK).map(|t| t - first));
+            let first = chunk * limits::FINISHED_TASKS_CHUNK;
+            let bits =
+                encode_bits(all_done.range(first..first + limits::FINISHED_TASKS_CHUNK).map(|t| t - first));
             store::write(&store::done(job_id, *chunk), bits).ok()
         })
         .collect();
--- a/src/controller/live_jobs.rs
+++ b/src/controller/live_jobs.rs
@@ -24,7 +24,7 @@
     match checked {
         Ok((spec, accepted_ms)) => {
             let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
-            let age = age_ms.min(limits::AGE_MOST_MS) * 1_000;
+            let age = age_ms.min(limits::MAX_JOB_AGE_MS) * 1_000;
             Some(StoredJob { spec, version: record.version, age, succeeded: BTreeSet::new() })
         }
         Err(error) => {
@@ -65,7 +65,9 @@
         };
         let tasks = job.spec.tasks;
         job.succeeded.extend(
-            decode_bits(bits).map(|t| t + chunk.saturating_mul(limits::DONE_CHUNK)).filter(|t| *t < tasks),
+            decode_bits(bits)
+                .map(|t| t + chunk.saturating_mul(limits::FINISHED_TASKS_CHUNK))
+                .filter(|t| *t < tasks),
         );
     }
     let records = fleet
@@ -85,7 +87,7 @@
 }
 
 pub(super) async fn pause() {
-    let pause = limits::STATE_PAUSE_MS;
+    let pause = limits::STORE_RETRY_DELAY_MS;
     tokio::time::sleep(Duration::from_millis(rand::random_range(pause..=2 * pause))).await;
 }
 
@@ -102,7 +104,7 @@
     let mut follower = Follower { store, events, token, known: BTreeSet::new() };
     let mut revision = follower.load(epoch, &versions, drains_of.as_deref()).await;
     loop {
-        match follower.store.follow(store::LIVE, revision, limits::WATCH_MS).await {
+        match follower.store.follow(store::LIVE, revision, limits::STORE_WATCH_MS).await {
             Ok(Some(log)) => {
                 revision = revision.max(log.revision);
                 for event in log.events {
@@ -208,6 +210,6 @@
 pub(super) async fn sweep(store: KeyValueStore, orphans: Vec<String>, version: u64) {
     for key in orphans {
         let _ = store.commit(vec![store::compare(store::EPOCH, version)], vec![store::remove(&key)]).await;
-        tokio::time::sleep(Duration::from_millis(limits::STATE_PAUSE_MS)).await;
+        tokio::time::sleep(Duration::from_millis(limits::STORE_RETRY_DELAY_MS)).await;
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -130,11 +130,11 @@
 
 impl Controller {
     async fn run(mut self, mut queue: mpsc::Receiver<Event>) {
-        let mut batch = Vec::with_capacity(limits::BATCH);
+        let mut batch = Vec::with_capacity(limits::MAX_EVENT_BATCH);
         loop {
             let wait = Duration::from_millis(100);
             // A timeout is a tick without news.
-            let _ = tokio::time::timeout(wait, queue.recv_many(&mut batch, limits::BATCH)).await;
+            let _ = tokio::time::timeout(wait, queue.recv_many(&mut batch, limits::MAX_EVENT_BATCH)).await;
             self.process_batch(std::mem::take(&mut batch));
         }
     }
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -108,7 +108,7 @@
     let acceptor = poem::listener::TcpAcceptor::from_tokio(public)
         .map_err(|source| ServeError::Io { what: "public_addr".into(), source })?;
     tokio::spawn(async move {
-        let server = poem::Server::new_with_acceptor(acceptor).idle_timeout(limits::IDLE_CONNECTION);
+        let server = poem::Server::new_with_acceptor(acceptor).idle_timeout(limits::IDLE_CONNECTION_TIMEOUT);
         if let Err(error) = server.run(api::routes(api)).await {
             tracing::error!(%error, "HTTP server ended");
         }
@@ -117,7 +117,7 @@
     let now = clock.now();
     let workers = &deployment.workers;
     let longest_autonomy = limits::longest_autonomy(workers.cancel_s, workers.lease_s);
-    let (seed, kept) = (sender.incarnation, limits::cancelled_kept(workers.cancel_s));
+    let (seed, kept) = (sender.incarnation, limits::cancellation_retention(workers.cancel_s));
     let leadership = Leadership::new(names, me, sender.incarnation, now, (longest_autonomy, kept), seed);
     let controller = Controller {
         config: Config {
@@ -127,12 +127,12 @@
             teams: deployment.teams.clone(),
             zones: deployment.zones.clone(),
             list_lag_s: deployment.cloud.list_lag_s,
-            round_steps: limits::ROUND_STEPS,
+            round_steps: limits::MAX_ROUND_STEPS,
             cpu_share: deployment.resources.cpu,
             write_rps: deployment.state.write_rps,
             record_machines: limits::record_machines(deployment.state.value_kb),
             value_most: limits::value_bytes(deployment.state.value_kb),
-            rentals_at_once: limits::rentals_at_once(deployment.cloud.rps),
+            rentals_at_once: limits::max_concurrent_rentals(deployment.cloud.rps),
             shard_lease: match settings.members.len() {
                 0 => 0,
                 _ => longest_autonomy,
--- a/src/drains/endpoint.rs
+++ b/src/drains/endpoint.rs
@@ -147,7 +147,7 @@
     }
 
     async fn read_request(&self, id: &DrainId) -> Result<Option<(StoredRequest, u64)>, Refusal> {
-        let Some((value, version)) = self.store.get(&request_key(id), limits::STATE_TIMEOUT).await? else {
+        let Some((value, version)) = self.store.get(&request_key(id), limits::STORE_TIMEOUT).await? else {
             return Ok(None);
         };
         let malformed = |e: serde_json::Error| Refusal::Conflict(format!("unreadable record of {id}: {e}"));
@@ -155,7 +155,7 @@
     }
 
     async fn read_summary(&self, id: &DrainId) -> Result<Option<Summary>, Refusal> {
-        let found = self.store.get(&summary_key(id), limits::STATE_TIMEOUT).await?;
+        let found = self.store.get(&summary_key(id), limits::STORE_TIMEOUT).await?;
         Ok(found.and_then(|(value, _)| serde_json::from_value(value).ok()))
     }
 
--- a/src/fleet_limits.rs
+++ b/src/fleet_limits.rs
@@ -30,7 +30,7 @@
     let resources = &deployment.resources;
     let records = fleet / limits::record_machines(deployment.state.value_kb) as f64;
     let writes = deployment.state.write_rps * limits::LEADER_WRITE_SHARE;
-    let pages = fleet / f64::from(limits::LIST_PAGE);
+    let pages = fleet / f64::from(limits::MACHINE_LIST_PAGE_SIZE);
     let judged = [
         (
             resources.max_sockets < machines,
@@ -53,7 +53,7 @@
             "new machines wait for their record before they get work",
         ),
         (
-            pages * limits::LIST_PACE / deployment.cloud.rps > PATIENCE_S,
+            pages * limits::MACHINE_LIST_PACE / deployment.cloud.rps > PATIENCE_S,
             "deployment.cloud.rps",
             "the machine list takes long to read: machines that the cloud took are noticed late",
         ),
--- a/src/http.rs
+++ b/src/http.rs
@@ -24,7 +24,7 @@
 
 impl Http {
     pub fn new() -> Result<Self, reqwest::Error> {
-        Self::builder().pool_idle_timeout(limits::IDLE_CONNECTION).build().map(Http)
+        Self::builder().pool_idle_timeout(limits::IDLE_CONNECTION_TIMEOUT).build().map(Http)
     }
 
     /// For a few words to each of many hosts: a connection kept to every one would use up the sockets.
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -21,7 +21,7 @@
         let isolated = self.node_names.len() > 1 && fresh.is_none();
         // That several machines fall silent at once is our cut, not theirs; a peer should stand ready
         // before they have given up on us and come to it.
-        let asked = asked.or(fresh.filter(|_| self.status.machines >= limits::SILENT_TOGETHER));
+        let asked = asked.or(fresh.filter(|_| self.status.machines >= limits::MIN_CORRELATED_SILENCE));
         self.reached_by_workers |= self.status.workers > 0;
         // Before any worker has come here, the first ones may well ask a peer first.
         let unreached = self.reached_by_workers && self.status.workers == 0 && (asked.is_some() || isolated);
--- a/src/live_job_cache.rs
+++ b/src/live_job_cache.rs
@@ -68,7 +68,7 @@
         let fresh = refresh(&store, &mut copy, &mut reading).await.map_err(Arc::new);
         rest = match &fresh {
             Ok(()) => limits::LIVE_JOBS_REFRESH_INTERVAL,
-            Err(_) => Duration::from_millis(limits::STATE_PAUSE_MS),
+            Err(_) => Duration::from_millis(limits::STORE_RETRY_DELAY_MS),
         };
         if fresh.is_ok() && events.send(Event::LiveJobs(std::mem::take(&mut reading))).await.is_err() {
             return;
@@ -82,7 +82,7 @@
             // Whoever asked may have given up.
             let _ = to.send(answer);
         }
-        tokio::time::sleep(limits::POLL_GATHER).await;
+        tokio::time::sleep(limits::POLL_BATCH_INTERVAL).await;
     }
 }
 
--- a/src/peer/layout.rs
+++ b/src/peer/layout.rs
@@ -106,7 +106,7 @@
 
 pub(super) const NO_NOTICE: u64 = u64::MAX;
 /// The most bytes that may follow a head: a heartbeat is at most a request body.
-pub(super) const FOLLOWING_MOST: usize = limits::BODY;
+pub(super) const FOLLOWING_MOST: usize = limits::MAX_BODY_BYTES;
 
 /// What a summary frame can carry at most.
 pub const SUMMARY_MOST: usize = FOLLOWING_MOST / size_of::<SummaryLine>();
--- a/src/peer/transport.rs
+++ b/src/peer/transport.rs
@@ -17,7 +17,7 @@
     let mut sequence = 0;
     let mut stream: Option<TcpStream> = None;
     let mut waiting = Vec::new();
-    while queue.recv_many(&mut waiting, limits::PEER_BATCH).await > 0 {
+    while queue.recv_many(&mut waiting, limits::MAX_PEER_FRAMES_PER_WRITE).await > 0 {
         if stream.is_none() {
             let connect = tokio::time::timeout(limits::CONNECT_TIMEOUT, TcpStream::connect(address));
             stream = match connect.await {
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -167,8 +167,8 @@
     fn check_names(&self) -> Result<(), String> {
         let names = [("cargo", &self.class), ("crew", &self.team), ("manifest", &self.image)];
         for (field, name) in names {
-            if name.is_empty() || name.len() > limits::NAME_MOST {
-                return Err(format!("{field}: must have 1 to {} bytes", limits::NAME_MOST));
+            if name.is_empty() || name.len() > limits::MAX_NAME_BYTES {
+                return Err(format!("{field}: must have 1 to {} bytes", limits::MAX_NAME_BYTES));
             }
         }
         Ok(())
@@ -190,18 +190,22 @@
                 return Err(format!("{field}: must be an amount of 0 or more"));
             }
         }
-        if self.tasks == 0 || self.tasks > limits::TASKS_MOST {
-            return Err(format!("loads: must be 1 to {}", limits::TASKS_MOST));
+        if self.tasks == 0 || self.tasks > limits::MAX_JOB_TASKS {
+            return Err(format!("loads: must be 1 to {}", limits::MAX_JOB_TASKS));
         }
         Ok(())
     }
 
     fn check_places(&self) -> Result<(), String> {
-        if self.machine_types.as_ref().is_some_and(|t| t.is_empty() || t.len() > limits::TYPES_MOST) {
-            return Err(format!("hulls: must name 1 to {} types, or be null", limits::TYPES_MOST));
+        if self
+            .machine_types
+            .as_ref()
+            .is_some_and(|t| t.is_empty() || t.len() > limits::MAX_JOB_MACHINE_TYPES)
+        {
+            return Err(format!("hulls: must name 1 to {} types, or be null", limits::MAX_JOB_MACHINE_TYPES));
         }
         let mut names = self.machine_types.iter().flatten().chain(&self.zone);
-        if names.any(|name| name.is_empty() || name.len() > limits::NAME_MOST) {
+        if names.any(|name| name.is_empty() || name.len() > limits::MAX_NAME_BYTES) {
             return Err("hulls, quay: names must not be empty or overlong".into());
         }
         Ok(())
--- a/src/record_versions.rs
+++ b/src/record_versions.rs
@@ -51,7 +51,7 @@
 
     async fn read_again(&self, store: &KeyValueStore, keys: &[(String, bool)]) {
         for (key, _) in keys {
-            if let Ok(found) = store.get(key, limits::STATE_TIMEOUT).await {
+            if let Ok(found) = store.get(key, limits::STORE_TIMEOUT).await {
                 self.note(key, found.map_or(0, |(_, version)| version));
             }
         }
--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -185,7 +185,7 @@
         if self.cold_start.began.is_none() || self.now < self.cold_start.due {
             return;
         }
-        self.cold_start.due = self.now + limits::COLD_START_ROUND;
+        self.cold_start.due = self.now + limits::COLD_START_INTERVAL;
         self.ask_about_unknown_jobs();
         if self.cold_start.ended.is_none() {
             self.advance_cold_start();
@@ -254,9 +254,10 @@
         let unknown: BTreeSet<JobId> = unknown.map(|(id, _)| id.job_id).collect();
         self.cold_start.asked.retain(|job_id, _| unknown.contains(job_id));
         let (now, asked) = (self.now, &self.cold_start.asked);
-        let due =
-            |job_id: &JobId| asked.get(job_id).is_none_or(|at| now >= *at + limits::COLD_START_ASK_AGAIN);
-        let due: Vec<JobId> = unknown.into_iter().filter(due).take(limits::COLD_START_ASKED).collect();
+        let due = |job_id: &JobId| {
+            asked.get(job_id).is_none_or(|at| now >= *at + limits::COLD_START_RETRY_INTERVAL)
+        };
+        let due: Vec<JobId> = unknown.into_iter().filter(due).take(limits::MAX_COLD_START_READS).collect();
         for job_id in due {
             self.cold_start.asked.insert(job_id, now);
             self.effects.push(Effect::ReadJob { job_id });
@@ -385,8 +386,8 @@
             not_ordered: cold_start.missing.len(),
             waits_for,
             until_ms: (phase == Phase::Reconciling).then(|| day(until)),
-            unheard: open.into_iter().take(limits::COLD_START_NAMED).cloned().collect(),
-            unknown_tasks: unknown.take(limits::COLD_START_NAMED).map(|(id, _)| id.to_string()).collect(),
+            unheard: open.into_iter().take(limits::MAX_COLD_START_NAMES).cloned().collect(),
+            unknown_tasks: unknown.take(limits::MAX_COLD_START_NAMES).map(|(id, _)| id.to_string()).collect(),
         }
     }
 }
--- a/src/scheduler/consolidate.rs
+++ b/src/scheduler/consolidate.rs
@@ -82,15 +82,15 @@
     /// and only while all is calm: a move costs its users a few seconds.
     pub fn move_replicas(&mut self) {
         let calm = self.reconciled
-            && self.now >= self.started_at + limits::MOVE_CALM
-            && self.now >= self.fleet.moved + limits::MOVE_PAUSE
+            && self.now >= self.started_at + limits::REPLICA_MOVE_INITIAL_DELAY
+            && self.now >= self.fleet.moved + limits::REPLICA_MOVE_INTERVAL
             && self.jobs.values().all(|j| j.terminated || j.spec.spot || j.pending_tasks.is_empty());
         if !calm {
             return;
         }
         let fixed = |m: &Machine| m.tasks.keys().filter(|id| self.is_fixed(id)).count();
         let replicas: usize = self.machines.values().map(fixed).sum();
-        let most = (replicas / limits::MOVE_OF_REPLICAS).max(1);
+        let most = (replicas / limits::REPLICAS_PER_MOVE).max(1);
         let mut sources: Vec<&Machine> =
             self.machines.values().filter(|m| m.consolidation_target && fixed(m) > 0).collect();
         sources.sort_by_key(|m| (m.tasks.len(), m.name.clone()));
@@ -136,7 +136,9 @@
     /// Whether a task of the job could go from this machine to another at once, without a fetch; the
     /// place is then taken.
     fn take_warm_place(&self, job: &Job, from: &Machine, warm: &mut BTreeMap<String, Resources>) -> bool {
-        if job.spec.kind != Kind::Service || job.last_resized_at + limits::MOVE_JOB_PAUSE > self.now {
+        if job.spec.kind != Kind::Service
+            || job.last_resized_at + limits::JOB_REPLICA_MOVE_INTERVAL > self.now
+        {
             return false;
         }
         let mut zones = ZoneCount::of(job, &self.machines);
--- a/src/scheduler/drains/emptying.rs
+++ b/src/scheduler/drains/emptying.rs
@@ -41,7 +41,8 @@
         }
         let kept = self.kept_rooms();
         let spare = self.spare_places(&kept);
-        let mut left = Left { teams: BTreeMap::new(), looks: limits::DRAIN_LOOKS, kept, spare };
+        let mut left =
+            Left { teams: BTreeMap::new(), looks: limits::MAX_DRAIN_PLACEMENT_SEARCHES, kept, spare };
         for cordoned in cordoned_machines {
             let Some(machine) = self.machines.get(&cordoned.machine) else {
                 self.note_vanished(&cordoned);
@@ -80,7 +81,8 @@
 
     /// Spot notices, faults and silence have faster ways of their own: a drain gives way to them.
     fn leaves_by_itself(&self, machine: &Machine) -> bool {
-        let silent = self.now >= machine.last_heartbeat_at + limits::silent(self.config.workers.report_s);
+        let silent =
+            self.now >= machine.last_heartbeat_at + limits::silence_timeout(self.config.workers.report_s);
         machine.deleting || machine.recall_at.is_some() || machine.state != MachineState::Ready || silent
     }
 
@@ -187,7 +189,7 @@
     /// For how long a replica is down that is stopped here and started on a machine, or on one without its image: the
     /// stop and the start each wait for a report, the fetch takes its time, give or take.
     pub(super) fn down_s(&self, job: &Job, on: Option<&Machine>) -> f64 {
-        let reports = 2.0 * 1.25 * self.config.workers.report_s + limits::MOVE_SLACK_S;
+        let reports = 2.0 * 1.25 * self.config.workers.report_s + limits::MOVE_MARGIN_S;
         let warm = on.is_some_and(|machine| machine.images.contains(&job.spec.image));
         if warm {
             return reports;
@@ -195,8 +197,8 @@
         let rates = self.types.values().filter(|t| on.is_none_or(|m| m.machine_type == t.name));
         let rate = rates.map(|t| t.fetch_gb_per_s).fold(f64::INFINITY, f64::min);
         let fetch_s = match rate.is_finite() && rate > 0.0 {
-            true => limits::FETCH_SLACK * job.spec.image_gb / rate,
-            false => limits::FETCH_UNKNOWN_S,
+            true => limits::FETCH_TIME_FACTOR * job.spec.image_gb / rate,
+            false => limits::DEFAULT_FETCH_S,
         };
         reports + fetch_s
     }
--- a/src/scheduler/drains/holds.rs
+++ b/src/scheduler/drains/holds.rs
@@ -57,7 +57,7 @@
 
     /// Replicas that have ended on the machine that they leave start on the place that was kept.
     pub(in super::super) fn place_moved(&mut self, capacity: &mut FreeCapacity) {
-        let patience = limits::DRAIN_MOVE_PATIENCE;
+        let patience = limits::DRAIN_MOVE_TIMEOUT;
         let moves: Vec<(TaskId, String, u64)> =
             self.drains.moves.iter().map(|(id, to)| (*id, to.to.clone(), to.since)).collect();
         for (id, to, since) in moves {
--- a/src/scheduler/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -219,7 +219,7 @@
         if !ready || self.now < self.drains.due {
             return;
         }
-        self.drains.due = self.now + limits::DRAIN_ROUND;
+        self.drains.due = self.now + limits::DRAIN_INTERVAL;
         self.drains.rounds += 1;
         self.observe_disruption();
         for drain in self.drains.drains.values_mut() {
--- a/src/scheduler/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -106,7 +106,7 @@
         let now = self.now;
         let Some(drain) = self.drains.drains.get_mut(&id) else { return true };
         let Some(name) = name else {
-            drain.refused_until = now + limits::REFUSED_PAUSE;
+            drain.refused_until = now + limits::RENTAL_BACKOFF;
             return true;
         };
         let Some(MachineDrainState::Replacing { attempt, machine: None }) = drain.progress.state(&machine)
--- a/src/scheduler/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -32,7 +32,7 @@
             teams: self.allowances_beyond_cordoned(&candidates),
             zones: self.zone_room(&kept),
         };
-        let choice = plan::choose(&candidates, &limits, limits::DRAIN_SOLVER_S);
+        let choice = plan::choose(&candidates, &limits, limits::DRAIN_SOLVER_TIMEOUT_S);
         debug!(chosen = choice.chosen.len(), candidates = candidates.len(), method = ?choice.method, "drain step");
         for at in &choice.chosen {
             self.begin_machine(&drains[candidates[*at].drain], &candidates[*at].machine);
@@ -85,7 +85,7 @@
             let here = self.machines_to_begin(id, waiting).into_iter();
             let here: Vec<String> = here
                 .filter(|name| taken.insert(name.clone()))
-                .take(caps[at] * limits::DRAIN_CANDIDATES)
+                .take(caps[at] * limits::MAX_DRAIN_CANDIDATES)
                 .collect();
             let machines = here.iter().filter_map(|name| self.machines.get(name));
             all.extend(machines.map(|machine| self.candidate(at, machine, replace, kept)));
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -144,7 +144,7 @@
         let mut due = Vec::new();
         for (team, disruption) in &mut self.drains.teams {
             let urgent = !disruption.pending.is_empty();
-            let in_turn = now >= disruption.sent_at + limits::DRAIN_LEDGER_EVERY;
+            let in_turn = now >= disruption.sent_at + limits::DRAIN_LEDGER_INTERVAL;
             if disruption.writing.sent || !(urgent || disruption.writing.dirty && in_turn) {
                 continue;
             }
@@ -167,7 +167,7 @@
 
     fn summaries_to_write(&self) -> Vec<(DrainKey, DrainValue)> {
         let due = self.drains.drains.iter().filter(|(_, drain)| {
-            let in_turn = self.now >= drain.summary_at + limits::DRAIN_SUMMARY_EVERY;
+            let in_turn = self.now >= drain.summary_at + limits::DRAIN_SUMMARY_INTERVAL;
             drain.summary_writing.dirty && !drain.summary_writing.sent && in_turn
         });
         due.filter_map(|(id, drain)| {
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -35,7 +35,7 @@
         self.keep_places(&mut capacity);
         self.place_moved(&mut capacity);
         // The look at every machine is the fixed price of a round; the budget is for the jobs.
-        let jobs = limits::ROUND_JOBS * self.machines.len();
+        let jobs = limits::MIN_ROUND_JOBS * self.machines.len();
         let budget = steps + self.config.round_steps.max(jobs);
         let start = self.cursor.and_then(|job_id| order.iter().position(|u| *u == job_id)).unwrap_or(0);
         self.cursor = None;
@@ -59,8 +59,8 @@
             }
         }
         self.steps += steps as u64;
-        let idle = if self.cursor.is_some() { 0 } else { limits::ROUND_IDLE };
-        let rest = limits::round_rest(steps, self.config.cpu_share);
+        let idle = if self.cursor.is_some() { 0 } else { limits::IDLE_ROUND_INTERVAL };
+        let rest = limits::round_pause(steps, self.config.cpu_share);
         self.earliest_round_at = self.now + rest;
         self.next_round_at = self.now + rest.max(idle);
     }
@@ -121,7 +121,7 @@
         if want == 0 || held + want < job.admission() {
             return self.wait(job_id, "team limit");
         }
-        let patient = self.now < job.submitted_at.max(job.last_resized_at) + limits::FETCH_PATIENCE;
+        let patient = self.now < job.submitted_at.max(job.last_resized_at) + limits::FETCH_TIMEOUT;
         let found = self.find(job, want, patient, capacity, steps);
         if !found.is_empty() && held + found.len() as u32 >= job.admission().min(held + want) {
             if found.len() as u32 + running > job.width {
--- a/src/scheduler/elastic/rank.rs
+++ b/src/scheduler/elastic/rank.rs
@@ -19,7 +19,7 @@
         if job.has_started() || job.spec.priority == Priority::Critical {
             return rank;
         }
-        rank.max(self.aged(job, job.submitted_at + limits::BEGIN_AFTER, limits::BEGIN_AGING))
+        rank.max(self.aged(job, job.submitted_at + limits::AGING_DELAY, limits::AGING_INTERVAL))
     }
 
     pub(super) fn plain_rank(&self, job: &Job, size: f64) -> u64 {
@@ -39,7 +39,7 @@
             return 1.0;
         }
         let size = job.work(job.unfinished()) / self.mean_job_work;
-        size.clamp(1.0 / limits::SIZE_RANGE, limits::SIZE_RANGE)
+        size.clamp(1.0 / limits::MAX_AGING_FACTOR, limits::MAX_AGING_FACTOR)
     }
 
     pub(super) fn note_typical_work(&mut self) {
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -23,7 +23,7 @@
         teams: vec![team],
         zones: vec!["a".into(), "b".into(), "c".into()],
         list_lag_s: 3.0,
-        round_steps: limits::ROUND_STEPS,
+        round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: 1.0,
         write_rps: 1_000.0,
         record_machines: 20,
--- a/src/scheduler/exits.rs
+++ b/src/scheduler/exits.rs
@@ -61,7 +61,7 @@
             }
             ExitReason::NoRoom | ExitReason::Busy => {
                 if let Some(machine) = self.machines.get_mut(name) {
-                    machine.no_room_backoff_until = now + limits::NO_ROOM_PAUSE;
+                    machine.no_room_backoff_until = now + limits::NO_ROOM_BACKOFF;
                 }
             }
             _ => {}
@@ -74,17 +74,17 @@
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let (sum, count) = job.run_times;
         job.run_times = (sum + ran, count + 1);
-        if count < limits::SLOW_AGAINST {
+        if count < limits::MIN_SPEED_SAMPLES {
             return;
         }
         let slow = ran as f64 > limits::SLOW_FACTOR * sum as f64 / count as f64;
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.slow_votes = if slow { machine.slow_votes + 1 } else { 0 };
-        if machine.slow_votes >= limits::SLOW_VOTES {
+        if machine.slow_votes >= limits::MAX_SLOW_TASKS {
             warn!(machine = name, "slow: no arrays here for a while");
             machine.slow_votes = 0;
-            machine.slow_until = now + limits::SLOW_PAUSE;
+            machine.slow_until = now + limits::SLOW_MACHINE_QUARANTINE;
         }
     }
 }
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -36,7 +36,7 @@
     /// From when on what is still silent after that has no excuse: its machines may hang at two nodes
     /// before they are heard.
     fn back(&self) -> u64 {
-        self.last.map_or(0, |(_, until)| until + limits::COMES_LATE)
+        self.last.map_or(0, |(_, until)| until + limits::FAILOVER_GRACE_PERIOD)
     }
 }
 
@@ -84,8 +84,11 @@
     /// silence means something, but for a while after they all came at once they do so again together.
     fn unreachable(&self, now: u64, machines: usize, latest: u64) -> bool {
         let interval = self.heartbeat_interval / machines.max(1) as u64;
-        machines >= limits::SILENT_TOGETHER as usize
-            && now >= latest.max(self.started) + limits::route_silent(self.heartbeat_interval) + 3 * interval
+        machines >= limits::MIN_CORRELATED_SILENCE as usize
+            && now
+                >= latest.max(self.started)
+                    + limits::route_silence_timeout(self.heartbeat_interval)
+                    + 3 * interval
     }
 }
 
@@ -135,18 +138,19 @@
         let reachable: Vec<&Observed> =
             observed.iter().filter(|m| !m.lost && back(self.zone(m.zone))).collect();
         let mut dead = Vec::new();
-        if now < p.started + p.silent.max(limits::COMES_LATE) {
+        if now < p.started + p.silent.max(limits::FAILOVER_GRACE_PERIOD) {
             return dead;
         }
         // Those that have not come to a new leader have no route yet: they are judged against all that should.
         let expected: Vec<&str> = reachable.iter().filter(|m| m.expected).map(|m| m.name).collect();
-        if !too_many(expected.len(), reachable.len(), limits::SILENT_SHARE) {
+        if !too_many(expected.len(), reachable.len(), limits::MAX_SILENT_SHARE) {
             dead.extend(expected);
         }
         // They fall due one after the other over an interval: those that are late already count, or the first of
         // them would be declared dead before they were too many.
         let late = |m: &Observed| {
-            m.unresponsive || now >= m.last_heartbeat_at + p.heartbeat_interval / 4 * 5 + limits::LATE
+            m.unresponsive
+                || now >= m.last_heartbeat_at + p.heartbeat_interval / 4 * 5 + limits::LATE_HEARTBEAT_MARGIN
         };
         let mut routes: BTreeMap<Option<usize>, Vec<&Observed>> = BTreeMap::new();
         for m in reachable.iter().filter(|m| !m.expected) {
@@ -156,7 +160,7 @@
         let heard =
             routes.iter().filter(|(route, _)| back(route_reachability(route))).flat_map(|(_, here)| here);
         let (known, all_late) = heard.fold((0, 0), |(n, l), m| (n + 1, l + usize::from(late(m))));
-        let many = too_many(all_late, known, limits::SILENT_SHARE);
+        let many = too_many(all_late, known, limits::MAX_SILENT_SHARE);
         for (route, here) in &routes {
             let (route, reachability) = (*route, route_reachability(route));
             // Those whose leaseholder has crashed come by another route, and only the dead are left on theirs.
@@ -169,7 +173,7 @@
             let quiet = here.iter().filter(|m| late(m)).count();
             // A leaseholder that is only out of touch answers what says nothing new until its lease ends.
             let wait = if reachability.unreachable {
-                reachability.unreachable_from() + p.shard_lease + limits::COMES_LATE
+                reachability.unreachable_from() + p.shard_lease + limits::FAILOVER_GRACE_PERIOD
             } else {
                 reachability.back()
             };
@@ -177,7 +181,7 @@
             // tell. Few are not too many because chance put three of them on one route of nine.
             if now < wait
                 || many && !reachability.unreachable
-                || too_many(quiet, route_size, limits::SILENT_ROUTE_SHARE)
+                || too_many(quiet, route_size, limits::MAX_SILENT_ROUTE_SHARE)
             {
                 continue;
             }
@@ -192,7 +196,7 @@
         let report_s = self.config.workers.report_s;
         Patience {
             heartbeat_interval: limits::micros(report_s),
-            silent: limits::silent(report_s),
+            silent: limits::silence_timeout(report_s),
             shard_lease: self.config.shard_lease,
             started: self.started_at,
         }
@@ -208,7 +212,7 @@
                 route: m.via,
                 previous_route: m.previous_route,
                 last_heartbeat_at: m.last_heartbeat_at,
-                unresponsive: m.unacknowledged_heartbeats >= limits::UNHEARD_DEAF,
+                unresponsive: m.unacknowledged_heartbeats >= limits::MAX_UNACKNOWLEDGED_HEARTBEATS,
                 expected: expected(m),
                 lost: m.state == MachineState::Lost,
             })
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -18,15 +18,15 @@
     let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
     let patience = Patience {
         heartbeat_interval: REPORT,
-        silent: limits::silent(3.0),
+        silent: limits::silence_timeout(3.0),
         shard_lease: SHARD_LEASE,
         started: SECOND,
     };
     let mut silence = FailureDetector::default();
     let mut declared_dead: BTreeSet<usize> = BTreeSet::new();
     let mut first = u64::MAX;
-    for step in 0..(FROM / 2 + time) / limits::EXPIRE_EVERY {
-        let now = FROM / 2 + step * limits::EXPIRE_EVERY;
+    for step in 0..(FROM / 2 + time) / limits::LEASE_EXPIRY_INTERVAL {
+        let now = FROM / 2 + step * limits::LEASE_EXPIRY_INTERVAL;
         let heard = |i: usize| {
             let phase = i as u64 * 7_919 % 1_000 * REPORT / 1_000;
             let heartbeat = |at: u64| at.saturating_sub(phase) / REPORT * REPORT + phase;
@@ -68,7 +68,7 @@
 fn a_zone_without_machines_is_not_dark() {
     let patience = Patience {
         heartbeat_interval: REPORT,
-        silent: limits::silent(3.0),
+        silent: limits::silence_timeout(3.0),
         shard_lease: SHARD_LEASE,
         started: SECOND,
     };
@@ -97,7 +97,7 @@
 #[test]
 fn silence_is_told_apart_at_every_size() {
     const LONG: u64 = 1_000 * SECOND;
-    let at_once = limits::silent(3.0) + SECOND;
+    let at_once = limits::silence_timeout(3.0) + SECOND;
     let never = u64::MAX;
     let half = |n: usize| n / 2;
     type Size = fn(usize) -> usize;
@@ -151,6 +151,6 @@
         let dead = (0..machines).filter(|i| cut(*i, machines) == LONG).count();
         assert!(dead < half(machines) / 2);
         assert_eq!(declared_dead, dead, "a cut, {machines} machines");
-        assert!(first >= 44 * SECOND + limits::COMES_LATE, "{machines} machines: after {first}");
+        assert!(first >= 44 * SECOND + limits::FAILOVER_GRACE_PERIOD, "{machines} machines: after {first}");
     }
 }
--- a/src/scheduler/faults.rs
+++ b/src/scheduler/faults.rs
@@ -12,7 +12,7 @@
 impl Job {
     /// Nothing of it has finished, and it has failed on several machines: most likely it is wrong itself.
     pub(super) fn is_suspected(&self) -> bool {
-        self.succeeded.is_empty() && self.failed_on.len() >= limits::JOB_FAULT_MACHINES
+        self.succeeded.is_empty() && self.failed_on.len() >= limits::SUSPECT_JOB_MACHINES
     }
 }
 
@@ -26,16 +26,16 @@
         let suspected = job.is_suspected();
         if suspected || !at_run {
             // A job that fails everywhere must not loop hot.
-            let pause = limits::JOB_PAUSE << job.failures.min(10);
+            let pause = limits::JOB_BACKOFF << job.failures.min(10);
             job.failures += 1;
-            job.backoff_until = now + pause.min(limits::JOB_PAUSE_MAX);
+            job.backoff_until = now + pause.min(limits::MAX_JOB_BACKOFF);
         }
         if !at_run {
             return;
         }
         if let Some(machine) = self.machines.get_mut(machine) {
             // Other machines first.
-            machine.no_room_backoff_until = now + limits::NO_ROOM_PAUSE;
+            machine.no_room_backoff_until = now + limits::NO_ROOM_BACKOFF;
             if !suspected {
                 machine.failed_jobs.insert(job_id);
             }
@@ -59,7 +59,7 @@
         // Jobs that have come under suspicion since say nothing of the machine.
         let suspected = |job_id: &JobId| jobs.get(job_id).is_some_and(Job::is_suspected);
         let accusing = machine.failed_jobs.iter().filter(|job_id| !suspected(job_id)).count();
-        if (proven || accusing >= limits::MACHINE_ERRORS) && !machine.draining {
+        if (proven || accusing >= limits::MAX_MACHINE_FAILURES) && !machine.draining {
             warn!(machine = name, "tasks fail on it: replacing it");
             machine.draining = true;
         }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -53,7 +53,8 @@
             }
         }
         let complete = self.go_on_planning();
-        self.fleet.due = self.now + if complete { limits::FLEET_ROUND } else { limits::FLEET_REST };
+        self.fleet.due =
+            self.now + if complete { limits::AUTOSCALER_INTERVAL } else { limits::AUTOSCALER_RESUME_DELAY };
     }
 
     pub fn refused(&self, offer: &Offer) -> bool {
@@ -99,7 +100,7 @@
     }
 
     pub(super) fn delete(&mut self, names: Vec<String>, why: &str) {
-        for chunk in names.chunks(limits::DELETE_MOST) {
+        for chunk in names.chunks(limits::MAX_MACHINES_PER_DELETION) {
             for name in chunk {
                 if let Some(machine) = self.machines.get_mut(name) {
                     info!(machine = name, why, "return");
@@ -150,9 +151,9 @@
         let names = machines.unwrap_or_default();
         if outcome == WriteOutcome::Refused || (names.len() as u32) < count {
             let known = self.fleet.refused.get(&offer).copied();
-            let (until, pause) = known.unwrap_or((0, limits::REFUSED_PAUSE / 2));
+            let (until, pause) = known.unwrap_or((0, limits::RENTAL_BACKOFF / 2));
             // Requests made together that are refused together are one refusal.
-            let pause = if self.now < until { pause } else { (pause * 2).min(limits::REFUSED_PAUSE_MAX) };
+            let pause = if self.now < until { pause } else { (pause * 2).min(limits::MAX_RENTAL_BACKOFF) };
             debug!(
                 machine_type = offer.0,
                 zone = offer.1,
@@ -179,7 +180,7 @@
 
     pub fn listed(&mut self, list: Vec<ListedMachine>) {
         let now = self.now;
-        self.fleet.deleted.retain(|_, since| now < *since + limits::GONE_KEPT);
+        self.fleet.deleted.retain(|_, since| now < *since + limits::DELETED_MACHINE_RETENTION);
         let mut shown = BTreeSet::new();
         let mut failed = Vec::new();
         for listed in list {
@@ -216,7 +217,8 @@
         let now = self.now;
         let mut gone = Vec::new();
         for machine in self.machines.values() {
-            let silent = now >= machine.last_heartbeat_at + limits::silent(self.config.workers.report_s);
+            let silent =
+                now >= machine.last_heartbeat_at + limits::silence_timeout(self.config.workers.report_s);
             if shown.contains(&machine.name) || !silent || machine.deleting {
                 self.fleet.missing.remove(&machine.name);
                 continue;
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -60,7 +60,7 @@
                     return;
                 }
                 // Its places must not idle until the workers give up by themselves.
-                let patience = limits::gang_patience(self.config.workers.gang_wait_s);
+                let patience = limits::gang_completion_timeout(self.config.workers.gang_wait_s);
                 let Some(job) = self.jobs.get_mut(&job_id) else { return };
                 let since = *job.incomplete_since.get_or_insert(now);
                 if now < since + patience {
@@ -74,7 +74,7 @@
             // save are left to it: the first that has saved keeps the progress of all.
             Stage::Broken => {
                 let saves = |grace: f64, at: u64| {
-                    grace > 0.0 && self.now < at + limits::micros(grace) + limits::STOP_PATIENCE
+                    grace > 0.0 && self.now < at + limits::micros(grace) + limits::STOP_TIMEOUT
                 };
                 let saving = self
                     .placements_of(job)
@@ -106,7 +106,7 @@
 
     /// Every machine that holds a task of the job is heard, and hears us.
     pub(super) fn can_be_told_at_once(&self, job: &Job) -> bool {
-        let silent = limits::silent(self.config.workers.report_s);
+        let silent = limits::silence_timeout(self.config.workers.report_s);
         self.placements_of(job).all(|(_, name, _)| {
             self.machines
                 .get(name)
--- a/src/scheduler/model.rs
+++ b/src/scheduler/model.rs
@@ -333,7 +333,7 @@
     pub fn available_soon(&self, now: u64) -> Resources {
         let under_way = |t: &Placement| {
             t.stopping.is_some_and(|(at, grace)| {
-                now < at + crate::limits::micros(grace) + crate::limits::STOP_PATIENCE
+                now < at + crate::limits::micros(grace) + crate::limits::STOP_TIMEOUT
             })
         };
         self.tasks
@@ -389,7 +389,7 @@
 impl Job {
     pub fn new(spec: JobSpec, version: u64, arrived: u64, inherited: bool, done: BTreeSet<u32>) -> Self {
         let waiting = (0..spec.tasks).filter(|t| !done.contains(t)).collect();
-        let stored = done.iter().map(|t| t / crate::limits::DONE_CHUNK).collect();
+        let stored = done.iter().map(|t| t / crate::limits::FINISHED_TASKS_CHUNK).collect();
         Job {
             spec,
             submitted_at: arrived,
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -92,7 +92,7 @@
     pub(super) fn decided(&mut self, decision: String) {
         let seconds = (self.now - self.started_at) / limits::SECOND;
         self.ledger.decisions.push_back(format!("{seconds} s into token {}: {decision}", self.config.token));
-        if self.ledger.decisions.len() > limits::DECISIONS_KEPT {
+        if self.ledger.decisions.len() > limits::MAX_RECENT_DECISIONS {
             self.ledger.decisions.pop_front();
         }
     }
@@ -106,9 +106,13 @@
         let machines = self.machines.range::<str, _>((after_machine, Bound::Unbounded));
         let mut machines = machines.map(|(_, machine)| machine);
         Overview {
-            jobs: jobs.by_ref().take(limits::OVERVIEW_LINES).map(JobLine::of).collect(),
+            jobs: jobs.by_ref().take(limits::MAX_OVERVIEW_LINES).map(JobLine::of).collect(),
             more_jobs: jobs.count(),
-            machines: machines.by_ref().take(limits::OVERVIEW_LINES).map(|m| self.machine_line(m)).collect(),
+            machines: machines
+                .by_ref()
+                .take(limits::MAX_OVERVIEW_LINES)
+                .map(|m| self.machine_line(m))
+                .collect(),
             more_machines: machines.count(),
             decisions: self.ledger.decisions.iter().cloned().collect(),
             ignored_heartbeats: self.ignored_heartbeats,
@@ -144,7 +148,7 @@
                 used.spot_gpus += i128::from(task.resource_request.gpus) * i128::from(since);
             }
         }
-        if self.now >= self.ledger.written + limits::USAGE_EVERY {
+        if self.now >= self.ledger.written + limits::USAGE_LOG_INTERVAL {
             self.write_usage();
         }
     }
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -123,7 +123,7 @@
         for (offer, mut count) in plan.wanted {
             // A request names at most so many, and all that are missing are missing now.
             while count > 0 && self.fleet.renting.len() < self.config.rentals_at_once {
-                let part = count.min(limits::RENT_MOST);
+                let part = count.min(limits::MAX_MACHINES_PER_RENTAL);
                 count -= part;
                 self.rent(&offer, part);
             }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -25,8 +25,8 @@
             && machine.unverified.is_empty()
             && machine.no_room_backoff_until <= self.now
             && !self.failure_detector.zone_unreachable(&machine.zone)
-            && machine.unacknowledged_heartbeats < limits::UNHEARD_DEAF
-            && self.now < machine.last_heartbeat_at + limits::silent(self.config.workers.report_s)
+            && machine.unacknowledged_heartbeats < limits::MAX_UNACKNOWLEDGED_HEARTBEATS
+            && self.now < machine.last_heartbeat_at + limits::silence_timeout(self.config.workers.report_s)
     }
 
     /// Whether every machine that an earlier leader may have started the job on is accounted for, as of
@@ -51,7 +51,7 @@
         if self.now < self.next_expiry_check_at {
             return;
         }
-        self.next_expiry_check_at = self.now + limits::EXPIRE_EVERY;
+        self.next_expiry_check_at = self.now + limits::LEASE_EXPIRY_INTERVAL;
         self.update_reachability();
         let lease = limits::worker_lease(self.config.workers.lease_s);
         let now = self.now;
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -63,7 +63,7 @@
 impl WriteBudget {
     pub fn new(write_rps: f64, now: u64) -> Self {
         let rate = write_rps * limits::LEADER_WRITE_SHARE;
-        let most = rate.max(limits::WRITES_AT_ONCE);
+        let most = rate.max(limits::MIN_WRITE_BURST);
         WriteBudget { rate, most, left: most, at: now }
     }
 
@@ -174,8 +174,8 @@
         if !self.finish_jobs() || !self.write_records(Need::New, 0) || !self.commit_done() {
             return;
         }
-        if self.write_records(Need::Gone, limits::RECORD_GONE_WAIT) {
-            self.write_records(Need::Images, limits::RECORD_IMAGES_WAIT);
+        if self.write_records(Need::Gone, limits::DELETED_MACHINE_RECORD_DELAY) {
+            self.write_records(Need::Images, limits::IMAGE_RECORD_DELAY);
         }
     }
 
@@ -225,7 +225,7 @@
     fn commit_done(&mut self) -> bool {
         let now = self.now;
         let ready = |j: &&Job| {
-            let waits = j.unrecorded_since.is_some_and(|since| now >= since + limits::COMMIT_WAIT);
+            let waits = j.unrecorded_since.is_some_and(|since| now >= since + limits::FINISHED_TASKS_DELAY);
             waits && !j.write_in_flight && !j.terminated && !j.unrecorded.is_empty() && j.unfinished() > 0
         };
         let mut ready: Vec<_> =
@@ -248,7 +248,7 @@
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.write_in_flight = false;
         if outcome == WriteOutcome::Done {
-            job.recorded_chunks.extend(tasks.iter().map(|t| t / limits::DONE_CHUNK));
+            job.recorded_chunks.extend(tasks.iter().map(|t| t / limits::FINISHED_TASKS_CHUNK));
             job.unrecorded.retain(|t| !tasks.contains(t));
             job.unrecorded_since = (!job.unrecorded.is_empty()).then_some(now);
         }
@@ -265,7 +265,7 @@
 }
 
 fn stored_machine(machine: &Machine) -> StoredMachine {
-    let mut room = limits::RECORD_IMAGES;
+    let mut room = limits::RECORD_IMAGE_BYTES;
     let images = machine.images.iter().take_while(|image| {
         room = room.saturating_sub(image.len() + 3);
         room > 0
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -13,7 +13,7 @@
     pub fn machine(&mut self, stored: &StoredMachine) -> &mut Machine {
         let type_known = self.types.get(&stored.machine_type);
         let has = type_known.map(|t| t.capacity).unwrap_or_default();
-        let boot = type_known.map_or(60.0, |t| t.boot_s) * limits::BOOT_GIVE_UP;
+        let boot = type_known.map_or(60.0, |t| t.boot_s) * limits::BOOT_TIMEOUT_FACTOR;
         let now = self.now;
         self.machines.entry(stored.name.clone()).or_insert_with(|| Machine {
             name: stored.name.clone(),
@@ -316,7 +316,7 @@
                 let saves = job.spec.checkpoint_s > 0.0;
                 let gang = job.spec.kind == Kind::Gang;
                 let together = if gang { self.config.workers.gang_peer_s } else { 0.0 };
-                let slack = job.spec.save_s + together + limits::RECALL_SLACK_S;
+                let slack = job.spec.save_s + together + limits::RECALL_MARGIN_S;
                 job.spec.kind == Kind::Service || saves && left_s <= slack
             })
             .map(|(id, job)| (id, job.spec.kind, job.spec.save_s))
--- a/src/shard_tests.rs
+++ b/src/shard_tests.rs
@@ -187,7 +187,7 @@
             assert!(shard.respond(now, &worker, false).token().is_some(), "its lease runs");
             if let Some(heartbeat) = shard.next_heartbeat(now) {
                 let bytes: usize = heartbeat.machines.iter().map(|n| n.len() + 1).sum();
-                assert!(bytes <= crate::limits::BODY, "{bytes} bytes do not fit a frame");
+                assert!(bytes <= crate::limits::MAX_BODY_BYTES, "{bytes} bytes do not fit a frame");
                 named.extend(heartbeat.machines);
                 whole_at.extend(heartbeat.complete.then_some(now));
                 shard.acknowledge(heartbeat.id, 60 * SECOND);
--- a/src/store.rs
+++ b/src/store.rs
@@ -103,7 +103,7 @@
         nodes: usize,
     ) -> Self {
         let now = clock.now();
-        let requests = Budget::new(limits.rps * crate::limits::USER_STATE_SHARE, 1.0, now);
+        let requests = Budget::new(limits.rps * crate::limits::USER_STORE_REQUEST_SHARE, 1.0, now);
         let writes = Budget::new(crate::limits::user_writes(limits.write_rps, nodes), 2.0, now);
         KeyValueStore {
             http,
@@ -172,7 +172,7 @@
         loop {
             let from = records.last().map(|r| format!("&from={}", r.key)).unwrap_or_default();
             let path = format!("/store?prefix={prefix}{from}&limit=500");
-            let answer = self.call(Method::GET, &path, None, limits::STATE_TIMEOUT).await?;
+            let answer = self.call(Method::GET, &path, None, limits::STORE_TIMEOUT).await?;
             if answer.status != 200 {
                 return Err(StoreError::Refused(answer.status));
             }
@@ -192,7 +192,7 @@
             Ok(body) => body,
             Err(_) => return CommitOutcome::Refused,
         };
-        match self.call(Method::POST, "/multi", Some(body), limits::STATE_TIMEOUT).await {
+        match self.call(Method::POST, "/multi", Some(body), limits::STORE_TIMEOUT).await {
             Ok(answer) => match answer.status {
                 200 => json::<Revision>(&answer).map_or(CommitOutcome::Unknown, |done| {
                     CommitOutcome::Committed { version: done.revision }
@@ -207,7 +207,7 @@
 
     pub async fn create_lease(&self, life_ms: u64) -> Result<u64, StoreError> {
         let body = serde_json::json!({ "life_ms": life_ms }).to_string().into_bytes();
-        let answer = self.call(Method::POST, "/grants", Some(body), limits::STATE_TIMEOUT).await?;
+        let answer = self.call(Method::POST, "/grants", Some(body), limits::STORE_TIMEOUT).await?;
         match answer.status {
             200 => json::<Lease>(&answer).map(|granted| granted.lease),
             other => Err(StoreError::Refused(other)),
@@ -217,7 +217,7 @@
     /// Whether the lease still runs; an error leaves it open.
     pub async fn renew_lease(&self, lease: u64) -> Result<bool, StoreError> {
         let path = format!("/grants/{lease}/extend");
-        let answer = self.call(Method::POST, &path, Some(b"{}".to_vec()), limits::STATE_TIMEOUT).await?;
+        let answer = self.call(Method::POST, &path, Some(b"{}".to_vec()), limits::STORE_TIMEOUT).await?;
         match answer.status {
             200 => Ok(true),
             404 => Ok(false),
@@ -228,7 +228,7 @@
     pub async fn revoke_lease(&self, lease: u64) {
         // Best effort: the lease ends by itself soon after.
         let path = format!("/grants/{lease}");
-        let _ = self.call(Method::DELETE, &path, None, limits::STATE_TIMEOUT).await;
+        let _ = self.call(Method::DELETE, &path, None, limits::STORE_TIMEOUT).await;
     }
 
     /// Changes under a prefix, waiting for the first of them; None when `from` is too old and the keys
@@ -242,7 +242,7 @@
         let path = format!("/follow?prefix={prefix}&from={from}&wait_ms={wait_ms}");
         let timeout = match wait_ms {
             0 => limits::POLL_TIMEOUT,
-            _ => Duration::from_millis(wait_ms) + limits::WATCH_SLACK,
+            _ => Duration::from_millis(wait_ms) + limits::STORE_WATCH_MARGIN,
         };
         let answer = self.call(Method::GET, &path, None, timeout).await?;
         match answer.status {
@@ -254,8 +254,8 @@
 
     pub async fn read_epoch(&self) -> Result<(Option<(Epoch, u64)>, bool), StoreError> {
         // The lock first: an epoch read after an absent lock is at least as new as its end.
-        let locked = self.get(LOCK, limits::STATE_TIMEOUT).await?.is_some();
-        let epoch = self.get(EPOCH, limits::STATE_TIMEOUT).await?;
+        let locked = self.get(LOCK, limits::STORE_TIMEOUT).await?.is_some();
+        let epoch = self.get(EPOCH, limits::STORE_TIMEOUT).await?;
         let epoch = epoch
             .map(|(value, version)| {
                 serde_json::from_value(value)
--- a/tests/loopback/late_writes.rs
+++ b/tests/loopback/late_writes.rs
@@ -24,7 +24,7 @@
 }
 
 async fn read(store: &KeyValueStore, key: &str) -> Option<String> {
-    let found = store.get(key, dockpier::limits::STATE_TIMEOUT).await.unwrap();
+    let found = store.get(key, dockpier::limits::STORE_TIMEOUT).await.unwrap();
     found.and_then(|(value, _)| value.as_str().map(String::from))
 }
 
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -24,7 +24,7 @@
         teams: vec![Team { name: "vision".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
         zones: vec!["a".into(), "b".into()],
         list_lag_s: 3.0,
-        round_steps: limits::ROUND_STEPS,
+        round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: 1.0,
         write_rps: 1000.0,
         record_machines: 3,
