--- a/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/election_lines.rs
@@ -1,8 +1,8 @@
 //! Actions of leadership, and the answers of its public queries, as lines.
 
 use crate::output::Line;
-use dockpier::cancellation_log::Attestation;
 use dockpier::leadership::{Action, Leadership, Message};
+use dockpier::lease::cancellation_log::Attestation;
 use dockpier::scheduler::model::JobId;
 
 /// So many of the newest jobs are asked about.
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
@@ -6,6 +6,7 @@
 use crate::output::{Line, Transcript};
 use crate::worker::Worker;
 use crate::{draw, effects, words};
+use dockpier::lease::shard::{Shard, ShardResponse};
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::model::{Heartbeat, JobId, Kind, MachineType, Resources, TaskId};
@@ -13,7 +14,6 @@
     Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
 };
 use dockpier::settings::{Operator, Team, Workers};
-use dockpier::shard::{Shard, ShardResponse};
 use dockpier_virtual_fleet::MACHINE_TYPE;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees/events.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/lessees/events.rs
@@ -4,10 +4,10 @@
 use crate::draw;
 use crate::output::Line;
 use crate::worker::Worker;
+use dockpier::lease::shard::Shard;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::JobId;
 use dockpier::scheduler::{Command, Scheduler, StoredJob};
-use dockpier::shard::Shard;
 use rand::Rng;
 use std::collections::BTreeSet;
 
--- a/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/network/clients.rs
@@ -4,10 +4,10 @@
 use super::{Wire, World, NODES};
 use crate::output::Line;
 use crate::{effects, words};
+use dockpier::lease::shard::ShardResponse;
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
-use dockpier::shard::ShardResponse;
 use rand::Rng;
 use std::collections::BTreeSet;
 
--- a/crates/dockpier-virtual-fleet/examples/transcript/words.rs
+++ b/crates/dockpier-virtual-fleet/examples/transcript/words.rs
@@ -1,6 +1,6 @@
 //! The transcript's words for what the program names with types of its own.
 
-use dockpier::lease_renewal::{LeaseRenewal, RenewalBasis};
+use dockpier::lease::renewal::{LeaseRenewal, RenewalBasis};
 use dockpier::scheduler::model::{Kind, Priority, TaskId};
 use dockpier::scheduler::StoredMachine;
 
--- a/src/api.rs
+++ b/src/api.rs
@@ -4,7 +4,6 @@
 use crate::controller::{Event, HeartbeatReply};
 use crate::http::wall_ms;
 use crate::limits;
-use crate::live_job_cache::LiveJobCache;
 use crate::protocol;
 use crate::protocol::records::{FinalRecord, LiveRecord};
 use crate::protocol::users::{JobState, JobStatus, Submission};
@@ -13,7 +12,8 @@
 use crate::scheduler::overview::PageStart;
 use crate::scheduler::Scheduler;
 use crate::settings::{Draining, Team};
-use crate::store::{self, CommitOutcome, KeyValueStore, StoreError};
+use crate::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore, StoreError};
+use crate::storage::live_job_cache::LiveJobCache;
 use poem::http::{header, StatusCode};
 use poem::web::{Data, Path, Query};
 use poem::{get, handler, post, Body, EndpointExt, IntoEndpoint, Response, Route};
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -8,7 +8,7 @@
 use crate::protocol::cloud::{Catalog, RentalRequest};
 use crate::scheduler::{Command, ListedMachine, WriteOutcome};
 use crate::settings::CloudLimits;
-use crate::store::{self, CommitOutcome, KeyValueStore};
+use crate::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -1,14 +1,14 @@
 //! Cold start: asks the store about jobs that reports name and nobody knows, and stores the report.
 
 use super::effects::outcome_of;
-use super::live_jobs::stored_job;
+use super::job_watch::stored_job;
 use super::Controller;
 use crate::limits;
 use crate::protocol::state_service::Record;
 use crate::scheduler::cold_start::{ColdStartReport, JobReading};
 use crate::scheduler::model::JobId;
 use crate::scheduler::Command;
-use crate::store;
+use crate::storage::key_value_store as store;
 
 impl Controller {
     pub(super) fn read_job(&self, job_id: JobId) {
--- a/src/controller/drain_records.rs
+++ b/src/controller/drain_records.rs
@@ -1,13 +1,13 @@
 //! The leader's drains in the state service: read when it begins, followed from then on, written as the scheduler decides.
 
 use super::effects::outcome_of;
-use super::live_jobs::pause;
+use super::job_watch::pause;
 use super::{Controller, Event};
 use crate::drains::records;
 use crate::limits;
 use crate::scheduler::drains::{DrainKey, DrainValue};
 use crate::scheduler::Command;
-use crate::store::{self, KeyValueStore};
+use crate::storage::key_value_store::{self as store, KeyValueStore};
 use tokio::sync::mpsc;
 use tracing::{debug, warn};
 
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -2,7 +2,7 @@
 
 use super::cloud_driver::{CloudRequest, Gate};
 use super::finished_tasks::done_changes;
-use super::live_jobs::sweep;
+use super::job_watch::sweep;
 use super::{Controller, Event};
 use crate::limits;
 use crate::peer::Payload;
@@ -12,7 +12,7 @@
 use crate::protocol::workers::{DirectCommands, WorkerCommand};
 use crate::scheduler::model::JobId;
 use crate::scheduler::{Command, Effect, StoredMachine, TaskCommand, WriteOutcome};
-use crate::store::{self, CommitOutcome};
+use crate::storage::key_value_store::{self as store, CommitOutcome};
 use crate::worker;
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/src/controller/finished_tasks.rs
+++ b/src/controller/finished_tasks.rs
@@ -3,7 +3,7 @@
 use crate::limits;
 use crate::protocol::state_service::Change;
 use crate::scheduler::model::JobId;
-use crate::store;
+use crate::storage::key_value_store as store;
 use std::collections::BTreeSet;
 
 /// The keys of finished tasks to write for `tasks`, as many as one transaction takes, and the tasks
--- a/src/controller/checkins.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -1,15 +1,15 @@
 //! Workers' heartbeats: answered by the leader's scheduler, by this node as the leaseholder of a shard, by a node in keep-alive mode, or
 //! sent elsewhere; and the frames about them between leader and leaseholders.
 
-use super::frames_ignored::IgnoredFrame;
+use super::ignored_frames::IgnoredFrame;
 use super::Controller;
-use crate::lease_renewal::LeaseRenewal;
+use crate::lease::renewal::LeaseRenewal;
+use crate::lease::shard::{ShardHeartbeat, ShardResponse};
 use crate::limits;
 use crate::peer::{self, Payload};
 use crate::protocol::workers::{HeartbeatRequest, HeartbeatResponse};
 use crate::scheduler::model::Heartbeat;
 use crate::scheduler::{Command, TaskCommand};
-use crate::shard::{ShardHeartbeat, ShardResponse};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
 
--- a/src/controller/leading.rs
+++ b/src/controller/leadership_actions.rs
@@ -1,17 +1,17 @@
 //! Carries out what leadership decides: messages, requests to the state service, the beginning and the end of this
 //! node's own leadership.
 
-use super::checkins::{HeartbeatReply, ReplyTo};
 use super::cloud_driver::{drive_cloud, list_machines};
 use super::drain_records::follow_drains;
-use super::live_jobs::follow_jobs;
+use super::heartbeat_routing::{HeartbeatReply, ReplyTo};
+use super::job_watch::follow_jobs;
 use super::{Controller, Event};
 use crate::leadership::{Action, Message, StoreResponse};
 use crate::peer::Payload;
 use crate::protocol::records::Epoch;
-use crate::record_versions::RecordVersions;
 use crate::scheduler::{Command, Scheduler};
-use crate::store::KeyValueStore;
+use crate::storage::key_value_store::KeyValueStore;
+use crate::storage::record_versions::RecordVersions;
 use tokio::sync::mpsc;
 use tracing::debug;
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,42 +1,42 @@
 //! The owner of a controller's state: one queue of events, taken in batches, into leadership and scheduler; their effects
 //! out. Each module beside this one carries out one kind of work for it.
 
-mod checkins;
 mod cloud_driver;
 mod cold_start;
 mod drain_records;
 mod effects;
 mod finished_tasks;
-mod frames_ignored;
 mod health;
-mod leading;
-mod live_jobs;
-mod start;
+mod heartbeat_routing;
+mod ignored_frames;
+mod job_watch;
+mod leadership_actions;
+mod startup;
 
-pub use checkins::HeartbeatReply;
-pub use start::{run, ServeError};
+pub use heartbeat_routing::HeartbeatReply;
+pub use startup::{run, ServeError};
 
 use crate::api::{Health, Summary, Types};
 use crate::cloud::Cloud;
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{wall_ms, Clock, Http};
 use crate::leadership::{Leadership, StoreResponse};
-use crate::lease_renewal::RenewalCounts;
+use crate::lease::renewal::RenewalCounts;
+use crate::lease::shard::Shard;
 use crate::limits;
-use crate::live_job_cache::LiveJobsUpdate;
 use crate::peer::{Payload, Received, RequestIds};
 use crate::protocol::workers::HeartbeatRequest;
-use crate::record_versions::RecordVersions;
 use crate::scheduler::model::JobId;
 use crate::scheduler::overview::{Overview, PageStart};
 use crate::scheduler::{Command, Config, Scheduler};
 use crate::settings::Settings;
-use crate::shard::Shard;
-use crate::store::KeyValueStore;
-use checkins::{RelayedHeartbeat, ReplyTo};
+use crate::storage::key_value_store::KeyValueStore;
+use crate::storage::live_job_cache::LiveJobsUpdate;
+use crate::storage::record_versions::RecordVersions;
 use cloud_driver::CloudRequest;
-pub use frames_ignored::FrameCounts;
-use frames_ignored::FramesIgnored;
+use heartbeat_routing::{RelayedHeartbeat, ReplyTo};
+pub use ignored_frames::FrameCounts;
+use ignored_frames::FramesIgnored;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/src/controller/start.rs
+++ b/src/controller/startup.rs
@@ -1,21 +1,21 @@
 //! Starts a controller: sockets, clients, the tasks around the owner of the state.
 
 use super::cloud_driver::keep_catalog;
-use super::frames_ignored::FramesIgnored;
+use super::ignored_frames::FramesIgnored;
 use super::{Controller, Event};
 use crate::api::{self, Api, ApiSettings, Health, Summary, Types};
 use crate::cloud::Cloud;
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{Clock, Http};
 use crate::leadership::Leadership;
-use crate::lease_renewal::RenewalCounts;
+use crate::lease::renewal::RenewalCounts;
+use crate::lease::shard::Shard;
 use crate::limits::{self, Capacity};
 use crate::peer::{self, Received, RequestIds, Sender};
-use crate::record_versions::RecordVersions;
 use crate::scheduler::Config;
 use crate::settings::{Operator, Settings};
-use crate::shard::Shard;
-use crate::store::KeyValueStore;
+use crate::storage::key_value_store::KeyValueStore;
+use crate::storage::record_versions::RecordVersions;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use thiserror::Error;
--- a/src/drains/endpoint.rs
+++ b/src/drains/endpoint.rs
@@ -9,7 +9,7 @@
 use crate::protocol;
 use crate::protocol::records::MachineRecord;
 use crate::protocol::state_service::Record;
-use crate::store::{self, CommitOutcome};
+use crate::storage::key_value_store::{self as store, CommitOutcome};
 use dockpier_drain::ledger::{Ledger, LedgerRecord};
 use dockpier_drain::progress::MachineEntry;
 use dockpier_drain::request::{DrainId, DrainRequest, Inventory, StoredRequest, Wish};
--- a/src/drains/records.rs
+++ b/src/drains/records.rs
@@ -1,10 +1,10 @@
 //! Where drains are kept in the state service. A version that does not know these keys leaves them alone.
 
 use crate::protocol::state_service::Record;
-use crate::record_versions::RecordVersions;
 use crate::scheduler::drains::{DrainKey, LoadedDrains};
 use crate::settings::Team;
-use crate::store::{KeyValueStore, StoreError};
+use crate::storage::key_value_store::{KeyValueStore, StoreError};
+use crate::storage::record_versions::RecordVersions;
 use dockpier_drain::ledger::LedgerRecord;
 use dockpier_drain::progress::Chunk;
 use dockpier_drain::request::{DrainId, StoredRequest};
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -1,7 +1,7 @@
 //! Messages of the other controllers, and what is attested of cancellations.
 
 use super::{Action, Leadership, Message, Role, Status};
-use crate::cancellation_log::Attestation;
+use crate::lease::cancellation_log::Attestation;
 use crate::limits::{self, lengthened, shortened};
 use crate::scheduler::model::JobId;
 
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -12,7 +12,7 @@
 mod messages;
 mod store_responses;
 
-use crate::cancellation_log::{Attestation, CancellationLog};
+use crate::lease::cancellation_log::{Attestation, CancellationLog};
 use crate::limits::{self};
 use crate::protocol::records::Epoch;
 use rand::rngs::SmallRng;
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -2,10 +2,10 @@
 //! crashes with amnesia, state outages and refusals, in virtual time with fixed seeds.
 
 use super::*;
+use crate::lease::shard::{Shard, ShardHeartbeat};
 use crate::limits::lengthened;
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
-use crate::shard::{Shard, ShardHeartbeat};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/shard.rs
+++ b/src/lease/shard.rs
@@ -7,7 +7,7 @@
 //! so that a zone that is cut off lives on as a whole, whichever node its workers reported to before. The
 //! leader always knows until when somebody may have kept a worker alive.
 
-use crate::lease_renewal::{LeaseRenewal, UnacknowledgedRenewals};
+use crate::lease::renewal::{LeaseRenewal, UnacknowledgedRenewals};
 use crate::limits;
 use crate::peer::RequestIds;
 use crate::scheduler::model::{Heartbeat, ReportedTask};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,6 @@
 //! stand around them and speak to users, workers, the cloud, the state service and the peers.
 
 pub mod api;
-pub mod cancellation_log;
 pub mod cli;
 pub mod client;
 pub mod cloud;
@@ -13,15 +12,12 @@
 pub mod fleet_limits;
 pub mod http;
 pub mod leadership;
-pub mod lease_renewal;
+pub mod lease;
 pub mod limits;
-pub mod live_job_cache;
 pub mod operator;
 pub mod peer;
 pub mod protocol;
-pub mod record_versions;
 pub mod scheduler;
 pub mod settings;
-pub mod shard;
-pub mod store;
+pub mod storage;
 pub mod worker;
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -2,8 +2,8 @@
 
 use super::layout::*;
 use super::{Payload, Sender};
-use crate::cancellation_log::Attestation;
 use crate::leadership::{Message, Status};
+use crate::lease::cancellation_log::Attestation;
 use crate::limits;
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -10,8 +10,8 @@
 pub use request_ids::RequestIds;
 pub use transport::{listen, send_to};
 
-use crate::cancellation_log::Attestation;
 use crate::leadership::{Message, Status};
+use crate::lease::cancellation_log::Attestation;
 use crate::scheduler::model::Heartbeat;
 use crate::scheduler::TaskCommand;
 
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,6 +1,6 @@
 //! What workers report and are told.
 
-use crate::lease_renewal::LeaseRenewal;
+use crate::lease::renewal::LeaseRenewal;
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
 use serde::{Deserialize, Serialize};
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/autoscaler.rs
@@ -1,7 +1,7 @@
 //! What to rent, keep, drain and return. Renting follows the queue.
 
 use super::model::*;
-use super::plan::Plan;
+use super::scaling_plan::Plan;
 use super::termination_proof::TerminationProof;
 use super::{Effect, ListedMachine, Scheduler, WriteOutcome};
 use crate::limits;
--- a/src/scheduler/consolidate.rs
+++ b/src/scheduler/consolidation.rs
@@ -3,7 +3,7 @@
 //! allows a replica to be stopped in order to be moved.
 
 use super::model::*;
-use super::place::{self, ZoneCount};
+use super::scoring::{self, ZoneCount};
 use super::Scheduler;
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
@@ -146,7 +146,9 @@
         let place = warm.iter_mut().find(|(name, free)| {
             job.spec.resource_request.fits(free)
                 && self.machines.get(*name).is_some_and(|m| {
-                    place::allowed(job, m) && zones.allows(job, &m.zone) && m.images.contains(&job.spec.image)
+                    scoring::allowed(job, m)
+                        && zones.allows(job, &m.zone)
+                        && m.images.contains(&job.spec.image)
                 })
         });
         let Some((_, free)) = place else { return false };
--- a/src/scheduler/drains/emptying.rs
+++ b/src/scheduler/drains/eviction.rs
@@ -1,10 +1,10 @@
 //! Emptying cordoned machines: which of their tasks are stopped now, and where replicas go.
 
 use super::super::model::{Job, Kind, Machine, MachineState, TaskId, TaskStatus};
-use super::super::place::{self, ZoneCount};
+use super::super::scoring::{self, ZoneCount};
 use super::super::Scheduler;
 use super::disruption::runs_on;
-use super::holds::KeptRooms;
+use super::reservations::KeptRooms;
 use super::{Move, OpenDisruption, PendingStop};
 use crate::limits;
 use dockpier_drain::budget::Cost;
@@ -219,7 +219,7 @@
                 None => 0,
             };
             self.is_schedulable(machine)
-                && place::allowed(job, machine)
+                && scoring::allowed(job, machine)
                 && zones.allows(job, &machine.zone)
                 && job.spec.resource_request.fits(&free)
                 && !job.failed_on.contains(&machine.name)
@@ -232,7 +232,7 @@
         let best = self.machines.values().filter(fits).min_by_key(|machine| {
             let cold = !machine.images.contains(&job.spec.image);
             let targeted = self.drains.is_targeted(&machine.name);
-            let left = place::emptiness(job, &kept.free(machine));
+            let left = scoring::emptiness(job, &kept.free(machine));
             (targeted, others(machine), cold, !own(machine), left, &machine.name)
         })?;
         Some((self.down_s(job, Some(best)), best.name.clone()))
--- a/src/scheduler/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -6,9 +6,9 @@
 //! begins anew with it. Where draining is turned off, or nothing is drained, no decision differs.
 
 mod disruption;
-mod emptying;
-mod holds;
+mod eviction;
 mod replacement;
+mod reservations;
 mod step;
 mod store;
 mod summary;
--- a/src/scheduler/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -3,7 +3,7 @@
 //! The rental's name follows from the drain, the machine and the attempt. So whoever leads asks under the same name,
 //! and the cloud rents one machine however often it is asked.
 
-use super::super::fleet::Offer;
+use super::super::autoscaler::Offer;
 use super::super::model::MachineState;
 use super::super::{Effect, Scheduler, StoredMachine, WriteOutcome};
 use crate::limits;
--- a/src/scheduler/drains/holds.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -3,7 +3,7 @@
 
 use super::super::elastic::FreeCapacity;
 use super::super::model::{JobId, Machine, Resources, TaskId};
-use super::super::place::{self, ZoneCount};
+use super::super::scoring::{self, ZoneCount};
 use super::super::Scheduler;
 use crate::limits;
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
         let Some(job) = self.jobs.get(&job_id) else { return false };
         let Some(machine) = self.machines.get(name) else { return false };
         self.is_schedulable(machine)
-            && place::allowed(job, machine)
+            && scoring::allowed(job, machine)
             && ZoneCount::of(job, &self.machines).allows(job, &machine.zone)
             && job.spec.resource_request.fits(&kept.free(machine))
             && job.backoff_until <= self.now
--- a/src/scheduler/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -3,7 +3,7 @@
 use super::super::model::{Job, Kind, Machine, MachineState, Resources};
 use super::super::Scheduler;
 use super::disruption::runs_on;
-use super::holds::KeptRooms;
+use super::reservations::KeptRooms;
 use crate::limits;
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::Allowance;
--- a/src/scheduler/elastic/find.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -2,13 +2,13 @@
 
 use super::capacity::FreeCapacity;
 use crate::scheduler::model::{Job, Kind, Machine, Priority, Resources};
-use crate::scheduler::place::{self, ZoneCount};
+use crate::scheduler::scoring::{self, ZoneCount};
 use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 
-/// A machine that has room for a task, as `find` weighs it.
+/// A machine that has room for a task, as `candidates` weighs it.
 struct Candidate<'a> {
-    /// Kind, coldness, surplus (see `place::cost`), and for gangs the wait for its heartbeat: the same for every
+    /// Kind, coldness, surplus (see `scoring::cost`), and for gangs the wait for its heartbeat: the same for every
     /// further task put there.
     base: [i64; 3],
     emptiness: i64,
@@ -50,7 +50,7 @@
             let Some(machine) = self.machines.get(name) else { continue };
             // One under suspicion has nowhere else to go.
             let failed_here = !job.is_suspected() && job.failed_on.contains(name);
-            if !place::allowed(job, machine)
+            if !scoring::allowed(job, machine)
                 || failed_here
                 || machine.consolidation_target && job.spec.spot
                 || job.spec.priority != Priority::Critical && self.drains.is_kept(name)
@@ -59,7 +59,7 @@
             {
                 continue;
             }
-            let (mut base, emptiness) = place::cost(job, machine, free, capacity.fixed_work);
+            let (mut base, emptiness) = scoring::cost(job, machine, free, capacity.fixed_work);
             // It would have to leave again.
             base[2] += i64::from(self.drains.is_targeted(name));
             // All of a gang wait for the last of them: machines whose next heartbeat is due come first.
@@ -103,7 +103,7 @@
             zones.add(&best.machine.zone);
             found.push(best.machine.name.clone());
             best.free = best.free.minus(needs);
-            best.emptiness = place::emptiness(job, &best.free);
+            best.emptiness = scoring::emptiness(job, &best.free);
             if !needs.fits(&best.free) {
                 candidates.pop();
             }
@@ -118,7 +118,7 @@
         let tasks = i64::from(job.spec.tasks);
         let gang = job.spec.kind == Kind::Gang;
         for (name, free) in &capacity.free {
-            if let Some(machine) = self.machines.get(name).filter(|m| place::allowed(job, m)) {
+            if let Some(machine) = self.machines.get(name).filter(|m| scoring::allowed(job, m)) {
                 let places = job.spec.resource_request.count_in(free).min(tasks);
                 if places > 0 {
                     let due = if gang { self.heartbeat_due_s(machine) } else { 0 };
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -1,8 +1,8 @@
 //! Free capacity as a round fills it, and what all jobs of the round ask for alike.
 
-use super::alike::{AlikeMachines, Grouping};
+use super::equivalence_class::{AlikeMachines, Grouping};
 use crate::scheduler::model::{JobId, Kind, Machine, Priority, Resources};
-use crate::scheduler::teams::TeamUsage;
+use crate::scheduler::quota::TeamUsage;
 use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -5,11 +5,11 @@
 //! rescale gap are shrunk, lowest first and never below their minimum, and only if together they
 //! free the newcomer's minimum; that room counts once the workers confirm.
 
-mod alike;
+mod candidates;
 mod capacity;
-mod find;
-mod rank;
-mod shrink;
+mod equivalence_class;
+mod preemption;
+mod priority;
 
 pub use capacity::FreeCapacity;
 
--- a/src/scheduler/elastic/shrink.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -2,8 +2,8 @@
 
 use super::capacity::FreeCapacity;
 use crate::scheduler::model::{Job, JobId, Kind, Priority, Resources, TaskId};
-use crate::scheduler::place;
-use crate::scheduler::teams::TeamUsage;
+use crate::scheduler::quota::TeamUsage;
+use crate::scheduler::scoring;
 use crate::scheduler::Scheduler;
 use tracing::debug;
 
@@ -107,7 +107,7 @@
                     continue;
                 };
                 // A stop that cannot help the newcomer would be for nothing.
-                if !place::allowed(job, machine) {
+                if !scoring::allowed(job, machine) {
                     continue;
                 }
                 soon.give(machine, &victim.spec.resource_request);
--- a/src/scheduler/answers.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -2,7 +2,7 @@
 
 use super::model::*;
 use super::{Effect, Scheduler, TaskCommand};
-use crate::lease_renewal::LeaseRenewal;
+use crate::lease::renewal::LeaseRenewal;
 use tracing::debug;
 
 impl Scheduler {
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/heartbeats.rs
@@ -3,7 +3,7 @@
 use super::model::*;
 use super::termination_proof::TerminationProof;
 use super::{HeartbeatOutcome, Scheduler, StoredMachine};
-use crate::lease_renewal::LastRenewal;
+use crate::lease::renewal::LastRenewal;
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info, warn};
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -2,7 +2,7 @@
 
 use super::model::*;
 use super::termination_proof::TerminationProof;
-use super::{fleet, Scheduler};
+use super::{autoscaler, Scheduler};
 use crate::limits;
 use std::collections::BTreeSet;
 use tracing::info;
@@ -32,7 +32,7 @@
     /// Whether every machine that an earlier leader may have started the job on is accounted for, as of
     /// the beginning of the round.
     pub fn reconciled_for(&self, job: &Job) -> bool {
-        let may_use = |(machine_type, zone, spot): &fleet::Offer| {
+        let may_use = |(machine_type, zone, spot): &autoscaler::Offer| {
             job.spec.allows_type(machine_type) && job.spec.allows_zone(zone) && (!spot || job.spec.spot)
         };
         self.reconciled || !self.unreconciled.iter().any(may_use)
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -3,7 +3,7 @@
 use super::cold_start::{ColdStartReport, JobReading};
 use super::drains::{DrainKey, DrainValue, LoadedDrains};
 use super::model::*;
-use crate::lease_renewal::LeaseRenewal;
+use crate::lease::renewal::LeaseRenewal;
 use crate::settings::{Operator, Team, Workers};
 use dockpier_drain::request::StoredRequest;
 use std::collections::BTreeSet;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,38 +1,38 @@
 //! The single owner of jobs, tasks, machines and shard. Commands come in batches, effects go out.
 //! Pure: no I/O, no clock, no globals; the random numbers are seeded.
 
-mod answers;
+pub mod autoscaler;
 pub mod cold_start;
-pub mod consolidate;
+pub mod consolidation;
 pub mod drains;
 pub mod elastic;
-mod exits;
 pub mod failure_detection;
-pub mod faults;
-pub mod fleet;
 pub mod gang;
-mod hearing;
+mod headroom;
+mod heartbeat_responses;
+pub mod heartbeats;
+mod lease_expiry;
 mod messages;
 pub mod model;
 pub mod overview;
-pub mod place;
-mod placing;
-pub mod plan;
-mod reconciliation;
+mod placements;
+pub mod quarantine;
+pub mod quota;
+mod reachability;
 pub mod records;
-pub mod reports;
-mod reserve;
-mod stale_reports;
-pub mod teams;
+pub mod scaling_plan;
+pub mod scoring;
+mod stale_heartbeats;
+mod task_exit;
 pub mod termination_proof;
 
 pub use messages::*;
-pub use stale_reports::IgnoredHeartbeats;
+pub use stale_heartbeats::IgnoredHeartbeats;
 
-use crate::lease_renewal::LeaseRenewal;
+use crate::lease::renewal::LeaseRenewal;
 use crate::limits;
+use autoscaler::Fleet;
 use drains::Drains;
-use fleet::Fleet;
 use model::*;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info};
@@ -83,7 +83,7 @@
     pending_heartbeats: Vec<PendingHeartbeat>,
     next_expiry_check_at: u64,
     /// Kinds of machine (type, zone, spot) of which earlier leaders' have not all reported.
-    unreconciled: BTreeSet<fleet::Offer>,
+    unreconciled: BTreeSet<autoscaler::Offer>,
     attempts: u64,
     /// All machines of earlier leaders are accounted for.
     reconciled: bool,
--- a/src/scheduler/model.rs
+++ b/src/scheduler/model.rs
@@ -1,7 +1,7 @@
 //! The domain: jobs, tasks, machines, and what is told about them.
 
 use super::termination_proof::PreviousPlacement;
-use crate::lease_renewal::LastRenewal;
+use crate::lease::renewal::LastRenewal;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/scaling_plan.rs
@@ -2,10 +2,10 @@
 //! Machines that are not there yet are all alike but for their offer and the room left on them, so the plan
 //! counts them in groups: its cost follows the queue, not the number of machines under way.
 
-use super::fleet::Offer;
+use super::autoscaler::Offer;
 use super::model::*;
-use super::place::ZoneCount;
-use super::teams::TeamUsage;
+use super::quota::TeamUsage;
+use super::scoring::ZoneCount;
 use super::{Effect, Scheduler};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/live_job_cache.rs
+++ b/src/storage/live_job_cache.rs
@@ -7,7 +7,7 @@
 use crate::controller::Event;
 use crate::limits;
 use crate::scheduler::model::JobId;
-use crate::store::{self, KeyValueStore, StoreError};
+use crate::storage::key_value_store::{self as store, KeyValueStore, StoreError};
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/record_versions.rs
+++ b/src/storage/record_versions.rs
@@ -6,7 +6,7 @@
 
 use crate::limits;
 use crate::protocol::state_service::{Change, Comparison};
-use crate::store::{self, CommitOutcome, KeyValueStore};
+use crate::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
--- a/tests/leases/interleavings.rs
+++ b/tests/leases/interleavings.rs
@@ -5,11 +5,11 @@
 
 use super::common::{self, spec};
 use super::stand_ins::{heartbeat, machine_types, outcome};
+use dockpier::lease::shard::{Shard, ShardHeartbeat, ShardResponse};
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand};
 use dockpier::settings::{Operator, Workers};
-use dockpier::shard::{Shard, ShardHeartbeat, ShardResponse};
 use std::collections::BTreeMap;
 
 /// Long against the margin of a lease, so that one heartbeat that is not noted shows.
--- a/tests/loopback/draining.rs
+++ b/tests/loopback/draining.rs
@@ -6,7 +6,7 @@
 use crate::{on_runtime, start_in_zones, submission, User};
 use dockpier::drains::records;
 use dockpier::settings::Team;
-use dockpier::store::write;
+use dockpier::storage::key_value_store::write;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/tests/loopback/late_writes.rs
+++ b/tests/loopback/late_writes.rs
@@ -4,9 +4,9 @@
 use crate::standins::Trouble;
 use crate::{on_runtime, standins};
 use dockpier::http::{Clock, Http};
-use dockpier::record_versions::RecordVersions;
 use dockpier::settings::StateLimits;
-use dockpier::store::{self, CommitOutcome, KeyValueStore};
+use dockpier::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore};
+use dockpier::storage::record_versions::RecordVersions;
 
 /// A machine record, and a record of finished tasks.
 const RECORDS: [&str; 2] = ["fleet/machines/7-1", "done/job-000412/0"];
--- a/tests/pinned_state/cold_start_records.rs
+++ b/tests/pinned_state/cold_start_records.rs
@@ -2,7 +2,7 @@
 
 use crate::golden;
 use dockpier::scheduler::cold_start::{ColdStartReport, MachineCounts, Phase};
-use dockpier::store;
+use dockpier::storage::key_value_store as store;
 use dockpier_reconcile::{Counts, Evidence, Verdict};
 
 const FILE: &str = "cold-start-records.txt";
--- a/tests/pinned_state/job_records.rs
+++ b/tests/pinned_state/job_records.rs
@@ -7,7 +7,7 @@
 use dockpier::protocol::users::{JobKind, JobPriority, JobStatus, Submission};
 use dockpier::scheduler::model::JobId;
 use dockpier::scheduler::StoredMachine;
-use dockpier::store;
+use dockpier::storage::key_value_store as store;
 
 const FILE: &str = "job-records.txt";
 
--- a/tests/pinned_state/store_requests.rs
+++ b/tests/pinned_state/store_requests.rs
@@ -4,8 +4,8 @@
 use crate::golden;
 use crate::node_api::store;
 use dockpier::protocol::records::Epoch;
-use dockpier::record_versions::RecordVersions;
-use dockpier::store::{self, CommitOutcome, KeyValueStore};
+use dockpier::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore};
+use dockpier::storage::record_versions::RecordVersions;
 
 const LOCK_VALUE: &str = r#"{"path":"leader/lock","value":{"token":41},"entry":9,"permit":5}"#;
 const EPOCH_VALUE: &str =
--- a/tests/pinned_wire/http_edge.rs
+++ b/tests/pinned_wire/http_edge.rs
@@ -9,7 +9,7 @@
 use dockpier::limits::Capacity;
 use dockpier::scheduler::model::{Heartbeat, JobId, MachineType, Resources};
 use dockpier::settings::{Draining, StateLimits, Team};
-use dockpier::store::KeyValueStore;
+use dockpier::storage::key_value_store::KeyValueStore;
 use poem::listener::TcpAcceptor;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
--- a/tests/pinned_wire/state_requests.rs
+++ b/tests/pinned_wire/state_requests.rs
@@ -7,7 +7,7 @@
 use dockpier::protocol::records::Epoch;
 use dockpier::protocol::state_service::{Change, ChangeLog, Record};
 use dockpier::settings::StateLimits;
-use dockpier::store::{self, CommitOutcome, KeyValueStore, StoreError};
+use dockpier::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore, StoreError};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/tests/pinned_wire/worker_orders.rs
+++ b/tests/pinned_wire/worker_orders.rs
@@ -6,7 +6,7 @@
 use crate::wire::{nobody, StandIn};
 use crate::{on_runtime, spell};
 use dockpier::http::Http;
-use dockpier::lease_renewal::LastRenewal;
+use dockpier::lease::renewal::LastRenewal;
 use dockpier::protocol::workers::{
     DirectCommands, HeartbeatRequest, HeartbeatResponse, Redirect, WorkerCommand,
 };
--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -4,6 +4,7 @@
 
 mod common;
 
+use dockpier::lease::shard::{Shard, ShardHeartbeat, ShardResponse};
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::drains::LoadedDrains;
@@ -12,7 +13,6 @@
     Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
 use dockpier::settings::{ColdStartSettings, Draining, Operator, Team, Workers};
-use dockpier::shard::{Shard, ShardHeartbeat, ShardResponse};
 use dockpier_drain::budget::{Budget, Budgets, Cost, ANY_TEAM};
 use dockpier_drain::request::{DrainId, DrainRequest, StoredRequest, Target, Wish};
 use dockpier_virtual_fleet::Store;
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -2,8 +2,8 @@
 //! (`tests/golden`, written by its own code) are read here, and what is sent here is laid out as production
 //! reads it.
 
-use dockpier::cancellation_log::Attestation;
 use dockpier::leadership::{Message, Status};
+use dockpier::lease::cancellation_log::Attestation;
 use dockpier::peer::{decode, encode, Payload, Sender};
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
 use dockpier::scheduler::model::*;
