--- a/crates/dockpier-cold-start-report/src/measure.rs
+++ b/crates/dockpier-cold-start-report/src/measure.rs
@@ -2,7 +2,7 @@
 
 use dockpier::scheduler::model::{JobSpec, Kind};
 use dockpier::settings::{ColdStartSettings, Operator};
-use dockpier_virtual_fleet::{job, Fleet, Layout};
+use dockpier_simulation::{job, Fleet, Layout};
 
 /// Controllers are away for less, and for more, than a worker's lease.
 pub const SHORT_S: f64 = 8.0;
--- a/crates/dockpier-drain-report/src/measure.rs
+++ b/crates/dockpier-drain-report/src/measure.rs
@@ -5,7 +5,7 @@
 use dockpier_drain::budget::{Budget, Budgets, Cost};
 use dockpier_drain::request::{DrainId, DrainRequest, Target};
 use dockpier_drain::status::DrainState;
-use dockpier_virtual_fleet::{job, Fleet, Layout};
+use dockpier_simulation::{job, Fleet, Layout};
 use std::fmt;
 
 /// How a fleet is emptied.
--- a/crates/dockpier-virtual-fleet/examples/transcript/day.rs
+++ b/crates/dockpier-simulation/examples/transcript/day.rs
@@ -3,7 +3,7 @@
 use crate::output::{Line, Transcript};
 use crate::{draw, effects, words};
 use dockpier::scheduler::model::JobId;
-use dockpier_virtual_fleet::{Fleet, Layout};
+use dockpier_simulation::{Fleet, Layout};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/dockpier-virtual-fleet/examples/transcript/draw.rs
+++ b/crates/dockpier-simulation/examples/transcript/draw.rs
@@ -5,7 +5,7 @@
 use dockpier::settings::{Draining, Operator, Team};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
 use dockpier_drain::request::{DrainId, DrainRequest, Target, Wish};
-use dockpier_virtual_fleet::{job, Layout, MACHINE_TYPE};
+use dockpier_simulation::{job, Layout, MACHINE_TYPE};
 use rand::rngs::SmallRng;
 use rand::Rng;
 
--- a/crates/dockpier-virtual-fleet/examples/transcript/lessees.rs
+++ b/crates/dockpier-simulation/examples/transcript/lessees.rs
@@ -14,7 +14,7 @@
     Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
 };
 use dockpier::settings::{Operator, Team, Workers};
-use dockpier_virtual_fleet::MACHINE_TYPE;
+use dockpier_simulation::MACHINE_TYPE;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -4,7 +4,7 @@
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::Command;
 use dockpier::settings::{ColdStartSettings, Operator, Team};
-use dockpier_virtual_fleet::{job, Fleet, Layout};
+use dockpier_simulation::{job, Fleet, Layout};
 use std::collections::{BTreeMap, BTreeSet};
 
 const PACE: f64 = 20.0;
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -7,7 +7,7 @@
 use dockpier_drain::progress::MachineDrainState;
 use dockpier_drain::request::{DrainId, DrainRequest, Target, Wish};
 use dockpier_drain::status::{DrainState, Summary, Wait};
-use dockpier_virtual_fleet::{job, Fleet, Layout};
+use dockpier_simulation::{job, Fleet, Layout};
 use std::collections::BTreeSet;
 
 /// What a team agrees to: so many tasks at once, so many replica seconds in a window.
--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -15,7 +15,7 @@
 use dockpier::settings::{ColdStartSettings, Draining, Operator, Team, Workers};
 use dockpier_drain::budget::{Budget, Budgets, Cost, ANY_TEAM};
 use dockpier_drain::request::{DrainId, DrainRequest, StoredRequest, Target, Wish};
-use dockpier_virtual_fleet::Store;
+use dockpier_simulation::Store;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
