--- a/crates/dockpier-drain/src/request.rs
+++ b/crates/dockpier-drain/src/request.rs
@@ -173,7 +173,7 @@
 /// What operators want of a drain now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wish {
+pub enum DesiredState {
     /// It goes on.
     Run,
     /// No further step, and no further stop; what is cordoned stays so.
@@ -190,5 +190,6 @@
     /// When it was taken, in milliseconds of the time of day.
     pub accepted: u64,
     /// What is wanted.
-    pub wish: Wish,
+    #[serde(rename = "wish")]
+    pub desired_state: DesiredState,
 }
--- a/crates/dockpier-simulation/examples/transcript/day.rs
+++ b/crates/dockpier-simulation/examples/transcript/day.rs
@@ -229,6 +229,6 @@
         let id = format!("drain-{}", self.rng.random_range(1..=self.drains));
         let wish = draw::wish(&mut self.rng);
         self.note(Line::new("wish").with("drain", &id));
-        self.fleet.wish(&id, wish);
+        self.fleet.set_desired_state(&id, wish);
     }
 }
--- a/crates/dockpier-simulation/examples/transcript/draw.rs
+++ b/crates/dockpier-simulation/examples/transcript/draw.rs
@@ -4,7 +4,7 @@
 use dockpier::scheduler::model::{JobSpec, Kind, Priority, Resources};
 use dockpier::settings::{Draining, Operator, Team};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
-use dockpier_drain::request::{DrainId, DrainRequest, Target, Wish};
+use dockpier_drain::request::{DesiredState, DrainId, DrainRequest, Target};
 use dockpier_simulation::{job, Layout, MACHINE_TYPE};
 use rand::rngs::SmallRng;
 use rand::Rng;
@@ -125,6 +125,6 @@
 }
 
 /// What an operator may want of a drain.
-pub fn wish(rng: &mut SmallRng) -> Wish {
-    one_of(rng, &[Wish::Run, Wish::Pause, Wish::Cancel])
+pub fn wish(rng: &mut SmallRng) -> DesiredState {
+    one_of(rng, &[DesiredState::Run, DesiredState::Pause, DesiredState::Cancel])
 }
--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -17,7 +17,7 @@
     Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
 };
 use dockpier::settings::{Operator, Team, Workers};
-use dockpier_drain::request::{DrainRequest, StoredRequest, Wish};
+use dockpier_drain::request::{DesiredState, DrainRequest, StoredRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Resolution of the fleet's time, in microseconds.
@@ -191,15 +191,15 @@
 
     /// An operator asks for a drain.
     pub fn drain(&mut self, request: DrainRequest) {
-        let stored = StoredRequest { request, accepted: self.day_ms(), wish: Wish::Run };
+        let stored = StoredRequest { request, accepted: self.day_ms(), desired_state: DesiredState::Run };
         self.store.requests.insert(stored.request.id.clone(), stored);
         self.tell_requests();
     }
 
     /// An operator wants something else of a drain.
-    pub fn wish(&mut self, id: &str, wish: Wish) {
+    pub fn set_desired_state(&mut self, id: &str, wish: DesiredState) {
         for stored in self.store.requests.values_mut().filter(|stored| stored.request.id.as_str() == id) {
-            stored.wish = wish;
+            stored.desired_state = wish;
         }
         self.tell_requests();
     }
--- a/src/drains/endpoint.rs
+++ b/src/drains/endpoint.rs
@@ -12,7 +12,7 @@
 use crate::storage::key_value_store::{self as store, CommitOutcome};
 use dockpier_drain::ledger::{Ledger, LedgerRecord};
 use dockpier_drain::progress::MachineEntry;
-use dockpier_drain::request::{DrainId, DrainRequest, Inventory, StoredRequest, Wish};
+use dockpier_drain::request::{DesiredState, DrainId, DrainRequest, Inventory, StoredRequest};
 use dockpier_drain::status::{DrainState, Summary};
 use poem::http::StatusCode;
 use poem::Response;
@@ -41,7 +41,8 @@
         request.check(now as f64 / 1_000.0).map_err(|e| Refusal::Malformed(e.to_string()))?;
         let inventory = self.inventory().await?;
         request.check_against(&inventory).map_err(|e| Refusal::Malformed(e.to_string()))?;
-        let stored = StoredRequest { request: request.clone(), accepted: now, wish: Wish::Run };
+        let stored =
+            StoredRequest { request: request.clone(), accepted: now, desired_state: DesiredState::Run };
         match self.write_request(&stored, 0).await? {
             CommitOutcome::Committed { .. } => {
                 info!(drain = %request.id, reason = request.reason, "drain accepted");
@@ -102,9 +103,9 @@
             self.may_ask(1)?;
             let (mut stored, version) = self.read_request(&id).await?.ok_or_else(|| unknown(&id))?;
             let summary = self.read_summary(&id).await?;
-            if stored.wish != action.wish() {
+            if stored.desired_state != action.wish() {
                 allowed(&stored, summary.as_ref())?;
-                stored.wish = action.wish();
+                stored.desired_state = action.wish();
                 match self.write_request(&stored, version).await? {
                     CommitOutcome::Committed { .. } => {
                         info!(drain = %id, action = action.path(), "drain changed")
@@ -203,9 +204,9 @@
 /// What has ended does not go on.
 fn allowed(stored: &StoredRequest, summary: Option<&Summary>) -> Result<(), Refusal> {
     let finished = summary.is_some_and(|summary| summary.state == DrainState::Finished);
-    match (finished, stored.wish) {
+    match (finished, stored.desired_state) {
         (true, _) => Err(Refusal::Conflict(format!("{} is finished", stored.request.id))),
-        (_, Wish::Cancel) => Err(Refusal::Conflict(format!("{} is cancelled", stored.request.id))),
+        (_, DesiredState::Cancel) => Err(Refusal::Conflict(format!("{} is cancelled", stored.request.id))),
         _ => Ok(()),
     }
 }
--- a/src/drains/view.rs
+++ b/src/drains/view.rs
@@ -3,7 +3,7 @@
 use dockpier_drain::budget::Budget;
 use dockpier_drain::ledger::{Allowance, Totals};
 use dockpier_drain::progress::{Counts, MachineEntry};
-use dockpier_drain::request::{StoredRequest, Wish};
+use dockpier_drain::request::{DesiredState, StoredRequest};
 use dockpier_drain::status::{DrainState, Summary, Wait};
 use serde::{Deserialize, Serialize};
 
@@ -32,11 +32,11 @@
 
     /// Whether it goes on, as far as is known.
     pub fn state(&self) -> DrainState {
-        match (self.stored.wish, self.summary.as_ref().map(|summary| summary.state)) {
+        match (self.stored.desired_state, self.summary.as_ref().map(|summary| summary.state)) {
             (_, Some(DrainState::Finished)) => DrainState::Finished,
-            (Wish::Run, _) => DrainState::Running,
-            (Wish::Pause, _) => DrainState::Paused,
-            (Wish::Cancel, _) => DrainState::Cancelled,
+            (DesiredState::Run, _) => DrainState::Running,
+            (DesiredState::Pause, _) => DrainState::Paused,
+            (DesiredState::Cancel, _) => DrainState::Cancelled,
         }
     }
 
@@ -104,11 +104,11 @@
     }
 
     /// The wish that it leaves.
-    pub fn wish(self) -> Wish {
+    pub fn wish(self) -> DesiredState {
         match self {
-            Action::Pause => Wish::Pause,
-            Action::Resume => Wish::Run,
-            Action::Cancel => Wish::Cancel,
+            Action::Pause => DesiredState::Pause,
+            Action::Resume => DesiredState::Run,
+            Action::Cancel => DesiredState::Cancel,
         }
     }
 }
--- a/src/scheduler/drains/eviction.rs
+++ b/src/scheduler/drains/eviction.rs
@@ -4,13 +4,13 @@
 use super::super::scoring::{self, ZoneCount};
 use super::super::Scheduler;
 use super::disruption::runs_on;
-use super::reservations::KeptRooms;
+use super::reservations::ReservedCapacity;
 use super::{Move, OpenDisruption, PendingStop};
 use crate::limits;
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::Allowance;
 use dockpier_drain::progress::MachineDrainState;
-use dockpier_drain::request::{DrainId, Wish};
+use dockpier_drain::request::{DesiredState, DrainId};
 use dockpier_drain::status::Wait;
 use dockpier_drain::stops::{advise, Advice, TaskKind, TaskView};
 use std::collections::BTreeMap;
@@ -18,10 +18,10 @@
 
 /// What a round of emptying has left: each team's allowance, and looks for places, each of which costs a look at every
 /// machine.
-struct Left {
+struct EvictionAllowance {
     teams: BTreeMap<String, Allowance>,
     looks: usize,
-    kept: KeptRooms,
+    kept: ReservedCapacity,
     spare: BTreeMap<String, i64>,
 }
 
@@ -41,8 +41,12 @@
         }
         let kept = self.kept_rooms();
         let spare = self.spare_places(&kept);
-        let mut left =
-            Left { teams: BTreeMap::new(), looks: limits::MAX_DRAIN_PLACEMENT_SEARCHES, kept, spare };
+        let mut left = EvictionAllowance {
+            teams: BTreeMap::new(),
+            looks: limits::MAX_DRAIN_PLACEMENT_SEARCHES,
+            kept,
+            spare,
+        };
         for cordoned in cordoned_machines {
             let Some(machine) = self.machines.get(&cordoned.machine) else {
                 self.note_vanished(&cordoned);
@@ -101,7 +105,7 @@
         drain.advance(&cordoned.machine, MachineDrainState::Returned { replacement });
     }
 
-    fn empty_machine(&mut self, cordoned: &Cordoned, left: &mut Left) {
+    fn empty_machine(&mut self, cordoned: &Cordoned, left: &mut EvictionAllowance) {
         let Some(machine) = self.machines.get(&cordoned.machine) else { return };
         let tasks: Vec<TaskId> = machine.tasks.keys().copied().collect();
         let mut finishing = 0;
@@ -131,7 +135,7 @@
         &self,
         cordoned: &Cordoned,
         id: TaskId,
-        left: &mut Left,
+        left: &mut EvictionAllowance,
     ) -> Option<(Advice, String, Option<String>)> {
         let machine = self.machines.get(&cordoned.machine)?;
         let task = machine.tasks.get(&id)?;
@@ -204,7 +208,7 @@
     }
 
     /// The best machine for a replica that leaves another one, and for how long it would be down.
-    fn place_to_move_to(&self, job: &Job, from: &Machine, left: &Left) -> Option<(f64, String)> {
+    fn place_to_move_to(&self, job: &Job, from: &Machine, left: &EvictionAllowance) -> Option<(f64, String)> {
         let mut zones = ZoneCount::of(job, &self.machines);
         zones.remove(&from.zone);
         let (kept, spare) = (&left.kept, &left.spare);
@@ -294,7 +298,11 @@
     }
 
     fn may_stop(&self, stop: &PendingStop) -> bool {
-        let wanted = self.drains.drains.get(&stop.drain).is_some_and(|drain| drain.stored.wish == Wish::Run);
+        let wanted = self
+            .drains
+            .drains
+            .get(&stop.drain)
+            .is_some_and(|drain| drain.stored.desired_state == DesiredState::Run);
         let Some(job) = self.jobs.get(&stop.task.job_id).filter(|job| wanted && !job.terminated) else {
             return false;
         };
--- a/src/scheduler/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -21,20 +21,20 @@
 use dockpier_drain::budget::Budget;
 use dockpier_drain::ledger::{Allowance, DisruptionId, Ledger};
 use dockpier_drain::progress::{MachineDrainState, Progress};
-use dockpier_drain::request::{DrainId, StoredRequest, Wish};
+use dockpier_drain::request::{DesiredState, DrainId, StoredRequest};
 use dockpier_drain::status::{DrainState, Summary, Wait};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A value that only the leader writes, and how far its writing is.
 #[derive(Debug, Default)]
-struct Writing {
+struct PendingWrite {
     /// It has changed since it was last sent to the state service.
     dirty: bool,
     /// A write is under way.
     sent: bool,
 }
 
-impl Writing {
+impl PendingWrite {
     /// The state service has what the scheduler has.
     fn is_stored(&self) -> bool {
         !self.dirty && !self.sent
@@ -47,11 +47,11 @@
     stored: StoredRequest,
     progress: Progress,
     /// For each part of the progress.
-    writing: Vec<Writing>,
+    writing: Vec<PendingWrite>,
     /// Its machines are determined.
     resolved: bool,
     summary: Option<Summary>,
-    summary_writing: Writing,
+    summary_writing: PendingWrite,
     /// When the summary was last sent.
     summary_at: u64,
     /// When this leader first saw it, and how many machines were done then: its pace.
@@ -65,15 +65,15 @@
 
 impl Drain {
     fn goes_on(&self) -> bool {
-        self.resolved && self.stored.wish == Wish::Run && !self.progress.is_finished()
+        self.resolved && self.stored.desired_state == DesiredState::Run && !self.progress.is_finished()
     }
 
     fn state(&self) -> DrainState {
-        match self.stored.wish {
+        match self.stored.desired_state {
             _ if self.resolved && self.progress.is_finished() => DrainState::Finished,
-            Wish::Run => DrainState::Running,
-            Wish::Pause => DrainState::Paused,
-            Wish::Cancel => DrainState::Cancelled,
+            DesiredState::Run => DrainState::Running,
+            DesiredState::Pause => DrainState::Paused,
+            DesiredState::Cancel => DrainState::Cancelled,
         }
     }
 
@@ -110,7 +110,7 @@
 #[derive(Debug, Default)]
 struct TeamDisruption {
     ledger: Ledger,
-    writing: Writing,
+    writing: PendingWrite,
     /// When it was last sent.
     sent_at: u64,
     /// Stops that wait for the next write, and for the one under way.
@@ -148,7 +148,7 @@
     /// Machines to be drained of which nothing has happened yet: the last choice for what moves.
     targeted: BTreeSet<String>,
     /// Machines that some drain has begun with and not ended.
-    begun: BTreeSet<String>,
+    started: BTreeSet<String>,
     /// Rental requests for replacements.
     renting: BTreeMap<u64, (DrainId, String)>,
     moves: BTreeMap<TaskId, Move>,
@@ -266,7 +266,7 @@
                 self.machines.values().filter(|m| request.covers(&m.name, &m.machine_type, &m.zone));
             drain.progress = Progress::of(covered.map(|m| m.name.clone()), value_most);
             drain.writing =
-                drain.progress.chunks().iter().map(|_| Writing { dirty: true, sent: false }).collect();
+                drain.progress.chunks().iter().map(|_| PendingWrite { dirty: true, sent: false }).collect();
             drain.resolved = true;
         }
     }
@@ -277,8 +277,9 @@
         drains.cordoned.clear();
         drains.replacing.clear();
         drains.targeted.clear();
-        drains.begun.clear();
-        for drain in drains.drains.values().filter(|drain| drain.stored.wish != Wish::Cancel) {
+        drains.started.clear();
+        for drain in drains.drains.values().filter(|drain| drain.stored.desired_state != DesiredState::Cancel)
+        {
             for (machine, state) in drain.progress.machines() {
                 match state {
                     MachineDrainState::Waiting => {
@@ -290,7 +291,7 @@
                     _ => {}
                 }
                 if state.under_way() {
-                    drains.begun.insert(machine.to_string());
+                    drains.started.insert(machine.to_string());
                 }
                 if let Some(replacement) = state.replacement().filter(|_| state.under_way()) {
                     drains.replacing.insert(replacement.to_string(), machine.to_string());
@@ -298,7 +299,7 @@
             }
         }
         // One that another drain has begun with is no longer to come.
-        drains.targeted.retain(|machine| !drains.begun.contains(machine));
+        drains.targeted.retain(|machine| !drains.started.contains(machine));
     }
 
     /// Drains that go on, in the order in which they were accepted.
--- a/src/scheduler/drains/reservations.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -10,9 +10,9 @@
 
 /// Room on machines that is kept for replicas on their way there.
 #[derive(Default)]
-pub(super) struct KeptRooms(BTreeMap<String, Resources>);
+pub(super) struct ReservedCapacity(BTreeMap<String, Resources>);
 
-impl KeptRooms {
+impl ReservedCapacity {
     /// Free room beyond what is kept.
     pub(super) fn free(&self, machine: &Machine) -> Resources {
         let kept = self.0.get(&machine.name).copied().unwrap_or_default();
@@ -22,7 +22,7 @@
 
 impl Scheduler {
     /// What replicas that move, or are about to, need where they go.
-    pub(super) fn kept_rooms(&self) -> KeptRooms {
+    pub(super) fn kept_rooms(&self) -> ReservedCapacity {
         let mut kept: BTreeMap<String, Resources> = BTreeMap::new();
         let pending = self.drains.pending_stops().filter_map(|stop| Some((&stop.task, stop.to.as_ref()?)));
         let moves = self.drains.moves.iter().map(|(id, to)| (id, &to.to));
@@ -31,11 +31,11 @@
             let room = kept.entry(to.clone()).or_default();
             *room = room.plus(&job.spec.resource_request);
         }
-        KeptRooms(kept)
+        ReservedCapacity(kept)
     }
 
     /// Places of critical services in each zone beyond those that are reserved.
-    pub(super) fn spare_places(&self, kept: &KeptRooms) -> BTreeMap<String, i64> {
+    pub(super) fn spare_places(&self, kept: &ReservedCapacity) -> BTreeMap<String, i64> {
         let Some(shape) = self.critical_shape() else { return BTreeMap::new() };
         let reserved = self.reserve_places();
         let mut spare: BTreeMap<String, i64> =
@@ -85,7 +85,7 @@
         }
     }
 
-    fn may_start_on(&self, job_id: JobId, name: &str, kept: &KeptRooms) -> bool {
+    fn may_start_on(&self, job_id: JobId, name: &str, kept: &ReservedCapacity) -> bool {
         let Some(job) = self.jobs.get(&job_id) else { return false };
         let Some(machine) = self.machines.get(name) else { return false };
         self.is_schedulable(machine)
--- a/src/scheduler/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -3,7 +3,7 @@
 use super::super::model::{Job, Kind, Machine, MachineState, Resources};
 use super::super::Scheduler;
 use super::disruption::runs_on;
-use super::reservations::KeptRooms;
+use super::reservations::ReservedCapacity;
 use crate::limits;
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::Allowance;
@@ -65,9 +65,9 @@
     }
 
     /// Machines that nothing has happened to, a few more than may begin: those with least on them first.
-    fn candidates(&mut self, drains: &[DrainId], caps: &[usize], kept: &KeptRooms) -> Vec<Candidate> {
+    fn candidates(&mut self, drains: &[DrainId], caps: &[usize], kept: &ReservedCapacity) -> Vec<Candidate> {
         let mut all = Vec::new();
-        let mut taken = self.drains.begun.clone();
+        let mut taken = self.drains.started.clone();
         for (at, id) in drains.iter().enumerate() {
             let waiting: Vec<String> = self.drains.drains[id]
                 .progress
@@ -114,7 +114,13 @@
         here.into_iter().map(|(_, name)| name).collect()
     }
 
-    fn candidate(&self, drain: usize, machine: &Machine, replace: bool, kept: &KeptRooms) -> Candidate {
+    fn candidate(
+        &self,
+        drain: usize,
+        machine: &Machine,
+        replace: bool,
+        kept: &ReservedCapacity,
+    ) -> Candidate {
         let shape =
             self.critical_shape().filter(|_| !machine.spot && !replace && self.is_schedulable(machine));
         let replicas = self.replicas_on(machine);
@@ -159,7 +165,7 @@
         for team in candidates.iter().flat_map(|candidate| candidate.teams.keys()) {
             teams.entry(team.clone()).or_insert_with(|| self.allowance_of(team));
         }
-        for machine in self.drains.begun.iter().filter_map(|name| self.machines.get(name)) {
+        for machine in self.drains.started.iter().filter_map(|name| self.machines.get(name)) {
             for (team, expected) in self.expected(machine) {
                 if let Some(left) = teams.get_mut(&team) {
                     left.cost = left.cost.less(expected.cost);
@@ -174,7 +180,7 @@
     }
 
     /// Room for what moves on machines that stay, and places that can be spared.
-    fn zone_room(&self, kept: &KeptRooms) -> BTreeMap<String, ZoneRoom> {
+    fn zone_room(&self, kept: &ReservedCapacity) -> BTreeMap<String, ZoneRoom> {
         let mut spare = self.spare_places(kept);
         let mut zones: BTreeMap<String, ZoneRoom> = BTreeMap::new();
         for zone in &self.config.zones {
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -2,7 +2,7 @@
 //! else: a drain is never urgent.
 
 use super::super::{Effect, Scheduler, WriteOutcome};
-use super::{Drain, Drains, TeamDisruption, Writing};
+use super::{Drain, Drains, PendingWrite, TeamDisruption};
 use crate::limits;
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::{Ledger, LedgerRecord};
@@ -55,11 +55,11 @@
         let counts = progress.counts();
         Drain {
             stored,
-            writing: progress.chunks().iter().map(|_| Writing::default()).collect(),
+            writing: progress.chunks().iter().map(|_| PendingWrite::default()).collect(),
             progress,
             resolved,
             summary: None,
-            summary_writing: Writing::default(),
+            summary_writing: PendingWrite::default(),
             summary_at: 0,
             seen: now,
             done_then: counts.returned + counts.gone,
@@ -177,7 +177,7 @@
         .collect()
     }
 
-    fn writing_of(&mut self, key: &DrainKey) -> Option<&mut Writing> {
+    fn writing_of(&mut self, key: &DrainKey) -> Option<&mut PendingWrite> {
         match key {
             DrainKey::Progress(id, at) => self.drains.drains.get_mut(id)?.writing.get_mut(*at),
             DrainKey::Summary(id) => Some(&mut self.drains.drains.get_mut(id)?.summary_writing),
@@ -188,7 +188,7 @@
     fn note_sent(&mut self, key: &DrainKey) {
         let now = self.now;
         if let Some(writing) = self.writing_of(key) {
-            *writing = Writing { dirty: false, sent: true };
+            *writing = PendingWrite { dirty: false, sent: true };
         }
         match key {
             DrainKey::Summary(id) => {
--- a/src/scheduler/drains/summary.rs
+++ b/src/scheduler/drains/summary.rs
@@ -3,7 +3,7 @@
 use super::super::Scheduler;
 use super::Drain;
 use dockpier_drain::budget::Budgets;
-use dockpier_drain::request::Wish;
+use dockpier_drain::request::DesiredState;
 use dockpier_drain::status::{DrainState, Summary, Wait, WAITS_MOST};
 
 impl Scheduler {
@@ -28,9 +28,9 @@
 impl Drain {
     fn summarise(&self, day: u64, now: u64, token: u64, budgets: &Budgets) -> Summary {
         let state = self.state();
-        let mut waits = match (state, self.stored.wish) {
+        let mut waits = match (state, self.stored.desired_state) {
             (DrainState::Finished | DrainState::Cancelled, _) => Vec::new(),
-            (_, Wish::Pause) => vec![Wait::Paused],
+            (_, DesiredState::Pause) => vec![Wait::Paused],
             _ => self.waits.clone(),
         };
         let never = waits.iter().any(|wait| can_never_be(wait, budgets));
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -5,7 +5,7 @@
 use dockpier::settings::{Draining, Operator, Team};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
 use dockpier_drain::progress::MachineDrainState;
-use dockpier_drain::request::{DrainId, DrainRequest, Target, Wish};
+use dockpier_drain::request::{DesiredState, DrainId, DrainRequest, Target};
 use dockpier_drain::status::{DrainState, Summary, Wait};
 use dockpier_simulation::{job, Fleet, Layout};
 use std::collections::BTreeSet;
@@ -316,21 +316,21 @@
     let mut fleet = with_services(layout_of(&[("t", budget(1, 500.0, 3_600.0))], 2), 2, 4);
     // Paused before its first step: nothing is rented, nothing given back.
     fleet.drain(request("rests", Target::All {}, true));
-    fleet.wish("rests", Wish::Pause);
+    fleet.set_desired_state("rests", DesiredState::Pause);
     let there = fleet.machine_names();
     fleet.run(30.0);
     assert_eq!(fleet.machine_names(), there);
-    fleet.wish("rests", Wish::Cancel);
+    fleet.set_desired_state("rests", DesiredState::Cancel);
     fleet.drain(request("all", Target::All {}, true));
     assert!(fleet.run_until(60.0, |fleet| !fleet.history.disruptions.is_empty()));
-    fleet.wish("all", Wish::Pause);
+    fleet.set_desired_state("all", DesiredState::Pause);
     fleet.run(5.0);
     let (told, there) = (fleet.history.disruptions.len(), fleet.machine_names().len());
     fleet.run(40.0);
     assert_eq!(fleet.history.disruptions.len(), told);
     assert_eq!(fleet.machine_names().len(), there, "a machine was given back while paused");
     assert_eq!(summary(&fleet, "all").unwrap().state, DrainState::Paused);
-    fleet.wish("all", Wish::Cancel);
+    fleet.set_desired_state("all", DesiredState::Cancel);
     fleet.run(5.0);
     assert_eq!(summary(&fleet, "all").unwrap().state, DrainState::Cancelled);
     // All room is there again: 32 slots, 8 of them taken.
--- a/tests/pinned_state/client_commands.rs
+++ b/tests/pinned_state/client_commands.rs
@@ -13,7 +13,7 @@
 use dockpier_drain::budget::Budget;
 use dockpier_drain::ledger::{Allowance, Ledger, Totals};
 use dockpier_drain::progress::MachineEntry;
-use dockpier_drain::request::{DrainRequest, StoredRequest, Target, Wish};
+use dockpier_drain::request::{DesiredState, DrainRequest, StoredRequest, Target};
 use dockpier_drain::status::{DrainState, Summary};
 use serde::Serialize;
 
@@ -22,7 +22,7 @@
 }
 
 fn view(request: DrainRequest, summary: Option<Summary>, machines: Vec<MachineEntry>) -> DrainView {
-    let stored = StoredRequest { request, accepted: 1_764_645_000_000, wish: Wish::Run };
+    let stored = StoredRequest { request, accepted: 1_764_645_000_000, desired_state: DesiredState::Run };
     DrainView::new(stored, summary, machines)
 }
 
@@ -52,7 +52,7 @@
 
 #[test]
 fn drains_are_shown_as_ever() {
-    let paused = StoredRequest { wish: Wish::Pause, ..stored_requests().remove(1) };
+    let paused = StoredRequest { desired_state: DesiredState::Pause, ..stored_requests().remove(1) };
     let paused = DrainView::new(paused, Some(summary(DrainState::Paused, Vec::new(), None)), Vec::new());
     let cancelled = DrainView::new(stored_requests().remove(2), None, Vec::new());
     let finished = summary(DrainState::Finished, Vec::new(), None);
--- a/tests/pinned_state/domain.rs
+++ b/tests/pinned_state/domain.rs
@@ -5,7 +5,7 @@
 use dockpier_drain::budget::{Budget, Cost};
 use dockpier_drain::ledger::{Allowance, Ledger, LedgerRecord};
 use dockpier_drain::progress::{Counts, MachineDrainState, MachineEntry};
-use dockpier_drain::request::{DrainId, DrainRequest, StoredRequest, Target, Wish};
+use dockpier_drain::request::{DesiredState, DrainId, DrainRequest, StoredRequest, Target};
 use dockpier_drain::status::{DrainState, Summary, Wait};
 
 /// A job with every optional field.
@@ -97,11 +97,11 @@
 
 /// A stored drain of each target and each wish.
 pub fn stored_requests() -> Vec<StoredRequest> {
-    let stored = |request, wish| StoredRequest { request, accepted: 1_764_645_000_000, wish };
+    let stored = |request, wish| StoredRequest { request, accepted: 1_764_645_000_000, desired_state: wish };
     vec![
-        stored(full_request("firmware-7"), Wish::Run),
-        stored(plain_request("rack-4", named_machines()), Wish::Pause),
-        stored(plain_request("refresh", Target::All {}), Wish::Cancel),
+        stored(full_request("firmware-7"), DesiredState::Run),
+        stored(plain_request("rack-4", named_machines()), DesiredState::Pause),
+        stored(plain_request("refresh", Target::All {}), DesiredState::Cancel),
     ]
 }
 
--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -14,7 +14,7 @@
 };
 use dockpier::settings::{ColdStartSettings, Draining, Operator, Team, Workers};
 use dockpier_drain::budget::{Budget, Budgets, Cost, ANY_TEAM};
-use dockpier_drain::request::{DrainId, DrainRequest, StoredRequest, Target, Wish};
+use dockpier_drain::request::{DesiredState, DrainId, DrainRequest, StoredRequest, Target};
 use dockpier_simulation::Store;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -1017,16 +1017,18 @@
                 deadline: self.rng.random_bool(0.3).then_some(1.0),
                 replace: self.rng.random_bool(0.5),
             };
-            let stored = StoredRequest { request, accepted: self.now / 1_000, wish: Wish::Run };
+            let stored =
+                StoredRequest { request, accepted: self.now / 1_000, desired_state: DesiredState::Run };
             self.drains.requests.insert(stored.request.id.clone(), stored);
         } else {
             let one = self.rng.random_range(0..number);
-            let wish = [Wish::Run, Wish::Run, Wish::Pause, Wish::Cancel][self.rng.random_range(0..4)];
+            let wish = [DesiredState::Run, DesiredState::Run, DesiredState::Pause, DesiredState::Cancel]
+                [self.rng.random_range(0..4)];
             let stored = self.drains.requests.values_mut().nth(one);
             stored
                 .into_iter()
-                .filter(|stored| stored.wish != Wish::Cancel)
-                .for_each(|stored| stored.wish = wish);
+                .filter(|stored| stored.desired_state != DesiredState::Cancel)
+                .for_each(|stored| stored.desired_state = wish);
         }
         let requests = self.drains.requests.values().cloned().collect();
         self.later.push((self.now + STEP, Command::DrainRequests(requests)));
