--- a/src/scheduler/autoscaler.rs
+++ b/src/scheduler/autoscaler.rs
@@ -65,19 +65,24 @@
         let now = self.now;
         let operator = self.config.operator.clone();
         let mut back = Vec::new();
-        for machine in self.machines.values_mut().filter(|m| m.state == MachineState::Ready && !m.deleting) {
-            if !machine.tasks.is_empty() || !machine.orphaned.is_empty() || !machine.unverified.is_empty() {
-                machine.idle_since = now;
+        for machine in
+            self.machines.values_mut().filter(|m| m.state == MachineState::Ready && !m.lifecycle.deleting)
+        {
+            if !machine.tasks.is_empty()
+                || !machine.reported.orphaned.is_empty()
+                || !machine.reported.unverified.is_empty()
+            {
+                machine.lifecycle.idle_since = now;
                 continue;
             }
             // A result that is not committed yet is only here.
-            if !machine.exited.is_empty() {
+            if !machine.reported.exited.is_empty() {
                 continue;
             }
             let wait = if machine.spot { operator.idle_spot_s } else { operator.idle_s };
             let needed = kept.contains(&machine.name) || self.drains.is_kept(&machine.name);
-            let idle = now >= machine.idle_since + limits::micros(wait) && !needed;
-            if idle || machine.draining {
+            let idle = now >= machine.lifecycle.idle_since + limits::micros(wait) && !needed;
+            if idle || machine.lifecycle.draining {
                 back.push(machine.name.clone());
             }
         }
@@ -89,9 +94,9 @@
         let now = self.now;
         let mut back = self.machines_to_declare_dead();
         // One in an unreachable zone may be up and unheard, and holds an image for when the zone is back.
-        let may_go = |m: &&Machine| !m.deleting && !self.failure_detector.zone_unreachable(&m.zone);
+        let may_go = |m: &&Machine| !m.lifecycle.deleting && !self.failure_detector.zone_unreachable(&m.zone);
         for machine in self.machines.values().filter(may_go) {
-            let never_up = machine.state == MachineState::Pending && now >= machine.boot_deadline;
+            let never_up = machine.state == MachineState::Pending && now >= machine.lifecycle.boot_deadline;
             if never_up || machine.state == MachineState::Lost {
                 back.push(machine.name.clone());
             }
@@ -104,7 +109,7 @@
             for name in chunk {
                 if let Some(machine) = self.machines.get_mut(name) {
                     info!(machine = name, why, "return");
-                    machine.deleting = true;
+                    machine.lifecycle.deleting = true;
                 }
                 self.decided(format!("return {name}: {why}"));
             }
@@ -116,7 +121,7 @@
         for name in names {
             if outcome != WriteOutcome::Done {
                 if let Some(machine) = self.machines.get_mut(&name) {
-                    machine.deleting = false;
+                    machine.lifecycle.deleting = false;
                 }
                 continue;
             }
@@ -133,7 +138,7 @@
     }
 
     fn forget_images(&mut self, machine: &Machine) {
-        for image in &machine.images {
+        for image in &machine.image_cache.images {
             if let Some(warm) = self.machines_by_image.get_mut(image) {
                 warm.remove(&machine.name);
                 if warm.is_empty() {
@@ -193,21 +198,23 @@
                 let now = self.now;
                 let machine = self.machine(&listed.machine);
                 let age = limits::micros(listed.age_s);
-                machine.boot_deadline =
-                    machine.boot_deadline.saturating_sub(age).max(now + 10 * limits::SECOND);
+                machine.lifecycle.boot_deadline =
+                    machine.lifecycle.boot_deadline.saturating_sub(age).max(now + 10 * limits::SECOND);
             }
             if listed.failed {
                 failed.push(listed.machine.name);
             }
         }
-        failed.retain(|n| self.machines.get(n).is_some_and(|m| !m.deleting));
+        failed.retain(|n| self.machines.get(n).is_some_and(|m| !m.lifecycle.deleting));
         self.delete(failed, "failed");
         // The last leader had heard from it, and the list shows it no more: most likely it was taken, and
         // the cloud's word on its deletion lets the work that it may have held start at once.
         let vanished: Vec<String> = self
             .machines
             .values()
-            .filter(|m| m.inherited && !m.reconciled && m.state == MachineState::Pending && !m.deleting)
+            .filter(|m| {
+                m.inherited && !m.reconciled && m.state == MachineState::Pending && !m.lifecycle.deleting
+            })
             .filter(|m| !shown.contains(&m.name))
             .map(|m| m.name.clone())
             .collect();
@@ -218,13 +225,13 @@
         let mut gone = Vec::new();
         for machine in self.machines.values() {
             let silent =
-                now >= machine.last_heartbeat_at + limits::silence_timeout(self.config.workers.report_s);
-            if shown.contains(&machine.name) || !silent || machine.deleting {
+                now >= machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s);
+            if shown.contains(&machine.name) || !silent || machine.lifecycle.deleting {
                 self.fleet.missing.remove(&machine.name);
                 continue;
             }
             let since = *self.fleet.missing.entry(machine.name.clone()).or_insert(now);
-            if now >= since + lag && now >= machine.known_since + lag {
+            if now >= since + lag && now >= machine.lifecycle.known_since + lag {
                 gone.push(machine.name.clone());
             }
         }
@@ -236,7 +243,7 @@
     /// For the operators' log: how the fleet stands.
     pub fn fleet_line(&self) -> String {
         let count = |f: &dyn Fn(&Machine) -> bool| self.machines.values().filter(|m| f(m)).count();
-        let waiting: usize = self.jobs.values().map(|j| j.pending_tasks.len()).sum();
+        let waiting: usize = self.jobs.values().map(|j| j.progress.pending.len()).sum();
         let placed: usize = self.machines.values().map(|m| m.tasks.len()).sum();
         format!(
             "ordinary {} spot {} expected {} lost {} tasks placed {} waiting {} jobs {}",
--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -218,7 +218,7 @@
             self.cold_start.verdicts = self.reconciliation().counts();
         }
         let wanted = |jobs: &BTreeMap<JobId, Job>, id: &TaskId| {
-            jobs.get(&id.job_id).is_some_and(|job| !job.terminated && job.pending_tasks.contains(&id.task))
+            jobs.get(&id.job_id).is_some_and(|job| !job.terminated && job.progress.pending.contains(&id.task))
         };
         let jobs = &self.jobs;
         self.cold_start.missing.retain(|id| wanted(jobs, id));
@@ -238,7 +238,7 @@
             all.learn(Fact::Machine(machine.name.clone(), machine_fact(machine)));
         }
         for job in self.jobs.values().filter(|job| !job.terminated && job.inherited) {
-            let finished = job.succeeded.difference(&job.unrecorded).copied().collect();
+            let finished = job.progress.succeeded.difference(&job.progress.unrecorded).copied().collect();
             let fact = JobFact::Live { tasks: job.spec.tasks, finished };
             all.learn(Fact::Job(job.spec.job_id.0, fact));
         }
@@ -250,7 +250,7 @@
 
     /// Jobs that reports name and nobody knows: the store is asked, again and again while there are any.
     fn ask_about_unknown_jobs(&mut self) {
-        let unknown = self.machines.values().flat_map(|machine| machine.unverified.keys());
+        let unknown = self.machines.values().flat_map(|machine| machine.reported.unverified.keys());
         let unknown: BTreeSet<JobId> = unknown.map(|(id, _)| id.job_id).collect();
         self.cold_start.asked.retain(|job_id, _| unknown.contains(job_id));
         let (now, asked) = (self.now, &self.cold_start.asked);
@@ -282,12 +282,13 @@
     /// The job is known after all: its tasks are where the newest reports list them. Left to the next reports, they
     /// were ordered a second time in between.
     fn adopt_unknown(&mut self, job_id: JobId) {
-        let lists = |machine: &&Machine| machine.unverified.keys().any(|(id, _)| id.job_id == job_id);
+        let lists =
+            |machine: &&Machine| machine.reported.unverified.keys().any(|(id, _)| id.job_id == job_id);
         let listing: Vec<(String, Vec<ReportedTask>)> = self
             .machines
             .values()
             .filter(lists)
-            .map(|machine| (machine.name.clone(), machine.reported_tasks.clone()))
+            .map(|machine| (machine.name.clone(), machine.heartbeats.reported_tasks.clone()))
             .collect();
         for (name, listed) in listing {
             self.take_listed(&name, &listed);
@@ -300,16 +301,17 @@
         let mut stopped = Vec::new();
         for machine in self.machines.values_mut() {
             let over: Vec<(TaskId, u64)> = machine
+                .reported
                 .unverified
                 .iter()
                 .filter(|((id, _), seen)| id.job_id == job_id && **seen < sent)
                 .map(|(key, _)| *key)
                 .collect();
             for key in over {
-                let seen = machine.unverified.remove(&key).unwrap_or(now);
+                let seen = machine.reported.unverified.remove(&key).unwrap_or(now);
                 let seconds = (now - seen) as f64 / limits::SECOND as f64;
                 info!(task = %key.0, machine = machine.name, seconds, "orphaned task stopped");
-                machine.orphaned.insert(key);
+                machine.reported.orphaned.insert(key);
                 stopped.push(machine.name.clone());
             }
         }
@@ -368,7 +370,7 @@
             Phase::Restarting => "places and the pace for missing tasks".to_string(),
             Phase::Ended => String::new(),
         };
-        let unknown = self.machines.values().flat_map(|machine| machine.unverified.keys());
+        let unknown = self.machines.values().flat_map(|machine| machine.reported.unverified.keys());
         ColdStartReport {
             phase,
             token: self.config.token,
@@ -418,8 +420,8 @@
         },
     };
     MachineFact::Heard {
-        number: ReportNumber(machine.agent_epoch, machine.sequence),
-        at: machine.last_heartbeat_at,
-        tasks: machine.reported_tasks.iter().map(reported).collect(),
+        number: ReportNumber(machine.heartbeats.agent_epoch, machine.heartbeats.sequence),
+        at: machine.heartbeats.last_at,
+        tasks: machine.heartbeats.reported_tasks.iter().map(reported).collect(),
     }
 }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -18,7 +18,7 @@
     /// Marks, zone by zone, the machines that fixed work and the reserve could do without, emptiest
     /// first, as far as the other machines have room for what runs on them and for what waits.
     pub fn mark_surplus(&mut self) {
-        self.machines.values_mut().for_each(|m| m.consolidation_target = false);
+        self.machines.values_mut().for_each(|m| m.lifecycle.consolidation_target = false);
         // Without critical services nothing is held back for them, and ordinary machines are needed only for work
         // that may not use spot machines: a deployment of arrays alone kept its ordinary machines for ever.
         let fixed = self.critical_shape().or_else(|| self.largest(|j| !j.spec.spot));
@@ -33,8 +33,12 @@
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
         let slots = |m: &Machine| elastic.count_in(&m.available());
         let reserve = self.reserve_places() * count(self.config.zones.len());
-        let waiting: usize =
-            self.jobs.values().filter(|j| j.spec.spot && !j.terminated).map(|j| j.pending_tasks.len()).sum();
+        let waiting: usize = self
+            .jobs
+            .values()
+            .filter(|j| j.spec.spot && !j.terminated)
+            .map(|j| j.progress.pending.len())
+            .sum();
         let mut free: i64 = self.machines.values().filter(|m| self.is_schedulable(m)).map(slots).sum();
         free -= reserve + count(waiting);
         let mut surplus = BTreeSet::new();
@@ -49,7 +53,7 @@
         }
         for name in surplus {
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.consolidation_target = true;
+                machine.lifecycle.consolidation_target = true;
             }
         }
     }
@@ -65,8 +69,12 @@
             .collect();
         here.sort_by(|a, b| (b.0, b.1, &a.2.name).cmp(&(a.0, a.1, &b.2.name)));
         let fixed: usize = here.iter().map(|(n, _, _)| n).sum();
-        let waiting: usize =
-            self.jobs.values().filter(|j| !j.spec.spot && !j.terminated).map(|j| j.pending_tasks.len()).sum();
+        let waiting: usize = self
+            .jobs
+            .values()
+            .filter(|j| !j.spec.spot && !j.terminated)
+            .map(|j| j.progress.pending.len())
+            .sum();
         let mut need = (fixed + waiting) as i64 + self.reserve_places();
         let mut beyond = Vec::new();
         for (_, tasks, machine) in here {
@@ -84,7 +92,7 @@
         let calm = self.reconciled
             && self.now >= self.started_at + limits::REPLICA_MOVE_INITIAL_DELAY
             && self.now >= self.fleet.moved + limits::REPLICA_MOVE_INTERVAL
-            && self.jobs.values().all(|j| j.terminated || j.spec.spot || j.pending_tasks.is_empty());
+            && self.jobs.values().all(|j| j.terminated || j.spec.spot || j.progress.pending.is_empty());
         if !calm {
             return;
         }
@@ -92,7 +100,7 @@
         let replicas: usize = self.machines.values().map(fixed).sum();
         let most = (replicas / limits::REPLICAS_PER_MOVE).max(1);
         let mut sources: Vec<&Machine> =
-            self.machines.values().filter(|m| m.consolidation_target && fixed(m) > 0).collect();
+            self.machines.values().filter(|m| m.lifecycle.consolidation_target && fixed(m) > 0).collect();
         sources.sort_by_key(|m| (m.tasks.len(), m.name.clone()));
         let mut warm = self.warm_room();
         let mut moves: Vec<(String, TaskId)> = Vec::new();
@@ -119,7 +127,7 @@
             self.fleet.moved = self.now;
             let now = self.now;
             if let Some(job) = self.jobs.get_mut(&id.job_id) {
-                job.last_resized_at = now;
+                job.elasticity.last_resized_at = now;
             }
             self.stop(&machine, id, 0.0);
         }
@@ -127,8 +135,10 @@
 
     /// Machines that stay and have room.
     fn warm_room(&self) -> BTreeMap<String, Resources> {
-        let staying =
-            self.machines.values().filter(|m| !m.consolidation_target && !m.spot && self.is_schedulable(m));
+        let staying = self
+            .machines
+            .values()
+            .filter(|m| !m.lifecycle.consolidation_target && !m.spot && self.is_schedulable(m));
         let room = staying.map(|m| (m.name.clone(), m.available()));
         room.filter(|(_, free)| free.cpus > 0).collect()
     }
@@ -137,7 +147,7 @@
     /// place is then taken.
     fn take_warm_place(&self, job: &Job, from: &Machine, warm: &mut BTreeMap<String, Resources>) -> bool {
         if job.spec.kind != Kind::Service
-            || job.last_resized_at + limits::JOB_REPLICA_MOVE_INTERVAL > self.now
+            || job.elasticity.last_resized_at + limits::JOB_REPLICA_MOVE_INTERVAL > self.now
         {
             return false;
         }
@@ -148,7 +158,7 @@
                 && self.machines.get(*name).is_some_and(|m| {
                     scoring::allowed(job, m)
                         && zones.allows(job, &m.zone)
-                        && m.images.contains(&job.spec.image)
+                        && m.image_cache.images.contains(&job.spec.image)
                 })
         });
         let Some((_, free)) = place else { return false };
--- a/src/scheduler/drains/disruption.rs
+++ b/src/scheduler/drains/disruption.rs
@@ -95,7 +95,7 @@
             return None;
         }
         if job.spec.kind == Kind::Service {
-            let silent = self.now.saturating_sub(machine.last_heartbeat_at.max(self.started_at));
+            let silent = self.now.saturating_sub(machine.heartbeats.last_at.max(self.started_at));
             return Some(Cost::replica(silent as f64 / limits::SECOND as f64));
         }
         let (ran_s, saved_every) = (self.ran_s(task), job.spec.checkpoint_s);
@@ -124,7 +124,7 @@
 
     fn is_disrupted(&self, id: &TaskId) -> bool {
         let Some(job) = self.jobs.get(&id.job_id).filter(|job| !job.terminated) else { return false };
-        if job.succeeded.contains(&id.task) || id.task >= job.spec.tasks {
+        if job.progress.succeeded.contains(&id.task) || id.task >= job.spec.tasks {
             return false;
         }
         let places = job.placements.get(&id.task).into_iter().flatten();
@@ -151,8 +151,8 @@
     /// Nothing is on it, and nothing of it has to be taken over first.
     pub(super) fn is_empty(&self) -> bool {
         self.tasks.is_empty()
-            && self.orphaned.is_empty()
-            && self.unverified.is_empty()
-            && self.exited.is_empty()
+            && self.reported.orphaned.is_empty()
+            && self.reported.unverified.is_empty()
+            && self.reported.exited.is_empty()
     }
 }
--- a/src/scheduler/drains/eviction.rs
+++ b/src/scheduler/drains/eviction.rs
@@ -86,12 +86,15 @@
     /// Spot notices, faults and silence have faster ways of their own: a drain gives way to them.
     fn leaves_by_itself(&self, machine: &Machine) -> bool {
         let silent =
-            self.now >= machine.last_heartbeat_at + limits::silence_timeout(self.config.workers.report_s);
-        machine.deleting || machine.recall_at.is_some() || machine.state != MachineState::Ready || silent
+            self.now >= machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s);
+        machine.lifecycle.deleting
+            || machine.lifecycle.recall_at.is_some()
+            || machine.state != MachineState::Ready
+            || silent
     }
 
     fn return_drained(&mut self, name: &str) {
-        if self.machines.get(name).is_some_and(|machine| !machine.deleting) {
+        if self.machines.get(name).is_some_and(|machine| !machine.lifecycle.deleting) {
             self.delete(vec![name.to_string()], "drained");
         }
     }
@@ -184,7 +187,7 @@
     fn is_whole(&self, job: &Job) -> bool {
         let same = |id: &TaskId| id.job_id == job.spec.job_id;
         let moving = self.drains.moves.keys().any(same) || self.drains.disrupted.keys().any(same);
-        job.pending_tasks.is_empty()
+        job.progress.pending.is_empty()
             && !moving
             && !self.drains.pending_stops().any(|stop| same(&stop.task))
             && self.placements_of(job).all(|(_, _, task)| runs_on(task))
@@ -194,7 +197,7 @@
     /// stop and the start each wait for a report, the fetch takes its time, give or take.
     pub(super) fn down_s(&self, job: &Job, on: Option<&Machine>) -> f64 {
         let reports = 2.0 * 1.25 * self.config.workers.report_s + limits::MOVE_MARGIN_S;
-        let warm = on.is_some_and(|machine| machine.images.contains(&job.spec.image));
+        let warm = on.is_some_and(|machine| machine.image_cache.images.contains(&job.spec.image));
         if warm {
             return reports;
         }
@@ -226,7 +229,7 @@
                 && scoring::allowed(job, machine)
                 && zones.allows(job, &machine.zone)
                 && job.spec.resource_request.fits(&free)
-                && !job.failed_on.contains(&machine.name)
+                && !job.failure_history.machines.contains(&machine.name)
                 && (lost == 0 || lost <= spare.get(&machine.zone).copied().unwrap_or(0))
         };
         let own = |machine: &Machine| {
@@ -234,7 +237,7 @@
         };
         let others = |machine: &Machine| self.drains.is_kept(&machine.name) && !own(machine);
         let best = self.machines.values().filter(fits).min_by_key(|machine| {
-            let cold = !machine.images.contains(&job.spec.image);
+            let cold = !machine.image_cache.images.contains(&job.spec.image);
             let targeted = self.drains.is_targeted(&machine.name);
             let left = scoring::emptiness(job, &kept.free(machine));
             (targeted, others(machine), cold, !own(machine), left, &machine.name)
@@ -243,7 +246,7 @@
     }
 
     fn gang_is_reachable(&self, job: &Job) -> bool {
-        job.pending_tasks.is_empty()
+        job.progress.pending.is_empty()
             && self.can_be_told_at_once(job)
             && self.placements_of(job).all(|(_, _, task)| task.status == TaskStatus::Running)
     }
--- a/src/scheduler/drains/reservations.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -65,7 +65,7 @@
                 self.drains.moves.remove(&id);
                 continue;
             };
-            if !job.pending_tasks.contains(&id.task) {
+            if !job.progress.pending.contains(&id.task) {
                 // It has not ended yet, or has been placed already.
                 if self.now >= since + patience || !self.drains.disrupted.contains_key(&id) {
                     self.drains.moves.remove(&id);
@@ -92,7 +92,7 @@
             && scoring::allowed(job, machine)
             && ZoneCount::of(job, &self.machines).allows(job, &machine.zone)
             && job.spec.resource_request.fits(&kept.free(machine))
-            && job.backoff_until <= self.now
+            && job.failure_history.backoff_until <= self.now
             && (!job.inherited || self.reconciled_for(job))
     }
 }
--- a/src/scheduler/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -104,8 +104,9 @@
                 continue;
             };
             // It is on its way out already.
-            let leaving =
-                machine.deleting || machine.recall_at.is_some() || machine.state != MachineState::Ready;
+            let leaving = machine.lifecycle.deleting
+                || machine.lifecycle.recall_at.is_some()
+                || machine.state != MachineState::Ready;
             if !leaving {
                 here.push((machine.tasks.len(), name));
             }
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -49,12 +49,12 @@
             let Some(free) = capacity.free.get(name).filter(|free| needs.fits(free)) else { continue };
             let Some(machine) = self.machines.get(name) else { continue };
             // One under suspicion has nowhere else to go.
-            let failed_here = !job.is_suspected() && job.failed_on.contains(name);
+            let failed_here = !job.is_suspected() && job.failure_history.machines.contains(name);
             if !scoring::allowed(job, machine)
                 || failed_here
-                || machine.consolidation_target && job.spec.spot
+                || machine.lifecycle.consolidation_target && job.spec.spot
                 || job.spec.priority != Priority::Critical && self.drains.is_kept(name)
-                || machine.slow_until > self.now && job.spec.kind != Kind::Service
+                || machine.health.quarantined_until > self.now && job.spec.kind != Kind::Service
                 || pinned.as_ref().is_some_and(|z| *z != machine.zone)
             {
                 continue;
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -92,7 +92,7 @@
         self.note_unreconciled();
         let jobs = || order.iter().filter_map(|job_id| self.jobs.get(job_id));
         let least = jobs()
-            .filter(|j| !j.pending_tasks.is_empty())
+            .filter(|j| !j.progress.pending.is_empty())
             .map(|j| j.spec.resource_request)
             .reduce(|a, b| a.least(&b));
         let mut capacity = FreeCapacity {
--- a/src/scheduler/elastic/equivalence_class.rs
+++ b/src/scheduler/elastic/equivalence_class.rs
@@ -74,8 +74,8 @@
             machine_type: *machine_type,
             zone: *zone,
             spot: machine.spot,
-            surplus: machine.consolidation_target,
-            slow: machine.slow_until > self.scheduler.now,
+            surplus: machine.lifecycle.consolidation_target,
+            slow: machine.health.quarantined_until > self.scheduler.now,
             drain_kept: self.scheduler.drains.is_kept(&machine.name),
             drain_targeted: self.scheduler.drains.is_targeted(&machine.name),
             room,
@@ -99,7 +99,7 @@
         steps: &mut usize,
     ) -> Option<BTreeSet<&'a str>> {
         // A gang goes by when each machine reports next.
-        if job.spec.kind == Kind::Gang || !job.failed_on.is_empty() {
+        if job.spec.kind == Kind::Gang || !job.failure_history.machines.is_empty() {
             return None;
         }
         let warm = self.machines_by_image.get(&job.spec.image);
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -22,8 +22,8 @@
 
 impl Scheduler {
     fn in_gap(&self, job: &Job) -> bool {
-        job.last_resized_at > 0
-            && self.now < job.last_resized_at + limits::micros(self.config.operator.rescale_gap_s)
+        job.elasticity.last_resized_at > 0
+            && self.now < job.elasticity.last_resized_at + limits::micros(self.config.operator.rescale_gap_s)
     }
 
     /// One round within its budget of decision steps. What it could not reach is taken up by the next round.
@@ -53,7 +53,7 @@
             let in_gap = self
                 .jobs
                 .get(&job_id)
-                .is_some_and(|j| j.pending_reason == GAP && !j.pending_tasks.is_empty());
+                .is_some_and(|j| j.pending_reason == GAP && !j.progress.pending.is_empty());
             if in_gap && steps < budget && !capacity.free.is_empty() {
                 self.consider(job_id, true, &mut capacity, &mut steps);
             }
@@ -68,7 +68,7 @@
     pub fn wait(&mut self, job_id: JobId, why: &'static str) {
         if let Some(job) = self.jobs.get_mut(&job_id) {
             if job.pending_reason != why {
-                debug!(job = %job_id, why, waiting = job.pending_tasks.len(), "waits");
+                debug!(job = %job_id, why, waiting = job.progress.pending.len(), "waits");
                 job.pending_reason = why;
             }
         }
@@ -76,10 +76,10 @@
 
     fn consider(&mut self, job_id: JobId, leftover: bool, capacity: &mut FreeCapacity, steps: &mut usize) {
         let Some(job) = self.jobs.get(&job_id) else { return };
-        if job.pending_tasks.is_empty() {
+        if job.progress.pending.is_empty() {
             return;
         }
-        if job.backoff_until > self.now {
+        if job.failure_history.backoff_until > self.now {
             return self.wait(job_id, "its tasks failed");
         }
         // A task of an earlier leader's may be on a machine that has not reported yet, if it is one that
@@ -98,9 +98,9 @@
         let target = if fresh || leftover || !self.in_gap(job) {
             job.unfinished()
         } else {
-            job.width.max(job.minimum())
+            job.elasticity.width.max(job.minimum())
         };
-        let want = target.saturating_sub(held).min(job.pending_tasks.len() as u32);
+        let want = target.saturating_sub(held).min(job.progress.pending.len() as u32);
         if want == 0 {
             return self.wait(job_id, GAP);
         }
@@ -121,21 +121,21 @@
         if want == 0 || held + want < job.admission() {
             return self.wait(job_id, "team limit");
         }
-        let patient = self.now < job.submitted_at.max(job.last_resized_at) + limits::FETCH_TIMEOUT;
+        let patient = self.now < job.submitted_at.max(job.elasticity.last_resized_at) + limits::FETCH_TIMEOUT;
         let found = self.find(job, want, patient, capacity, steps);
         if !found.is_empty() && held + found.len() as u32 >= job.admission().min(held + want) {
-            if found.len() as u32 + running > job.width {
+            if found.len() as u32 + running > job.elasticity.width {
                 let now = self.now;
                 if let Some(job) = self.jobs.get_mut(&job_id) {
-                    job.width = found.len() as u32 + running;
-                    job.last_resized_at = now;
+                    job.elasticity.width = found.len() as u32 + running;
+                    job.elasticity.last_resized_at = now;
                 }
             }
             let attempt = self.next_attempt();
             for machine in found {
                 self.assign(job_id, &machine, attempt, capacity);
             }
-            if self.jobs.get(&job_id).is_none_or(|j| j.pending_tasks.is_empty()) {
+            if self.jobs.get(&job_id).is_none_or(|j| j.progress.pending.is_empty()) {
                 return;
             }
             self.wait(job_id, "no further free slot");
@@ -148,7 +148,7 @@
         }
         let Some(job) = self.jobs.get(&job_id) else { return };
         let held = job.placements.len() as u32;
-        let missing = job.minimum().saturating_sub(held).max(1).min(job.pending_tasks.len() as u32);
+        let missing = job.minimum().saturating_sub(held).max(1).min(job.progress.pending.len() as u32);
         let service = job.spec.kind == Kind::Service;
         if !self.shrink_for(job_id, missing, capacity, steps) && service && missing > 1 {
             // Its replicas serve each by itself: one is better than none.
@@ -158,7 +158,7 @@
 
     pub fn assign(&mut self, job_id: JobId, machine: &str, attempt: u64, capacity: &mut FreeCapacity) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
-        let Some(task) = job.pending_tasks.pop_first() else { return };
+        let Some(task) = job.progress.pending.pop_first() else { return };
         job.placements.entry(task).or_default().push(machine.into());
         let (needs, image) = (job.spec.resource_request, job.spec.image.clone());
         capacity.teams.add(&job.spec.team, &needs);
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -62,8 +62,8 @@
             let now = self.now;
             let grace = self.jobs.get(&id.job_id).map_or(0.0, |j| j.spec.save_s);
             if let Some(victim) = self.jobs.get_mut(&id.job_id) {
-                victim.last_resized_at = now;
-                victim.width = victim.width.saturating_sub(1).max(victim.minimum());
+                victim.elasticity.last_resized_at = now;
+                victim.elasticity.width = victim.elasticity.width.saturating_sub(1).max(victim.minimum());
                 let freed = capacity.pending.entry(machine.clone()).or_default();
                 *freed = freed.plus(&victim.spec.resource_request);
                 capacity.teams.stop(&victim.spec.team, &victim.spec.resource_request);
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -71,7 +71,7 @@
         let mut order: Vec<_> = self
             .jobs
             .values()
-            .filter(|j| !j.terminated && (!j.pending_tasks.is_empty() || !j.placements.is_empty()))
+            .filter(|j| !j.terminated && (!j.progress.pending.is_empty() || !j.placements.is_empty()))
             .map(|j| (std::cmp::Reverse(self.rank(j)), j.submitted_at, j.version, j.spec.job_id))
             .collect();
         order.sort();
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -100,9 +100,9 @@
         }
         let Some(machine) = scheduler.machines.get_mut(&name) else { continue };
         (machine.state, machine.reconciled, machine.recorded) = (MachineState::Ready, true, true);
-        (machine.last_heartbeat_at, machine.images) = (limits::SECOND, images);
-        machine.consolidation_target = !machine.spot && rng.random_bool(0.2);
-        machine.slow_until = if rng.random_bool(0.1) { 100 * limits::SECOND } else { 0 };
+        (machine.heartbeats.last_at, machine.image_cache.images) = (limits::SECOND, images);
+        machine.lifecycle.consolidation_target = !machine.spot && rng.random_bool(0.2);
+        machine.health.quarantined_until = if rng.random_bool(0.1) { 100 * limits::SECOND } else { 0 };
         for task in 0..rng.random_range(0..4u32) {
             let id = TaskId { job_id: JobId(900_000 + number as u64), task };
             let fetching = rng.random_bool(0.1);
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -209,10 +209,10 @@
             .map(|m| Observed {
                 name: &m.name,
                 zone: &m.zone,
-                route: m.via,
-                previous_route: m.previous_route,
-                last_heartbeat_at: m.last_heartbeat_at,
-                unresponsive: m.unacknowledged_heartbeats >= limits::MAX_UNACKNOWLEDGED_HEARTBEATS,
+                route: m.route.via,
+                previous_route: m.route.previous,
+                last_heartbeat_at: m.heartbeats.last_at,
+                unresponsive: m.commands.unacknowledged_heartbeats >= limits::MAX_UNACKNOWLEDGED_HEARTBEATS,
                 expected: expected(m),
                 lost: m.state == MachineState::Lost,
             })
@@ -231,7 +231,7 @@
     pub fn machines_to_declare_dead(&self) -> Vec<String> {
         let observed = self.observed();
         let dead = self.failure_detector.declared_dead(self.now, &self.patience(), &observed);
-        let deleting = |name: &str| self.machines.get(name).is_some_and(|m| m.deleting);
+        let deleting = |name: &str| self.machines.get(name).is_some_and(|m| m.lifecycle.deleting);
         dead.into_iter().filter(|name| !deleting(name)).map(str::to_string).collect()
     }
 }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -30,7 +30,7 @@
             attempts.insert(task.attempt);
             let runs = matches!(task.status, TaskStatus::Running | TaskStatus::Saving);
             let part = (job.placements.len() as u32) < job.spec.tasks;
-            broken |= task.stopping.is_some() || runs && part || task.attempt <= job.ended_attempt;
+            broken |= task.stopping.is_some() || runs && part || task.attempt <= job.gang.ended_attempt;
         }
         match attempts.first() {
             None => Stage::Nowhere,
@@ -46,7 +46,7 @@
         match self.stage(job) {
             Stage::Waiting { attempt } => {
                 let now = self.now;
-                let missing = job.pending_tasks.len() as u32;
+                let missing = job.progress.pending.len() as u32;
                 let may = self.team_room(job, &capacity.teams) >= missing;
                 let found = if may { self.find(job, missing, false, capacity, steps) } else { Vec::new() };
                 if found.len() as u32 == missing {
@@ -55,18 +55,18 @@
                     }
                     // The next task that it loses has its own time.
                     if let Some(job) = self.jobs.get_mut(&job_id) {
-                        job.incomplete_since = None;
+                        job.gang.incomplete_since = None;
                     }
                     return;
                 }
                 // Its places must not idle until the workers give up by themselves.
                 let patience = limits::gang_completion_timeout(self.config.workers.gang_wait_s);
                 let Some(job) = self.jobs.get_mut(&job_id) else { return };
-                let since = *job.incomplete_since.get_or_insert(now);
+                let since = *job.gang.incomplete_since.get_or_insert(now);
                 if now < since + patience {
                     return self.wait(job_id, "no free slot for the rest of its gang");
                 }
-                job.incomplete_since = None;
+                job.gang.incomplete_since = None;
                 self.stop_all(job_id);
                 self.wait(job_id, "its gang was not complete in time");
             }
@@ -108,9 +108,9 @@
     pub(super) fn can_be_told_at_once(&self, job: &Job) -> bool {
         let silent = limits::silence_timeout(self.config.workers.report_s);
         self.placements_of(job).all(|(_, name, _)| {
-            self.machines
-                .get(name)
-                .is_some_and(|m| self.now < m.last_heartbeat_at + silent && m.unacknowledged_heartbeats == 0)
+            self.machines.get(name).is_some_and(|m| {
+                self.now < m.heartbeats.last_at + silent && m.commands.unacknowledged_heartbeats == 0
+            })
         })
     }
 
@@ -122,8 +122,8 @@
         if heartbeat_interval <= 2 * limits::SHARD_HEARTBEAT_INTERVAL {
             return 0;
         }
-        let due = (machine.last_heartbeat_at + heartbeat_interval).saturating_sub(self.now);
-        let missed = machine.cached_by_leaseholder && due < limits::SHARD_HEARTBEAT_INTERVAL;
+        let due = (machine.heartbeats.last_at + heartbeat_interval).saturating_sub(self.now);
+        let missed = machine.route.cached_by_leaseholder && due < limits::SHARD_HEARTBEAT_INTERVAL;
         ((due + if missed { heartbeat_interval } else { 0 }) / limits::SECOND) as i64
     }
 }
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -10,7 +10,7 @@
         let own = machine.tasks.iter().filter_map(|(id, t)| {
             t.stopping.map(|(_, grace_s)| TaskCommand::Stop { id: *id, attempt: t.attempt, grace_s })
         });
-        let foreign = machine.orphaned.iter().map(|(id, attempt)| TaskCommand::Stop {
+        let foreign = machine.reported.orphaned.iter().map(|(id, attempt)| TaskCommand::Stop {
             id: *id,
             attempt: *attempt,
             grace_s: 0.0,
@@ -24,8 +24,8 @@
             Some(machine) => {
                 debug!(
                     machine = name,
-                    agent_epoch = machine.agent_epoch,
-                    sequence = machine.last_heartbeat_sequence,
+                    agent_epoch = machine.heartbeats.agent_epoch,
+                    sequence = machine.heartbeats.last_sequence,
                     "lease renewed"
                 );
                 Some(machine.last_renewal.record(self.now))
@@ -48,22 +48,23 @@
         let mut task_commands: Vec<TaskCommand>;
         {
             let Some(machine) = self.machines.get_mut(name) else { return (Vec::new(), false) };
-            machine.wake_requested = false;
-            machine.token_unacknowledged = machine.via.is_none() && !machine.reconciled;
+            machine.route.wake_requested = false;
+            machine.commands.token_unacknowledged = machine.route.via.is_none() && !machine.reconciled;
             task_commands = Self::stop_commands(machine).collect();
             reconciled_and_recorded = machine.reconciled && machine.recorded;
         }
         let machine = &self.machines[name];
-        for ((id, attempt), reason) in &machine.exited {
+        for ((id, attempt), reason) in &machine.reported.exited {
             // The result on the worker is the only one until ours is committed.
             let job = self.jobs.get(&id.job_id);
-            let kept = *reason == ExitReason::Done && job.is_some_and(|j| j.unrecorded.contains(&id.task));
+            let kept =
+                *reason == ExitReason::Done && job.is_some_and(|j| j.progress.unrecorded.contains(&id.task));
             if !kept {
                 task_commands.push(TaskCommand::Forget { id: *id, attempt: *attempt });
             }
         }
         if let Some(machine) = self.machines.get_mut(name).filter(|_| reconciled_and_recorded) {
-            let newest = (machine.agent_epoch, machine.sequence);
+            let newest = (machine.heartbeats.agent_epoch, machine.heartbeats.sequence);
             for (id, placed) in &mut machine.tasks {
                 if placed.start_sent_in.is_none() && !placed.confirmed && placed.stopping.is_none() {
                     placed.start_sent_in = Some(newest);
@@ -71,18 +72,18 @@
                 }
             }
             // What goes through a leaseholder may be lost between it and us; that says nothing of the machine.
-            if machine.via.is_none() {
-                machine.unacknowledged_commands.clone_from(&task_commands);
+            if machine.route.via.is_none() {
+                machine.commands.unacknowledged.clone_from(&task_commands);
             }
         }
         let shard = self.config.shard_lease > 0;
         let Some(machine) = self.machines.get_mut(name) else { return (task_commands, false) };
-        machine.cached_by_leaseholder = shard
-            && machine.via.is_some()
+        machine.route.cached_by_leaseholder = shard
+            && machine.route.via.is_some()
             && task_commands.is_empty()
             && machine.is_settled()
-            && machine.exited.is_empty();
-        (task_commands, machine.cached_by_leaseholder)
+            && machine.reported.exited.is_empty();
+        (task_commands, machine.route.cached_by_leaseholder)
     }
 
     /// A leaseholder has answered these machines by itself, and nobody else before `covers`. Their leases run on;
@@ -95,12 +96,12 @@
         for name in names {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             machine.last_renewal.record_by_leaseholder(now);
-            machine.last_heartbeat_at = now;
+            machine.heartbeats.last_at = now;
             // Come back to a leaseholder that still knew it, it says nothing new there, and was taken for silent on
             // the way that it had left; what it did elsewhere meanwhile the leaseholder can't tell.
             let came = machine.set_route(Some(node), now);
             if came || !machine.is_settled() {
-                (machine.wake_requested, machine.cached_by_leaseholder) = (false, true);
+                (machine.route.wake_requested, machine.route.cached_by_leaseholder) = (false, true);
                 self.request_wake(&name);
             }
         }
@@ -110,9 +111,9 @@
     pub fn request_wake(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         if let (Some(node), false, true) =
-            (machine.via, machine.wake_requested, machine.cached_by_leaseholder)
+            (machine.route.via, machine.route.wake_requested, machine.route.cached_by_leaseholder)
         {
-            machine.wake_requested = true;
+            machine.route.wake_requested = true;
             self.effects.push(Effect::RequestWake { node, machine: name.to_string() });
         }
     }
@@ -126,7 +127,7 @@
                 self.effects.push(Effect::DirectCommands {
                     machine: name,
                     address: machine.address.clone(),
-                    agent_epoch: machine.agent_epoch,
+                    agent_epoch: machine.heartbeats.agent_epoch,
                     task_commands,
                 });
             }
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -23,40 +23,23 @@
             address: stored.address.clone(),
             capacity: has,
             state: MachineState::Pending,
-            agent_epoch: 0,
-            sequence: 0,
             reconciled: false,
             recorded: false,
             inherited: false,
-            last_heartbeat_at: 0,
             last_renewal: LastRenewal::default(),
-            last_heartbeat_sequence: 0,
-            stale_heartbeat_logged: false,
-            via: None,
-            cached_by_leaseholder: false,
-            previous_route: None,
-            wake_requested: false,
             tasks: BTreeMap::new(),
-            reported_tasks: Vec::new(),
-            exited: BTreeMap::new(),
-            orphaned: BTreeSet::new(),
-            unverified: BTreeMap::new(),
-            images: BTreeSet::new(),
-            images_changed: false,
-            recall_at: None,
-            draining: false,
-            consolidation_target: false,
-            deleting: false,
-            unacknowledged_commands: Vec::new(),
-            token_unacknowledged: false,
-            unacknowledged_heartbeats: 0,
-            failed_jobs: BTreeSet::new(),
-            no_room_backoff_until: 0,
-            slow_votes: 0,
-            slow_until: 0,
-            idle_since: now,
-            known_since: now,
-            boot_deadline: now + limits::micros(boot),
+            heartbeats: HeartbeatTracker::default(),
+            route: Route::default(),
+            commands: CommandTracker::default(),
+            reported: ReportedTasks::default(),
+            image_cache: ImageCache::default(),
+            health: MachineHealth::default(),
+            lifecycle: Lifecycle {
+                idle_since: now,
+                known_since: now,
+                boot_deadline: now + limits::micros(boot),
+                ..Lifecycle::default()
+            },
         })
     }
 
@@ -75,17 +58,17 @@
         let (now, token) = (self.now, self.config.token);
         if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
             let unchanged = periodic
-                && heartbeat.agent_epoch == machine.agent_epoch
-                && heartbeat.sequence > machine.sequence
+                && heartbeat.agent_epoch == machine.heartbeats.agent_epoch
+                && heartbeat.sequence > machine.heartbeats.sequence
                 && heartbeat.token == token
                 && heartbeat.notice_s.is_none()
                 && machine.is_settled()
-                && heartbeat.tasks == machine.reported_tasks;
+                && heartbeat.tasks == machine.heartbeats.reported_tasks;
             if unchanged {
-                machine.sequence = heartbeat.sequence;
-                machine.last_heartbeat_sequence = heartbeat.sequence;
-                machine.last_heartbeat_at = now;
-                machine.unacknowledged_heartbeats = 0;
+                machine.heartbeats.sequence = heartbeat.sequence;
+                machine.heartbeats.last_sequence = heartbeat.sequence;
+                machine.heartbeats.last_at = now;
+                machine.commands.unacknowledged_heartbeats = 0;
                 return HeartbeatOutcome::Unchanged;
             }
         }
@@ -100,14 +83,16 @@
         let expected = self.machines.contains_key(&heartbeat.machine);
         let machine = self.machine(&stored);
         // Held messages arrive late and out of order: only the newest list counts.
-        if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence) {
+        if (heartbeat.agent_epoch, heartbeat.sequence)
+            <= (machine.heartbeats.agent_epoch, machine.heartbeats.sequence)
+        {
             return self.ignore_late_heartbeat(&heartbeat, periodic);
         }
         if periodic {
             machine.assess_reachability(&heartbeat, token);
         }
-        if heartbeat.agent_epoch > machine.agent_epoch {
-            if machine.agent_epoch > 0 {
+        if heartbeat.agent_epoch > machine.heartbeats.agent_epoch {
+            if machine.heartbeats.agent_epoch > 0 {
                 info!(
                     machine = heartbeat.machine,
                     agent_epoch = heartbeat.agent_epoch,
@@ -121,16 +106,16 @@
             );
         }
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
-        if heartbeat.agent_epoch != machine.agent_epoch {
-            machine.last_heartbeat_sequence = 0;
+        if heartbeat.agent_epoch != machine.heartbeats.agent_epoch {
+            machine.heartbeats.last_sequence = 0;
         }
         if periodic {
-            machine.last_heartbeat_sequence = heartbeat.sequence;
+            machine.heartbeats.last_sequence = heartbeat.sequence;
         }
-        machine.agent_epoch = heartbeat.agent_epoch;
-        machine.sequence = heartbeat.sequence;
+        machine.heartbeats.agent_epoch = heartbeat.agent_epoch;
+        machine.heartbeats.sequence = heartbeat.sequence;
         machine.address = heartbeat.address;
-        machine.recall_at = heartbeat.notice_s.map(|s| now + limits::micros(s));
+        machine.lifecycle.recall_at = heartbeat.notice_s.map(|s| now + limits::micros(s));
         machine.reconciled |= heartbeat.token == token;
         if !machine.reconciled {
             // Its first heartbeat to this leader, or a copy of one made for an earlier leader, which may be of
@@ -143,10 +128,10 @@
             return HeartbeatOutcome::Changed;
         }
         if periodic {
-            machine.last_heartbeat_at = now;
+            machine.heartbeats.last_at = now;
             if machine.state != MachineState::Ready {
                 info!(machine = heartbeat.machine, zone = machine.zone, spot = machine.spot, "machine up");
-                machine.idle_since = now;
+                machine.lifecycle.idle_since = now;
                 machine.state = MachineState::Ready;
             }
         }
@@ -161,11 +146,11 @@
             self.drain_for_notice(&heartbeat.machine);
         }
         let machine = &self.machines[&heartbeat.machine];
-        if !machine.recorded || machine.images_changed {
+        if !machine.recorded || machine.image_cache.changed {
             self.record(&heartbeat.machine);
         }
         if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
-            machine.reported_tasks = heartbeat.tasks;
+            machine.heartbeats.reported_tasks = heartbeat.tasks;
         }
         HeartbeatOutcome::Changed
     }
@@ -197,8 +182,8 @@
                 if machine.tasks.get(&task.id).is_some_and(|t| t.status != TaskStatus::Running) {
                     debug!(task = %task.id, machine = name, "runs");
                 }
-                if machine.images.insert(image.clone()) {
-                    machine.images_changed = true;
+                if machine.image_cache.images.insert(image.clone()) {
+                    machine.image_cache.changed = true;
                     self.machines_by_image.entry(image.clone()).or_default().insert(name.to_string());
                 }
             }
@@ -231,9 +216,9 @@
             }
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.exited.retain(|key, _| exited.contains(key));
-            machine.orphaned = foreign;
-            machine.unverified = unknown;
+            machine.reported.exited.retain(|key, _| exited.contains(key));
+            machine.reported.orphaned = foreign;
+            machine.reported.unverified = unknown;
         }
         living
     }
@@ -247,12 +232,12 @@
         unknown: &mut BTreeMap<(TaskId, u64), u64>,
     ) {
         let machine = self.machines.get(name);
-        let known_to_be_over = machine.is_some_and(|machine| machine.orphaned.contains(&key));
+        let known_to_be_over = machine.is_some_and(|machine| machine.reported.orphaned.contains(&key));
         if known_to_be_over || !self.keeps_unknown_tasks() {
             foreign.insert(key);
             return;
         }
-        let seen = machine.and_then(|machine| machine.unverified.get(&key)).copied();
+        let seen = machine.and_then(|machine| machine.reported.unverified.get(&key)).copied();
         unknown.insert(key, seen.unwrap_or(self.now));
     }
 
@@ -260,14 +245,14 @@
     fn adopt(&mut self, name: &str, id: TaskId, over: bool) {
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
         let elsewhere = job.placements.get(&id.task).is_some_and(|n| !n.is_empty());
-        let finished = job.succeeded.contains(&id.task) || id.task >= job.spec.tasks;
-        job.pending_tasks.remove(&id.task);
+        let finished = job.progress.succeeded.contains(&id.task) || id.task >= job.spec.tasks;
+        job.progress.pending.remove(&id.task);
         let names = job.placements.entry(id.task).or_default();
         if !names.iter().any(|n| n == name) {
             names.push(name.into());
         }
         let held = job.placements.len() as u32;
-        job.width = job.width.max(held);
+        job.elasticity.width = job.elasticity.width.max(held);
         if elsewhere {
             warn!(task = %id, machine = name, "a task is on two machines; stopping this one");
         }
@@ -306,7 +291,7 @@
     /// may still finish.
     fn drain_for_notice(&mut self, name: &str) {
         let Some(machine) = self.machines.get(name) else { return };
-        let Some(recall_at) = machine.recall_at else { return };
+        let Some(recall_at) = machine.lifecycle.recall_at else { return };
         let left_s = recall_at.saturating_sub(self.now) as f64 / limits::SECOND as f64;
         let stops: Vec<_> = machine
             .tasks
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -17,16 +17,16 @@
         machine.state == MachineState::Ready
             && machine.reconciled
             && machine.recorded
-            && !machine.draining
-            && !machine.deleting
+            && !machine.lifecycle.draining
+            && !machine.lifecycle.deleting
             && !self.drains.is_cordoned(&machine.name)
-            && machine.recall_at.is_none()
-            && machine.orphaned.is_empty()
-            && machine.unverified.is_empty()
-            && machine.no_room_backoff_until <= self.now
+            && machine.lifecycle.recall_at.is_none()
+            && machine.reported.orphaned.is_empty()
+            && machine.reported.unverified.is_empty()
+            && machine.health.no_room_backoff_until <= self.now
             && !self.failure_detector.zone_unreachable(&machine.zone)
-            && machine.unacknowledged_heartbeats < limits::MAX_UNACKNOWLEDGED_HEARTBEATS
-            && self.now < machine.last_heartbeat_at + limits::silence_timeout(self.config.workers.report_s)
+            && machine.commands.unacknowledged_heartbeats < limits::MAX_UNACKNOWLEDGED_HEARTBEATS
+            && self.now < machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s)
     }
 
     /// Whether every machine that an earlier leader may have started the job on is accounted for, as of
@@ -66,7 +66,7 @@
             .filter(|m| m.state != MachineState::Lost)
             // A worker first heard of may have begun its lease as late as then: without its heartbeat in the
             // sum, every machine younger than this leader was given up the moment it came up.
-            .filter(|m| now.min(covered) >= m.last_renewal.at().max(m.last_heartbeat_at).max(alive) + lease)
+            .filter(|m| now.min(covered) >= m.last_renewal.at().max(m.heartbeats.last_at).max(alive) + lease)
             .filter(|m| {
                 m.state == MachineState::Ready || !m.tasks.is_empty() || (m.inherited && !m.reconciled)
             })
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -210,7 +210,7 @@
                 // Cancelled meanwhile, or of unknown outcome: its record decides, and is tried again.
                 _ => {
                     if let Some(job) = self.jobs.get_mut(&job_id) {
-                        job.write_in_flight = false;
+                        job.progress.write_in_flight = false;
                     }
                 }
             },
@@ -305,13 +305,14 @@
     fn remove_job(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.terminated = true;
-        job.pending_tasks.clear();
+        job.progress.pending.clear();
         self.stop_all(job_id);
         self.remove_if_terminated(job_id);
     }
 
     pub fn machines_up(&self) -> u32 {
-        self.machines.values().filter(|m| m.state == MachineState::Ready && !m.deleting).count() as u32
+        self.machines.values().filter(|m| m.state == MachineState::Ready && !m.lifecycle.deleting).count()
+            as u32
     }
 
     /// (job, finished tasks, running tasks) for display.
@@ -323,7 +324,7 @@
         self.jobs
             .values()
             .filter(|j| !j.terminated)
-            .map(|j| (j.spec.job_id, j.succeeded.len() as u32, running(j)))
+            .map(|j| (j.spec.job_id, j.progress.succeeded.len() as u32, running(j)))
             .collect()
     }
 }
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -80,9 +80,9 @@
             team: job.spec.team.clone(),
             priority: format!("{:?}", job.spec.priority).to_lowercase(),
             placed: job.placements.len(),
-            waiting: job.pending_tasks.len(),
-            done: job.succeeded.len(),
-            waits_for: if job.pending_tasks.is_empty() { "" } else { job.pending_reason },
+            waiting: job.progress.pending.len(),
+            done: job.progress.succeeded.len(),
+            waits_for: if job.progress.pending.is_empty() { "" } else { job.pending_reason },
         }
     }
 }
@@ -120,7 +120,8 @@
     }
 
     fn machine_line(&self, machine: &Machine) -> MachineLine {
-        let leaving = machine.draining || machine.deleting || machine.recall_at.is_some();
+        let leaving =
+            machine.lifecycle.draining || machine.lifecycle.deleting || machine.lifecycle.recall_at.is_some();
         MachineLine {
             machine: machine.name.clone(),
             machine_type: machine.machine_type.clone(),
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -97,8 +97,8 @@
             names.retain(|n| n != name);
             if names.is_empty() {
                 job.placements.remove(&id.task);
-                if !job.terminated && !job.succeeded.contains(&id.task) {
-                    job.pending_tasks.insert(id.task);
+                if !job.terminated && !job.progress.succeeded.contains(&id.task) {
+                    job.progress.pending.insert(id.task);
                     job.previous_placements
                         .insert(id.task, PreviousPlacement { machine: name.to_string(), proof });
                 }
@@ -112,9 +112,9 @@
         self.note_lost_work(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         let tasks: Vec<_> = std::mem::take(&mut machine.tasks).into_keys().collect();
-        machine.exited.clear();
-        machine.orphaned.clear();
-        machine.unverified.clear();
+        machine.reported.exited.clear();
+        machine.reported.orphaned.clear();
+        machine.reported.unverified.clear();
         for id in tasks {
             self.remove_placement(name, id, proof);
         }
--- a/src/scheduler/quarantine.rs
+++ b/src/scheduler/quarantine.rs
@@ -12,7 +12,8 @@
 impl Job {
     /// Nothing of it has finished, and it has failed on several machines: most likely it is wrong itself.
     pub(super) fn is_suspected(&self) -> bool {
-        self.succeeded.is_empty() && self.failed_on.len() >= limits::SUSPECT_JOB_MACHINES
+        self.progress.succeeded.is_empty()
+            && self.failure_history.machines.len() >= limits::SUSPECT_JOB_MACHINES
     }
 }
 
@@ -21,23 +22,23 @@
     pub(super) fn note_failure(&mut self, machine: &str, job_id: JobId, at_run: bool) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
-        job.failed_on.insert(machine.to_string());
-        let proven = !job.succeeded.is_empty();
+        job.failure_history.machines.insert(machine.to_string());
+        let proven = !job.progress.succeeded.is_empty();
         let suspected = job.is_suspected();
         if suspected || !at_run {
             // A job that fails everywhere must not loop hot.
-            let pause = limits::JOB_BACKOFF << job.failures.min(10);
-            job.failures += 1;
-            job.backoff_until = now + pause.min(limits::MAX_JOB_BACKOFF);
+            let pause = limits::JOB_BACKOFF << job.failure_history.count.min(10);
+            job.failure_history.count += 1;
+            job.failure_history.backoff_until = now + pause.min(limits::MAX_JOB_BACKOFF);
         }
         if !at_run {
             return;
         }
         if let Some(machine) = self.machines.get_mut(machine) {
             // Other machines first.
-            machine.no_room_backoff_until = now + limits::NO_ROOM_BACKOFF;
+            machine.health.no_room_backoff_until = now + limits::NO_ROOM_BACKOFF;
             if !suspected {
-                machine.failed_jobs.insert(job_id);
+                machine.health.failed_jobs.insert(job_id);
             }
         }
         self.judge_faults(machine, proven);
@@ -45,10 +46,13 @@
 
     /// A task of the job finished: where others of it failed, the machine is at fault.
     pub(super) fn note_success(&mut self, job_id: JobId) {
-        let Some(job) = self.jobs.get_mut(&job_id).filter(|job| !job.failed_on.is_empty()) else { return };
-        job.backoff_until = 0;
-        job.failures = 0;
-        for machine in std::mem::take(&mut job.failed_on) {
+        let Some(job) = self.jobs.get_mut(&job_id).filter(|job| !job.failure_history.machines.is_empty())
+        else {
+            return;
+        };
+        job.failure_history.backoff_until = 0;
+        job.failure_history.count = 0;
+        for machine in std::mem::take(&mut job.failure_history.machines) {
             self.judge_faults(&machine, true);
         }
     }
@@ -58,10 +62,10 @@
         let Some(machine) = self.machines.get_mut(name) else { return };
         // Jobs that have come under suspicion since say nothing of the machine.
         let suspected = |job_id: &JobId| jobs.get(job_id).is_some_and(Job::is_suspected);
-        let accusing = machine.failed_jobs.iter().filter(|job_id| !suspected(job_id)).count();
-        if (proven || accusing >= limits::MAX_MACHINE_FAILURES) && !machine.draining {
+        let accusing = machine.health.failed_jobs.iter().filter(|job_id| !suspected(job_id)).count();
+        if (proven || accusing >= limits::MAX_MACHINE_FAILURES) && !machine.lifecycle.draining {
             warn!(machine = name, "tasks fail on it: replacing it");
-            machine.draining = true;
+            machine.lifecycle.draining = true;
         }
     }
 }
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -6,10 +6,10 @@
 impl Machine {
     /// Its heartbeat came this way. Returns whether that is another way than before.
     pub fn set_route(&mut self, way: Option<usize>, now: u64) -> bool {
-        let other = self.via != way;
+        let other = self.route.via != way;
         if other {
-            self.previous_route = Some((self.via, now));
-            self.via = way;
+            self.route.previous = Some((self.route.via, now));
+            self.route.via = way;
         }
         other
     }
@@ -17,14 +17,14 @@
     /// A machine whose heartbeats arrive may be deaf: no answer and no command reaches it. It shows when
     /// heartbeats running bear no trace of anything that the answers before them said.
     pub(super) fn assess_reachability(&mut self, heartbeat: &Heartbeat, token: u64) {
-        if heartbeat.agent_epoch > self.agent_epoch {
+        if heartbeat.agent_epoch > self.heartbeats.agent_epoch {
             // Its lease ended although we answered, unless nobody answered it for as long.
-            self.unacknowledged_heartbeats +=
-                u32::from(self.agent_epoch > 0 && !self.unacknowledged_commands.is_empty());
-            self.unacknowledged_commands.clear();
+            self.commands.unacknowledged_heartbeats +=
+                u32::from(self.heartbeats.agent_epoch > 0 && !self.commands.unacknowledged.is_empty());
+            self.commands.unacknowledged.clear();
             return;
         }
-        if self.unacknowledged_commands.is_empty() && !self.token_unacknowledged {
+        if self.commands.unacknowledged.is_empty() && !self.commands.token_unacknowledged {
             return;
         }
         let status = |id: &TaskId, attempt: u64| {
@@ -38,10 +38,11 @@
                 !matches!(status(id, *attempt), Some(TaskStatus::Fetching | TaskStatus::Running))
             }
         };
-        let heard = self.token_unacknowledged && heartbeat.token == token
-            || self.unacknowledged_commands.iter().any(carried_out);
-        self.unacknowledged_heartbeats = if heard { 0 } else { self.unacknowledged_heartbeats + 1 };
-        self.unacknowledged_commands.clear();
-        self.token_unacknowledged = false;
+        let heard = self.commands.token_unacknowledged && heartbeat.token == token
+            || self.commands.unacknowledged.iter().any(carried_out);
+        self.commands.unacknowledged_heartbeats =
+            if heard { 0 } else { self.commands.unacknowledged_heartbeats + 1 };
+        self.commands.unacknowledged.clear();
+        self.commands.token_unacknowledged = false;
     }
 }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -87,7 +87,7 @@
     pub fn record(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let need = if machine.recorded { Need::Images } else { Need::New };
-        machine.images_changed = false;
+        machine.image_cache.changed = false;
         let most = self.config.record_machines;
         let records = &mut self.records;
         let key = records.of.get(name).cloned().unwrap_or_else(|| {
@@ -121,7 +121,7 @@
             let machine = self.machine(&stored);
             machine.recorded = true;
             machine.inherited = true;
-            machine.images.clone_from(&stored.images);
+            machine.image_cache.images.clone_from(&stored.images);
             for image in stored.images {
                 self.machines_by_image.entry(image).or_default().insert(stored.name.clone());
             }
@@ -213,7 +213,7 @@
             if !self.writes.take(2.0 + chunks.len() as f64) {
                 return false;
             }
-            job.write_in_flight = true;
+            job.progress.write_in_flight = true;
             let (version, tasks) = (job.version, job.spec.tasks);
             self.effects.push(Effect::Finish { job_id, version, tasks, chunks });
         }
@@ -225,19 +225,25 @@
     fn commit_done(&mut self) -> bool {
         let now = self.now;
         let ready = |j: &&Job| {
-            let waits = j.unrecorded_since.is_some_and(|since| now >= since + limits::FINISHED_TASKS_DELAY);
-            waits && !j.write_in_flight && !j.terminated && !j.unrecorded.is_empty() && j.unfinished() > 0
+            let waits =
+                j.progress.unrecorded_since.is_some_and(|since| now >= since + limits::FINISHED_TASKS_DELAY);
+            waits
+                && !j.progress.write_in_flight
+                && !j.terminated
+                && !j.progress.unrecorded.is_empty()
+                && j.unfinished() > 0
         };
         let mut ready: Vec<_> =
-            self.jobs.values().filter(ready).map(|j| (j.unrecorded_since, j.spec.job_id)).collect();
+            self.jobs.values().filter(ready).map(|j| (j.progress.unrecorded_since, j.spec.job_id)).collect();
         ready.sort_unstable();
         for (_, job_id) in ready {
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
             if !self.writes.take(1.0) {
                 return false;
             }
-            job.write_in_flight = true;
-            let (version, tasks, all_done) = (job.version, job.unrecorded.clone(), job.succeeded.clone());
+            job.progress.write_in_flight = true;
+            let (version, tasks, all_done) =
+                (job.version, job.progress.unrecorded.clone(), job.progress.succeeded.clone());
             self.effects.push(Effect::CommitDone { job_id, version, tasks, all_done });
         }
         true
@@ -246,11 +252,11 @@
     pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: WriteOutcome) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
-        job.write_in_flight = false;
+        job.progress.write_in_flight = false;
         if outcome == WriteOutcome::Done {
-            job.recorded_chunks.extend(tasks.iter().map(|t| t / limits::FINISHED_TASKS_CHUNK));
-            job.unrecorded.retain(|t| !tasks.contains(t));
-            job.unrecorded_since = (!job.unrecorded.is_empty()).then_some(now);
+            job.progress.recorded_chunks.extend(tasks.iter().map(|t| t / limits::FINISHED_TASKS_CHUNK));
+            job.progress.unrecorded.retain(|t| !tasks.contains(t));
+            job.progress.unrecorded_since = (!job.progress.unrecorded.is_empty()).then_some(now);
         }
     }
 }
@@ -266,7 +272,7 @@
 
 fn stored_machine(machine: &Machine) -> StoredMachine {
     let mut room = limits::RECORD_IMAGE_BYTES;
-    let images = machine.images.iter().take_while(|image| {
+    let images = machine.image_cache.images.iter().take_while(|image| {
         room = room.saturating_sub(image.len() + 3);
         room > 0
     });
@@ -282,11 +288,14 @@
 
 impl Job {
     fn ready_to_finish(&self) -> bool {
-        self.spec.kind != Kind::Service && self.unfinished() == 0 && !self.write_in_flight && !self.terminated
+        self.spec.kind != Kind::Service
+            && self.unfinished() == 0
+            && !self.progress.write_in_flight
+            && !self.terminated
     }
 
     /// The keys of finished tasks that may have been written.
     fn chunks(&self) -> Vec<u32> {
-        self.recorded_chunks.iter().copied().collect()
+        self.progress.recorded_chunks.iter().copied().collect()
     }
 }
--- a/src/scheduler/scaling_plan.rs
+++ b/src/scheduler/scaling_plan.rs
@@ -69,8 +69,8 @@
     /// Takes up the plan. Machines in an unreachable zone, booting or not, help nobody until it is back, so that none
     /// is counted on or rented there.
     pub fn begin_plan(&mut self) {
-        let queue = self.jobs.values().filter(|j| !j.terminated && !j.pending_tasks.is_empty());
-        let mut queue: Vec<&Job> = queue.filter(|j| j.backoff_until <= self.now).collect();
+        let queue = self.jobs.values().filter(|j| !j.terminated && !j.progress.pending.is_empty());
+        let mut queue: Vec<&Job> = queue.filter(|j| j.failure_history.backoff_until <= self.now).collect();
         queue.sort_by_key(|j| (std::cmp::Reverse(self.rank(j)), j.submitted_at, j.spec.job_id));
         let queue: Vec<JobId> = queue.into_iter().map(|j| j.spec.job_id).collect();
         let mut plan = Plan {
@@ -80,7 +80,8 @@
             wanted: BTreeMap::new(),
             teams: self.team_usage(),
         };
-        let booting = self.machines.values().filter(|m| m.state == MachineState::Pending && !m.deleting);
+        let booting =
+            self.machines.values().filter(|m| m.state == MachineState::Pending && !m.lifecycle.deleting);
         let booting = booting.filter(|m| !self.drains.is_kept(&m.name));
         for machine in booting {
             let offer = (machine.machine_type.clone(), machine.zone.clone(), machine.spot);
@@ -165,7 +166,7 @@
         let needs = &job.spec.resource_request;
         let mut zones = ZoneCount::of(job, &self.machines);
         let most = self.team_room(job, &plan.teams);
-        let mut left = (job.pending_tasks.len() as u32).min(most);
+        let mut left = (job.progress.pending.len() as u32).min(most);
         // What is coming, machines in use and with the least room first.
         *steps += 1 + plan.coming.len();
         plan.coming.retain(|g| g.count > 0);
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -67,7 +67,7 @@
     let dearer = job.spec.spot && !machine.spot;
     let kind = i64::from(dearer && fixed_work);
     let cold = machine.image_fetches(&job.spec.image);
-    let last_resort = i64::from(machine.consolidation_target) + i64::from(dearer);
+    let last_resort = i64::from(machine.lifecycle.consolidation_target) + i64::from(dearer);
     ([kind, cold, last_resort], emptiness(job, room))
 }
 
--- a/src/scheduler/stale_heartbeats.rs
+++ b/src/scheduler/stale_heartbeats.rs
@@ -26,17 +26,18 @@
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
         let overtaken = periodic
-            && heartbeat.agent_epoch == machine.agent_epoch
-            && heartbeat.sequence > machine.last_heartbeat_sequence
+            && heartbeat.agent_epoch == machine.heartbeats.agent_epoch
+            && heartbeat.sequence > machine.heartbeats.last_sequence
             && machine.state != MachineState::Lost;
-        let (agent_epoch, sequence, newest) = (heartbeat.agent_epoch, heartbeat.sequence, machine.sequence);
+        let (agent_epoch, sequence, newest) =
+            (heartbeat.agent_epoch, heartbeat.sequence, machine.heartbeats.sequence);
         if overtaken {
             debug!(
                 machine = heartbeat.machine,
                 agent_epoch, sequence, newest, "heartbeat overtaken by a direct response"
             );
-            machine.last_heartbeat_sequence = heartbeat.sequence;
-            machine.last_heartbeat_at = now;
+            machine.heartbeats.last_sequence = heartbeat.sequence;
+            machine.heartbeats.last_at = now;
             self.ignored_heartbeats.overtaken += 1;
             return HeartbeatOutcome::Overtaken;
         }
@@ -44,7 +45,7 @@
             machine = heartbeat.machine,
             agent_epoch, sequence, newest, periodic, "late heartbeat ignored"
         );
-        if periodic && !std::mem::replace(&mut machine.stale_heartbeat_logged, true) {
+        if periodic && !std::mem::replace(&mut machine.heartbeats.stale_logged, true) {
             info!(
                 machine = heartbeat.machine,
                 agent_epoch, sequence, newest, "late or duplicate heartbeat; further ones are only counted"
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -11,7 +11,7 @@
     pub(super) fn take_exit(&mut self, name: &str, id: TaskId, attempt: u64, reason: ExitReason) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let news = machine.exited.insert((id, attempt), reason).is_none();
+        let news = machine.reported.exited.insert((id, attempt), reason).is_none();
         let held = machine.tasks.get(&id).is_some_and(|t| t.attempt == attempt);
         let intended = machine.tasks.get(&id).is_some_and(|t| t.stopping.is_some());
         if held {
@@ -40,12 +40,12 @@
                         Kind::Gang => 0..job.spec.tasks,
                         Kind::Array => id.task..id.task + 1,
                     };
-                    let before = job.succeeded.len();
-                    job.succeeded.extend(ended.clone());
-                    if job.succeeded.len() > before {
-                        job.pending_tasks.retain(|task| !ended.contains(task));
-                        job.unrecorded.extend(ended);
-                        job.unrecorded_since.get_or_insert(now);
+                    let before = job.progress.succeeded.len();
+                    job.progress.succeeded.extend(ended.clone());
+                    if job.progress.succeeded.len() > before {
+                        job.progress.pending.retain(|task| !ended.contains(task));
+                        job.progress.unrecorded.extend(ended);
+                        job.progress.unrecorded_since.get_or_insert(now);
                     }
                 }
                 self.note_success(id.job_id);
@@ -56,12 +56,12 @@
             // Stopped, or it found its mates gone or never come: the attempt is over for all of a gang.
             ExitReason::Stopped => {
                 if let Some(job) = self.jobs.get_mut(&id.job_id).filter(|j| j.spec.kind == Kind::Gang) {
-                    job.ended_attempt = job.ended_attempt.max(attempt);
+                    job.gang.ended_attempt = job.gang.ended_attempt.max(attempt);
                 }
             }
             ExitReason::NoRoom | ExitReason::Busy => {
                 if let Some(machine) = self.machines.get_mut(name) {
-                    machine.no_room_backoff_until = now + limits::NO_ROOM_BACKOFF;
+                    machine.health.no_room_backoff_until = now + limits::NO_ROOM_BACKOFF;
                 }
             }
             _ => {}
@@ -80,11 +80,11 @@
         let slow = ran as f64 > limits::SLOW_FACTOR * sum as f64 / count as f64;
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
-        machine.slow_votes = if slow { machine.slow_votes + 1 } else { 0 };
-        if machine.slow_votes >= limits::MAX_SLOW_TASKS {
+        machine.health.slow_tasks = if slow { machine.health.slow_tasks + 1 } else { 0 };
+        if machine.health.slow_tasks >= limits::MAX_SLOW_TASKS {
             warn!(machine = name, "slow: no arrays here for a while");
-            machine.slow_votes = 0;
-            machine.slow_until = now + limits::SLOW_MACHINE_QUARANTINE;
+            machine.health.slow_tasks = 0;
+            machine.health.quarantined_until = now + limits::SLOW_MACHINE_QUARANTINE;
         }
     }
 }
--- a/src/scheduler/termination_proof.rs
+++ b/src/scheduler/termination_proof.rs
@@ -37,8 +37,8 @@
 impl TerminationProof {
     /// The lease of this machine is counted as over.
     pub(super) fn lease_expired(machine: &Machine, now: u64) -> Self {
-        let answered = machine.last_renewal.at().max(machine.last_heartbeat_at);
-        TerminationProof::LeaseExpired { last_renewal: answered, via: machine.via, at: now }
+        let answered = machine.last_renewal.at().max(machine.heartbeats.last_at);
+        TerminationProof::LeaseExpired { last_renewal: answered, via: machine.route.via, at: now }
     }
 }
 
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -245,7 +245,7 @@
     let mut bed = Bed::new(4, 0.0);
     bed.submit(spec(1, Kind::Array, Priority::Low, 40));
     let slow = "m-000000".to_string();
-    let judged = |bed: &Bed| bed.scheduler.machines[&slow].slow_until > bed.now;
+    let judged = |bed: &Bed| bed.scheduler.machines[&slow].health.quarantined_until > bed.now;
     let mut slow_since = bed.now;
     while !judged(&bed) {
         assert!(bed.now < 120 * SECOND, "never recognised");
@@ -275,7 +275,7 @@
     bed.heartbeat();
     assert!(!bed.scheduler.machines.contains_key(&gone));
     let places: usize = bed.scheduler.jobs[&JobId(1)].placements.values().map(Vec::len).sum();
-    assert_eq!((places, bed.scheduler.jobs[&JobId(1)].pending_tasks.len()), (1, 1));
+    assert_eq!((places, bed.scheduler.jobs[&JobId(1)].progress.pending.len()), (1, 1));
 }
 
 /// A record that an earlier version made may be larger than the state service takes from now on: written again as
