--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -13,7 +13,7 @@
 mod store_responses;
 
 use crate::lease::cancellation_log::{Attestation, CancellationLog};
-use crate::limits::{self};
+use crate::limits;
 use crate::protocol::records::Epoch;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
--- /dev/null
+++ b/src/limits/mod.rs
@@ -0,0 +1,34 @@
+//! Every constant of the service, with its unit and the reason for its value. What follows from the
+//! settings is a function of them. Times are microseconds of the steady clock unless the name says otherwise.
+
+mod autoscaling;
+mod client;
+mod cold_start;
+mod drain;
+mod election;
+mod lease;
+mod observability;
+mod persistence;
+mod scheduling;
+mod shard;
+mod transport;
+
+pub use autoscaling::*;
+pub use client::*;
+pub use cold_start::*;
+pub use drain::*;
+pub use election::*;
+pub use lease::*;
+pub use observability::*;
+pub use persistence::*;
+pub use scheduling::*;
+pub use shard::*;
+pub use transport::*;
+
+/// Microseconds in a second.
+pub const SECOND: u64 = 1_000_000;
+
+/// Seconds, as the settings give them, in microseconds.
+pub fn micros(seconds: f64) -> u64 {
+    (seconds.max(0.0) * SECOND as f64) as u64
+}
