--- a/src/api.rs
+++ b/src/api.rs
@@ -23,6 +23,7 @@
 use tokio::sync::{mpsc, oneshot, watch, Semaphore, SemaphorePermit};
 use tracing::{debug, info, warn};
 
+/// The machine types of the cloud's catalog, by name.
 pub type Types = Arc<BTreeMap<String, MachineType>>;
 /// Per job: finished and running tasks, as the leader last said.
 pub type Summary = Arc<HashMap<JobId, (u32, u32)>>;
@@ -37,6 +38,7 @@
 /// What the owner of the state thinks of this node.
 #[derive(Default)]
 pub struct Health {
+    /// Whether `/healthz` answers 200.
     pub healthy: AtomicBool,
     /// The state service does not answer this node, and others may fare better.
     pub cut_off: AtomicBool,
@@ -52,13 +54,20 @@
     pub draining: Draining,
 }
 
+/// The HTTP endpoints of a node and what they share.
 pub struct Api {
+    /// Client of the key-value store.
     pub store: KeyValueStore,
     live: LiveJobCache,
+    /// What requests are checked against.
     pub settings: ApiSettings,
+    /// The machine types last read.
     pub types: watch::Receiver<Types>,
+    /// The counts of tasks last received from the leader.
     pub summary: watch::Receiver<Summary>,
+    /// Queue of the controller's event loop. It is bounded: when it is full, requests are refused with `Retry-After`.
     pub events: mpsc::Sender<Event>,
+    /// Written by the event loop, read by every request.
     pub health: Arc<Health>,
     /// Turns of submissions and cancellations, and of polls.
     changes: Semaphore,
@@ -122,6 +131,7 @@
 }
 
 impl Api {
+    /// Endpoints for one node; `capacity` bounds the requests that are served at once.
     pub fn new(
         store: KeyValueStore,
         settings: ApiSettings,
@@ -443,6 +453,7 @@
     }
 }
 
+/// The routes of all endpoints.
 pub fn routes(api: Arc<Api>) -> impl IntoEndpoint {
     Route::new()
         .at("/submissions", post(post_submission))
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -58,6 +58,7 @@
     }
 }
 
+/// Runs the program with the given arguments, the program's name first, and returns its exit code.
 pub fn run(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let arguments = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => arguments,
--- a/src/client/drains.rs
+++ b/src/client/drains.rs
@@ -20,6 +20,7 @@
     Start(StartOptions),
     /// List all drains
     List {
+        /// How the controller is reached.
         #[command(flatten)]
         client: ClientOptions,
     },
@@ -27,6 +28,7 @@
     Show {
         /// The drain
         id: String,
+        /// How the controller is reached.
         #[command(flatten)]
         client: ClientOptions,
     },
@@ -34,6 +36,7 @@
     Pause {
         /// The drain
         id: String,
+        /// How the controller is reached.
         #[command(flatten)]
         client: ClientOptions,
     },
@@ -41,6 +44,7 @@
     Resume {
         /// The drain
         id: String,
+        /// How the controller is reached.
         #[command(flatten)]
         client: ClientOptions,
     },
@@ -48,11 +52,13 @@
     Cancel {
         /// The drain
         id: String,
+        /// How the controller is reached.
         #[command(flatten)]
         client: ClientOptions,
     },
     /// Show each team's budget and what is left of it
     Budgets {
+        /// How the controller is reached.
         #[command(flatten)]
         client: ClientOptions,
     },
@@ -88,6 +94,7 @@
     /// Rent a machine like it for each before it is emptied
     #[arg(long)]
     replace: bool,
+    /// How the controller is reached.
     #[command(flatten)]
     client: ClientOptions,
 }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -8,6 +8,7 @@
 use reqwest::Method;
 use tracing::{debug, warn};
 
+/// Client of the cloud's HTTP interface. Cheap to clone.
 #[derive(Clone)]
 pub struct Cloud {
     http: Http,
@@ -15,6 +16,7 @@
 }
 
 impl Cloud {
+    /// A client for the cloud at this address.
     pub fn new(http: Http, address: std::net::SocketAddr) -> Self {
         Cloud { http, base: format!("http://{address}") }
     }
@@ -39,6 +41,7 @@
         }
     }
 
+    /// The machine types on offer; `None` when the cloud refuses, does not answer or sends what cannot be read.
     pub async fn catalog(&self) -> Option<Catalog> {
         self.read("/catalog").await
     }
@@ -67,6 +70,7 @@
         Some((machines, page.has_more))
     }
 
+    /// Rents machines; returns the outcome and the names of those rented. After an unknown outcome the same request name must be repeated.
     pub async fn rent(&self, rental: &RentalRequest<'_>) -> (WriteOutcome, Vec<String>) {
         let Ok(body) = serde_json::to_vec(rental) else { return (WriteOutcome::Refused, Vec::new()) };
         match self.call(Method::POST, "/rentals", Some(body)).await {
@@ -81,6 +85,7 @@
         }
     }
 
+    /// Deletes machines. The outcome `Done` proves that they and their tasks are gone.
     pub async fn delete(&self, names: &[String]) -> WriteOutcome {
         let Ok(body) = serde_json::to_vec(&MachineNames { machines: names.to_vec() }) else {
             return WriteOutcome::Refused;
@@ -97,6 +102,7 @@
     answer.status == 503 && !String::from_utf8_lossy(&answer.body).contains("no capacity")
 }
 
+/// The machine types of a catalog.
 pub fn types(catalog: &Catalog) -> Vec<MachineType> {
     catalog
         .machine_types
--- a/src/http.rs
+++ b/src/http.rs
@@ -4,6 +4,7 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
+/// Why a request has no response.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// It never left: the connection could not be made.
@@ -14,15 +15,20 @@
     NoAnswer(String),
 }
 
+/// An HTTP client; clones share its connections.
 #[derive(Clone)]
 pub struct Http(reqwest::Client);
 
+/// A response.
 pub struct Answer {
+    /// HTTP status code.
     pub status: u16,
+    /// The body as received.
     pub body: Vec<u8>,
 }
 
 impl Http {
+    /// A client that keeps idle connections for `limits::IDLE_CONNECTION_TIMEOUT`.
     pub fn new() -> Result<Self, reqwest::Error> {
         Self::builder().pool_idle_timeout(limits::IDLE_CONNECTION_TIMEOUT).build().map(Http)
     }
@@ -40,6 +46,7 @@
             .redirect(reqwest::redirect::Policy::none())
     }
 
+    /// Sends a request and reads the whole response within `timeout`.
     pub async fn call(
         &self,
         method: reqwest::Method,
@@ -73,10 +80,12 @@
 }
 
 impl Clock {
+    /// Starts a clock at a random point, so that times of different processes are not comparable by accident.
     pub fn start() -> Self {
         Clock { begun: Instant::now(), base: rand::random_range((1 << 40)..(1 << 50)) }
     }
 
+    /// Microseconds of this process's steady clock.
     pub fn now(&self) -> u64 {
         self.base + self.begun.elapsed().as_micros() as u64
     }
--- a/src/limits/autoscaling.rs
+++ b/src/limits/autoscaling.rs
@@ -20,9 +20,11 @@
 pub const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
 /// First pause after a refused rental of one type, zone and kind; doubles up to the longest.
 pub const RENTAL_BACKOFF: u64 = 8_000_000;
+/// The longest pause after refused rentals, in microseconds.
 pub const MAX_RENTAL_BACKOFF: u64 = 60_000_000;
 /// `how_many` is at most 50, a deletion names at most 100 machines (PROTOCOL).
 pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
+/// Machines that one deletion may name (PROTOCOL).
 pub const MAX_MACHINES_PER_DELETION: usize = 100;
 /// Machines on a page of the cloud's list, the most that PROTOCOL allows: a fleet of 1,900 is four calls.
 pub const MACHINE_LIST_PAGE_SIZE: u32 = 500;
--- a/src/limits/persistence.rs
+++ b/src/limits/persistence.rs
@@ -9,9 +9,11 @@
 pub const FINISHED_TASKS_DELAY: u64 = 4_000_000;
 /// A machine that is gone stays in its record this long, and new images out of it, so that others join.
 pub const DELETED_MACHINE_RECORD_DELAY: u64 = 4_000_000;
+/// New images of a machine are recorded after this time, in microseconds.
 pub const IMAGE_RECORD_DELAY: u64 = 20_000_000;
 /// Bytes of image names that a record keeps for each machine, and bytes of everything else.
 pub const RECORD_IMAGE_BYTES: usize = 120;
+/// Bytes of a machine's record besides its images.
 pub const RECORD_MACHINE_BYTES: usize = 180;
 
 /// Bytes of a value of the state service, a margin left.
--- a/src/limits/scheduling.rs
+++ b/src/limits/scheduling.rs
@@ -11,6 +11,7 @@
 /// What a decision step costs in microseconds of a full core, a margin included, and the share of this process's
 /// processor time that rounds may take: after a round the next one waits until it is paid for.
 pub const STEP_COST_US: f64 = 0.4;
+/// Share of this process's processor time that rounds may take.
 pub const ROUND_CPU_SHARE: f64 = 0.3;
 /// Rounds are never further apart than this while there is news: heartbeats wait for them.
 pub const MAX_ROUND_PAUSE: u64 = 300_000;
@@ -27,6 +28,7 @@
 /// lowest it passes the highest but critical within three minutes, so that with a boot and a fetch the
 /// widest jobs of a class begin within four (the users' rule), also behind a stream of narrow ones.
 pub const AGING_DELAY: u64 = 90_000_000;
+/// A waiting job gains a class of priority in this time, in microseconds.
 pub const AGING_INTERVAL: u64 = 30_000_000;
 /// A job ages by its size against the average, at most so many times faster or slower: owners' estimates are
 /// often wrong by half, and a job of a single task must not pass all others at once.
@@ -45,12 +47,14 @@
 pub const SUSPECT_JOB_MACHINES: usize = 3;
 /// First pause of a job whose task failed; doubles up to the longest.
 pub const JOB_BACKOFF: u64 = 2_000_000;
+/// The longest pause of a job whose tasks fail, in microseconds.
 pub const MAX_JOB_BACKOFF: u64 = 60_000_000;
 /// A machine that refused a start for want of room is left alone this long.
 pub const NO_ROOM_BACKOFF: u64 = 3_000_000;
 /// Where the settings do not say how long a gang's tasks wait for one another, and how soon they notice a loss:
 /// what the operators' files have at least and at most.
 pub const GANG_WAIT_S: f64 = 30.0;
+/// How soon a gang's tasks notice that one is gone, in seconds, where the settings do not say.
 pub const GANG_PEER_S: f64 = 6.0;
 
 /// A gang that waits for some of its tasks and finds no room for them is stopped whole after this: within the
@@ -66,6 +70,9 @@
 /// multiple of their mean (on simulated machines, tasks of one job differ by up to 2.3 times from
 /// shortest to longest); so many slow ones in a row keep arrays off the machine for this long.
 pub const MIN_SPEED_SAMPLES: u64 = 3;
+/// A task is slow beyond this multiple of its job's mean run time.
 pub const SLOW_FACTOR: f64 = 2.0;
+/// Slow tasks in a row after which a machine is quarantined.
 pub const MAX_SLOW_TASKS: u32 = 2;
+/// How long a slow machine gets no arrays and gangs, in microseconds.
 pub const SLOW_MACHINE_QUARANTINE: u64 = 60_000_000;
--- a/src/limits/transport.rs
+++ b/src/limits/transport.rs
@@ -30,6 +30,7 @@
     /// Submissions and cancellations in progress at once, and polls; beyond it they are shed with `Retry-After`.
     /// Polls must not take the turns of those that change something.
     pub changes: usize,
+    /// Polls in progress at once.
     pub polls: usize,
     /// Commands to workers' addresses at once, a connection each.
     pub direct_commands: usize,
@@ -39,6 +40,7 @@
 }
 
 impl Capacity {
+    /// What these limits of the platform leave room for.
     pub fn of(max_sockets: usize, memory_mb: f64) -> Self {
         let sockets = max_sockets.clamp(64, 65_536);
         let memory = (memory_mb.clamp(16.0, 65_536.0) * 1024.0 * 1024.0) as usize;
@@ -73,6 +75,7 @@
 pub const POLL_BATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// A watch: how long it waits, and how much longer we wait for it.
 pub const STORE_WATCH_MS: u64 = 4_000;
+/// How much longer than asked for a watch may take.
 pub const STORE_WATCH_MARGIN: Duration = Duration::from_millis(1_500);
 /// Pause after a failed state request, doubled at random, against stampedes after an outage.
 pub const STORE_RETRY_DELAY_MS: u64 = 250;
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -162,6 +162,7 @@
     Ok(names)
 }
 
+/// The bytes of a frame.
 pub fn encode(sender: Sender, sequence: u64, payload: &Payload) -> Vec<u8> {
     let mut head = Head {
         magic: MAGIC.into(),
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -15,55 +15,76 @@
 use crate::scheduler::model::Heartbeat;
 use crate::scheduler::TaskCommand;
 
+/// The content of a frame.
 #[derive(Debug, Clone)]
 pub enum Payload {
+    /// A message of leadership with the sender's status.
     Leadership(Status, Message),
     /// (job number, finished, running)
     Summary(Vec<(u64, u32, u32)>),
     /// A heartbeat passed on to the leader, with the stamp of its last heartbeat.
     RelayedHeartbeat {
+        /// Number of the request.
         id: u64,
+        /// Send time of the leader's last heartbeat, on the leader's clock, in microseconds.
         stamp: u64,
+        /// The worker's heartbeat.
         heartbeat: Heartbeat,
     },
     /// The leader's answer to it; without a token it is not entitled to give one.
     RelayedResponse {
+        /// Number of the request that is answered.
         id: u64,
+        /// The leader's fencing token; `None`: the sender may not act.
         token: Option<u64>,
+        /// The leaseholder may answer the next unchanged heartbeats by itself.
         cacheable: bool,
+        /// Commands for the worker.
         task_commands: Vec<TaskCommand>,
     },
     /// Machines whose next heartbeat is to be passed on.
     WakeRequest(Vec<String>),
     /// Machines that their leaseholder answered by itself, with the stamp of the leader's last heartbeat.
     ShardHeartbeat {
+        /// Number of the heartbeat.
         id: u64,
+        /// Send time of the leader's last heartbeat, on the leader's clock, in microseconds.
         stamp: u64,
         /// These are all that were answered since the last word that was confirmed.
         complete: bool,
         /// None was confirmed yet.
         first_of_incarnation: bool,
+        /// Names of the machines answered.
         machines: Vec<String>,
     },
     /// The leader has taken note: the leaseholder may go on by itself for so long.
     ShardHeartbeatAck {
+        /// Number of the heartbeat that is acknowledged.
         id: u64,
+        /// Length of the shard lease, in milliseconds from when the heartbeat was sent.
         lease_ms: u32,
     },
+    /// What the sender attests of cancellations.
     Attestation(Attestation),
 }
 
+/// A frame that arrived.
 #[derive(Debug)]
 pub struct Received {
+    /// Index of the sending node.
     pub from: usize,
+    /// The sender's process.
     pub incarnation: u64,
+    /// The content.
     pub payload: Payload,
 }
 
 /// Who we are, in every frame.
 #[derive(Debug, Clone, Copy)]
 pub struct Sender {
+    /// Index of the node.
     pub node: usize,
+    /// Drawn at random when the process started.
     pub incarnation: u64,
 }
 
--- a/src/scheduler/autoscaler.rs
+++ b/src/scheduler/autoscaler.rs
@@ -11,9 +11,11 @@
 /// One kind of machine that the cloud may have: type, zone, spot or not.
 pub type Offer = (String, String, bool);
 
+/// State of the autoscaler: rentals under way, refused offers, deleted machines.
 #[derive(Debug, Default)]
 pub struct Fleet {
     due: u64,
+    /// Number of the last rental request.
     pub requests: u64,
     /// Requests without an answer yet, and how many machines each asks for.
     pub renting: BTreeMap<u64, (Offer, u32)>,
@@ -32,12 +34,14 @@
 }
 
 impl Fleet {
+    /// State of a leader that begins now.
     pub fn new(now: u64) -> Self {
         Fleet { due: now, ..Fleet::default() }
     }
 }
 
 impl Scheduler {
+    /// Scales out and in, once in a while; a plan that its budget did not suffice for goes on.
     pub fn fleet_round(&mut self) {
         if self.now < self.fleet.due {
             return;
@@ -57,10 +61,12 @@
             self.now + if complete { limits::AUTOSCALER_INTERVAL } else { limits::AUTOSCALER_RESUME_DELAY };
     }
 
+    /// Whether the cloud refused this offer lately.
     pub fn refused(&self, offer: &Offer) -> bool {
         self.fleet.refused.get(offer).is_some_and(|(until, _)| self.now < *until)
     }
 
+    /// Scales in: deletes machines that have been idle for long enough, except those in `kept`.
     pub fn return_idle(&mut self, kept: &BTreeSet<String>) {
         let now = self.now;
         let operator = self.config.operator.clone();
@@ -117,6 +123,7 @@
         }
     }
 
+    /// The cloud answered a deletion.
     pub fn deleted(&mut self, names: Vec<String>, outcome: WriteOutcome) {
         for name in names {
             if outcome != WriteOutcome::Done {
@@ -148,6 +155,7 @@
         }
     }
 
+    /// The cloud answered a rental request.
     pub fn rented(&mut self, request: u64, machines: Option<Vec<String>>, outcome: WriteOutcome) {
         if self.replacement_rented(request, &machines, outcome) {
             return;
@@ -183,6 +191,7 @@
         }
     }
 
+    /// The cloud's list of machines arrived. It lags: it is only ever a hint.
     pub fn listed(&mut self, list: Vec<ListedMachine>) {
         let now = self.now;
         self.fleet.deleted.retain(|_, since| now < *since + limits::DELETED_MACHINE_RETENTION);
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -65,6 +65,7 @@
         self.next_round_at = self.now + rest.max(idle);
     }
 
+    /// Notes why a job is pending, for operators.
     pub fn wait(&mut self, job_id: JobId, why: &'static str) {
         if let Some(job) = self.jobs.get_mut(&job_id) {
             if job.pending_reason != why {
@@ -156,6 +157,7 @@
         }
     }
 
+    /// Reserves a slot on the machine for the job's next pending task.
     pub fn assign(&mut self, job_id: JobId, machine: &str, attempt: u64, capacity: &mut FreeCapacity) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let Some(task) = job.progress.pending.pop_first() else { return };
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -15,7 +15,10 @@
     /// All are placed under one attempt.
     Whole,
     /// Some are placed and wait for the rest, which may join them under the same attempt.
-    Waiting { attempt: u64 },
+    Waiting {
+        /// The attempt that the rest may join.
+        attempt: u64,
+    },
     /// A task is gone since it ran, or was told to stop, or gave up waiting: the attempt is over, and the next
     /// one begins when each of its tasks is provably gone.
     Broken,
--- a/src/scheduler/scaling_plan.rs
+++ b/src/scheduler/scaling_plan.rs
@@ -20,6 +20,7 @@
     count: u32,
 }
 
+/// A plan of scaling out: the queue is placed on machines that are not there yet.
 #[derive(Debug)]
 pub struct Plan {
     queue: std::vec::IntoIter<JobId>,
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -8,6 +8,7 @@
 pub struct ZoneCount(BTreeMap<String, u32>);
 
 impl ZoneCount {
+    /// Counts the placements of a job; empty where zones make no difference to it.
     pub fn of(job: &Job, machines: &BTreeMap<String, Machine>) -> Self {
         let mut count = ZoneCount::default();
         // A job to which zones make no difference need not be counted.
@@ -20,20 +21,24 @@
         count
     }
 
+    /// One more task in the zone.
     pub fn add(&mut self, zone: &str) {
         self.add_many(zone, 1);
     }
 
+    /// So many more tasks in the zone.
     pub fn add_many(&mut self, zone: &str, tasks: u32) {
         *self.0.entry(zone.into()).or_default() += tasks;
     }
 
+    /// One task less in the zone.
     pub fn remove(&mut self, zone: &str) {
         if let Some(n) = self.0.get_mut(zone) {
             *n = n.saturating_sub(1);
         }
     }
 
+    /// Tasks in the zone.
     pub fn get(&self, zone: &str) -> u32 {
         self.0.get(zone).copied().unwrap_or(0)
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -7,49 +7,92 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
+/// Why a settings file is refused. The text names file, field or line.
 #[derive(Debug, Error)]
 pub enum SettingsError {
+    /// The file cannot be read.
     #[error("{file}: {source}")]
-    Unreadable { file: PathBuf, source: std::io::Error },
+    Unreadable {
+        /// The file.
+        file: PathBuf,
+        /// What the system said.
+        source: std::io::Error,
+    },
+    /// A field is missing or invalid.
     #[error("{file}: field `{field}`: {why}")]
-    Field { file: PathBuf, field: String, why: String },
+    Field {
+        /// The file.
+        file: PathBuf,
+        /// The field, with its path.
+        field: String,
+        /// What is wrong with it.
+        why: String,
+    },
+    /// A line is invalid.
     #[error("{file}: line {line}: {why}")]
-    Line { file: PathBuf, line: usize, why: String },
+    Line {
+        /// The file.
+        file: PathBuf,
+        /// The line, counted from 1.
+        line: usize,
+        /// What is wrong with it.
+        why: String,
+    },
 }
 
 /// What the platform hands over. Fields it may add later are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
+    /// Name of this node.
     pub node_name: String,
+    /// Zone of this node.
     #[serde(rename = "site")]
     pub zone: String,
+    /// Where users and workers connect.
     pub public_addr: SocketAddr,
+    /// Where the other controllers connect.
     pub peer_bind: SocketAddr,
+    /// The other controllers.
     #[serde(default)]
     pub members: Vec<Member>,
+    /// Addresses of the cloud and the key-value store.
     pub external: External,
+    /// What all nodes of the deployment share.
     pub deployment: Deployment,
 }
 
+/// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Member {
+    /// Its name.
     pub node_name: String,
+    /// Where it takes frames.
     pub peer_addr: SocketAddr,
 }
 
+/// Services that the platform runs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
+    /// The cloud's interface.
     pub cloud: SocketAddr,
+    /// The key-value store.
     pub state: SocketAddr,
 }
 
+/// The deployment: zones, teams and the limits of the services around it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// Teams with their quotas.
     pub teams: Vec<Team>,
+    /// Times that the workers keep to.
     pub workers: Workers,
+    /// Limits of the key-value store.
     pub state: StateLimits,
+    /// Limits of the cloud's interface.
     pub cloud: CloudLimits,
+    /// What this process may use.
     #[serde(default)]
     pub resources: Machine,
 }
@@ -60,7 +103,9 @@
 pub struct Machine {
     /// Share of one processor core.
     pub cpu: f64,
+    /// Memory, in megabytes.
     pub memory_mb: f64,
+    /// Open sockets.
     pub max_sockets: usize,
 }
 
@@ -70,27 +115,38 @@
     }
 }
 
+/// A team's guarantee and limit; 0: none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
+    /// The team's name.
     pub name: String,
+    /// Guaranteed processors.
     #[serde(default)]
     pub cpus: f64,
+    /// The most processors.
     #[serde(default)]
     pub cpus_max: f64,
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
+    /// The most GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
+/// Times that the workers keep to, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
+    /// Interval between heartbeats.
     pub report_s: f64,
+    /// A worker's lease: its tasks end when no heartbeat sent within this time was answered.
     pub lease_s: f64,
+    /// Tasks of a cancelled job must have ended this long after its user was told.
     pub cancel_s: f64,
     /// How long a task of a gang waits for the others, and how soon it notices that one is gone.
     #[serde(default = "Workers::gang_wait_s")]
     pub gang_wait_s: f64,
+    /// How soon a task of a gang notices that another one is gone.
     #[serde(default = "Workers::gang_peer_s")]
     pub gang_peer_s: f64,
 }
@@ -105,11 +161,16 @@
     }
 }
 
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// Puts and deletes a second.
     pub write_rps: f64,
+    /// Size of a value, in KiB.
     pub value_kb: f64,
+    /// Puts and deletes in one transaction.
     pub txn_ops: usize,
     /// What the limits will be from some moment on, without notice.
     #[serde(default)]
@@ -120,9 +181,13 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct NextLimits {
+    /// Requests a second.
     pub rps: Option<f64>,
+    /// Puts and deletes a second.
     pub write_rps: Option<f64>,
+    /// Size of a value, in KiB.
     pub value_kb: Option<f64>,
+    /// Puts and deletes in one transaction.
     pub txn_ops: Option<usize>,
 }
 
@@ -138,9 +203,12 @@
     }
 }
 
+/// Limits of the cloud's interface.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// By how many seconds the machine list lags.
     pub list_lag_s: f64,
 }
 
@@ -149,10 +217,12 @@
 }
 
 impl Settings {
+    /// Reads and checks the platform's file.
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         Self::parse(&read(file)?, file)
     }
 
+    /// Checks the text of the platform's file; `file` is named in errors.
     pub fn parse(text: &str, file: &Path) -> Result<Self, SettingsError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let mut settings: Settings =
