--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -200,7 +200,7 @@
             return;
         }
         if let Some((leader, token, stamp)) = followed {
-            if heartbeat.token <= token && peer::carries(&heartbeat) {
+            if heartbeat.token <= token && peer::fits_frame(&heartbeat) {
                 let id = self.request_ids.take();
                 if self.send(leader, Payload::RelayedHeartbeat { id, stamp, heartbeat: heartbeat.clone() }) {
                     self.relayed_heartbeats.insert(id, RelayedHeartbeat { to, heartbeat, sent: now });
--- a/src/peer/layout.rs
+++ b/src/peer/layout.rs
@@ -38,7 +38,7 @@
 /// A worker's heartbeat on its way to the leader; the tasks and then the names follow it.
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
-pub(super) struct ReportLine {
+pub(super) struct HeartbeatLine {
     pub(super) agent_epoch: U64,
     pub(super) sequence: U64,
     pub(super) token: U64,
@@ -63,7 +63,7 @@
     pub(super) reserved: [u8; 3],
 }
 
-/// What a worker is to be told.
+/// A command to a worker.
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct TaskCommandLine {
@@ -75,38 +75,38 @@
     pub(super) reserved: [u8; 7],
 }
 
-/// A word on cancellations; the numbers of the cancelled jobs follow it.
+/// What a controller attests of cancellations; the numbers of the cancelled jobs follow it.
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct AttestationLine {
-    pub(super) to: U64,
-    pub(super) age: U64,
-    pub(super) held: U64,
+    pub(super) for_incarnation: U64,
+    pub(super) incarnation_age: U64,
+    pub(super) acknowledged: U64,
     pub(super) last: U64,
-    pub(super) quiet: u8,
+    pub(super) confirmations_suspended: u8,
     pub(super) reserved: [u8; 7],
 }
 
-pub(super) const HEARTBEAT: u8 = 1;
+pub(super) const LEADER_HEARTBEAT: u8 = 1;
 pub(super) const GRANT: u8 = 2;
-pub(super) const PROMISE_REQUEST: u8 = 3;
-pub(super) const PROMISE: u8 = 4;
+pub(super) const VOTE_REQUEST: u8 = 3;
+pub(super) const VOTE: u8 = 4;
 pub(super) const RELEASE: u8 = 5;
 pub(super) const SUMMARY: u8 = 6;
-pub(super) const REPORT: u8 = 7;
-pub(super) const REPLY: u8 = 8;
-pub(super) const WAKE: u8 = 9;
-pub(super) const HEARD: u8 = 10;
-pub(super) const CONFIRMED: u8 = 11;
-/// Sent only to nodes that have shown `ATTESTS` in their present life: others drop the connection.
+pub(super) const RELAYED_HEARTBEAT: u8 = 7;
+pub(super) const RELAYED_RESPONSE: u8 = 8;
+pub(super) const WAKE_REQUEST: u8 = 9;
+pub(super) const SHARD_HEARTBEAT: u8 = 10;
+pub(super) const SHARD_HEARTBEAT_ACK: u8 = 11;
+/// Sent only to nodes that have shown `ATTESTS` in their present incarnation: others drop the connection.
 pub(super) const ATTESTATION: u8 = 12;
 
-/// It gives and takes words on cancellations.
+/// The sender gives and takes attestations.
 pub(super) const ATTESTS: u16 = 1;
 
 pub(super) const NO_NOTICE: u64 = u64::MAX;
 /// The most bytes that may follow a head: a heartbeat is at most a request body.
-pub(super) const FOLLOWING_MOST: usize = limits::MAX_BODY_BYTES;
+pub(super) const MAX_BODY_LENGTH: usize = limits::MAX_BODY_BYTES;
 
 /// What a summary frame can carry at most.
-pub const SUMMARY_MOST: usize = FOLLOWING_MOST / size_of::<SummaryLine>();
+pub const MAX_SUMMARY_JOBS: usize = MAX_BODY_LENGTH / size_of::<SummaryLine>();
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,12 +1,14 @@
 //! Frames between controllers: a fixed layout each, read in place.
 
 mod codec;
+mod error;
 mod layout;
 mod request_ids;
 mod transport;
 
-pub use codec::{carries, decode, encode};
-pub use layout::SUMMARY_MOST;
+pub use codec::{decode, encode, fits_frame};
+pub use error::FrameError;
+pub use layout::MAX_SUMMARY_JOBS;
 pub use request_ids::RequestIds;
 pub use transport::{listen, send_to};
 
@@ -68,7 +70,20 @@
     Attestation(Attestation),
 }
 
-/// A frame that arrived.
+/// A frame as it was read.
+#[derive(Debug)]
+pub struct Frame {
+    /// Index of the sending node.
+    pub node: usize,
+    /// The sender's process.
+    pub incarnation: u64,
+    /// Number of the frame on its connection.
+    pub sequence: u64,
+    /// The content.
+    pub payload: Payload,
+}
+
+/// A frame that arrived from a node that there is.
 #[derive(Debug)]
 pub struct Received {
     /// Index of the sending node.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -17,13 +17,15 @@
         Message::Release { token: 4, successor: 1 },
     ] {
         let bytes = encode(sender, 6, &Payload::Leadership(status, message));
-        let (node, incarnation, sequence, payload) = decode(&bytes).unwrap();
+        let Frame { node, incarnation, sequence, payload } = decode(&bytes).unwrap();
         assert_eq!((node, incarnation, sequence), (2, 77, 6));
         assert!(matches!(payload, Payload::Leadership(s, m) if s == status && m == message));
         assert!(decode(&bytes[..bytes.len() - 1]).is_err());
     }
     let bytes = encode(sender, 1, &Payload::Summary(vec![(412, 3, 1), (413, 0, 0)]));
-    assert!(matches!(decode(&bytes).unwrap().3, Payload::Summary(l) if l == [(412, 3, 1), (413, 0, 0)]));
+    assert!(
+        matches!(decode(&bytes).unwrap().payload, Payload::Summary(l) if l == [(412, 3, 1), (413, 0, 0)])
+    );
     for (at, wrong) in [(8, 99), (0, bytes[0] ^ 1), (4, bytes[4] + 1)] {
         let mut bytes = bytes.clone();
         bytes[at] = wrong;
@@ -47,10 +49,11 @@
         notice_s: Some(12.5),
         tasks: (0..9).map(|code| ReportedTask { id, attempt: 5, status: status_of(code).unwrap() }).collect(),
     };
-    assert!(carries(&heartbeat));
+    assert!(fits_frame(&heartbeat));
     let bytes =
         encode(sender, 1, &Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat: heartbeat.clone() });
-    let Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat: back } = decode(&bytes).unwrap().3 else {
+    let Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat: back } = decode(&bytes).unwrap().payload
+    else {
         panic!()
     };
     assert_eq!(format!("{back:?}"), format!("{heartbeat:?}"));
@@ -67,7 +70,7 @@
     };
     let reply = encode(sender, 2, &reply);
     let Payload::RelayedResponse { id: 9, token: Some(41), cacheable: true, task_commands: back } =
-        decode(&reply).unwrap().3
+        decode(&reply).unwrap().payload
     else {
         panic!()
     };
@@ -81,7 +84,7 @@
     };
     let heard = encode(sender, 3, &heard);
     assert!(
-        matches!(decode(&heard).unwrap().3, Payload::ShardHeartbeat { machines, .. } if machines.len() == 2)
+        matches!(decode(&heard).unwrap().payload, Payload::ShardHeartbeat { machines, .. } if machines.len() == 2)
     );
     // A frame whose head promises less than its body holds is refused as well as a short one.
     for whole in [bytes, reply, heard] {
@@ -92,10 +95,10 @@
             let shorter = decode(&part);
             let fewer = matches!(
                 &shorter,
-                Ok((.., Payload::RelayedResponse { task_commands, .. })) if task_commands.len() < 3
+                Ok(Frame { payload: Payload::RelayedResponse { task_commands, .. }, .. }) if task_commands.len() < 3
             ) || matches!(
                 &shorter,
-                Ok((.., Payload::ShardHeartbeat { machines, .. })) if machines.len() < 2
+                Ok(Frame { payload: Payload::ShardHeartbeat { machines, .. }, .. }) if machines.len() < 2
             );
             assert!(shorter.is_err() || fewer, "cut at {cut}");
         }
--- a/src/peer/transport.rs
+++ b/src/peer/transport.rs
@@ -1,18 +1,20 @@
 //! Connections between controllers: one to each peer, and those that peers make.
 
-use super::codec::{decode, encode, following};
+use super::codec::{body_length, decode, encode};
 use super::layout::Head;
-use super::{Payload, Received, Sender};
+use super::{Frame, FrameError, Payload, Received, Sender};
 use crate::limits;
+use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tracing::{debug, warn};
 
-/// Keeps a connection to one peer and sends what is queued. A peer that does not answer holds
-/// nothing up: the queue is bounded, and its senders drop what does not fit.
+/// Keeps a connection to one peer and sends what is queued, until the queue's sender is dropped. The queue is bounded and
+/// its senders drop what does not fit, so that a peer which does not read delays nobody else.
 pub async fn send_to(address: SocketAddr, sender: Sender, mut queue: mpsc::Receiver<Payload>) {
     let mut sequence = 0;
     let mut stream: Option<TcpStream> = None;
@@ -51,25 +53,33 @@
     }
 }
 
-/// Which incarnation of each node is the latest, and which of its connections.
-type Latest = std::sync::Arc<std::sync::Mutex<std::collections::HashMap<usize, (u64, u64)>>>;
+/// The latest connection of a node, by the order in which connections were accepted, and the process that made it.
+struct LatestConnection {
+    incarnation: u64,
+    connection: u64,
+}
 
-/// Accepts the peers' connections and passes on what arrives.
-pub async fn listen(listener: TcpListener, nodes: usize, me: usize, to: mpsc::Sender<Received>) {
-    let latest = Latest::default();
-    let refused = std::sync::Arc::new(AtomicU64::new(0));
+/// By node; shared by all connections.
+type LatestConnections = Arc<Mutex<HashMap<usize, LatestConnection>>>;
+
+/// Accepts the peers' connections and passes on what arrives. Each connection has a task of its own, which ends with the
+/// connection, with its first malformed frame, or when the receiver of `to` is dropped.
+pub async fn listen(listener: TcpListener, nodes: usize, local_node: usize, to: mpsc::Sender<Received>) {
+    let latest = LatestConnections::default();
+    let refused = Arc::new(AtomicU64::new(0));
     let mut connection = 0;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 connection += 1;
+                // Failing costs only time.
                 let _ = stream.set_nodelay(true);
                 let (latest, refused, to) = (latest.clone(), refused.clone(), to.clone());
                 tokio::spawn(async move {
                     // A frame that can't be read says that its connection can't be relied on.
-                    if let Err(why) = receive(stream, connection, nodes, me, latest, to).await {
+                    if let Err(why) = receive(stream, connection, nodes, local_node, latest, to).await {
                         let count = refused.fetch_add(1, Ordering::Relaxed) + 1;
-                        warn!(why, count, "malformed frame: connection dropped");
+                        warn!(%why, count, "malformed frame: connection dropped");
                     }
                 });
             }
@@ -86,10 +96,10 @@
     stream: TcpStream,
     connection: u64,
     nodes: usize,
-    me: usize,
-    latest: Latest,
+    local_node: usize,
+    latest: LatestConnections,
     to: mpsc::Sender<Received>,
-) -> Result<(), &'static str> {
+) -> Result<(), FrameError> {
     let mut stream = BufReader::new(stream);
     let mut bytes = vec![0; size_of::<Head>()];
     loop {
@@ -97,27 +107,33 @@
         if stream.read_exact(&mut bytes).await.is_err() {
             return Ok(());
         }
-        let more = following(&bytes)?;
+        let more = body_length(&bytes)?;
         bytes.resize(size_of::<Head>() + more, 0);
         if stream.read_exact(&mut bytes[size_of::<Head>()..]).await.is_err() {
             return Ok(());
         }
-        let (from, incarnation, _, payload) = decode(&bytes)?;
-        if from >= nodes || from == me {
-            return Err("from nobody");
+        let Frame { node: from, incarnation, payload, .. } = decode(&bytes)?;
+        if from >= nodes || from == local_node {
+            return Err(FrameError::UnknownSender);
         }
-        if let Ok(mut latest) = latest.lock() {
-            let known = latest.entry(from).or_insert((incarnation, connection));
-            // A later connection is from the later incarnation; bytes that a cut held back from an
-            // earlier one may still arrive and must do nothing.
-            if connection < known.1 && incarnation != known.0 {
-                debug!(from, "frame of an earlier incarnation: connection dropped");
-                return Ok(());
-            }
-            *known = (incarnation, connection.max(known.1));
+        if !is_current(&latest, from, incarnation, connection) {
+            debug!(from, "frame of an earlier incarnation: connection dropped");
+            return Ok(());
         }
         if to.send(Received { from, incarnation, payload }).await.is_err() {
             return Ok(());
         }
     }
 }
+
+/// Whether a frame of this connection counts. A later connection is from the later incarnation; bytes that a cut held
+/// back from an earlier one may still arrive and must have no effect.
+fn is_current(latest: &LatestConnections, from: usize, incarnation: u64, connection: u64) -> bool {
+    let Ok(mut latest) = latest.lock() else { return true };
+    let known = latest.entry(from).or_insert(LatestConnection { incarnation, connection });
+    if connection < known.connection && incarnation != known.incarnation {
+        return false;
+    }
+    *known = LatestConnection { incarnation, connection: connection.max(known.connection) };
+    true
+}
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -4,7 +4,7 @@
 
 use dockpier::leadership::{Message, Status};
 use dockpier::lease::cancellation_log::Attestation;
-use dockpier::peer::{decode, encode, Payload, Sender};
+use dockpier::peer::{decode, encode, Frame, Payload, Sender};
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::TaskCommand;
@@ -95,7 +95,7 @@
     let golden = golden();
     assert_eq!(golden.len(), payloads(false).len());
     for (name, payload) in payloads(false) {
-        let (node, incarnation, sequence, read) = decode(&golden[name]).unwrap();
+        let Frame { node, incarnation, sequence, payload: read } = decode(&golden[name]).unwrap();
         assert_eq!((node, incarnation, sequence), (2, 77, 6), "{name}");
         assert_eq!(format!("{read:?}"), format!("{payload:?}"), "{name}");
     }
@@ -135,7 +135,7 @@
     assert_eq!(golden.len(), payloads.len());
     for (name, payload) in payloads {
         assert_eq!(encode(SENDER, 6, &payload), golden[name], "{name}");
-        assert_eq!(format!("{:?}", decode(&golden[name]).unwrap().3), format!("{payload:?}"), "{name}");
+        assert_eq!(format!("{:?}", decode(&golden[name]).unwrap().payload), format!("{payload:?}"), "{name}");
     }
 }
 
@@ -146,12 +146,12 @@
     let attestation = attestation();
     let bytes = encode(SENDER, 6, &Payload::Attestation(attestation.clone()));
     assert!(golden().values().all(|frame| frame[KIND] < bytes[KIND]));
-    assert!(matches!(decode(&bytes).unwrap().3, Payload::Attestation(read) if read == attestation));
+    assert!(matches!(decode(&bytes).unwrap().payload, Payload::Attestation(read) if read == attestation));
     for cut in HEAD..bytes.len() {
         let mut part = bytes[..cut].to_vec();
         part[4..8].copy_from_slice(&((cut - HEAD) as u32).to_le_bytes());
         let fewer = |p: &Payload| matches!(p, Payload::Attestation(a) if a.cancelled.len() < 2);
-        assert!(decode(&part).is_err() || decode(&part).is_ok_and(|f| fewer(&f.3)), "cut at {cut}");
+        assert!(decode(&part).is_err() || decode(&part).is_ok_and(|f| fewer(&f.payload)), "cut at {cut}");
     }
 }
 
