--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -2,6 +2,7 @@
 //!
 //! The words of the wire occur here only, as serde names. `docs/glossary.md` lists them beside ours.
 
+mod checkin;
 pub mod cloud;
 pub mod records;
 pub mod state_service;
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,65 +1,11 @@
 //! What workers report and are told.
 
+pub use super::checkin::{Checkin as HeartbeatRequest, CheckinTask as HeartbeatTask};
 use crate::lease::renewal::LeaseRenewal;
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
 use serde::{Deserialize, Serialize};
 
-/// A worker's heartbeat.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(expecting = "struct Checkin")]
-pub struct HeartbeatRequest {
-    /// The machine's name.
-    #[serde(rename = "vessel")]
-    pub machine: String,
-    /// Where the worker takes direct commands.
-    pub address: String,
-    /// The machine's type.
-    #[serde(rename = "hull")]
-    pub machine_type: String,
-    /// The machine's zone.
-    #[serde(rename = "quay")]
-    pub zone: String,
-    /// It is a spot machine.
-    #[serde(rename = "driftwood", default)]
-    pub spot: bool,
-    /// Rises each time the worker's lease has ended.
-    #[serde(rename = "watch")]
-    pub agent_epoch: u64,
-    /// Rises with every heartbeat of an agent epoch.
-    #[serde(rename = "tally")]
-    pub sequence: u64,
-    /// The highest token that the worker has seen.
-    #[serde(rename = "helm", default)]
-    pub token: u64,
-    /// Seconds until the cloud takes the machine away.
-    #[serde(rename = "recall_s", default)]
-    pub notice_s: Option<f64>,
-    /// All tasks on the machine, exited ones included until they are forgotten.
-    #[serde(rename = "loads", default)]
-    pub tasks: Vec<HeartbeatTask>,
-}
-
-/// A task in a heartbeat.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(expecting = "struct CheckinTask")]
-pub struct HeartbeatTask {
-    /// The job's id and the task's number.
-    #[serde(rename = "load")]
-    pub task: String,
-    /// Tells one start of the task from another.
-    #[serde(rename = "launch")]
-    pub attempt: u64,
-    /// A state's word.
-    pub status: String,
-    /// Why an exited task ended, as a word.
-    #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub reason: Option<String>,
-    /// A stopped task has saved its progress.
-    #[serde(default)]
-    pub saved: bool,
-}
-
 impl HeartbeatTask {
     fn status(&self) -> TaskStatus {
         match (self.status.as_str(), self.reason.as_deref()) {
@@ -88,7 +34,7 @@
 /// A heartbeat lists a task whose name can't be read. It cannot be taken at all: a list without that entry would
 /// seem to prove that a task is gone.
 #[derive(Debug, thiserror::Error)]
-#[error("unreadable task {task} in a heartbeat of {machine}")]
+#[error("unreadable task {task} in a report of {machine}")]
 pub struct UnreadableTask {
     /// The machine that reported it.
     pub machine: String,
