--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -235,8 +235,7 @@
     /// Answers those who want to tell a user of a cancellation, as soon as it may be told.
     fn answer_pending_confirmations(&mut self, now: u64) {
         for (job_id, to) in std::mem::take(&mut self.pending_confirmations) {
-            let (_, may) = self.leadership.cancellations.confirm(now, job_id);
-            if may {
+            if self.leadership.cancellations.confirm(now, job_id).is_permitted {
                 let _ = to.send(true);
             } else if !to.is_closed() {
                 self.pending_confirmations.push((job_id, to));
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -1,7 +1,7 @@
 //! Messages of the other controllers, and what is attested of cancellations.
 
 use super::{Action, Leadership, Message, Role, Status};
-use crate::lease::cancellation_log::Attestation;
+use crate::lease::cancellation_log::{Attestation, StoreAccess};
 use crate::limits::{self, lengthened, shortened};
 use crate::scheduler::model::JobId;
 
@@ -15,7 +15,8 @@
         life: u64,
         attestation: &Attestation,
     ) -> (Vec<JobId>, Vec<Action>) {
-        let (over, news) = self.cancellations.apply_attestation(now, from, life, attestation);
+        let applied = self.cancellations.apply_attestation(now, from, life, attestation);
+        let (over, news) = (applied.terminated, applied.has_new);
         let mut actions = Vec::new();
         // Answered only where it brought news: two members that do not take each other's attestations, of other
         // lives say, answered one another for ever, and every copy doubled what was under way (the network test).
@@ -28,7 +29,8 @@
     /// A job that is about to be told as cancelled; whether that is news, and whether it may be told. The others
     /// hear of it at once.
     pub fn confirm_cancellation(&mut self, now: u64, job_id: JobId) -> (bool, bool, Vec<Action>) {
-        let (news, may) = self.cancellations.confirm(now, job_id);
+        let outcome = self.cancellations.confirm(now, job_id);
+        let (news, may) = (outcome.is_new, outcome.is_permitted);
         let mut actions = Vec::new();
         if news || !may {
             (0..self.node_names.len()).for_each(|to| self.attest(now, to, &mut actions));
@@ -38,8 +40,10 @@
 
     pub(super) fn attest(&mut self, now: u64, to: usize, actions: &mut Vec<Action>) {
         let lost = self.status.state_age >= limits::CONFIRMATION_SUSPENSION_DELAY;
-        if let Some(attestation) =
-            self.cancellations.attest_to(now, to, lost).filter(|_| to != self.local_node)
+        if let Some(attestation) = self
+            .cancellations
+            .attest_to(now, to, if lost { StoreAccess::Lost } else { StoreAccess::Available })
+            .filter(|_| to != self.local_node)
         {
             // It proves nothing beyond the heartbeat that it answers, the promise to be quiet aside.
             let quiet = if lost { limits::CONFIRMATION_SUSPENSION } else { 0 };
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -12,7 +12,7 @@
 mod messages;
 mod store_responses;
 
-use crate::lease::cancellation_log::{Attestation, CancellationLog};
+use crate::lease::cancellation_log::{Attestation, CancellationBounds, CancellationLog};
 use crate::limits;
 use crate::protocol::records::Epoch;
 use rand::rngs::SmallRng;
@@ -214,7 +214,13 @@
     ) -> Self {
         Leadership {
             local_node: me,
-            cancellations: CancellationLog::new(names.len(), me, incarnation, now, longest_autonomy, kept),
+            cancellations: CancellationLog::new(
+                names.len(),
+                me,
+                incarnation,
+                now,
+                CancellationBounds { longest_autonomy, retention: kept },
+            ),
             // An earlier life may have promised to be quiet right before it ended.
             attested_until: now + limits::CONFIRMATION_SUSPENSION,
             peers: vec![Peer::default(); names.len()],
--- a/src/lease/cancellation_log.rs
+++ b/src/lease/cancellation_log.rs
@@ -1,88 +1,135 @@
-//! Which jobs are cancelled, as far as this node knows, and up to when it knows of all of them.
+//! Which jobs are cancelled, as far as this node knows, and up to when it knows every cancellation.
 //!
-//! Whoever answers a worker keeps alive what runs there. A cancellation that was told to a user must reach every
-//! task within `cancel_s`, whoever leads, holds, keeps leases or has led by then, and whatever fails. So there is
-//! one rule for all of them: a node answers workers only for a bounded time after the moment up to which it
-//! knows of every cancellation, and no answer of its leaves without the stops that it knows of.
+//! A response to a worker keeps alive what runs there. A cancellation that was confirmed to a user must reach every
+//! task within `cancel_s`, whichever node leads, is a leaseholder, is in keep-alive mode or has led by then, and
+//! whatever fails. So one rule holds for all of them: a node responds to workers only for a bounded time after the
+//! moment up to which it knows every cancellation, and each response contains the stop commands that it knows of.
 //!
 //! That moment has two proofs, and the later one counts:
-//! 1. the state service: a copy of the live jobs, read by a request that left at that moment;
-//! 2. the other members, each by itself: what it confirmed to users is held here up to the moment at which the
-//!    heartbeat left that its attestation answers. That covers the life of the process that gives it and no
-//!    more, so that attestations must follow one another without a gap: a member that has restarted does not
-//!    know what its earlier life confirmed. One that has no state service promises besides to confirm nothing
-//!    for a while before we hold it, and covers that time too, a restart within it included.
+//! 1. the key-value store: a copy of the live jobs, read by a request that was sent at that moment;
+//! 2. the attestations of all other members, each counted by itself: everything that the member confirmed to users is
+//!    known here up to the moment at which the heartbeat was sent that its attestation answers. An attestation covers
+//!    the incarnation that gives it and no more, since a member that has restarted does not know what its earlier
+//!    incarnation confirmed. Attestations must therefore follow one another without a gap. A member that has lost the
+//!    key-value store also promises to confirm nothing for a while that this node has not acknowledged. Its
+//!    attestation covers that time too, a restart within it included.
+//!
+//! [`crate::leadership::Leadership`] owns the log. The controller's event loop reads it for each response to a worker.
+//! Times are microseconds on the local clock.
 
+use super::cancellation_log_member::Member;
 use crate::limits::{self, shortened};
-use crate::scheduler::model::{Heartbeat, JobId, TaskStatus};
+use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskStatus};
 use crate::scheduler::TaskCommand;
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// What a member attests of the cancellations that it confirmed, in answer to a heartbeat of the receiver's.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Attestation {
-    /// The life of the receiver that it is for, and the stamp of the heartbeat that it answers.
+    /// The incarnation of the receiver that it is for.
     pub for_incarnation: u64,
+    /// The stamp of the heartbeat that it answers, in microseconds on the receiver's clock.
     pub echo: u64,
-    /// For how long the life that gives it has lasted.
+    /// How long the sender's incarnation has lasted, in microseconds.
     pub incarnation_age: u64,
-    /// Nothing will be confirmed for a while that the receiver does not hold.
+    /// For `limits::CONFIRMATION_SUSPENSION` the sender confirms nothing that the receiver has not acknowledged.
     pub confirmations_suspended: bool,
-    /// The highest number of the receiver's own cancellations that is held here.
+    /// The highest number of the receiver's own cancellations that the sender knows.
     pub acknowledged: u64,
-    /// The highest number of the sender's; `cancelled` are those up to it that the receiver may lack.
+    /// The highest number of the sender's cancellations.
     pub last: u64,
+    /// Job ids of the sender's cancellations up to `last` that the receiver has not acknowledged.
     pub cancelled: Vec<u64>,
 }
 
-#[derive(Debug, Clone, Copy, Default)]
-struct Member {
-    /// Its present life, once it has shown that it attests; 0: a version that does not, or unheard.
-    incarnation: u64,
-    /// It has shown that it does not attest: nobody there relies on ours.
-    never_attests: bool,
-    heartbeat_stamp: u64,
-    /// The highest number of ours that this life holds.
-    acknowledged: u64,
-    /// Until then we have promised to confirm nothing that it does not hold.
-    suspended_until: u64,
-    /// The highest number of its that is held here.
-    received: u64,
-    /// Everything that it confirmed before then is held here.
-    known_until: u64,
+/// Durations that bound what a node may do without news of cancellations. Both follow from the settings.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct CancellationBounds {
+    /// How long workers may be kept alive beyond the moment up to which every cancellation is known, the lock lease
+    /// aside ([`limits::longest_autonomy`]); microseconds.
+    pub longest_autonomy: u64,
+    /// How long a cancellation is remembered ([`limits::cancellation_retention`]); microseconds.
+    pub retention: u64,
+}
+
+/// Whether this node has access to the key-value store, as its attestations state it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum StoreAccess {
+    /// The store answers.
+    Available,
+    /// The store has not answered for `limits::CONFIRMATION_SUSPENSION_DELAY`: confirmations are suspended.
+    Lost,
 }
 
+/// What became of a request to confirm a cancellation to a user.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[must_use = "a cancellation may be confirmed only where this permits it"]
+pub struct ConfirmOutcome {
+    /// This node did not know yet that the job is over, or had not recorded a confirmation of its own.
+    pub is_new: bool,
+    /// It may be confirmed now. False while a member that this node promised to suspend confirmations to has not
+    /// acknowledged it.
+    pub is_permitted: bool,
+}
+
+/// What an attestation changed.
+#[derive(Debug, Clone, PartialEq, Eq, Default)]
+pub struct AppliedAttestation {
+    /// Jobs that turned out to be cancelled.
+    pub terminated: Vec<JobId>,
+    /// The member reported cancellations that it had not reported before.
+    pub has_new: bool,
+}
+
+/// A cancellation that this incarnation confirmed, or is about to confirm, to a user.
+#[derive(Debug)]
+struct OwnConfirmation {
+    /// Counts from one in each incarnation.
+    number: u64,
+    /// Microseconds.
+    recorded_at: u64,
+    job_id: JobId,
+}
+
+/// The cancellations that this node knows, and up to when it knows all of them.
 #[derive(Debug)]
 pub struct CancellationLog {
     local_node: usize,
     incarnation: u64,
     started_at: u64,
-    /// How long workers may be kept alive beyond what is known (`limits::longest_autonomy`, and the state lease).
+    /// How long workers may be kept alive beyond what is known: the bound of the settings and the lock lease.
     longest_autonomy: u64,
-    /// How long a cancellation is remembered: beyond `cancel_s` nothing hangs on it.
+    /// How long a cancellation is remembered. After `cancel_s` its tasks are gone and nothing depends on it.
     retention: u64,
+    /// By node number; the local node's entry is unused.
     members: Vec<Member>,
-    /// What this life confirmed: number, when, which.
-    own_confirmations: VecDeque<(u64, u64, JobId)>,
+    /// The oldest first.
+    own_confirmations: VecDeque<OwnConfirmation>,
+    /// The highest number among them; 0: none.
     last_number: u64,
-    /// Jobs that are over, whoever said so, and when that was learnt.
+    /// Jobs that are over, from whatever source, and when this node learnt it.
     terminated: HashMap<JobId, u64>,
     live: HashSet<JobId>,
-    /// When the request left that `live` was last read by; 0: not in this life.
+    /// When the request was sent that `live` was last read by; 0: not in this incarnation.
     store_read_at: u64,
 }
 
 impl CancellationLog {
-    pub fn new(members: usize, me: usize, life: u64, now: u64, longest_autonomy: u64, kept: u64) -> Self {
-        // An earlier life may have promised to be quiet right before it ended.
-        let member = Member { suspended_until: now + limits::CONFIRMATION_SUSPENSION, ..Member::default() };
+    /// The log of a process that has just started, as node `local_node` of `members`.
+    pub fn new(
+        members: usize,
+        local_node: usize,
+        incarnation: u64,
+        now: u64,
+        bounds: CancellationBounds,
+    ) -> Self {
         CancellationLog {
-            local_node: me,
-            incarnation: life,
+            local_node,
+            incarnation,
             started_at: now,
-            longest_autonomy: longest_autonomy + limits::LOCK_LEASE_MS * 1_000,
-            retention: kept,
-            members: vec![member; members],
+            longest_autonomy: bounds.longest_autonomy + limits::LOCK_LEASE_MS * 1_000,
+            retention: bounds.retention,
+            members: vec![Member::new(now); members],
             own_confirmations: VecDeque::new(),
             last_number: 0,
             terminated: HashMap::new(),
@@ -91,28 +138,32 @@
         }
     }
 
+    fn other_members(&self) -> impl Iterator<Item = &Member> {
+        self.members.iter().enumerate().filter(|(node, _)| *node != self.local_node).map(|(_, member)| member)
+    }
+
     // ---- what is known ----
 
-    /// Every cancellation confirmed before then is known here by the members' attestations.
+    /// Every cancellation confirmed before then is known here by the members' attestations; 0: nothing is known.
     pub fn member_freshness(&self) -> u64 {
         if self.store_read_at == 0 {
             return 0;
         }
-        let others = self.members.iter().enumerate().filter(|(i, _)| *i != self.local_node);
-        others.map(|(_, m)| m.known_until).min().unwrap_or(u64::MAX / 2)
+        // Without other members no cancellation is unknown; half of the range leaves room for additions.
+        self.other_members().map(Member::known_until).min().unwrap_or(u64::MAX / 2)
     }
 
-    /// When the request left that the live jobs were last read by.
+    /// When the request was sent that the live jobs were last read by; 0: not in this incarnation.
     pub fn store_freshness(&self) -> u64 {
         self.store_read_at
     }
 
-    /// How long after something became known workers may be kept alive by it.
-    pub fn keep_alive_limit(&self, known: u64) -> u64 {
-        if known == 0 {
+    /// Until when workers may be kept alive by a node that knows every cancellation up to `known_until`; 0: not at all.
+    pub fn keep_alive_limit(&self, known_until: u64) -> u64 {
+        if known_until == 0 {
             0
         } else {
-            known + shortened(self.longest_autonomy)
+            known_until + shortened(self.longest_autonomy)
         }
     }
 
@@ -121,23 +172,23 @@
         self.keep_alive_limit(self.store_freshness().max(self.member_freshness()))
     }
 
-    /// The job is over: nothing of it may start.
+    /// Whether the job is over: nothing of it may start.
     pub fn is_terminated(&self, job_id: JobId) -> bool {
         self.terminated.contains_key(&job_id)
     }
 
+    /// Whether the job is among the live jobs as last read.
     pub fn is_live(&self, job_id: JobId) -> bool {
         self.live.contains(&job_id)
     }
 
-    /// Stops for what the heartbeat lists of jobs that are over. None where this node, without a leader's list of
-    /// jobs, can't tell: a job that its copy lacks was cancelled before this life began, or is too new.
+    /// Stop commands for the tasks in the heartbeat whose jobs are over. None where this node, without a leader's list
+    /// of jobs, cannot decide: a job that its copy lacks was cancelled before this incarnation began, or is too new.
     pub fn stop_commands(&self, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
-        let living = heartbeat.tasks.iter().filter(|t| !matches!(t.status, TaskStatus::Exited(_)));
         let mut stops = Vec::new();
-        for task in living {
+        for task in heartbeat.tasks.iter().filter(|task| is_alive(task)) {
             if self.is_terminated(task.id.job_id) {
-                stops.push(TaskCommand::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 });
+                stops.push(stop_at_once(task));
             } else if !self.live.contains(&task.id.job_id) {
                 return None;
             }
@@ -145,160 +196,157 @@
         Some(stops)
     }
 
-    /// The answer's commands and the stops that it must not leave without.
+    /// The response's commands, completed by the stop commands that it must contain.
     pub fn with_stop_commands(
         &self,
         mut task_commands: Vec<TaskCommand>,
         heartbeat: &Heartbeat,
     ) -> Vec<TaskCommand> {
-        for task in heartbeat.tasks.iter().filter(|t| self.is_terminated(t.id.job_id)) {
-            if matches!(task.status, TaskStatus::Exited(_)) {
-                continue;
-            }
-            let same = |o: &TaskCommand| matches!(o, TaskCommand::Stop { id, attempt, .. } if *id == task.id && *attempt == task.attempt);
-            if !task_commands.iter().any(same) {
-                task_commands.push(TaskCommand::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 });
+        let terminated = |task: &&ReportedTask| self.is_terminated(task.id.job_id) && is_alive(task);
+        for task in heartbeat.tasks.iter().filter(terminated) {
+            if !task_commands.iter().any(|command| stops_task(command, task)) {
+                task_commands.push(stop_at_once(task));
             }
         }
         task_commands
     }
 
-    /// The live jobs as read by a request that left at `sent`: all of them, or what changed. Returns the jobs
-    /// that turned out to be over.
+    /// Applies the live jobs as read by a request that was sent at `requested_at`. `complete`: `added` lists all live
+    /// jobs; otherwise `added` and `removed` are the changes since the last reading. Returns the jobs that turned out
+    /// to be over.
     pub fn apply_live_jobs(
         &mut self,
         now: u64,
-        sent: u64,
-        whole: bool,
+        requested_at: u64,
+        complete: bool,
         added: &[JobId],
         removed: &[JobId],
     ) -> Vec<JobId> {
-        let mut over: Vec<JobId> = removed.to_vec();
-        if whole {
+        let mut candidates: Vec<JobId> = removed.to_vec();
+        if complete {
             let listed: HashSet<JobId> = added.iter().copied().collect();
-            over.extend(self.live.difference(&listed));
+            candidates.extend(self.live.difference(&listed));
             self.live = listed;
         } else {
             self.live.extend(added);
         }
-        let over = over.into_iter().filter(|job_id| self.record_terminated(now, *job_id)).collect();
-        // A cancellation that a member told of may be ahead of the copy.
+        let newly_terminated =
+            candidates.into_iter().filter(|job_id| self.record_terminated(now, *job_id)).collect();
+        // A cancellation that a member attested may be ahead of the copy.
         self.live.retain(|job_id| !self.terminated.contains_key(job_id));
-        self.store_read_at = self.store_read_at.max(sent);
-        let kept = self.retention;
-        self.terminated.retain(|_, at| now < *at + kept);
-        while self.own_confirmations.front().is_some_and(|(_, at, _)| now >= *at + kept) {
+        self.store_read_at = self.store_read_at.max(requested_at);
+        self.forget_old_cancellations(now);
+        newly_terminated
+    }
+
+    fn forget_old_cancellations(&mut self, now: u64) {
+        let retention = self.retention;
+        self.terminated.retain(|_, learnt_at| now < *learnt_at + retention);
+        while self.own_confirmations.front().is_some_and(|own| now >= own.recorded_at + retention) {
             self.own_confirmations.pop_front();
         }
-        over
     }
 
+    /// Returns whether this node did not know yet that the job is over.
     fn record_terminated(&mut self, now: u64, job_id: JobId) -> bool {
         self.live.remove(&job_id);
         self.terminated.insert(job_id, now).is_none()
     }
 
-    // ---- what is told ----
+    // ---- what is confirmed and attested ----
 
-    /// This node is about to tell a user that the job is cancelled. Returns whether that is news, and whether it
-    /// may be told now: not while a member that we have promised to be quiet to does not hold it.
-    pub fn confirm(&mut self, now: u64, job_id: JobId) -> (bool, bool) {
-        let known = self.own_confirmations.iter().rev().find(|(_, _, u)| *u == job_id).map(|(n, ..)| *n);
+    /// This node is about to confirm to a user that the job is cancelled.
+    pub fn confirm(&mut self, now: u64, job_id: JobId) -> ConfirmOutcome {
+        let known = self.own_confirmations.iter().rev().find(|own| own.job_id == job_id);
+        let known = known.map(|own| own.number);
         let number = known.unwrap_or_else(|| {
             self.last_number += 1;
-            self.own_confirmations.push_back((self.last_number, now, job_id));
-            self.last_number
+            let number = self.last_number;
+            self.own_confirmations.push_back(OwnConfirmation { number, recorded_at: now, job_id });
+            number
         });
-        let news = self.record_terminated(now, job_id) || known.is_none();
-        let free = |m: &Member| m.never_attests || now >= m.suspended_until || m.acknowledged >= number;
-        let may = self.members.iter().enumerate().all(|(i, m)| i == self.local_node || free(m));
-        (news, may)
+        let is_new = self.record_terminated(now, job_id) || known.is_none();
+        let is_permitted = self.other_members().all(|member| member.permits_confirmation(now, number));
+        ConfirmOutcome { is_new, is_permitted }
     }
 
-    /// A heartbeat came. Whether its sender attests, and takes our attestations.
-    pub fn observe_heartbeat(&mut self, from: usize, life: u64, attests: bool, stamp: u64) {
-        let Some(member) = self.members.get_mut(from) else { return };
-        member.never_attests = !attests;
-        let life = if attests { life } else { 0 };
-        if member.incarnation != life {
-            // Another life holds nothing of ours yet, and counts its own from the beginning.
-            (member.incarnation, member.acknowledged, member.received) = (life, 0, 0);
+    /// A heartbeat of a member arrived, sent at `stamp` on its clock. `attests`: the member gives attestations and
+    /// takes ours.
+    pub fn observe_heartbeat(&mut self, from: usize, incarnation: u64, attests: bool, stamp: u64) {
+        if let Some(member) = self.members.get_mut(from) {
+            member.observe_heartbeat(incarnation, attests, stamp);
         }
-        member.heartbeat_stamp = stamp;
     }
 
-    /// Our attestation for a member that takes it. `lost`: this node has no state service.
-    pub fn attest_to(&mut self, now: u64, to: usize, lost: bool) -> Option<Attestation> {
-        let member = self.members.get_mut(to).filter(|m| m.incarnation != 0)?;
-        let lacks = self.own_confirmations.iter().filter(|(number, ..)| *number > member.acknowledged);
+    /// Our attestation for a member that takes it. While the store is lost it includes the promise to suspend
+    /// confirmations.
+    #[must_use = "a promise to suspend confirmations is recorded here, so the attestation should be sent"]
+    pub fn attest_to(&mut self, now: u64, to: usize, store_access: StoreAccess) -> Option<Attestation> {
+        let member = self.members.get_mut(to)?;
+        let suspended = store_access == StoreAccess::Lost;
+        let attestation = member.attestation(suspended)?;
+        let acknowledged = member.acknowledged();
+        let missing = self.own_confirmations.iter().filter(|own| own.number > acknowledged);
         let cancelled: Vec<u64> =
-            lacks.map(|(_, _, job_id)| job_id.0).take(limits::MAX_ATTESTED_CANCELLATIONS + 1).collect();
+            missing.map(|own| own.job_id.0).take(limits::MAX_ATTESTED_CANCELLATIONS + 1).collect();
         if cancelled.len() > limits::MAX_ATTESTED_CANCELLATIONS {
-            // Never on a day within the state service's limits: it would take minutes to commit as many.
+            // Not reached within the key-value store's limits: committing as many would take minutes.
             return None;
         }
-        if lost {
-            member.suspended_until = member.suspended_until.max(now + limits::CONFIRMATION_SUSPENSION);
+        if suspended {
+            member.promise_suspension(now);
         }
-        let (to, echo, held) = (member.incarnation, member.heartbeat_stamp, member.received);
-        let age = now.saturating_sub(self.started_at);
-        Some(Attestation {
-            for_incarnation: to,
-            echo,
-            incarnation_age: age,
-            confirmations_suspended: lost,
-            acknowledged: held,
-            last: self.last_number,
-            cancelled,
-        })
+        let incarnation_age = now.saturating_sub(self.started_at);
+        Some(Attestation { incarnation_age, last: self.last_number, cancelled, ..attestation })
     }
 
-    /// What a member attests. Returns the jobs that turned out to be cancelled, and whether it told of any that
-    /// it had not told of before.
+    /// Applies what a member attests. `incarnation`: of the process that sent it.
     pub fn apply_attestation(
         &mut self,
         now: u64,
         from: usize,
-        life: u64,
+        incarnation: u64,
         attestation: &Attestation,
-    ) -> (Vec<JobId>, bool) {
-        let read = self.store_read_at;
-        let own_life = self.incarnation;
-        let Some(member) = self.members.get_mut(from).filter(|m| m.incarnation == life && life != 0) else {
-            return (Vec::new(), false);
+    ) -> AppliedAttestation {
+        let Some(member) = self.members.get_mut(from).filter(|member| member.is_incarnation(incarnation))
+        else {
+            return AppliedAttestation::default();
         };
-        // For another life of ours, or from before this one.
-        if attestation.for_incarnation != own_life
+        // For another incarnation of this node, or an answer to a heartbeat from before this one.
+        if attestation.for_incarnation != self.incarnation
             || attestation.echo > now
             || attestation.echo < self.started_at
         {
-            return (Vec::new(), false);
-        }
-        member.acknowledged = member.acknowledged.max(attestation.acknowledged);
-        // One that was overtaken lacks nothing that the later one did not have.
-        let news = attestation.last > member.received;
-        member.received = member.received.max(attestation.last);
-        let began = now.saturating_sub(shortened(attestation.incarnation_age));
-        if began <= member.known_until.max(read) {
-            let quiet = if attestation.confirmations_suspended {
-                shortened(limits::CONFIRMATION_SUSPENSION)
-            } else {
-                0
-            };
-            member.known_until = member.known_until.max(attestation.echo + quiet);
+            return AppliedAttestation::default();
         }
-        let over = attestation.cancelled.iter().map(|job_id| JobId(*job_id));
-        (over.filter(|job_id| self.record_terminated(now, *job_id)).collect(), news)
+        let has_new = member.apply(now, attestation, self.store_read_at);
+        let cancelled = attestation.cancelled.iter().map(|job_id| JobId(*job_id));
+        let terminated = cancelled.filter(|job_id| self.record_terminated(now, *job_id)).collect();
+        AppliedAttestation { terminated, has_new }
     }
 
-    /// Whether a member of an earlier version may take it that we have no state service for proof that
-    /// nothing is cancelled without it.
+    /// Whether a member of an earlier version may conclude from our missing access to the key-value store that no
+    /// cancellation is in effect without it.
     pub fn proves_no_recent_cancellation(&self, now: u64) -> bool {
-        let recent = self.own_confirmations.back().is_some_and(|(_, at, _)| now < *at + self.retention);
-        !recent && (self.store_read_at > 0 || now >= self.started_at + self.retention)
+        let is_recent = |own: &OwnConfirmation| now < own.recorded_at + self.retention;
+        let has_recent = self.own_confirmations.back().is_some_and(is_recent);
+        !has_recent && (self.store_read_at > 0 || now >= self.started_at + self.retention)
     }
 }
 
+/// Whether the task has not exited.
+fn is_alive(task: &ReportedTask) -> bool {
+    !matches!(task.status, TaskStatus::Exited(_))
+}
+
+fn stop_at_once(task: &ReportedTask) -> TaskCommand {
+    TaskCommand::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 }
+}
+
+fn stops_task(command: &TaskCommand, task: &ReportedTask) -> bool {
+    matches!(command, TaskCommand::Stop { id, attempt, .. } if *id == task.id && *attempt == task.attempt)
+}
+
 #[cfg(test)]
 #[path = "cancellation_log_tests.rs"]
 mod tests;
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -1,30 +1,34 @@
+//! Tests of `cancellation_log`: two logs that exchange attestations.
+
 use super::*;
-use crate::scheduler::model::{ReportedTask, TaskId};
+use crate::scheduler::model::TaskId;
 
 const SECOND: u64 = limits::SECOND;
 const NOW: u64 = 1 << 45;
-const AUTONOMY: u64 = 10 * SECOND;
-const KEPT: u64 = 80 * SECOND;
+const RETENTION: u64 = 80 * SECOND;
+const BOUNDS: CancellationBounds = CancellationBounds { longest_autonomy: 10 * SECOND, retention: RETENTION };
+const NOTHING_APPLIED: AppliedAttestation = AppliedAttestation { terminated: Vec::new(), has_new: false };
 
 fn pair() -> (CancellationLog, CancellationLog) {
-    let mut a = CancellationLog::new(2, 0, 70, NOW, AUTONOMY, KEPT);
-    let mut b = CancellationLog::new(2, 1, 71, NOW, AUTONOMY, KEPT);
+    let mut a = CancellationLog::new(2, 0, 70, NOW, BOUNDS);
+    let mut b = CancellationLog::new(2, 1, 71, NOW, BOUNDS);
     for node in [&mut a, &mut b] {
         node.apply_live_jobs(NOW + SECOND, NOW + SECOND, true, &[JobId(1), JobId(2)], &[]);
     }
     (a, b)
 }
 
-/// One heartbeat of `to` that `from` answers.
-fn say(
+/// Exchanges one heartbeat of `receiver` and the attestation of `sender` that answers it. Returns the jobs that turned
+/// out to be over.
+fn exchange(
     now: u64,
-    from: (&mut CancellationLog, usize, u64),
-    to: (&mut CancellationLog, usize, u64),
-    lost: bool,
+    sender: &mut CancellationLog,
+    receiver: &mut CancellationLog,
+    store_access: StoreAccess,
 ) -> Vec<JobId> {
-    from.0.observe_heartbeat(to.1, to.2, true, now);
-    let attestation = from.0.attest_to(now, to.1, lost).unwrap();
-    to.0.apply_attestation(now, from.1, from.2, &attestation).0
+    sender.observe_heartbeat(receiver.local_node, receiver.incarnation, true, now);
+    let attestation = sender.attest_to(now, receiver.local_node, store_access).unwrap();
+    receiver.apply_attestation(now, sender.local_node, sender.incarnation, &attestation).terminated
 }
 
 fn heartbeat(job_ids: &[u64]) -> Heartbeat {
@@ -46,107 +50,114 @@
 }
 
 #[test]
-fn a_cancellation_reaches_the_others_and_no_answer_leaves_without_its_stop() {
+fn an_attested_cancellation_adds_stop_commands_to_every_response() {
     let (mut a, mut b) = pair();
     assert_eq!(b.stop_commands(&heartbeat(&[1, 2])), Some(Vec::new()));
-    a.confirm(NOW + 2 * SECOND, JobId(1));
+    assert!(a.confirm(NOW + 2 * SECOND, JobId(1)).is_new);
     b.observe_heartbeat(0, 70, true, NOW);
-    assert_eq!(say(NOW + 2 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), false), [JobId(1)]);
+    assert_eq!(exchange(NOW + 2 * SECOND, &mut a, &mut b, StoreAccess::Available), [JobId(1)]);
     let stop = TaskCommand::Stop { id: TaskId { job_id: JobId(1), task: 0 }, attempt: 3, grace_s: 0.0 };
     assert_eq!(b.stop_commands(&heartbeat(&[1, 2])), Some(vec![stop.clone()]));
     assert_eq!(b.with_stop_commands(vec![stop.clone()], &heartbeat(&[1, 2])), [stop]);
-    // What the copy lacks may have been cancelled before this life began: not to be kept alive.
+    // A job that the copy lacks may have been cancelled before this incarnation began: not to be kept alive.
     assert_eq!(b.stop_commands(&heartbeat(&[2, 9])), None);
-    // A copy that lags behind the word does not bring the job back.
+    // A copy that lags behind the attestation does not bring the job back.
     b.apply_live_jobs(NOW + 3 * SECOND, NOW + 3 * SECOND, true, &[JobId(1), JobId(2)], &[]);
     assert!(b.is_terminated(JobId(1)) && !b.is_live(JobId(1)));
 }
 
 #[test]
-fn words_must_follow_one_another_without_a_gap() {
+fn attestations_of_a_new_incarnation_count_only_after_a_read_of_the_store() {
     let (mut a, mut b) = pair();
     b.observe_heartbeat(0, 70, true, NOW);
-    say(NOW + 2 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), false);
+    exchange(NOW + 2 * SECOND, &mut a, &mut b, StoreAccess::Available);
     assert_eq!(b.member_freshness(), NOW + 2 * SECOND);
-    // Another life of the member does not know what the last one confirmed before it ended.
-    let mut a = CancellationLog::new(2, 0, 72, NOW + 4 * SECOND, AUTONOMY, KEPT);
+    // A new incarnation of the member does not know what the last one confirmed before it ended.
+    let mut a = CancellationLog::new(2, 0, 72, NOW + 4 * SECOND, BOUNDS);
     b.observe_heartbeat(0, 72, true, NOW);
-    say(NOW + 5 * SECOND, (&mut a, 0, 72), (&mut b, 1, 71), false);
+    exchange(NOW + 5 * SECOND, &mut a, &mut b, StoreAccess::Available);
     assert_eq!(b.member_freshness(), NOW + 2 * SECOND);
-    // Once the live jobs have been read since, its words count again.
+    // Once the live jobs have been read since, its attestations count again.
     b.apply_live_jobs(NOW + 6 * SECOND, NOW + 6 * SECOND, false, &[], &[]);
-    say(NOW + 7 * SECOND, (&mut a, 0, 72), (&mut b, 1, 71), false);
+    exchange(NOW + 7 * SECOND, &mut a, &mut b, StoreAccess::Available);
     assert_eq!(b.member_freshness(), NOW + 7 * SECOND);
 }
 
 #[test]
-fn a_promise_to_be_quiet_covers_a_restart_and_binds_until_the_others_hold_what_is_told() {
+fn suspended_confirmations_cover_a_restart_and_last_until_members_acknowledge() {
     let (mut a, mut b) = pair();
     b.observe_heartbeat(0, 70, true, NOW);
-    say(NOW + 20 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), true);
-    assert_eq!(a.confirm(NOW + 21 * SECOND, JobId(1)), (true, false), "promised, and not held there");
-    say(NOW + 22 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), true);
+    exchange(NOW + 20 * SECOND, &mut a, &mut b, StoreAccess::Lost);
+    assert_eq!(
+        a.confirm(NOW + 21 * SECOND, JobId(1)),
+        ConfirmOutcome { is_new: true, is_permitted: false },
+        "suspension promised, and not acknowledged"
+    );
+    exchange(NOW + 22 * SECOND, &mut a, &mut b, StoreAccess::Lost);
     a.observe_heartbeat(1, 71, true, NOW);
-    say(NOW + 22 * SECOND, (&mut b, 1, 71), (&mut a, 0, 70), true);
-    assert_eq!(a.confirm(NOW + 22 * SECOND, JobId(1)), (false, true));
-    // Its next life keeps the promise, so that no gap is left.
-    let mut a = CancellationLog::new(2, 0, 72, NOW + 28 * SECOND, AUTONOMY, KEPT);
-    assert_eq!(a.confirm(NOW + 29 * SECOND, JobId(2)), (true, false));
+    exchange(NOW + 22 * SECOND, &mut b, &mut a, StoreAccess::Lost);
+    assert_eq!(a.confirm(NOW + 22 * SECOND, JobId(1)), ConfirmOutcome { is_new: false, is_permitted: true });
+    // Its next incarnation keeps the promise, so that no gap is left.
+    let mut a = CancellationLog::new(2, 0, 72, NOW + 28 * SECOND, BOUNDS);
+    assert_eq!(a.confirm(NOW + 29 * SECOND, JobId(2)), ConfirmOutcome { is_new: true, is_permitted: false });
     b.observe_heartbeat(0, 72, true, NOW);
-    say(NOW + 29 * SECOND, (&mut a, 0, 72), (&mut b, 1, 71), false);
+    exchange(NOW + 29 * SECOND, &mut a, &mut b, StoreAccess::Available);
     let promised = NOW + 22 * SECOND + limits::shortened(limits::CONFIRMATION_SUSPENSION);
     assert_eq!(b.member_freshness(), promised.max(NOW + 29 * SECOND));
-    assert!(a.confirm(NOW + 28 * SECOND + limits::CONFIRMATION_SUSPENSION, JobId(2)).1);
+    assert!(a.confirm(NOW + 28 * SECOND + limits::CONFIRMATION_SUSPENSION, JobId(2)).is_permitted);
 }
 
 #[test]
-fn words_for_another_life_or_from_one_that_has_ended_count_for_nothing() {
+fn attestations_for_or_from_another_incarnation_are_ignored() {
     let (mut a, mut b) = pair();
-    a.confirm(NOW + 2 * SECOND, JobId(1));
+    assert!(a.confirm(NOW + 2 * SECOND, JobId(1)).is_new);
     a.observe_heartbeat(1, 71, true, NOW + 2 * SECOND);
-    let attestation = a.attest_to(NOW + 2 * SECOND, 1, false).unwrap();
-    // Its sender has not shown that it attests, or is another life of it.
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), (vec![], false));
+    let attestation = a.attest_to(NOW + 2 * SECOND, 1, StoreAccess::Available).unwrap();
+    // Its sender has not shown that it attests, or is another incarnation of that node.
+    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), NOTHING_APPLIED);
     b.observe_heartbeat(0, 72, true, NOW);
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), (vec![], false));
+    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), NOTHING_APPLIED);
     b.observe_heartbeat(0, 70, true, NOW);
     let other = Attestation { for_incarnation: 73, ..attestation.clone() };
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &other), (vec![], false));
+    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &other), NOTHING_APPLIED);
     let early = Attestation { echo: NOW - 1, ..attestation.clone() };
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &early), (vec![], false));
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), (vec![JobId(1)], true));
-    // A copy is no news: answered, it would be answered in turn, for ever.
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), (vec![], false));
+    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &early), NOTHING_APPLIED);
+    assert_eq!(
+        b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation),
+        AppliedAttestation { terminated: vec![JobId(1)], has_new: true }
+    );
+    // A repeated attestation has nothing new: an answer to it would be answered in turn, without end.
+    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), NOTHING_APPLIED);
     // Earlier versions drop the connection at a frame that they do not know.
     a.observe_heartbeat(1, 71, false, NOW + 3 * SECOND);
-    assert_eq!(a.attest_to(NOW + 3 * SECOND, 1, false), None);
+    assert_eq!(a.attest_to(NOW + 3 * SECOND, 1, StoreAccess::Available), None);
 }
 
 #[test]
-fn without_a_reading_in_this_life_nothing_is_known() {
-    let mut b = CancellationLog::new(2, 1, 71, NOW, AUTONOMY, KEPT);
-    let mut a = CancellationLog::new(2, 0, 70, NOW, AUTONOMY, KEPT);
+fn without_a_read_of_the_store_in_this_incarnation_no_worker_is_kept_alive() {
+    let mut b = CancellationLog::new(2, 1, 71, NOW, BOUNDS);
+    let mut a = CancellationLog::new(2, 0, 70, NOW, BOUNDS);
     b.observe_heartbeat(0, 70, true, NOW);
-    say(NOW + 2 * SECOND, (&mut a, 0, 70), (&mut b, 1, 71), true);
+    exchange(NOW + 2 * SECOND, &mut a, &mut b, StoreAccess::Lost);
     assert_eq!(b.keep_alive_until(), 0);
 }
 
-/// More cancellations than a frame holds are attested by none: the others' bound stands, and so workers' leases run
-/// out rather than keep a cancelled task alive. Once nothing hangs on them any more, attestations go on.
+/// More cancellations than a frame holds are not attested: the other members' bound stands, so workers' leases expire
+/// rather than keep a cancelled task alive. Attestations continue once the cancellations are past their retention.
 #[test]
-fn a_burst_beyond_one_frame_is_attested_by_nothing_until_it_is_forgotten() {
+fn more_cancellations_than_a_frame_holds_suspend_attestations_until_retention_ends() {
     let (mut a, mut b) = pair();
     b.observe_heartbeat(0, 70, true, NOW);
     a.observe_heartbeat(1, 71, true, NOW);
     let most = limits::MAX_ATTESTED_CANCELLATIONS as u64;
-    (0..most).for_each(|id| {
-        a.confirm(NOW + SECOND, JobId(id));
-    });
-    assert!(a.attest_to(NOW + SECOND, 1, false).is_some(), "as many as a frame holds");
-    a.confirm(NOW + SECOND, JobId(most));
-    assert_eq!(a.attest_to(NOW + SECOND, 1, false), None);
+    for id in 0..most {
+        assert!(a.confirm(NOW + SECOND, JobId(id)).is_new);
+    }
+    assert!(a.attest_to(NOW + SECOND, 1, StoreAccess::Available).is_some(), "as many as a frame holds");
+    assert!(a.confirm(NOW + SECOND, JobId(most)).is_new);
+    assert_eq!(a.attest_to(NOW + SECOND, 1, StoreAccess::Available), None);
     let known = b.member_freshness();
-    a.apply_live_jobs(NOW + SECOND + KEPT, NOW + SECOND + KEPT, false, &[], &[]);
-    assert!(a.attest_to(NOW + SECOND + KEPT, 1, false).is_some());
+    a.apply_live_jobs(NOW + SECOND + RETENTION, NOW + SECOND + RETENTION, false, &[], &[]);
+    assert!(a.attest_to(NOW + SECOND + RETENTION, 1, StoreAccess::Available).is_some());
     assert_eq!(b.member_freshness(), known, "nothing was attested meanwhile");
 }
--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -1,32 +1,36 @@
-//! Answers to heartbeats that may renew a worker's lease.
+//! Responses to heartbeats that may renew a worker's lease.
 //!
-//! A worker keeps its tasks for `lease_s` after it sent the last heartbeat that was answered, so the leader may start them
-//! elsewhere only after that. Whoever answers must therefore have noted it where the leader counts. An answer is built
-//! from a [`LeaseRenewal`], and a renewal is only handed out by the record in which the answer was noted, or where
-//! another bound holds the leader back.
+//! A worker keeps its tasks for `lease_s` after it sent the last heartbeat that got a response, so the leader may start
+//! them elsewhere only after that. Every response must therefore be recorded where the leader counts it. A response is
+//! built from a [`LeaseRenewal`]. Only the record in which the response was entered hands out a renewal, or a place
+//! where another bound holds the leader back.
+//!
+//! The scheduler owns a [`LastRenewal`] for each machine, [`crate::lease::shard::Shard`] the
+//! [`UnacknowledgedRenewals`], and the controller's event loop the [`RenewalCounts`].
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// On what grounds an answer may renew a lease.
+/// Why a response may renew a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RenewalBasis {
-    /// The leader noted the answer to the machine.
+    /// The leader recorded the response to the machine.
     Leader,
-    /// A leader that has not loaded its state: leases count from when it has (`Scheduler::load`).
+    /// A leader that has not loaded its state: leases count from the time of loading (`Scheduler::load`).
     BeforeLoad,
-    /// A node in keep-alive mode: the next leader counts leases from when it may last have answered
-    /// (`Leadership::autonomous_until`).
+    /// A node in keep-alive mode: the next leader counts leases from the last time at which that node may have
+    /// responded (`Leadership::autonomous_until`).
     KeepAlive,
-    /// A leaseholder noted the machine for its next heartbeat; until then the leader counts none of its leases as over.
+    /// A leaseholder entered the machine in its next shard heartbeat. Until that heartbeat arrives, the leader counts
+    /// no lease of the shard as expired.
     Leaseholder,
-    /// The leader noted the answer before it sent it to the leaseholder that had passed the heartbeat on.
+    /// The leader recorded the response before it sent it to the leaseholder that had relayed the heartbeat.
     Relayed,
 }
 
-/// Proof that an answer which may renew a worker's lease is accounted for.
+/// Proof that a response which may renew a worker's lease is accounted for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-#[must_use = "an answer that was noted should be given"]
+#[must_use = "a response that was recorded should be sent"]
 pub struct LeaseRenewal {
     basis: RenewalBasis,
 }
@@ -36,17 +40,17 @@
         LeaseRenewal { basis }
     }
 
-    /// Of a leader that has not loaded its state.
+    /// For a leader that has not loaded its state.
     pub(crate) fn before_load() -> Self {
         LeaseRenewal::on(RenewalBasis::BeforeLoad)
     }
 
-    /// Of a node in keep-alive mode.
+    /// For a node in keep-alive mode.
     pub(crate) fn by_keep_alive() -> Self {
         LeaseRenewal::on(RenewalBasis::KeepAlive)
     }
 
-    /// Of a leaseholder that has the leader's answer.
+    /// For a leaseholder that has the leader's response.
     pub(crate) fn relayed() -> Self {
         LeaseRenewal::on(RenewalBasis::Relayed)
     }
@@ -57,67 +61,64 @@
     }
 }
 
-/// When the leader last noted an answer that may have renewed a machine's lease.
+/// When the leader last recorded a response that may have renewed a machine's lease.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LastRenewal {
+    /// Microseconds on the leader's clock; 0: never.
     at: u64,
 }
 
 impl LastRenewal {
-    /// An answer of the leader's own.
+    /// Records a response of the leader itself at `now` (microseconds).
     pub fn record(&mut self, now: u64) -> LeaseRenewal {
         self.at = self.at.max(now);
         LeaseRenewal::on(RenewalBasis::Leader)
     }
 
-    /// A leaseholder has told of an answer of its own.
+    /// Records at `now` (microseconds) that a leaseholder has reported a response of its own.
     pub fn record_by_leaseholder(&mut self, now: u64) {
         self.at = self.at.max(now);
     }
 
-    /// The last time at which a lease may have begun.
+    /// The last time at which a lease may have begun, in microseconds on the leader's clock; 0: never.
     pub fn at(&self) -> u64 {
         self.at
     }
 }
 
-/// Machines that a leaseholder answered and the leader has not confirmed, with the last heartbeat that has to name each.
+/// Machines whose lease a leaseholder renewed and the leader has not acknowledged, each with the last shard heartbeat
+/// that has to name it.
 #[derive(Debug, Default)]
-pub struct UnacknowledgedRenewals {
+pub(super) struct UnacknowledgedRenewals {
     machines: BTreeMap<String, u64>,
 }
 
 impl UnacknowledgedRenewals {
-    /// An answer to the machine, to be named in this heartbeat.
-    pub fn record(&mut self, machine: &str, heartbeat: u64) -> LeaseRenewal {
-        self.machines.insert(machine.to_string(), heartbeat);
+    /// Records a response to the machine, to be named in the shard heartbeat with this id.
+    pub(super) fn record(&mut self, machine: &str, heartbeat_id: u64) -> LeaseRenewal {
+        self.machines.insert(machine.to_string(), heartbeat_id);
         LeaseRenewal::on(RenewalBasis::Leaseholder)
     }
 
-    /// The leader has confirmed a heartbeat that named the machine.
-    pub fn acknowledge(&mut self, machine: &str, heartbeat: u64) {
-        if self.machines.get(machine).is_some_and(|first| *first <= heartbeat) {
+    /// The leader has acknowledged a shard heartbeat that named the machine.
+    pub(super) fn acknowledge(&mut self, machine: &str, heartbeat_id: u64) {
+        if self.machines.get(machine).is_some_and(|recorded_for| *recorded_for <= heartbeat_id) {
             self.machines.remove(machine);
         }
     }
 
-    /// The machines' names.
-    pub fn names(&self) -> impl Iterator<Item = &String> {
+    /// The machines' names, in order.
+    pub(super) fn names(&self) -> impl Iterator<Item = &String> {
         self.machines.keys()
     }
 
     /// How many machines.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.machines.len()
     }
-
-    /// Whether every answer was confirmed.
-    pub fn is_empty(&self) -> bool {
-        self.machines.is_empty()
-    }
 }
 
-/// Answers of this node since it started, by their grounds.
+/// Responses of this node since it started, by basis. Part of `/overview`, hence the serialized names.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct RenewalCounts {
     leader: u64,
@@ -127,12 +128,12 @@
     #[serde(rename = "lessee")]
     leaseholder: u64,
     relayed: u64,
-    /// Heartbeats that were not answered here.
+    /// Heartbeats that got no renewal here.
     refused: u64,
 }
 
 impl RenewalCounts {
-    /// Counts an answer.
+    /// Counts a response.
     pub fn count(&mut self, renewal: &LeaseRenewal) {
         let count = match renewal.basis {
             RenewalBasis::Leader => &mut self.leader,
@@ -144,7 +145,7 @@
         *count += 1;
     }
 
-    /// Counts a heartbeat that was not answered here.
+    /// Counts a heartbeat that got no renewal here.
     pub fn count_refused(&mut self) {
         self.refused += 1;
     }
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -1,11 +1,16 @@
-//! A controller's block: the workers that heartbeat to it.
+//! A controller's shard: the workers that send their heartbeats to it.
 //!
-//! The leaseholder passes on what changes and answers by itself, under the leader's token and without commands,
-//! the heartbeats that say nothing new. Once a second it tells the leader whom it answered, and each such heartbeat
-//! that the leader confirms lets it go on for a shard lease: counted by the leaseholder from when it sent the heartbeat,
-//! by the leader from when it got it. While it hears no leader, a leaseholder answers whoever shows the last token,
-//! so that a zone that is cut off lives on as a whole, whichever node its workers reported to before. The
-//! leader always knows until when somebody may have kept a worker alive.
+//! The leaseholder relays to the leader every heartbeat that brings a change. It responds itself, under the leader's
+//! fencing token and without commands, to heartbeats that are unchanged. Once a second it sends the leader a shard
+//! heartbeat that names the machines it responded to. Each one that the leader acknowledges extends the shard lease:
+//! the leaseholder counts the lease from when it sent the shard heartbeat, the leader from when it received it.
+//!
+//! While it has no leader, a leaseholder responds to every worker that shows the last token, so that a zone that is cut
+//! off keeps running as a whole, whichever node its workers reported to before. The leader always knows until when a
+//! leaseholder may have kept a worker alive.
+//!
+//! The controller's heartbeat routing owns the [`Shard`] and is its only caller. Times are microseconds on the local
+//! clock.
 
 use crate::lease::renewal::{LeaseRenewal, UnacknowledgedRenewals};
 use crate::limits;
@@ -18,77 +23,108 @@
     agent_epoch: u64,
     sequence: u64,
     tasks: Vec<ReportedTask>,
-    /// The leader has something to tell it: the next heartbeat is passed on whatever it says.
+    /// The leader has a command for the machine: its next heartbeat is relayed even if it is unchanged.
     wake_requested: bool,
-    /// When it was last answered.
-    answered_at: u64,
+    /// When the machine last got a response here, in microseconds.
+    responded_at: u64,
+}
+
+impl CachedHeartbeat {
+    fn is_as_recent_as(&self, heartbeat: &Heartbeat) -> bool {
+        (heartbeat.agent_epoch, heartbeat.sequence) <= (self.agent_epoch, self.sequence)
+    }
+
+    /// Whether the heartbeat tells the leader nothing that it does not know, and the leader has no command for it.
+    fn makes_relay_needless(&self, heartbeat: &Heartbeat) -> bool {
+        heartbeat.agent_epoch == self.agent_epoch
+            && heartbeat.notice_s.is_none()
+            && !self.wake_requested
+            && heartbeat.tasks == self.tasks
+    }
 }
 
-/// A worker with news for a leader that is not heard here.
+/// State of a worker with changes for a leader that this node has lost contact with.
 enum Redirection {
     NotTried,
-    /// Sent to the other nodes, which may hear it.
+    /// Redirected to the other nodes, which may be in contact with the leader.
     Redirected,
-    /// It came back then: they don't either.
+    /// It came back at this time (microseconds): the other nodes have no contact with a leader either.
     Returned(u64),
 }
 
-/// A heartbeat for the leader of the machines answered here.
+/// The leaseholder's periodic message to the leader, with the machines that it responded to.
 pub struct ShardHeartbeat {
+    /// Number of the heartbeat, unique over the node's incarnations.
     pub id: u64,
-    /// It names every machine answered since the last heartbeat that was confirmed.
+    /// It names every machine with a response since the last shard heartbeat that was acknowledged.
     pub complete: bool,
-    /// None was confirmed yet: it says nothing of what an earlier life of this leaseholder answered.
+    /// None was acknowledged yet: it proves nothing about responses of an earlier incarnation of this leaseholder.
     pub first_of_incarnation: bool,
+    /// Names of the machines.
     pub machines: Vec<String>,
 }
 
-/// What a leaseholder does with a heartbeat.
+/// What a leaseholder does with a worker's heartbeat.
 #[derive(Debug, PartialEq, Eq)]
+#[must_use = "a renewal that was recorded should be sent"]
 pub enum ShardResponse {
-    /// It answers by itself, under this token.
+    /// It responds itself, under this fencing token.
     Renewed(u64, LeaseRenewal),
-    /// A copy of an earlier heartbeat: nobody waits for an answer.
+    /// A repeated or overtaken heartbeat: no response is due.
     Duplicate,
     /// The heartbeat is for the leader, or for another node.
     NotResponsible,
 }
 
 impl ShardResponse {
-    /// The token that it answers with.
+    /// The fencing token that it responds with, if it does.
     pub fn token(&self) -> Option<u64> {
         match self {
             ShardResponse::Renewed(token, _) => Some(*token),
-            _ => None,
+            ShardResponse::Duplicate | ShardResponse::NotResponsible => None,
         }
     }
 }
 
+/// A shard heartbeat that the leader has not acknowledged.
+struct SentHeartbeat {
+    id: u64,
+    /// Microseconds.
+    sent_at: u64,
+    machines: Vec<String>,
+}
+
+/// The leaseholder's state: its shard lease, and the machines that it may respond to without the leader.
 #[derive(Default)]
 pub struct Shard {
-    /// Machines that it keeps at most.
+    /// Machines that are cached at most.
     max_cached: usize,
+    /// Fencing token of the leader that this shard belongs to.
     token: u64,
-    /// The shard lease: until then this node may answer by itself.
+    /// The shard lease: until then (microseconds) this node may respond itself; 0: none was granted under this token.
     lease_until: u64,
+    /// By machine.
     cached: HashMap<String, CachedHeartbeat>,
+    /// By machine.
     redirections: HashMap<String, Redirection>,
-    /// Machines answered here that the leader has not confirmed.
+    /// Machines with a response here that the leader has not acknowledged.
     unacknowledged: UnacknowledgedRenewals,
-    /// Words without confirmation: number, when, which machines.
-    sent_heartbeats: VecDeque<(u64, u64, Vec<String>)>,
+    /// Shard heartbeats without acknowledgement, the oldest first.
+    sent_heartbeats: VecDeque<SentHeartbeat>,
     heartbeat_ids: RequestIds,
+    /// Microseconds.
     next_heartbeat_at: u64,
 }
 
 impl Shard {
-    /// `max_cached`: machines that it keeps at most.
+    /// A shard without a lease. `max_cached`: how many machines it caches at most. `incarnation`: of this process.
     pub fn new(max_cached: usize, incarnation: u64) -> Self {
         Shard { max_cached, heartbeat_ids: RequestIds::of(incarnation), ..Shard::default() }
     }
 
-    /// A leader is about. Until it confirms a heartbeat of ours nobody is answered without it; what an earlier one
-    /// leased may still keep workers alive elsewhere.
+    /// A leader with this fencing token was observed. A new leader starts the shard anew: until it acknowledges a shard
+    /// heartbeat, no worker gets a response without it. Leases that an earlier leader granted may still keep workers
+    /// alive elsewhere.
     pub fn follow(&mut self, token: u64) {
         if token > self.token {
             *self = Shard {
@@ -100,123 +136,126 @@
         }
     }
 
-    /// This node led under the token and does not any more: it may go on keeping workers alive until then.
+    /// This node led under the token and no longer does: it may keep workers alive until then (microseconds).
     pub fn retain_after_leadership(&mut self, token: u64, until: u64) {
         self.follow(token);
         self.lease_until = until;
     }
 
-    /// Answers a heartbeat, if this node may do so without the leader.
+    /// Decides on a heartbeat, and records the response if this node may give one without the leader. `has_leader`:
+    /// whether this node is in contact with the leader.
     pub fn respond(&mut self, now: u64, heartbeat: &Heartbeat, has_leader: bool) -> ShardResponse {
-        // A worker that has seen a higher token drops ours and would sit here while its lease runs out.
+        // A worker that has seen a higher token drops ours. It would stay here while its lease runs out.
         if heartbeat.token != self.token || now + limits::AUTHORITY_MARGIN >= self.lease_until {
             return ShardResponse::NotResponsible;
         }
-        let kept = self.cached.get(&heartbeat.machine);
-        if kept.is_some_and(|cached| {
-            (heartbeat.agent_epoch, heartbeat.sequence) <= (cached.agent_epoch, cached.sequence)
-        }) {
+        let cached = self.cached.get(&heartbeat.machine);
+        if cached.is_some_and(|cached| cached.is_as_recent_as(heartbeat)) {
             return ShardResponse::Duplicate;
         }
-        let unchanged = kept.is_some_and(|cached| {
-            heartbeat.agent_epoch == cached.agent_epoch
-                && heartbeat.notice_s.is_none()
-                && !cached.wake_requested
-                && heartbeat.tasks == cached.tasks
-        });
+        let unchanged = cached.is_some_and(|cached| cached.makes_relay_needless(heartbeat));
         if !unchanged && (has_leader || self.redirects(now, heartbeat)) {
             return ShardResponse::NotResponsible;
         }
-        if let Some(kept) = self.cached.get_mut(&heartbeat.machine).filter(|_| unchanged) {
-            (kept.sequence, kept.answered_at) = (heartbeat.sequence, now);
+        if let Some(cached) = self.cached.get_mut(&heartbeat.machine).filter(|_| unchanged) {
+            cached.sequence = heartbeat.sequence;
+            cached.responded_at = now;
         }
-        ShardResponse::Renewed(
-            self.token,
-            self.unacknowledged.record(&heartbeat.machine, self.heartbeat_ids.upcoming()),
-        )
+        let renewal = self.unacknowledged.record(&heartbeat.machine, self.heartbeat_ids.upcoming());
+        ShardResponse::Renewed(self.token, renewal)
     }
 
-    /// While no leader is heard, a worker of ours with news tries the other nodes first, since it may be only
-    /// us who do not hear it. One that has just come from there, as all do that we do not know, is kept alive.
+    /// Without contact with a leader, a worker of this shard with changes tries the other nodes first: perhaps only
+    /// this node has lost the leader. A worker that has just come from there is kept alive; every worker that is not
+    /// cached counts as such.
     fn redirects(&mut self, now: u64, heartbeat: &Heartbeat) -> bool {
-        let known = self.cached.contains_key(&heartbeat.machine);
-        let away = self.redirections.entry(heartbeat.machine.clone());
-        let away =
-            away.or_insert_with(|| if known { Redirection::NotTried } else { Redirection::Returned(now) });
-        match away {
+        let is_cached = self.cached.contains_key(&heartbeat.machine);
+        let initial = if is_cached { Redirection::NotTried } else { Redirection::Returned(now) };
+        let redirection = self.redirections.entry(heartbeat.machine.clone()).or_insert(initial);
+        match redirection {
             Redirection::Redirected => {
-                *away = Redirection::Returned(now);
+                *redirection = Redirection::Returned(now);
                 false
             }
             Redirection::Returned(at) if now < *at + limits::REDIRECT_RETRY_INTERVAL => false,
             Redirection::NotTried | Redirection::Returned(_) => {
-                *away = Redirection::Redirected;
+                *redirection = Redirection::Redirected;
                 true
             }
         }
     }
 
-    /// The leader has answered a heartbeat that was passed on. `cacheable`: what says nothing new need not be.
-    pub fn record_relayed_response(&mut self, now: u64, heartbeat: Heartbeat, token: u64, keep: bool) {
+    /// The leader has responded to a heartbeat that was relayed. `cacheable`: later heartbeats that are unchanged need
+    /// not be relayed.
+    pub fn record_relayed_response(&mut self, now: u64, heartbeat: Heartbeat, token: u64, cacheable: bool) {
         if token != self.token {
             return;
         }
-        self.redirections.remove(&heartbeat.machine);
-        if keep && self.cached.len() < self.max_cached {
-            let Heartbeat { machine, agent_epoch, sequence, tasks, .. } = heartbeat;
-            self.cached.insert(
-                machine,
-                CachedHeartbeat { agent_epoch, sequence, tasks, wake_requested: false, answered_at: now },
-            );
-        } else {
-            self.cached.remove(&heartbeat.machine);
+        let Heartbeat { machine, agent_epoch, sequence, tasks, .. } = heartbeat;
+        self.redirections.remove(&machine);
+        if !cacheable || self.cached.len() >= self.max_cached {
+            self.cached.remove(&machine);
+            return;
         }
+        let cached =
+            CachedHeartbeat { agent_epoch, sequence, tasks, wake_requested: false, responded_at: now };
+        self.cached.insert(machine, cached);
     }
 
+    /// The leader has commands for these machines: their next heartbeat is relayed even if it is unchanged.
     pub fn request_wake(&mut self, machines: &[String]) {
         for name in machines {
-            if let Some(kept) = self.cached.get_mut(name) {
-                kept.wake_requested = true;
+            if let Some(cached) = self.cached.get_mut(name) {
+                cached.wake_requested = true;
             }
         }
     }
 
-    /// A heartbeat for the leader, once in a while. It repeats what was not confirmed: a frame may be lost with its
-    /// connection, and the leader concludes from a heartbeat that nobody else was answered here before it.
+    /// The shard heartbeat for the leader, when one is due. It repeats what was not acknowledged: a frame may be lost
+    /// with its connection, and the leader concludes from a complete one that no other machine got a response here
+    /// before it.
+    #[must_use = "the shard lease is extended only by a heartbeat that is sent"]
     pub fn next_heartbeat(&mut self, now: u64) -> Option<ShardHeartbeat> {
         if now < self.next_heartbeat_at {
             return None;
         }
-        // Machines that are gone or report elsewhere are forgotten here, where it happens once in a while.
-        self.cached.retain(|_, kept| now < kept.answered_at + limits::CACHED_HEARTBEAT_TTL);
+        // Machines that were deleted or report elsewhere leave the cache here, where it costs least.
+        self.cached.retain(|_, cached| now < cached.responded_at + limits::CACHED_HEARTBEAT_TTL);
         let id = self.heartbeat_ids.take();
-        let mut room = limits::SHARD_HEARTBEAT_MAX_BYTES;
-        let fits = |name: &&String| {
-            room = room.saturating_sub(name.len() + 1);
-            room > 0
+        let machines = self.unacknowledged_names_that_fit();
+        let complete = machines.len() == self.unacknowledged.len();
+        // The remaining names follow at once. What the leader acknowledges meanwhile need not be repeated.
+        let interval = if complete {
+            limits::SHARD_HEARTBEAT_INTERVAL
+        } else {
+            limits::SHARD_HEARTBEAT_CONTINUATION_INTERVAL
         };
-        let machines: Vec<String> = self.unacknowledged.names().take_while(fits).cloned().collect();
-        let whole = machines.len() == self.unacknowledged.len();
-        // The rest follows at once: what the leader confirms meanwhile need not be named again.
-        self.next_heartbeat_at = now
-            + if whole {
-                limits::SHARD_HEARTBEAT_INTERVAL
-            } else {
-                limits::SHARD_HEARTBEAT_CONTINUATION_INTERVAL
-            };
-        self.sent_heartbeats.push_back((id, now, machines.clone()));
+        self.next_heartbeat_at = now + interval;
+        self.sent_heartbeats.push_back(SentHeartbeat { id, sent_at: now, machines: machines.clone() });
         if self.sent_heartbeats.len() > limits::MAX_UNACKNOWLEDGED_SHARD_HEARTBEATS {
             self.sent_heartbeats.pop_front();
         }
-        Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: self.lease_until == 0, machines })
+        Some(ShardHeartbeat { id, complete, first_of_incarnation: self.lease_until == 0, machines })
     }
 
-    /// The leader has taken note: our lease runs on from when it was told. Returns whether the heartbeat is one of ours.
+    /// Names of unacknowledged machines, as many as fit into one frame.
+    fn unacknowledged_names_that_fit(&self) -> Vec<String> {
+        let mut bytes_left = limits::SHARD_HEARTBEAT_MAX_BYTES;
+        let fits = |name: &&String| {
+            bytes_left = bytes_left.saturating_sub(name.len() + 1);
+            bytes_left > 0
+        };
+        self.unacknowledged.names().take_while(fits).cloned().collect()
+    }
+
+    /// The leader has acknowledged a shard heartbeat: the shard lease runs for `lease` microseconds from when it was
+    /// sent. Returns whether the heartbeat is one of this shard's.
     pub fn acknowledge(&mut self, id: u64, lease: u64) -> bool {
-        let Some(at) = self.sent_heartbeats.iter().position(|(told, _, _)| *told == id) else { return false };
-        let Some((_, sent, machines)) = self.sent_heartbeats.drain(..=at).next_back() else { return false };
-        self.lease_until = self.lease_until.max(sent + limits::shortened(lease));
-        for name in machines {
+        let Some(at) = self.sent_heartbeats.iter().position(|sent| sent.id == id) else { return false };
+        // Earlier ones are covered: a shard heartbeat repeats what was not acknowledged.
+        let Some(acknowledged) = self.sent_heartbeats.drain(..=at).next_back() else { return false };
+        self.lease_until = self.lease_until.max(acknowledged.sent_at + limits::shortened(lease));
+        for name in acknowledged.machines {
             self.unacknowledged.acknowledge(&name, id);
         }
         true
