--- a/crates/dockpier-simulation/examples/transcript/election_lines.rs
+++ b/crates/dockpier-simulation/examples/transcript/election_lines.rs
@@ -50,19 +50,21 @@
 
 /// What a node answers to the public queries at this moment of its clock.
 pub fn queries(node: usize, now: u64, leadership: &Leadership) -> Line {
-    let (until, token) = leadership.authority_until(now);
     let followed = leadership.followed_leader(now);
     Line::new("queries")
         .with("node", node)
         .with("leads", leadership.is_leader())
         .optional("authority", leadership.authority(now))
-        .with("acts_until", until)
-        .optional("acts_with", token)
+        .with("acts_until", leadership.authority_until(now))
+        .optional("acts_with", leadership.authority(now))
         .optional("lease_keeper", leadership.keep_alive_token(now))
         .with("block_lease", leadership.shard_lease(now))
         .with("autonomous_until", leadership.autonomous_until(now))
         .optional("leader_name", leadership.leader_name(now))
-        .list("followed", followed.map(|(leader, token, stamp)| format!("{leader}:{token}:{stamp}")))
+        .list(
+            "followed",
+            followed.map(|leader| format!("{}:{}:{}", leader.node, leader.token, leader.heartbeat_stamp)),
+        )
         .list("out_of_touch", leadership.unreachable_peers(now))
         .with("peer_has_state", leadership.peer_has_state(now))
         .with("hears_a_peer", leadership.has_live_peer(now))
--- a/crates/dockpier-simulation/examples/transcript/network.rs
+++ b/crates/dockpier-simulation/examples/transcript/network.rs
@@ -9,7 +9,7 @@
 use crate::output::{Line, Transcript};
 use clients::Worker;
 use dockpier::leadership::{Action, Leadership, Message, Status, StoreResponse};
-use dockpier::lease::cancellation_log::Attestation;
+use dockpier::lease::cancellation_log::{Attestation, CancellationBounds};
 use dockpier::lease::shard::Shard;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::JobId;
@@ -23,8 +23,8 @@
 const NAMES: [&str; NODES] = ["a", "b", "c"];
 const LASTS: u64 = 45 * SECOND;
 /// How long workers may be kept alive without hearing of cancellations, and how long those are remembered.
-const AUTONOMY: u64 = 10 * SECOND;
-const REMEMBERED: u64 = 50 * SECOND;
+const BOUNDS: CancellationBounds =
+    CancellationBounds { longest_autonomy: 10 * SECOND, retention: 50 * SECOND };
 /// How often the public queries are asked.
 const ASKED_EVERY: u64 = SECOND;
 
@@ -112,7 +112,7 @@
         let life = self.rng.random();
         let seed = self.rng.random();
         Node {
-            leadership: Leadership::new(names, me, life, now, (AUTONOMY, REMEMBERED), seed),
+            leadership: Leadership::new(names, me, life, now, BOUNDS, seed),
             block: Shard::new(8, life),
             life,
             base,
@@ -263,10 +263,9 @@
             }
             Wire::Attestation { from, to, life, attestation } if self.is_up(to) => {
                 let now = self.local(to);
-                let (over, actions) =
-                    self.nodes[to].leadership.handle_attestation(now, from, life, &attestation);
-                self.note_over("attested-over", to, over);
-                self.act(to, actions);
+                let outcome = self.nodes[to].leadership.handle_attestation(now, from, life, &attestation);
+                self.note_over("attested-over", to, outcome.terminated);
+                self.act(to, outcome.actions);
             }
             Wire::ToStore { node, life, action, sent } => {
                 let request = Request { name: NAMES[node], incarnation: life, sent };
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -4,6 +4,7 @@
 use super::{Wire, World, NODES};
 use crate::output::Line;
 use crate::{effects, words};
+use dockpier::leadership::FollowedLeader;
 use dockpier::lease::shard::ShardResponse;
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
@@ -106,7 +107,8 @@
     /// A user is to be told that the job is cancelled, and asks again where it may not be told yet.
     pub(super) fn confirm(&mut self, node: usize, job_id: JobId) {
         let (now, life) = (self.local(node), self.nodes[node].life);
-        let (news, may, actions) = self.nodes[node].leadership.confirm_cancellation(now, job_id);
+        let outcome = self.nodes[node].leadership.confirm_cancellation(now, job_id);
+        let (news, may, actions) = (outcome.is_new, outcome.is_permitted, outcome.actions);
         let line = Line::new("confirm").with("node", node).with("job", job_id.0);
         self.note(line.with("news", news).with("may", may));
         self.act(node, actions);
@@ -121,7 +123,11 @@
     pub(super) fn run_lessees(&mut self) {
         for node in (0..NODES).filter(|node| self.is_up(*node)).collect::<Vec<_>>() {
             let now = self.local(node);
-            let Some((leader, token, _)) = self.nodes[node].leadership.followed_leader(now) else { continue };
+            let Some(FollowedLeader { node: leader, token, .. }) =
+                self.nodes[node].leadership.followed_leader(now)
+            else {
+                continue;
+            };
             self.nodes[node].block.follow(token);
             let Some(heartbeat) = self.nodes[node].block.next_heartbeat(now) else { continue };
             let line = Line::new("network-block-heartbeat").with("node", node).with("id", heartbeat.id);
@@ -219,10 +225,10 @@
     fn pass_on(&mut self, node: usize, report: Heartbeat, line: Line) -> Option<(u64, BTreeSet<JobId>)> {
         let now = self.local(node);
         let followed = self.nodes[node].leadership.followed_leader(now);
-        let reached = followed.filter(|(leader, token, _)| {
-            self.leads(*leader, *token) && self.cut_between(node, *leader).is_none()
+        let reached = followed.filter(|leader| {
+            self.leads(leader.node, leader.token) && self.cut_between(node, leader.node).is_none()
         });
-        let Some((leader, token, _)) = reached else {
+        let Some(FollowedLeader { node: leader, token, .. }) = reached else {
             let actions = self.nodes[node].leadership.observe_token(report.token, now);
             self.act(node, actions);
             self.note(line.with("by", "nobody"));
--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -3,6 +3,7 @@
 
 use super::ignored_frames::IgnoredFrame;
 use super::Controller;
+use crate::leadership::FollowedLeader;
 use crate::lease::renewal::LeaseRenewal;
 use crate::lease::shard::{ShardHeartbeat, ShardResponse};
 use crate::limits;
@@ -121,7 +122,7 @@
     /// What a leaseholder does as time passes: tells the leader whom it answered, and gives up waiting for it.
     pub(super) fn maintain_shard(&mut self, now: u64) {
         let followed = self.leadership.followed_leader(now);
-        if let Some((leader, token, stamp)) = followed {
+        if let Some(FollowedLeader { node: leader, token, heartbeat_stamp: stamp, .. }) = followed {
             self.shard.follow(token);
             if let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines }) =
                 self.shard.next_heartbeat(now)
@@ -192,14 +193,14 @@
         to: oneshot::Sender<HeartbeatReply>,
     ) {
         let followed = self.leadership.followed_leader(now);
-        if let Some((_, token, _)) = followed {
-            self.shard.follow(token);
+        if let Some(leader) = followed {
+            self.shard.follow(leader.token);
         }
         if let Some(reply) = self.respond_as_leaseholder(now, &heartbeat, followed.is_some()) {
             let _ = to.send(reply);
             return;
         }
-        if let Some((leader, token, stamp)) = followed {
+        if let Some(FollowedLeader { node: leader, token, heartbeat_stamp: stamp, .. }) = followed {
             if heartbeat.token <= token && peer::fits_frame(&heartbeat) {
                 let id = self.request_ids.take();
                 if self.send(leader, Payload::RelayedHeartbeat { id, stamp, heartbeat: heartbeat.clone() }) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -149,7 +149,7 @@
         let status = self.status(now);
         let actions = self.leadership.tick(now, status);
         self.apply_actions(actions);
-        self.authority_until.store(self.leadership.authority_until(now).0, Ordering::Relaxed);
+        self.authority_until.store(self.leadership.authority_until(now), Ordering::Relaxed);
         self.judge_health(now);
         self.answer_pending_confirmations(now);
         let Batch { mut commands, heartbeats } = batch;
@@ -173,9 +173,9 @@
                 batch.commands.extend(over.into_iter().map(Command::JobRemoved));
             }
             Event::Cancelled(job_id, to) => {
-                let (news, _, actions) = self.leadership.confirm_cancellation(now, job_id);
-                self.apply_actions(actions);
-                if news {
+                let outcome = self.leadership.confirm_cancellation(now, job_id);
+                self.apply_actions(outcome.actions);
+                if outcome.is_new {
                     batch.commands.push(Command::JobRemoved(job_id));
                 }
                 self.pending_confirmations.push((job_id, to));
@@ -204,10 +204,9 @@
                 self.apply_actions(actions);
             }
             Payload::Attestation(attestation) => {
-                let (over, actions) =
-                    self.leadership.handle_attestation(now, from, incarnation, &attestation);
-                self.apply_actions(actions);
-                batch.commands.extend(over.into_iter().map(Command::JobRemoved));
+                let outcome = self.leadership.handle_attestation(now, from, incarnation, &attestation);
+                self.apply_actions(outcome.actions);
+                batch.commands.extend(outcome.terminated.into_iter().map(Command::JobRemoved));
             }
             Payload::Summary(lines) => {
                 if !self.leadership.is_leader() {
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -8,6 +8,7 @@
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{Clock, Http};
 use crate::leadership::Leadership;
+use crate::lease::cancellation_log::CancellationBounds;
 use crate::lease::renewal::RenewalCounts;
 use crate::lease::shard::Shard;
 use crate::limits::{self, Capacity};
@@ -117,8 +118,10 @@
     let now = clock.now();
     let workers = &deployment.workers;
     let longest_autonomy = limits::longest_autonomy(workers.cancel_s, workers.lease_s);
-    let (seed, kept) = (sender.incarnation, limits::cancellation_retention(workers.cancel_s));
-    let leadership = Leadership::new(names, me, sender.incarnation, now, (longest_autonomy, kept), seed);
+    let retention = limits::cancellation_retention(workers.cancel_s);
+    let bounds = CancellationBounds { longest_autonomy, retention };
+    let seed = sender.incarnation;
+    let leadership = Leadership::new(names, me, sender.incarnation, now, bounds, seed);
     let controller = Controller {
         config: Config {
             token: 0,
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,34 +1,28 @@
-//! How a node that does not lead becomes the leader: it watches for one, asks for votes and takes over.
+//! How a node that does not lead becomes the leader: it watches for a leader, asks for votes and takes over.
 
-use super::{Action, Leadership, Message, Role, TakeoverProof};
+use super::role::{Role, TakeoverProof};
+use super::{Action, Leadership, Message};
 use crate::limits::{self, lengthened};
 use rand::Rng;
 use tracing::{debug, info};
 
 impl Leadership {
-    pub(super) fn probe(&mut self, now: u64, every: u64, actions: &mut Vec<Action>) {
-        self.probe_in_flight = true;
-        self.next_probe_at = now + every;
+    /// Reads epoch and lock, and again after `interval`.
+    pub(super) fn probe(&mut self, now: u64, interval: u64, actions: &mut Vec<Action>) {
+        self.lock.start_probe(now, interval);
         actions.push(Action::Probe);
     }
 
-    pub(super) fn is_leader_alive(&self, now: u64) -> bool {
-        self.leader.is_some_and(|(_, _, heard)| now < heard + limits::GRANT_DURATION)
-    }
-
+    /// What a node does that does not lead, as time passes.
     pub(super) fn follow(&mut self, now: u64, actions: &mut Vec<Action>) {
-        let calm = self.is_leader_alive(now);
-        if now >= self.next_probe_at && !self.probe_in_flight {
-            self.probe(
-                now,
-                if calm { limits::PROBE_INTERVAL } else { limits::LEADERLESS_PROBE_INTERVAL },
-                actions,
-            );
+        let has_leader = self.followed.is_some_and(|leader| leader.holds_back_campaigns(now));
+        if self.lock.is_probe_due(now) {
+            let interval =
+                if has_leader { limits::PROBE_INTERVAL } else { limits::LEADERLESS_PROBE_INTERVAL };
+            self.probe(now, interval, actions);
         }
-        // Without a fresh reading there is nothing to condition a transaction on.
-        let readable = self.epoch_known && now < self.probed_at + limits::PROBE_INTERVAL && !self.locked;
-        if let Role::KeepAlive { .. } = self.role {
-            if self.keep_alive_token(now).is_some() && !readable && !self.peer_has_state(now) {
+        if self.role.is_keep_alive() {
+            if self.should_stay_in_keep_alive(now) {
                 return;
             }
             info!("keep-alive mode ended");
@@ -36,40 +30,56 @@
             self.next_campaign_at = now;
         }
         if self.is_store_lost() {
-            self.lock_free_since = None;
+            self.lock.forget_free();
         }
-        if matches!(self.role, Role::TakingOver { .. }) || calm || now < self.next_campaign_at {
+        if self.role.is_taking_over() || has_leader || now < self.next_campaign_at {
             return;
         }
-        let may_care = now + limits::GRANT_DURATION < self.cancellations.keep_alive_until();
-        let outage = self.is_store_lost() && self.highest_token > 0 && !self.peer_has_state(now) && may_care;
-        if !(readable || outage) || self.grant_given.is_some_and(|(_, until)| now < until) {
-            return;
-        }
-        if self.vote_given.is_some_and(|(to, until)| to != self.local_node && now < until) {
-            return;
+        if self.may_campaign(now) {
+            self.campaign(now, actions);
         }
-        self.next_campaign_at =
-            now + limits::CAMPAIGN_INTERVAL + self.rng.random_range(0..limits::CAMPAIGN_INTERVAL);
-        if !self.in_restart_grace(now) {
-            self.vote_given = Some((self.local_node, now + lengthened(limits::GRANT_DURATION)));
+    }
+
+    /// A node in keep-alive mode goes on until its bound, or until a leader can be elected.
+    fn should_stay_in_keep_alive(&self, now: u64) -> bool {
+        self.keep_alive_token(now).is_some() && !self.lock.is_known_free(now) && !self.peer_has_state(now)
+    }
+
+    /// Whether there is something to campaign for, and no grant or vote for another node forbids it.
+    fn may_campaign(&self, now: u64) -> bool {
+        (self.lock.is_known_free(now) || self.may_enter_keep_alive(now))
+            && !self.commitments.exclude(now, self.peers.local_node())
+    }
+
+    /// Whether the key-value store is lost to all nodes in contact, and keep-alive mode would last for a grant's time.
+    fn may_enter_keep_alive(&self, now: u64) -> bool {
+        self.is_store_lost()
+            && self.highest_token > 0
+            && !self.peer_has_state(now)
+            && now + limits::GRANT_DURATION < self.cancellations.keep_alive_until()
+    }
+
+    fn campaign(&mut self, now: u64, actions: &mut Vec<Action>) {
+        let random_delay = self.rng.random_range(0..limits::CAMPAIGN_INTERVAL);
+        self.next_campaign_at = now + limits::CAMPAIGN_INTERVAL + random_delay;
+        if !self.commitments.in_restart_grace(now) {
+            self.commitments.give_vote(now, self.peers.local_node());
         }
-        if let (Some((version, since)), true) = (self.lock_free_since, readable) {
-            if now >= self.former_leader_authority_until(since) {
-                return self.start_takeover(version, TakeoverProof::LockExpired, actions);
+        if let Some(free) = self.lock.free().filter(|_| self.lock.is_known_free(now)) {
+            if now >= self.former_leader_authority_until(free.since) {
+                return self.start_takeover(free.epoch_version, TakeoverProof::LockExpired, actions);
             }
         }
         self.campaigning = true;
         debug!("campaign started");
-        let request = Message::VoteRequest { sent: now };
-        actions.extend(self.others().map(|i| Action::Send(i, request)));
+        self.broadcast(Message::VoteRequest { sent: now }, actions);
         self.try_takeover(now, actions);
     }
 
-    /// When whoever held the lock, free since then, can act by its peers alone no more: it lives by what it read
-    /// before the lock ended, or by all members' attestations, ours among them. As long again as an earlier
-    /// version believes a peer's word, and a grant's time.
-    pub(super) fn former_leader_authority_until(&self, unlocked: u64) -> u64 {
+    /// When the holder of a lock that has been free since `unlocked` can no longer act by its peers alone. It acts by
+    /// what it read before the lock ended, or by the attestations of all members, ours among them. Added to both are
+    /// the time for which an earlier version trusts a peer's status, and the duration of a grant.
+    fn former_leader_authority_until(&self, unlocked: u64) -> u64 {
         let attested = self.attested_until + limits::LOCK_LEASE_MS * 1_000;
         unlocked.max(attested)
             + lengthened(self.longest_autonomy)
@@ -77,50 +87,52 @@
             + limits::GRANT_DURATION
     }
 
+    /// Whether the key-value store has not answered this node for too long.
     pub(super) fn is_store_lost(&self) -> bool {
         self.status.state_age >= limits::STORE_LOST_TIMEOUT
     }
 
+    /// Until when a majority votes for this node. Its own vote counts only while it binds this node too.
     pub(super) fn votes_until(&self, now: u64) -> u64 {
-        // Our own promise counts only while it binds us too.
-        let own = self.vote_given.filter(|(to, until)| *to == self.local_node && now < *until);
-        self.majority_until(own.is_some(), |p| p.vote_until).min(own.map_or(u64::MAX, |(_, until)| until))
+        match self.commitments.own_vote(now) {
+            Some(own_vote) => self.peers.voted_until(true).min(own_vote.until),
+            None => self.peers.voted_until(false),
+        }
     }
 
+    /// Uses the votes of a majority, once they are there: to take over, or without the key-value store to keep workers
+    /// alive.
     pub(super) fn try_takeover(&mut self, now: u64, actions: &mut Vec<Action>) {
-        if !self.campaigning || !matches!(self.role, Role::Follower) {
+        if !self.campaigning || !self.role.is_follower() {
             return;
         }
         if self.votes_until(now) <= now + limits::AUTHORITY_MARGIN {
             return;
         }
         if self.is_store_lost() {
-            // Both proofs of any leader's cannot be seen to be gone without the state service, but a
-            // leader that lives on by its state lease alone counts on no worker lease ending meanwhile.
-            info!(token = self.highest_token, "keep-alive mode started: no leader and no key-value store");
-            self.campaigning = false;
-            self.role = Role::KeepAlive { token: self.highest_token };
-            self.peers.iter_mut().for_each(|p| p.grant_until = 0);
-            self.next_heartbeat_at = now;
-            return;
+            self.enter_keep_alive(now);
+        } else if !self.lock.is_locked() {
+            self.start_takeover(self.lock.epoch_version(), TakeoverProof::Votes, actions);
         }
-        if self.locked {
-            return;
-        }
-        let version = self.epoch.as_ref().map_or(0, |(_, version)| *version);
-        self.start_takeover(version, TakeoverProof::Votes, actions);
     }
 
-    pub(super) fn start_takeover(&mut self, version: u64, by: TakeoverProof, actions: &mut Vec<Action>) {
-        let known = self.epoch.as_ref().map_or(0, |(epoch, _)| epoch.token);
-        let token = known.max(self.highest_token) + 1;
+    /// Without the key-value store nobody can see that both proofs of a former leader have ended. But a leader that acts
+    /// by its lock lease alone counts no worker lease as expired meanwhile.
+    fn enter_keep_alive(&mut self, now: u64) {
+        info!(token = self.highest_token, "keep-alive mode started: no leader and no key-value store");
+        self.campaigning = false;
+        self.role = Role::KeepAlive { token: self.highest_token };
+        self.peers.clear_grants();
+        self.next_heartbeat_at = now;
+    }
+
+    /// Sends the takeover transaction. `version`: of the epoch record that it replaces.
+    pub(super) fn start_takeover(&mut self, version: u64, proof: TakeoverProof, actions: &mut Vec<Action>) {
+        let token = self.lock.epoch_token().max(self.highest_token) + 1;
         self.campaigning = false;
-        self.role = Role::TakingOver { token, proof: by };
-        info!(token, ?by, "takeover started");
-        actions.push(Action::TakeOver {
-            token,
-            version,
-            ignore_lock: by == TakeoverProof::PreviousIncarnation,
-        });
+        self.role = Role::TakingOver { token, proof };
+        info!(token, by = ?proof, "takeover started");
+        let ignore_lock = proof == TakeoverProof::PreviousIncarnation;
+        actions.push(Action::TakeOver { token, version, ignore_lock });
     }
 }
--- /dev/null
+++ b/src/leadership/followed_leader.rs
@@ -0,0 +1,31 @@
+//! The leader that this node follows.
+
+use crate::limits;
+
+/// The leader whose heartbeat arrived last. Times are microseconds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct FollowedLeader {
+    /// Its node number.
+    pub node: usize,
+    /// Its fencing token.
+    pub token: u64,
+    /// The send time of its last heartbeat, on its clock. A leaseholder's frames echo it, so that the leader can tell
+    /// how old they are.
+    pub heartbeat_stamp: u64,
+    /// When its last heartbeat arrived, on the local clock.
+    pub(super) last_heartbeat_at: u64,
+    /// It has reported, under this token, that workers reach it.
+    pub(super) reached_by_workers: bool,
+}
+
+impl FollowedLeader {
+    /// Whether its last heartbeat is recent enough for this node to send workers or frames to it.
+    pub(super) fn is_in_contact(&self, now: u64) -> bool {
+        now < self.last_heartbeat_at + limits::PEER_TIMEOUT
+    }
+
+    /// Whether its last heartbeat is recent enough for this node not to look for another leader.
+    pub(super) fn holds_back_campaigns(&self, now: u64) -> bool {
+        now < self.last_heartbeat_at + limits::GRANT_DURATION
+    }
+}
--- /dev/null
+++ b/src/leadership/interface.rs
@@ -0,0 +1,157 @@
+//! What goes into leadership and what comes out: messages of the peers, responses of the key-value store, and actions
+//! that the controller's event loop carries out. Times are microseconds.
+
+use crate::lease::cancellation_log::Attestation;
+use crate::protocol::records::Epoch;
+use crate::scheduler::model::JobId;
+
+/// What a node reports of itself to its peers in every message.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub struct Status {
+    /// Microseconds since the key-value store last answered this node.
+    pub state_age: u64,
+    /// Workers that sent a heartbeat to this node lately.
+    pub workers: u32,
+    /// Machines that a leader counts as ready; not sent to peers.
+    pub machines: u32,
+    /// It gives attestations of cancellations and takes those of others (`cancellation_log`); earlier versions do not.
+    pub attests: bool,
+}
+
+/// A message between controllers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Message {
+    /// Sent by every node to all others. Asks for a grant if the sender leads or is in keep-alive mode.
+    Heartbeat {
+        /// Fencing token of a leader or of a node in keep-alive mode; 0: of neither.
+        token: u64,
+        /// Send time on the sender's clock.
+        sent: u64,
+    },
+    /// A grant in answer to a heartbeat with a token.
+    Grant {
+        /// The token of the heartbeat.
+        token: u64,
+        /// The send time of the heartbeat, on the receiver's clock.
+        echo: u64,
+    },
+    /// A candidate asks for a vote.
+    VoteRequest {
+        /// Send time on the sender's clock.
+        sent: u64,
+    },
+    /// A vote in answer to a request.
+    Vote {
+        /// The send time of the request, on the receiver's clock.
+        echo: u64,
+    },
+    /// The leader steps down and names its successor.
+    Release {
+        /// Its fencing token.
+        token: u64,
+        /// Number of the node that should lead next.
+        successor: usize,
+    },
+}
+
+/// What the controller has to do for leadership, in this order.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Action {
+    /// Send a message to the node with this number.
+    Send(usize, Message),
+    /// Send the node with this number what this node attests of cancellations.
+    Attest(usize, Attestation),
+    /// Read epoch and lock from the key-value store.
+    Probe,
+    /// One compare-and-swap with a new lock lease: write epoch and lock, if the epoch is still at `version` and, unless
+    /// `ignore_lock`, the lock is absent.
+    TakeOver {
+        /// Fencing token of the new epoch.
+        token: u64,
+        /// Version of the present epoch record; 0: there is none.
+        version: u64,
+        /// Take the lock although it is held.
+        ignore_lock: bool,
+    },
+    /// Renew the lock lease.
+    Renew {
+        /// Id of the lease.
+        lease: u64,
+    },
+    /// End the lock lease, on a best-effort basis.
+    Release {
+        /// Id of the lease.
+        lease: u64,
+    },
+    /// This node leads from now on.
+    Elected {
+        /// Its fencing token.
+        token: u64,
+        /// Version of its epoch record.
+        version: u64,
+    },
+    /// This node no longer leads. Like any leaseholder it may keep its workers alive for a while.
+    Deposed {
+        /// Until then, on its own clock.
+        keep_until: u64,
+    },
+}
+
+/// What a request to the key-value store led to.
+#[derive(Debug, Clone)]
+pub enum StoreResponse {
+    /// The answer to [`Action::Probe`].
+    Probed {
+        /// The epoch and the version of its record.
+        epoch: Option<(Epoch, u64)>,
+        /// The lock is held.
+        locked: bool,
+    },
+    /// The answer to [`Action::TakeOver`]: the transaction was committed.
+    TakeoverCommitted {
+        /// Id of the new lock lease.
+        lease: u64,
+        /// Version of the epoch record.
+        version: u64,
+        /// When the lease was requested, on the local clock.
+        lease_sent: u64,
+    },
+    /// The answer to [`Action::TakeOver`]: refused, or no answer.
+    TakeoverFailed {
+        /// The lease that was obtained for it, if any, is to be ended.
+        lease: Option<u64>,
+    },
+    /// The answer to [`Action::Renew`].
+    Renewed {
+        /// Id of the lease.
+        lease: u64,
+        /// When the request was sent, on the local clock.
+        sent: u64,
+        /// Whether the lease still runs.
+        alive: bool,
+    },
+    /// A probe, renewal or release without an answer.
+    Failed,
+}
+
+/// What follows from a member's attestation.
+#[derive(Debug, Clone, PartialEq, Eq)]
+#[must_use = "the actions are to be carried out"]
+pub struct AttestationOutcome {
+    /// Jobs that turned out to be cancelled.
+    pub terminated: Vec<JobId>,
+    /// To be carried out.
+    pub actions: Vec<Action>,
+}
+
+/// What follows from the request to confirm a cancellation to a user.
+#[derive(Debug, Clone, PartialEq, Eq)]
+#[must_use = "the actions are to be carried out"]
+pub struct CancellationOutcome {
+    /// This node did not know yet that the job is over, or had not recorded a confirmation of its own.
+    pub is_new: bool,
+    /// The cancellation may be confirmed to the user now.
+    pub is_permitted: bool,
+    /// To be carried out.
+    pub actions: Vec<Action>,
+}
--- /dev/null
+++ b/src/leadership/lock_observation.rs
@@ -0,0 +1,127 @@
+//! Epoch and lock as this node last read them from the key-value store, and when it reads them next.
+//!
+//! Owned by [`super::Leadership`]. Times are microseconds on the local clock.
+
+use crate::limits;
+use crate::protocol::records::Epoch;
+
+/// The epoch record with its version.
+#[derive(Debug)]
+pub(super) struct EpochRecord {
+    pub(super) epoch: Epoch,
+    pub(super) version: u64,
+}
+
+/// A lock that was seen free, without losing the key-value store since.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct FreeLock {
+    /// Version of the epoch record meanwhile; 0: there is none.
+    pub(super) epoch_version: u64,
+    /// Since when it was seen free.
+    pub(super) since: u64,
+}
+
+/// The last reading of epoch and lock.
+#[derive(Debug)]
+pub(super) struct LockObservation {
+    epoch: Option<EpochRecord>,
+    locked: bool,
+    /// When the answer to the last probe arrived; None: not in this incarnation.
+    probed_at: Option<u64>,
+    next_probe_at: u64,
+    probe_in_flight: bool,
+    free: Option<FreeLock>,
+}
+
+impl LockObservation {
+    /// Nothing was read yet: the first probe is due at `now`.
+    pub(super) fn new(now: u64) -> Self {
+        LockObservation {
+            epoch: None,
+            locked: true,
+            probed_at: None,
+            next_probe_at: now,
+            probe_in_flight: false,
+            free: None,
+        }
+    }
+
+    pub(super) fn epoch(&self) -> Option<&EpochRecord> {
+        self.epoch.as_ref()
+    }
+
+    /// Version of the epoch record; 0: there is none.
+    pub(super) fn epoch_version(&self) -> u64 {
+        self.epoch.as_ref().map_or(0, |record| record.version)
+    }
+
+    /// Fencing token of the epoch; 0: there is none.
+    pub(super) fn epoch_token(&self) -> u64 {
+        self.epoch.as_ref().map_or(0, |record| record.epoch.token)
+    }
+
+    pub(super) fn is_locked(&self) -> bool {
+        self.locked
+    }
+
+    /// Whether a recent reading shows the lock free. A takeover transaction needs one: without it there is nothing to
+    /// compare with.
+    pub(super) fn is_known_free(&self, now: u64) -> bool {
+        self.probed_at.is_some_and(|at| now < at + limits::PROBE_INTERVAL) && !self.locked
+    }
+
+    /// The lock, if it has been seen free ever since.
+    pub(super) fn free(&self) -> Option<FreeLock> {
+        self.free
+    }
+
+    /// The key-value store is lost: the lock may be taken unseen.
+    pub(super) fn forget_free(&mut self) {
+        self.free = None;
+    }
+
+    pub(super) fn is_probe_due(&self, now: u64) -> bool {
+        now >= self.next_probe_at && !self.probe_in_flight
+    }
+
+    /// A probe is sent, and the next one is due after `interval`.
+    pub(super) fn start_probe(&mut self, now: u64, interval: u64) {
+        self.probe_in_flight = true;
+        self.next_probe_at = now + interval;
+    }
+
+    /// The probe under way, if there is one, was answered or given up.
+    pub(super) fn end_probe(&mut self) {
+        self.probe_in_flight = false;
+    }
+
+    /// The next probe is due now.
+    pub(super) fn probe_soon(&mut self, now: u64) {
+        self.next_probe_at = now;
+    }
+
+    /// Whether this node already knows a later version of the epoch record.
+    pub(super) fn is_newer_than(&self, epoch: Option<&(Epoch, u64)>) -> bool {
+        match (epoch, &self.epoch) {
+            (Some((_, read)), Some(known)) => *read < known.version,
+            (None, Some(_)) => true,
+            (Some(_) | None, None) => false,
+        }
+    }
+
+    /// Records the answer to a probe.
+    pub(super) fn record_probe(&mut self, now: u64, epoch: Option<(Epoch, u64)>, locked: bool) {
+        self.epoch = epoch.map(|(epoch, version)| EpochRecord { epoch, version });
+        self.locked = locked;
+        let epoch_version = self.epoch_version();
+        let seen_free = self.free.filter(|free| free.epoch_version == epoch_version);
+        let since = seen_free.map_or(now, |free| free.since);
+        self.free = (!locked).then_some(FreeLock { epoch_version, since });
+        self.probed_at = Some(now);
+    }
+
+    /// Records the epoch that this node committed itself.
+    pub(super) fn record_own_epoch(&mut self, epoch: Epoch, version: u64) {
+        self.epoch = Some(EpochRecord { epoch, version });
+    }
+}
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -1,130 +1,92 @@
-//! Messages of the other controllers, and what is attested of cancellations.
+//! Messages of the other controllers, and what they and this node attest of cancellations.
 
-use super::{Action, Leadership, Message, Role, Status};
+use super::role::Role;
+use super::{Action, AttestationOutcome, CancellationOutcome, FollowedLeader, Leadership, Message, Status};
 use crate::lease::cancellation_log::{Attestation, StoreAccess};
-use crate::limits::{self, lengthened, shortened};
+use crate::limits;
 use crate::scheduler::model::JobId;
 
 impl Leadership {
-    /// What a member attests of cancellations. Returns the jobs that turned out to be over. A user may be waiting
-    /// for us to hold them: the answer does not wait for the next heartbeat.
+    /// A member's attestation arrived, sent by the process with this incarnation. The member may need our
+    /// acknowledgement to confirm a cancellation to a user, so the answer does not wait for the next heartbeat.
     pub fn handle_attestation(
         &mut self,
         now: u64,
         from: usize,
-        life: u64,
+        incarnation: u64,
         attestation: &Attestation,
-    ) -> (Vec<JobId>, Vec<Action>) {
-        let applied = self.cancellations.apply_attestation(now, from, life, attestation);
-        let (over, news) = (applied.terminated, applied.has_new);
+    ) -> AttestationOutcome {
+        let applied = self.cancellations.apply_attestation(now, from, incarnation, attestation);
         let mut actions = Vec::new();
-        // Answered only where it brought news: two members that do not take each other's attestations, of other
-        // lives say, answered one another for ever, and every copy doubled what was under way (the network test).
-        if news {
+        // Only an attestation with something new is answered. Two members that do not take each other's attestations,
+        // those of other incarnations for example, answered each other without end, and every repeated message doubled
+        // the number under way (found by the network test).
+        if applied.has_new {
             self.attest(now, from, &mut actions);
         }
-        (over, actions)
+        AttestationOutcome { terminated: applied.terminated, actions }
     }
 
-    /// A job that is about to be told as cancelled; whether that is news, and whether it may be told. The others
-    /// hear of it at once.
-    pub fn confirm_cancellation(&mut self, now: u64, job_id: JobId) -> (bool, bool, Vec<Action>) {
+    /// A cancellation is about to be confirmed to a user. The other members are informed at once.
+    pub fn confirm_cancellation(&mut self, now: u64, job_id: JobId) -> CancellationOutcome {
         let outcome = self.cancellations.confirm(now, job_id);
-        let (news, may) = (outcome.is_new, outcome.is_permitted);
         let mut actions = Vec::new();
-        if news || !may {
-            (0..self.node_names.len()).for_each(|to| self.attest(now, to, &mut actions));
+        if outcome.is_new || !outcome.is_permitted {
+            self.peers.others().for_each(|node| self.attest(now, node, &mut actions));
         }
-        (news, may, actions)
+        CancellationOutcome { is_new: outcome.is_new, is_permitted: outcome.is_permitted, actions }
     }
 
-    pub(super) fn attest(&mut self, now: u64, to: usize, actions: &mut Vec<Action>) {
-        let lost = self.status.state_age >= limits::CONFIRMATION_SUSPENSION_DELAY;
-        if let Some(attestation) = self
-            .cancellations
-            .attest_to(now, to, if lost { StoreAccess::Lost } else { StoreAccess::Available })
-            .filter(|_| to != self.local_node)
-        {
-            // It proves nothing beyond the heartbeat that it answers, the promise to be quiet aside.
-            let quiet = if lost { limits::CONFIRMATION_SUSPENSION } else { 0 };
-            self.attested_until = self.attested_until.max(self.peers[to].last_heartbeat_at + quiet);
-            actions.push(Action::Attest(to, attestation));
-        }
+    fn attest(&mut self, now: u64, to: usize, actions: &mut Vec<Action>) {
+        let store_access = if self.status.state_age >= limits::CONFIRMATION_SUSPENSION_DELAY {
+            StoreAccess::Lost
+        } else {
+            StoreAccess::Available
+        };
+        let Some(attestation) = self.cancellations.attest_to(now, to, store_access) else { return };
+        // It proves nothing beyond the heartbeat that it answers, except for the promise to suspend confirmations.
+        let suspension = match store_access {
+            StoreAccess::Lost => limits::CONFIRMATION_SUSPENSION,
+            StoreAccess::Available => 0,
+        };
+        let proven_until = self.peers.get(to).last_heartbeat_at() + suspension;
+        self.attested_until = self.attested_until.max(proven_until);
+        actions.push(Action::Attest(to, attestation));
     }
 
+    /// A message of a peer arrived, sent by the process with this incarnation.
+    #[must_use = "the actions are to be carried out"]
     pub fn handle_message(
         &mut self,
         now: u64,
         from: usize,
-        life: u64,
+        incarnation: u64,
         status: Status,
         message: Message,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        if from >= self.node_names.len() || from == self.local_node {
+        if !self.peers.is_peer(from) {
             return actions;
         }
-        self.peers[from].last_message_at = now;
-        self.peers[from].status = status;
-        if let Message::Heartbeat { sent, .. } = message {
-            self.peers[from].last_heartbeat_at = now;
-            self.cancellations.observe_heartbeat(from, life, status.attests, sent);
-            self.attest(now, from, &mut actions);
-        }
+        self.peers.observe_message(now, from, status);
         match message {
-            Message::Heartbeat { token: 0, .. } => {}
             Message::Heartbeat { token, sent } => {
-                self.handle_leader_heartbeat(now, from, token, sent, &mut actions)
-            }
-            Message::Grant { token, echo } => {
-                let current = match self.role {
-                    Role::Leader { token: own, .. } | Role::KeepAlive { token: own } => own == token,
-                    _ => false,
-                };
-                if current && echo <= now {
-                    self.autonomous_until = self.autonomous_until(now);
-                    let until = echo + shortened(limits::GRANT_DURATION);
-                    self.peers[from].grant_until = self.peers[from].grant_until.max(until);
-                }
-            }
-            Message::VoteRequest { sent } => {
-                let own = self.vote_given.is_some_and(|(to, _)| to == self.local_node);
-                if own && from < self.local_node && matches!(self.role, Role::Follower) {
-                    // Two candidates that promise only themselves would block each other for L, again
-                    // and again: the one with the lower number goes first.
-                    self.campaigning = false;
-                    self.vote_given = None;
-                    self.next_campaign_at = now + limits::GRANT_DURATION / 2;
-                }
-                if self.may_vote(now, from) {
-                    self.vote_given = Some((from, now + lengthened(limits::GRANT_DURATION)));
-                    actions.push(Action::Send(from, Message::Vote { echo: sent }));
+                self.peers.observe_heartbeat(now, from);
+                self.cancellations.observe_heartbeat(from, incarnation, status.attests, sent);
+                self.attest(now, from, &mut actions);
+                if token > 0 {
+                    self.handle_leader_heartbeat(now, from, token, sent, &mut actions);
                 }
             }
-            Message::Vote { echo } => {
-                if echo <= now {
-                    let until = echo + shortened(limits::GRANT_DURATION);
-                    self.peers[from].vote_until = self.peers[from].vote_until.max(until);
-                    self.try_takeover(now, &mut actions);
-                }
-            }
-            Message::Release { token, successor } => {
-                if self.grant_given.is_some_and(|(to, _)| to == from) && token >= self.highest_token {
-                    self.grant_given = None;
-                }
-                if self.leader.is_some_and(|(node, t, _)| node == from && t <= token) {
-                    self.leader = None;
-                }
-                self.next_probe_at = now;
-                // The others leave the successor a head start.
-                let wait = if successor == self.local_node { 0 } else { limits::GRANT_DURATION };
-                self.next_campaign_at = now + wait;
-            }
+            Message::Grant { token, echo } => self.handle_grant(now, from, token, echo),
+            Message::VoteRequest { sent } => self.handle_vote_request(now, from, sent, &mut actions),
+            Message::Vote { echo } => self.handle_vote(now, from, echo, &mut actions),
+            Message::Release { token, successor } => self.handle_release(now, from, token, successor),
         }
         actions
     }
 
-    pub(super) fn handle_leader_heartbeat(
+    fn handle_leader_heartbeat(
         &mut self,
         now: u64,
         from: usize,
@@ -133,39 +95,77 @@
         actions: &mut Vec<Action>,
     ) {
         if token < self.highest_token {
-            // A deposed leader's, or one that was held on its way.
+            // Of a deposed leader, or delayed on its way.
             return;
         }
-        if matches!(self.role, Role::Leader { token: own, .. } if own >= token) {
+        if self.role.term().is_some_and(|term| term.token >= token) {
             return;
         }
         actions.extend(self.observe_token(token, now));
-        if let Role::KeepAlive { .. } = self.role {
+        if self.role.is_keep_alive() {
             self.role = Role::Follower;
         }
-        if self.leader.is_none_or(|(node, t, _)| (node, t) != (from, token)) {
-            self.leader_reached_by_workers = false;
-        }
-        self.leader_reached_by_workers |= self.peers[from].status.workers > 0;
-        self.leader = Some((from, token, now));
-        self.leader_heartbeat_stamp = sent;
+        self.record_followed_leader(now, from, token, sent);
         self.campaigning = false;
-        if matches!(self.role, Role::Follower) && self.vote_given.is_some_and(|(to, _)| to == self.local_node)
-        {
-            // Our own campaign is over, and with it what we promised ourselves.
-            self.vote_given = None;
+        if self.role.is_follower() {
+            self.commitments.withdraw_own_vote();
         }
-        let promised = self.vote_given.is_some_and(|(to, until)| to != from && now < until);
-        let granted = self.grant_given.is_some_and(|(to, until)| to != from && now < until);
-        if !self.in_restart_grace(now) && !promised && !granted {
-            self.grant_given = Some((from, now + lengthened(limits::GRANT_DURATION)));
+        if self.commitments.permit(now, from) {
+            self.commitments.give_grant(now, from);
             actions.push(Action::Send(from, Message::Grant { token, echo: sent }));
         }
     }
 
-    pub(super) fn may_vote(&self, now: u64, to: usize) -> bool {
-        let granted = self.grant_given.is_some_and(|(node, until)| node != to && now < until);
-        let promised = self.vote_given.is_some_and(|(node, until)| node != to && now < until);
-        !self.in_restart_grace(now) && !granted && !promised && matches!(self.role, Role::Follower)
+    fn record_followed_leader(&mut self, now: u64, node: usize, token: u64, heartbeat_stamp: u64) {
+        let same_term = self.followed.filter(|leader| (leader.node, leader.token) == (node, token));
+        let reached_before = same_term.is_some_and(|leader| leader.reached_by_workers);
+        let reached_by_workers = reached_before || self.peers.get(node).status().workers > 0;
+        let last_heartbeat_at = now;
+        self.followed =
+            Some(FollowedLeader { node, token, heartbeat_stamp, last_heartbeat_at, reached_by_workers });
+    }
+
+    fn handle_grant(&mut self, now: u64, from: usize, token: u64, echo: u64) {
+        // An echo from the future belongs to the clock of an earlier incarnation.
+        if self.role.token_for_grants() == Some(token) && echo <= now {
+            self.autonomous_until = self.autonomous_until(now);
+            self.peers.record_grant(from, echo);
+        }
+    }
+
+    fn handle_vote_request(&mut self, now: u64, from: usize, sent: u64, actions: &mut Vec<Action>) {
+        let has_precedence = from < self.peers.local_node();
+        if self.commitments.voted_for_itself() && has_precedence && self.role.is_follower() {
+            // Two candidates that vote only for themselves would block each other for the duration of a grant, again
+            // and again: the one with the lower number has precedence.
+            self.campaigning = false;
+            self.commitments.withdraw_own_vote();
+            self.next_campaign_at = now + limits::GRANT_DURATION / 2;
+        }
+        if self.commitments.permit(now, from) && self.role.is_follower() {
+            self.commitments.give_vote(now, from);
+            actions.push(Action::Send(from, Message::Vote { echo: sent }));
+        }
+    }
+
+    fn handle_vote(&mut self, now: u64, from: usize, echo: u64, actions: &mut Vec<Action>) {
+        // An echo from the future belongs to the clock of an earlier incarnation.
+        if echo <= now {
+            self.peers.record_vote(from, echo);
+            self.try_takeover(now, actions);
+        }
+    }
+
+    fn handle_release(&mut self, now: u64, from: usize, token: u64, successor: usize) {
+        if token >= self.highest_token {
+            self.commitments.withdraw_grant_to(from);
+        }
+        if self.followed.is_some_and(|leader| leader.node == from && leader.token <= token) {
+            self.followed = None;
+        }
+        self.lock.probe_soon(now);
+        // The other nodes give the successor a head start.
+        let delay = if successor == self.peers.local_node() { 0 } else { limits::GRANT_DURATION };
+        self.next_campaign_at = now + delay;
     }
 }
--- a/src/leadership/store_responses.rs
+++ b/src/leadership/store_responses.rs
@@ -1,121 +1,149 @@
-//! Answers of the state service to what leadership asked of it.
+//! Responses of the key-value store to what leadership requested from it.
 
-use super::{Action, Leadership, Role, StoreResponse, TakeoverProof};
+use super::role::{Role, TakeoverProof, Term};
+use super::{Action, Leadership, StoreResponse};
 use crate::limits::{self, shortened};
 use crate::protocol::records::Epoch;
 use tracing::info;
 
+/// A takeover transaction that was committed.
+struct CommittedTakeover {
+    /// Id of the lock lease.
+    lease: u64,
+    /// Version of the epoch record.
+    version: u64,
+    /// When the lease was requested, in microseconds.
+    lease_sent: u64,
+}
+
 impl Leadership {
-    pub fn handle_store_response(&mut self, now: u64, answer: StoreResponse) -> Vec<Action> {
+    /// A request of an earlier action was answered or given up.
+    #[must_use = "the actions are to be carried out"]
+    pub fn handle_store_response(&mut self, now: u64, response: StoreResponse) -> Vec<Action> {
         let mut actions = Vec::new();
-        match answer {
+        match response {
             StoreResponse::Probed { epoch, locked } => self.handle_probe(now, epoch, locked, &mut actions),
             StoreResponse::TakeoverCommitted { lease, version, lease_sent } => {
-                let Role::TakingOver { token, proof: by } = self.role else {
-                    actions.push(Action::Release { lease });
-                    return actions;
-                };
-                let lease_until = lease_sent + shortened(limits::LOCK_LEASE_MS * 1_000);
-                // The commit must have been answered while the votes still run.
-                let promised = by != TakeoverProof::Votes || self.votes_until(now) > now;
-                if !promised || lease_until <= now + limits::AUTHORITY_MARGIN {
-                    info!("takeover committed too late");
-                    self.role = Role::Follower;
-                    actions.push(Action::Release { lease });
-                    return actions;
-                }
-                info!(token, version, "leadership acquired");
-                self.highest_token = self.highest_token.max(token);
-                let epoch = Epoch {
-                    token,
-                    node: self.node_names[self.local_node].clone(),
-                    incarnation: self.incarnation,
-                };
-                self.epoch = Some((epoch, version));
-                self.role = Role::Leader { token, lease: Some(lease), lease_until, elected: now };
-                self.peers.iter_mut().for_each(|p| (p.grant_until, p.vote_until) = (0, 0));
-                self.may_resume = false;
-                self.reached_by_workers = false;
-                self.autonomous_until = now;
-                let given = [self.grant_given, self.vote_given].into_iter().flatten();
-                let others = given.filter(|(to, _)| *to != self.local_node).map(|(_, until)| until);
-                self.bound_until = others.max().unwrap_or(0);
-                self.grant_given = None;
-                self.leader = None;
-                self.next_renewal_at = now + limits::LOCK_RENEWAL_INTERVAL;
-                self.next_heartbeat_at = now;
-                actions.push(Action::Elected { token, version });
-            }
-            StoreResponse::TakeoverFailed { lease } => {
-                actions.extend(lease.map(|lease| Action::Release { lease }));
-                if matches!(self.role, Role::TakingOver { .. }) {
-                    self.role = Role::Follower;
-                    self.next_probe_at = now;
-                }
+                let takeover = CommittedTakeover { lease, version, lease_sent };
+                self.handle_committed_takeover(now, takeover, &mut actions);
             }
-            StoreResponse::Renewed { lease, sent, alive } => {
-                if let Role::Leader { lease: own, lease_until, .. } = &mut self.role {
-                    if *own == Some(lease) {
-                        if alive {
-                            let until = sent + shortened(limits::LOCK_LEASE_MS * 1_000);
-                            *lease_until = (*lease_until).max(until);
-                        } else {
-                            // It ended; grants may carry us on, but the lock is open to others.
-                            *own = None;
-                            self.next_probe_at = now;
-                        }
-                    }
-                }
-            }
-            StoreResponse::Failed => self.probe_in_flight = false,
+            StoreResponse::TakeoverFailed { lease } => self.handle_failed_takeover(now, lease, &mut actions),
+            StoreResponse::Renewed { lease, sent, alive: true } => self.extend_lock_lease(lease, sent),
+            StoreResponse::Renewed { lease, sent: _, alive: false } => self.end_lock_lease(now, lease),
+            StoreResponse::Failed => self.lock.end_probe(),
         }
         actions
     }
 
-    pub(super) fn handle_probe(
+    fn handle_committed_takeover(
+        &mut self,
+        now: u64,
+        takeover: CommittedTakeover,
+        actions: &mut Vec<Action>,
+    ) {
+        let Role::TakingOver { token, proof } = self.role else {
+            actions.push(Action::Release { lease: takeover.lease });
+            return;
+        };
+        let lease_until = takeover.lease_sent + shortened(limits::LOCK_LEASE_MS * 1_000);
+        // The response must have arrived while the votes still run.
+        let proof_holds = match proof {
+            TakeoverProof::Votes => self.votes_until(now) > now,
+            TakeoverProof::PreviousIncarnation | TakeoverProof::LockExpired => true,
+        };
+        if !proof_holds || lease_until <= now + limits::AUTHORITY_MARGIN {
+            info!("takeover committed too late");
+            self.role = Role::Follower;
+            actions.push(Action::Release { lease: takeover.lease });
+            return;
+        }
+        info!(token, version = takeover.version, "leadership acquired");
+        let term = Term { token, lease: Some(takeover.lease), lease_until, elected_at: now };
+        self.begin_term(now, term, takeover.version);
+        actions.push(Action::Elected { token, version: takeover.version });
+    }
+
+    fn begin_term(&mut self, now: u64, term: Term, epoch_version: u64) {
+        let node = self.peers.local_name().to_string();
+        let epoch = Epoch { token: term.token, node, incarnation: self.incarnation };
+        self.lock.record_own_epoch(epoch, epoch_version);
+        self.highest_token = self.highest_token.max(term.token);
+        self.role = Role::Leader(term);
+        self.peers.clear_grants_and_votes();
+        self.commitments.bind_leader();
+        self.may_resume = false;
+        self.reachability.begin_term();
+        self.autonomous_until = now;
+        self.followed = None;
+        self.next_renewal_at = now + limits::LOCK_RENEWAL_INTERVAL;
+        self.next_heartbeat_at = now;
+    }
+
+    fn handle_failed_takeover(&mut self, now: u64, lease: Option<u64>, actions: &mut Vec<Action>) {
+        actions.extend(lease.map(|lease| Action::Release { lease }));
+        if self.role.is_taking_over() {
+            self.role = Role::Follower;
+            self.lock.probe_soon(now);
+        }
+    }
+
+    /// The term, if this node leads by this lock lease.
+    fn term_with_lease(&mut self, lease: u64) -> Option<&mut Term> {
+        match &mut self.role {
+            Role::Leader(term) => Some(term).filter(|term| term.lease == Some(lease)),
+            Role::Follower | Role::TakingOver { .. } | Role::KeepAlive { .. } => None,
+        }
+    }
+
+    fn extend_lock_lease(&mut self, lease: u64, renewal_sent: u64) {
+        if let Some(term) = self.term_with_lease(lease) {
+            let until = renewal_sent + shortened(limits::LOCK_LEASE_MS * 1_000);
+            term.lease_until = term.lease_until.max(until);
+        }
+    }
+
+    /// Grants may carry the leader on, but the lock is open to other nodes.
+    fn end_lock_lease(&mut self, now: u64, lease: u64) {
+        if let Some(term) = self.term_with_lease(lease) {
+            term.lease = None;
+            self.lock.probe_soon(now);
+        }
+    }
+
+    fn handle_probe(
         &mut self,
         now: u64,
         epoch: Option<(Epoch, u64)>,
         locked: bool,
         actions: &mut Vec<Action>,
     ) {
-        self.probe_in_flight = false;
-        let older = match (&epoch, &self.epoch) {
-            (Some((_, new)), Some((_, known))) => new < known,
-            (None, Some(_)) => true,
-            _ => false,
-        };
-        if older {
+        self.lock.end_probe();
+        if self.lock.is_newer_than(epoch.as_ref()) {
             return;
         }
         if let Some((epoch, _)) = &epoch {
+            // The epoch may be another node's: then this leader has been replaced.
             actions.extend(self.observe_token(epoch.token, now));
         }
-        // Another's epoch: this leader has been followed.
-        self.epoch = epoch;
-        self.locked = locked;
-        let version = self.epoch.as_ref().map_or(0, |(_, version)| *version);
-        let since = self.lock_free_since.filter(|(at, _)| *at == version).map_or(now, |(_, since)| since);
-        self.lock_free_since = (!locked).then_some((version, since));
-        self.epoch_known = true;
-        self.probed_at = now;
-        if let Role::Leader { lease: None, .. } = self.role {
-            // The lock is lost while peers still grant: take it anew under a new token.
+        self.lock.record_probe(now, epoch, locked);
+        if self.role.term().is_some_and(|term| term.lease.is_none()) {
+            // The lock lease has ended while peers still grant: take the lock anew under a new token.
             if !locked {
                 self.step_down(now, actions);
                 self.next_campaign_at = now;
             }
             return;
         }
-        let resume = match &self.epoch {
-            Some((epoch, version)) if epoch.node == self.node_names[self.local_node] => {
-                (epoch.incarnation != self.incarnation).then_some(*version)
-            }
-            _ => None,
-        };
-        // The epoch names this very node before it restarted: that process is dead, and nobody acts.
-        if let (Some(version), true, Role::Follower) = (resume, self.may_resume, &self.role) {
-            self.start_takeover(version, TakeoverProof::PreviousIncarnation, actions);
+        self.try_resume(actions);
+    }
+
+    /// The epoch names this very node before it restarted: that process has ended, and nobody acts.
+    fn try_resume(&mut self, actions: &mut Vec<Action>) {
+        let Some(record) = self.lock.epoch() else { return };
+        let is_previous_incarnation =
+            record.epoch.node == self.peers.local_name() && record.epoch.incarnation != self.incarnation;
+        if is_previous_incarnation && self.may_resume && self.role.is_follower() {
+            self.start_takeover(record.version, TakeoverProof::PreviousIncarnation, actions);
         }
     }
 }
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -2,8 +2,10 @@
 //! crashes with amnesia, state outages and refusals, in virtual time with fixed seeds.
 
 use super::*;
+use crate::lease::cancellation_log::{Attestation, CancellationBounds};
 use crate::lease::shard::{Shard, ShardHeartbeat};
 use crate::limits::lengthened;
+use crate::protocol::records::Epoch;
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
 use rand::Rng;
@@ -15,7 +17,7 @@
 const LEASE: u64 = 10 * limits::SECOND;
 /// By then a cancelled job's tasks must be gone: `limits::longest_autonomy` solved for it.
 const CANCEL: u64 = AUTONOMY + LEASE + limits::LOCK_LEASE_MS * 1_000 + limits::LEASE_MARGIN + limits::SECOND;
-const KEPT: u64 = 2 * CANCEL;
+const BOUNDS: CancellationBounds = CancellationBounds { longest_autonomy: AUTONOMY, retention: 2 * CANCEL };
 
 /// The state service, as far as leadership uses it.
 #[derive(Default)]
@@ -193,7 +195,7 @@
         let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
         let now = base + (self.now as f64 * rate) as u64;
         let incarnation = self.rng.random();
-        let leadership = Leadership::new(names, me, incarnation, now, (AUTONOMY, KEPT), self.rng.random());
+        let leadership = Leadership::new(names, me, incarnation, now, BOUNDS, self.rng.random());
         let (shard, ledger) = (Shard::new(8, incarnation), Ledger::default());
         let (state_answered, live_due, read) = (0, 0, 0);
         let old = self.nodes.get(me).is_some_and(|node| node.old);
@@ -346,9 +348,8 @@
             Wire::Attestation { from, to, life, attestation } => {
                 if self.nodes[to].down_until.is_none() {
                     let now = self.local(to);
-                    let (_, actions) =
-                        self.nodes[to].leadership.handle_attestation(now, from, life, &attestation);
-                    self.act(to, actions);
+                    let outcome = self.nodes[to].leadership.handle_attestation(now, from, life, &attestation);
+                    self.act(to, outcome.actions);
                 }
             }
             Wire::Live { node, life, sent, live } => {
@@ -367,9 +368,9 @@
                     return;
                 }
                 let now = self.local(node);
-                let (_, may, actions) = self.nodes[node].leadership.confirm_cancellation(now, job_id);
-                self.act(node, actions);
-                if may {
+                let outcome = self.nodes[node].leadership.confirm_cancellation(now, job_id);
+                self.act(node, outcome.actions);
+                if outcome.is_permitted {
                     self.told.entry(job_id).or_insert(self.now);
                 } else {
                     // The user asks again.
@@ -503,7 +504,9 @@
                 continue;
             }
             let now = self.local(node);
-            let Some((leader, token, stamp)) = self.nodes[node].leadership.followed_leader(now) else {
+            let Some(FollowedLeader { node: leader, token, heartbeat_stamp: stamp, .. }) =
+                self.nodes[node].leadership.followed_leader(now)
+            else {
                 continue;
             };
             self.nodes[node].shard.follow(token);
@@ -613,8 +616,8 @@
             return Some((token, job_ids(stops)));
         }
         let followed = self.nodes[node].leadership.followed_leader(now);
-        if let Some((_, token, _)) = followed {
-            self.nodes[node].shard.follow(token);
+        if let Some(leader) = followed {
+            self.nodes[node].shard.follow(leader.token);
         }
         if let Some(stops) = keeps {
             if let Some(token) = self.nodes[node].shard.respond(now, &heartbeat, followed.is_some()).token() {
@@ -623,7 +626,9 @@
             }
         }
         // Passed on.
-        if let Some((leader, token, _)) = followed.filter(|(leader, ..)| !self.cut_between(node, *leader)) {
+        if let Some(FollowedLeader { node: leader, token, .. }) =
+            followed.filter(|leader| !self.cut_between(node, leader.node))
+        {
             let at_leader = self.local(leader);
             let loaded = self.cancels == 0 || self.nodes[leader].read > 0;
             let leads = self.up(leader) && self.nodes[leader].leadership.authority(at_leader) == Some(token);
@@ -846,10 +851,17 @@
 fn an_echo_to_an_earlier_incarnation_counts_for_nothing() {
     let names = vec!["a".to_string(), "b".to_string(), "c".to_string()];
     let now = 1 << 45;
-    let mut node = Leadership::new(names, 0, 1, now, (limits::SECOND, 0), 0);
+    let mut node = Leadership::new(
+        names,
+        0,
+        1,
+        now,
+        CancellationBounds { longest_autonomy: limits::SECOND, retention: 0 },
+        0,
+    );
     // A promise echoing a clock that began elsewhere: beyond ours, or long run out.
     for echo in [now + 9, now - 10 * limits::SECOND] {
-        node.handle_message(now + 1, 1, 7, Status::default(), Message::Vote { echo });
+        assert_eq!(node.handle_message(now + 1, 1, 7, Status::default(), Message::Vote { echo }), []);
     }
     assert!(node.votes_until(now + 1) <= now + 1);
 }
@@ -928,7 +940,7 @@
     world.run(29 * limits::SECOND + 900 * MS);
     let node = &world.nodes[leader].leadership;
     assert!(node.is_leader(), "it does not know yet");
-    assert_eq!(node.authority_until(world.local(leader)).1, None);
+    assert_eq!(node.authority(world.local(leader)), None);
     assert!(world.leader().is_some_and(|n| n != leader));
     world.run(limits::SECOND);
     assert!(!world.nodes[leader].leadership.is_leader());
@@ -1081,7 +1093,7 @@
 fn a_resumed_leader_does_not_count_its_own_word_while_its_grant_to_another_runs() {
     let names = ["a", "b", "c"].map(String::from).to_vec();
     let begun = 1 << 45;
-    let mut node = Leadership::new(names, 0, 2, begun, (AUTONOMY, KEPT), 0);
+    let mut node = Leadership::new(names, 0, 2, begun, BOUNDS, 0);
     let now = begun + 2 * limits::GRANT_DURATION;
     let granted = node.handle_message(now, 1, 7, Status::default(), Message::Heartbeat { token: 5, sent: 9 });
     assert!(granted.contains(&Action::Send(1, Message::Grant { token: 5, echo: 9 })));
@@ -1091,15 +1103,15 @@
         node.handle_store_response(now, probed)[..],
         [Action::TakeOver { token: 6, ignore_lock: true, .. }]
     ));
-    node.handle_store_response(
-        now,
-        StoreResponse::TakeoverCommitted { lease: 1, version: 4, lease_sent: now },
-    );
-    node.handle_message(now + 1, 2, 8, Status::default(), Message::Grant { token: 6, echo: now });
+    let committed = StoreResponse::TakeoverCommitted { lease: 1, version: 4, lease_sent: now };
+    assert_eq!(node.handle_store_response(now, committed), [Action::Elected { token: 6, version: 4 }]);
+    let grant = Message::Grant { token: 6, echo: now };
+    assert_eq!(node.handle_message(now + 1, 2, 8, Status::default(), grant), []);
     let soon = now + limits::SECOND;
     assert_eq!(node.autonomous_until(soon), soon, "a lease_keeper may keep workers alive beside it");
     let later = now + lengthened(limits::GRANT_DURATION) + 1;
-    node.handle_message(later, 2, 8, Status::default(), Message::Grant { token: 6, echo: later });
+    let grant = Message::Grant { token: 6, echo: later };
+    assert_eq!(node.handle_message(later, 2, 8, Status::default(), grant), []);
     assert!(node.autonomous_until(later + 1) <= later, "its word counts again");
 }
 
