--- /dev/null
+++ b/src/leadership/tests/cluster.rs
@@ -0,0 +1,273 @@
+//! The simulated cluster: three nodes with clocks of their own, and the faults that are in effect.
+
+use super::key_value_store::KeyValueStore;
+use super::lease_ledger::LeaseLedger;
+use super::network::Delivery;
+use super::workers::Worker;
+use super::{BOUNDS, MS, NAMES, NODES};
+use crate::leadership::{Leadership, Status};
+use crate::lease::shard::Shard;
+use crate::scheduler::model::JobId;
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use std::collections::BTreeMap;
+
+/// How far one step advances true time.
+const STEP: u64 = 10 * MS;
+
+/// One controller.
+pub(super) struct Node {
+    pub(super) leadership: Leadership,
+    pub(super) shard: Shard,
+    /// What it accounts for while it leads.
+    pub(super) ledger: LeaseLedger,
+    /// Number of its process, counted from one.
+    pub(super) process: u64,
+    /// Local time is `clock_base` plus true time times `clock_rate`.
+    clock_base: u64,
+    clock_rate: f64,
+    pub(super) down_until: Option<u64>,
+    /// When the key-value store last answered, on its clock.
+    pub(super) store_answered_at: u64,
+    /// When it next reads the live jobs, on its clock.
+    pub(super) next_job_read_at: u64,
+    /// When it last read the live jobs, on its clock; 0: not yet. A leader has loaded its state once it has.
+    pub(super) jobs_read_at: u64,
+    /// It runs an earlier version, which gives no attestations.
+    pub(super) is_earlier_version: bool,
+}
+
+/// Nodes that are cut off from the others, from users and from workers.
+pub(super) struct Partition {
+    pub(super) inside: Vec<usize>,
+    /// The key-value store is outside.
+    pub(super) cuts_off_store: bool,
+    pub(super) until: u64,
+}
+
+/// A node that stands still while its clock runs on.
+#[derive(Clone, Copy)]
+pub(super) struct Suspension {
+    pub(super) node: usize,
+    pub(super) until: u64,
+}
+
+pub(super) struct Cluster {
+    /// True time in microseconds.
+    pub(super) now: u64,
+    pub(super) rng: SmallRng,
+    pub(super) store: KeyValueStore,
+    pub(super) nodes: Vec<Node>,
+    /// What is under way, by arrival time and serial number.
+    pub(super) deliveries: BTreeMap<(u64, u64), Delivery>,
+    pub(super) last_serial: u64,
+
+    /// No node reaches the key-value store.
+    pub(super) store_down: bool,
+    /// The key-value store refuses this node.
+    pub(super) refused_by_store: Option<usize>,
+    pub(super) partition: Option<Partition>,
+    pub(super) suspension: Option<Suspension>,
+    /// No worker reaches this node.
+    pub(super) cut_off_from_workers: Option<usize>,
+    /// The first workers report to the peers, and none has reported to the leader yet.
+    pub(super) first_workers_at_peers: bool,
+
+    pub(super) workers: Vec<Worker>,
+    /// A job is cancelled once in so many steps of a node; 0: never.
+    pub(super) cancellation_period: u32,
+    /// Cancellations that were confirmed to users, and when.
+    pub(super) confirmed: BTreeMap<JobId, u64>,
+
+    /// How often a leader counted a worker's lease as expired.
+    pub(super) expired_leases: u64,
+    /// Responses that leaseholders and nodes in keep-alive mode gave without the leader.
+    pub(super) autonomous_responses: u64,
+    /// Fencing tokens of all leaders, in the order of their elections.
+    pub(super) elected_tokens: Vec<u64>,
+    /// Which node and process acted with each token.
+    pub(super) process_by_token: BTreeMap<u64, (usize, u64)>,
+    /// Steps in which a leader had authority.
+    pub(super) led_steps: u64,
+    /// Steps in which a node was in keep-alive mode.
+    pub(super) keep_alive_steps: u64,
+}
+
+impl Cluster {
+    pub(super) fn new(seed: u64) -> Self {
+        let mut cluster = Cluster {
+            now: 0,
+            rng: SmallRng::seed_from_u64(seed),
+            store: KeyValueStore::new(),
+            nodes: Vec::new(),
+            deliveries: BTreeMap::new(),
+            last_serial: 0,
+            store_down: false,
+            refused_by_store: None,
+            partition: None,
+            suspension: None,
+            cut_off_from_workers: None,
+            first_workers_at_peers: false,
+            workers: Vec::new(),
+            cancellation_period: 0,
+            confirmed: BTreeMap::new(),
+            expired_leases: 0,
+            autonomous_responses: 0,
+            elected_tokens: Vec::new(),
+            process_by_token: BTreeMap::new(),
+            led_steps: 0,
+            keep_alive_steps: 0,
+        };
+        for node in 0..NODES {
+            let node = cluster.start_process(node, 1);
+            cluster.nodes.push(node);
+        }
+        cluster
+    }
+
+    /// A process without any state, with a new clock.
+    fn start_process(&mut self, node: usize, process: u64) -> Node {
+        let names = NAMES.map(String::from).to_vec();
+        let clock_base = self.rng.random_range(1 << 40..1 << 50);
+        let clock_rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
+        let now = clock_base + (self.now as f64 * clock_rate) as u64;
+        let incarnation = self.rng.random();
+        let seed = self.rng.random();
+        Node {
+            leadership: Leadership::new(names, node, incarnation, now, BOUNDS, seed),
+            shard: Shard::new(8, incarnation),
+            ledger: LeaseLedger::default(),
+            process,
+            clock_base,
+            clock_rate,
+            down_until: None,
+            store_answered_at: 0,
+            next_job_read_at: 0,
+            jobs_read_at: 0,
+            is_earlier_version: self.nodes.get(node).is_some_and(|node| node.is_earlier_version),
+        }
+    }
+
+    // ---- what holds at present ----
+
+    /// The present time on the node's clock.
+    pub(super) fn local_time(&self, node: usize) -> u64 {
+        self.nodes[node].clock_base + (self.now as f64 * self.nodes[node].clock_rate) as u64
+    }
+
+    /// Whether the two nodes are on different sides of a partition.
+    pub(super) fn are_partitioned(&self, a: usize, b: usize) -> bool {
+        let separates =
+            |partition: &Partition| partition.inside.contains(&a) != partition.inside.contains(&b);
+        self.partition.as_ref().is_some_and(separates)
+    }
+
+    /// Whether the node is on the other side of a partition than the key-value store.
+    pub(super) fn is_partitioned_from_store(&self, node: usize) -> bool {
+        self.partition.as_ref().is_some_and(|cut| cut.cuts_off_store && cut.inside.contains(&node))
+    }
+
+    /// Whether the node neither is down nor stands still.
+    pub(super) fn is_running(&self, node: usize) -> bool {
+        self.nodes[node].down_until.is_none() && !self.is_suspended(node)
+    }
+
+    fn is_suspended(&self, node: usize) -> bool {
+        self.suspension.is_some_and(|suspension| suspension.node == node)
+    }
+
+    /// Whether the key-value store answers the node.
+    pub(super) fn reaches_store(&self, node: usize) -> bool {
+        self.is_running(node)
+            && !self.store_down
+            && self.refused_by_store != Some(node)
+            && !self.is_partitioned_from_store(node)
+    }
+
+    /// The node that has authority to act.
+    pub(super) fn leader(&self) -> Option<usize> {
+        (0..NODES).find(|node| {
+            self.nodes[*node].down_until.is_none()
+                && self.nodes[*node].leadership.authority(self.local_time(*node)).is_some()
+        })
+    }
+
+    /// What the node reports of itself.
+    pub(super) fn status(&self, node: usize) -> Status {
+        let state_age = self.local_time(node).saturating_sub(self.nodes[node].store_answered_at);
+        let attests = !self.nodes[node].is_earlier_version;
+        let leads = self.nodes[node].leadership.is_leader();
+        if self.first_workers_at_peers {
+            let workers = if leads { 0 } else { 2 };
+            return Status { state_age, workers, machines: 0, attests };
+        }
+        let is_alone = self.partition.as_ref().is_some_and(|cut| cut.inside == [node]);
+        let cut_off = is_alone || self.cut_off_from_workers == Some(node);
+        // No worker has reported to a peer yet: only the leader has workers.
+        let not_yet = self.cut_off_from_workers.is_some() && !leads;
+        let workers = if cut_off || not_yet { 0 } else { 3 };
+        Status { state_age, workers, machines: 3, attests }
+    }
+
+    // ---- faults ----
+
+    /// The node loses its process and starts a new one after `back` microseconds.
+    pub(super) fn crash(&mut self, node: usize, back: u64) {
+        self.nodes[node].down_until = Some(self.now + back);
+    }
+
+    /// Cuts off these nodes, and the key-value store with them or not.
+    pub(super) fn cut_off(&mut self, inside: Vec<usize>, cuts_off_store: bool, until: u64) {
+        self.partition = Some(Partition { inside, cuts_off_store, until });
+    }
+
+    pub(super) fn end_faults(&mut self) {
+        self.store_down = false;
+        self.refused_by_store = None;
+        self.partition = None;
+        self.suspension = None;
+    }
+
+    // ---- time ----
+
+    pub(super) fn run(&mut self, time: u64) {
+        let until = self.now + time;
+        while self.now < until {
+            self.step();
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.suspension = self.suspension.filter(|suspension| self.now < suspension.until);
+        self.deliver_due();
+        for node in 0..NODES {
+            if !self.is_suspended(node) {
+                self.tick(node);
+            }
+        }
+        if self.partition.as_ref().is_some_and(|cut| self.now > cut.until) {
+            self.partition = None;
+        }
+        self.check_leadership();
+        self.run_jobs();
+        if !self.workers.is_empty() {
+            self.run_leaseholders();
+            (0..self.workers.len()).for_each(|worker| self.run_worker(worker));
+            self.check_expired_leases();
+        }
+    }
+
+    fn tick(&mut self, node: usize) {
+        if let Some(until) = self.nodes[node].down_until {
+            if self.now < until {
+                return;
+            }
+            let process = self.nodes[node].process + 1;
+            self.nodes[node] = self.start_process(node, process);
+        }
+        let (now, status) = (self.local_time(node), self.status(node));
+        let actions = self.nodes[node].leadership.tick(now, status);
+        self.apply_actions(node, actions);
+    }
+}
--- /dev/null
+++ b/src/leadership/tests/key_value_store.rs
@@ -0,0 +1,85 @@
+//! A stand-in for the key-value store, as far as leadership uses it: epoch, lock, leases and live jobs.
+
+use super::NAMES;
+use crate::leadership::{Action, StoreResponse};
+use crate::limits;
+use crate::protocol::records::Epoch;
+use crate::scheduler::model::JobId;
+use std::collections::{BTreeMap, BTreeSet};
+
+const LOCK_LEASE: u64 = limits::LOCK_LEASE_MS * 1_000;
+
+#[derive(Default)]
+pub(super) struct KeyValueStore {
+    revision: u64,
+    /// The epoch and the revision that wrote it.
+    epoch: Option<(Epoch, u64)>,
+    /// Lease that the lock is attached to.
+    lock: Option<u64>,
+    /// Lease id to the time at which the lease ends.
+    leases: BTreeMap<u64, u64>,
+    last_lease: u64,
+    pub(super) live_jobs: BTreeSet<JobId>,
+    pub(super) last_job: u64,
+}
+
+/// Who sent a request, and when.
+pub(super) struct Request {
+    pub(super) node: usize,
+    pub(super) incarnation: u64,
+    /// Send time on the node's clock.
+    pub(super) sent: u64,
+}
+
+impl KeyValueStore {
+    pub(super) fn new() -> Self {
+        KeyValueStore { revision: 1, ..KeyValueStore::default() }
+    }
+
+    /// Carries out what a node requests.
+    pub(super) fn apply(&mut self, now: u64, action: Action, request: Request) -> StoreResponse {
+        self.expire_leases(now);
+        match action {
+            Action::Probe => StoreResponse::Probed { epoch: self.epoch.clone(), locked: self.lock.is_some() },
+            Action::TakeOver { token, version, ignore_lock } => {
+                let present = self.epoch.as_ref().map_or(0, |(_, version)| *version);
+                if present != version || !ignore_lock && self.lock.is_some() {
+                    return StoreResponse::TakeoverFailed { lease: None };
+                }
+                self.take_over(now, token, request)
+            }
+            Action::Renew { lease } => {
+                let alive = self.leases.contains_key(&lease);
+                if alive {
+                    self.leases.insert(lease, now + LOCK_LEASE);
+                }
+                StoreResponse::Renewed { lease, sent: request.sent, alive }
+            }
+            Action::Release { lease } => {
+                self.leases.remove(&lease);
+                StoreResponse::Failed
+            }
+            Action::Send(..) | Action::Attest(..) | Action::Elected { .. } | Action::Deposed { .. } => {
+                unreachable!("not a request to the store: {action:?}")
+            }
+        }
+    }
+
+    fn take_over(&mut self, now: u64, token: u64, request: Request) -> StoreResponse {
+        self.revision += 1;
+        self.last_lease += 1;
+        let lease = self.last_lease;
+        self.leases.insert(lease, now + LOCK_LEASE);
+        self.lock = Some(lease);
+        let epoch = Epoch { token, node: NAMES[request.node].into(), incarnation: request.incarnation };
+        self.epoch = Some((epoch, self.revision));
+        StoreResponse::TakeoverCommitted { lease, version: self.revision, lease_sent: request.sent }
+    }
+
+    fn expire_leases(&mut self, now: u64) {
+        self.leases.retain(|_, until| *until > now);
+        if self.lock.is_some_and(|lease| !self.leases.contains_key(&lease)) {
+            self.lock = None;
+        }
+    }
+}
--- /dev/null
+++ b/src/leadership/tests/network.rs
@@ -0,0 +1,233 @@
+//! The network between the nodes and the key-value store: carries out actions, and delivers what is under way late,
+//! twice or not at all.
+
+use super::cluster::{Cluster, Suspension};
+use super::key_value_store::Request;
+use super::lease_ledger::LeaseLedger;
+use super::MS;
+use crate::leadership::{Action, Message, Status, StoreResponse};
+use crate::lease::cancellation_log::Attestation;
+use crate::limits::SECOND;
+use crate::scheduler::model::JobId;
+use rand::Rng;
+use std::collections::BTreeSet;
+
+/// What is under way.
+pub(super) enum Delivery {
+    Message {
+        from: usize,
+        to: usize,
+        status: Status,
+        message: Message,
+    },
+    Attestation {
+        from: usize,
+        to: usize,
+        incarnation: u64,
+        attestation: Attestation,
+    },
+    StoreRequest {
+        node: usize,
+        process: u64,
+        action: Action,
+        sent: u64,
+    },
+    StoreResponse {
+        node: usize,
+        process: u64,
+        response: StoreResponse,
+    },
+    /// The live jobs as the key-value store had them, for a request that was sent then.
+    LiveJobs {
+        node: usize,
+        process: u64,
+        sent: u64,
+        live: BTreeSet<JobId>,
+    },
+    /// A job that the node's transaction cancelled. The node confirms it to the user when the response arrives.
+    CancellationCommitted {
+        node: usize,
+        process: u64,
+        job_id: JobId,
+    },
+}
+
+impl Cluster {
+    pub(super) fn send(&mut self, delay: u64, delivery: Delivery) {
+        self.last_serial += 1;
+        self.deliveries.insert((self.now + delay, self.last_serial), delivery);
+    }
+
+    pub(super) fn random_delay(&mut self) -> u64 {
+        if self.rng.random_bool(0.02) {
+            return self.rng.random_range(100 * MS..900 * MS);
+        }
+        self.rng.random_range(MS..12 * MS)
+    }
+
+    /// What a partition holds back arrives after it, and some frames arrive twice.
+    fn send_to_peer(&mut self, from: usize, to: usize, delivery: impl Fn() -> Delivery) {
+        let held_back = match &self.partition {
+            Some(partition) if self.are_partitioned(from, to) => partition.until.saturating_sub(self.now),
+            Some(_) | None => 0,
+        };
+        let copies = if self.rng.random_bool(0.05) { 2 } else { 1 };
+        for _ in 0..copies {
+            let delay = held_back + self.random_delay();
+            self.send(delay, delivery());
+        }
+    }
+
+    pub(super) fn apply_actions(&mut self, node: usize, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send(to, message) => {
+                    let status = self.status(node);
+                    self.send_to_peer(node, to, || Delivery::Message { from: node, to, status, message });
+                }
+                Action::Attest(to, attestation) => {
+                    let incarnation = self.nodes[node].leadership.incarnation;
+                    self.send_to_peer(node, to, || {
+                        let attestation = attestation.clone();
+                        Delivery::Attestation { from: node, to, incarnation, attestation }
+                    });
+                }
+                Action::Elected { token, version: _ } => {
+                    self.elected_tokens.push(token);
+                    self.nodes[node].ledger = LeaseLedger::new(token, self.now, self.local_time(node));
+                    // It loads its state before it knows anything by its own reading.
+                    self.nodes[node].jobs_read_at = 0;
+                }
+                Action::Deposed { keep_until } => {
+                    let token = self.nodes[node].ledger.token();
+                    self.nodes[node].shard.retain_after_leadership(token, keep_until);
+                }
+                Action::Probe | Action::TakeOver { .. } | Action::Renew { .. } | Action::Release { .. } => {
+                    self.request_store(node, action)
+                }
+            }
+        }
+    }
+
+    fn request_store(&mut self, node: usize, action: Action) {
+        let (process, sent) = (self.nodes[node].process, self.local_time(node));
+        let delay = self.random_delay();
+        let unreachable =
+            self.store_down || self.refused_by_store == Some(node) || self.is_partitioned_from_store(node);
+        if !unreachable {
+            return self.send(delay, Delivery::StoreRequest { node, process, action, sent });
+        }
+        if matches!(action, Action::TakeOver { .. }) {
+            // A delayed transaction is applied late. No response arrives in time.
+            let held_back = self.rng.random_range(0..20 * SECOND);
+            self.send(delay + held_back, Delivery::StoreRequest { node, process, action, sent });
+        } else {
+            self.send(delay, Delivery::StoreResponse { node, process, response: StoreResponse::Failed });
+        }
+    }
+
+    pub(super) fn deliver_due(&mut self) {
+        while let Some(entry) = self.deliveries.first_entry() {
+            if entry.key().0 > self.now {
+                break;
+            }
+            let delivery = entry.remove();
+            match (&delivery, self.suspension) {
+                // What arrives while a node stands still is there when it goes on.
+                (
+                    Delivery::Message { to: node, .. } | Delivery::StoreResponse { node, .. },
+                    Some(Suspension { node: suspended, until }),
+                ) if *node == suspended => self.send(until - self.now, delivery),
+                _ => self.deliver(delivery),
+            }
+        }
+    }
+
+    fn deliver(&mut self, delivery: Delivery) {
+        match delivery {
+            Delivery::Message { from, to, status, message } => {
+                if self.nodes[to].down_until.is_some() {
+                    return;
+                }
+                let now = self.local_time(to);
+                let incarnation = self.nodes[from].leadership.incarnation;
+                let leadership = &mut self.nodes[to].leadership;
+                let actions = leadership.handle_message(now, from, incarnation, status, message);
+                self.apply_actions(to, actions);
+            }
+            Delivery::Attestation { from, to, incarnation, attestation } => {
+                if self.nodes[to].down_until.is_some() {
+                    return;
+                }
+                let now = self.local_time(to);
+                let leadership = &mut self.nodes[to].leadership;
+                let outcome = leadership.handle_attestation(now, from, incarnation, &attestation);
+                self.apply_actions(to, outcome.actions);
+            }
+            Delivery::StoreRequest { node, process, action, sent } => {
+                // The response to a process that has ended is lost, but the change stands.
+                let incarnation = self.nodes[node].leadership.incarnation;
+                let response = self.store.apply(self.now, action, Request { node, incarnation, sent });
+                let delay = self.random_delay();
+                self.send(delay, Delivery::StoreResponse { node, process, response });
+            }
+            Delivery::StoreResponse { node, process, response } => {
+                self.deliver_store_response(node, process, response)
+            }
+            Delivery::LiveJobs { node, process, sent, live } => {
+                self.deliver_live_jobs(node, process, sent, live)
+            }
+            Delivery::CancellationCommitted { node, process, job_id } => {
+                self.confirm_cancellation(node, process, job_id)
+            }
+        }
+    }
+
+    fn deliver_store_response(&mut self, node: usize, process: u64, response: StoreResponse) {
+        if self.nodes[node].process != process || self.nodes[node].down_until.is_some() {
+            return;
+        }
+        let now = self.local_time(node);
+        // A response that does not arrive is given up.
+        let lost = !self.reaches_store(node);
+        let response = match response {
+            StoreResponse::TakeoverCommitted { .. } | StoreResponse::TakeoverFailed { .. } if lost => {
+                StoreResponse::TakeoverFailed { lease: None }
+            }
+            _ if lost => StoreResponse::Failed,
+            response => response,
+        };
+        if !lost && !matches!(response, StoreResponse::Failed) {
+            self.nodes[node].store_answered_at = now;
+        }
+        let actions = self.nodes[node].leadership.handle_store_response(now, response);
+        self.apply_actions(node, actions);
+    }
+
+    fn deliver_live_jobs(&mut self, node: usize, process: u64, sent: u64, live: BTreeSet<JobId>) {
+        if self.nodes[node].process != process || !self.reaches_store(node) {
+            return;
+        }
+        let now = self.local_time(node);
+        let live: Vec<JobId> = live.into_iter().collect();
+        self.nodes[node].leadership.cancellations.apply_live_jobs(now, sent, true, &live, &[]);
+        self.nodes[node].store_answered_at = now;
+        self.nodes[node].jobs_read_at = now;
+    }
+
+    fn confirm_cancellation(&mut self, node: usize, process: u64, job_id: JobId) {
+        // Without a response no user is told.
+        if self.nodes[node].process != process || !self.reaches_store(node) {
+            return;
+        }
+        let now = self.local_time(node);
+        let outcome = self.nodes[node].leadership.confirm_cancellation(now, job_id);
+        self.apply_actions(node, outcome.actions);
+        if outcome.is_permitted {
+            self.confirmed.entry(job_id).or_insert(self.now);
+        } else {
+            // The user asks again.
+            self.send(SECOND, Delivery::CancellationCommitted { node, process, job_id });
+        }
+    }
+}
--- /dev/null
+++ b/src/leadership/tests/workers.rs
@@ -0,0 +1,319 @@
+//! Workers, leaseholders and jobs around the three controllers.
+
+use super::cluster::Cluster;
+use super::lease_ledger::Renewal;
+use super::network::Delivery;
+use super::{CANCELLATION_DEADLINE, MS, NODES, WORKER_LEASE};
+use crate::leadership::FollowedLeader;
+use crate::limits::{self, SECOND};
+use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
+use crate::scheduler::TaskCommand;
+use rand::Rng;
+use std::collections::BTreeSet;
+
+/// A worker, of which only its lease matters: all its tasks end with it.
+pub(super) struct Worker {
+    /// Node that it reports to.
+    node: usize,
+    /// Node whose side of a partition it is on.
+    home: usize,
+    pub(super) agent_epoch: u64,
+    /// When this agent epoch began, in true time.
+    pub(super) agent_epoch_began_at: u64,
+    sequence: u64,
+    token: u64,
+    pub(super) lease_until: u64,
+    next_report_at: u64,
+    /// Jobs of which it has a task.
+    tasks: BTreeSet<JobId>,
+}
+
+impl Worker {
+    /// A worker that has just started on this node's side, with a lease.
+    pub(super) fn new(node: usize) -> Self {
+        Worker {
+            node,
+            home: node,
+            agent_epoch: 1,
+            agent_epoch_began_at: 0,
+            sequence: 0,
+            token: 0,
+            lease_until: WORKER_LEASE,
+            next_report_at: 0,
+            tasks: BTreeSet::new(),
+        }
+    }
+
+    /// Its lease ended, and all its tasks with it.
+    fn restart(&mut self, now: u64) {
+        self.agent_epoch += 1;
+        self.agent_epoch_began_at = now;
+        self.lease_until = now + WORKER_LEASE;
+        self.tasks.clear();
+    }
+
+    fn heartbeat(&self, machine: String) -> Heartbeat {
+        let task = |job_id: &JobId| ReportedTask {
+            id: TaskId { job_id: *job_id, task: 0 },
+            attempt: 1,
+            status: TaskStatus::Running,
+        };
+        Heartbeat {
+            machine,
+            address: String::new(),
+            machine_type: String::new(),
+            zone: String::new(),
+            spot: false,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            token: self.token,
+            notice_s: None,
+            tasks: self.tasks.iter().map(task).collect(),
+        }
+    }
+}
+
+/// A response to a worker: the fencing token, and the jobs whose tasks it stops.
+struct WorkerResponse {
+    token: u64,
+    stopped: BTreeSet<JobId>,
+}
+
+impl WorkerResponse {
+    fn new(token: u64, task_commands: Vec<TaskCommand>) -> Self {
+        let stopped = task_commands.into_iter().filter_map(|command| match command {
+            TaskCommand::Stop { id, .. } => Some(id.job_id),
+            _ => None,
+        });
+        WorkerResponse { token, stopped: stopped.collect() }
+    }
+}
+
+impl Cluster {
+    /// Six workers, two on each node's side, and jobs that are submitted and cancelled.
+    pub(super) fn with_workers(seed: u64, cancellation_period: u32) -> Self {
+        let mut cluster = Cluster::new(seed);
+        cluster.cancellation_period = cancellation_period;
+        cluster.workers = (0..6).map(|number| Worker::new(number % NODES)).collect();
+        cluster
+    }
+
+    pub(super) fn agent_epochs(&self) -> Vec<u64> {
+        self.workers.iter().map(|worker| worker.agent_epoch).collect()
+    }
+
+    /// Jobs are submitted and cancelled, and every node reads which are live.
+    pub(super) fn run_jobs(&mut self) {
+        if self.cancellation_period == 0 {
+            return;
+        }
+        for node in 0..NODES {
+            if !self.reaches_store(node) {
+                continue;
+            }
+            self.read_live_jobs_when_due(node);
+            if self.rng.random_ratio(1, self.cancellation_period) {
+                self.submit_job();
+                self.cancel_oldest_job(node);
+            }
+        }
+    }
+
+    fn read_live_jobs_when_due(&mut self, node: usize) {
+        let now = self.local_time(node);
+        if now < self.nodes[node].next_job_read_at {
+            return;
+        }
+        self.nodes[node].next_job_read_at = now + SECOND;
+        let delay = 2 * self.random_delay();
+        let (process, live) = (self.nodes[node].process, self.store.live_jobs.clone());
+        self.send(delay, Delivery::LiveJobs { node, process, sent: now, live });
+    }
+
+    /// Every worker that the leader reaches gets a task of every job.
+    fn submit_job(&mut self) {
+        self.store.last_job += 1;
+        let job_id = JobId(self.store.last_job);
+        self.store.live_jobs.insert(job_id);
+        let Some(leader) = self.leader() else { return };
+        for worker in 0..self.workers.len() {
+            if !self.are_partitioned(self.workers[worker].home, leader) {
+                self.workers[worker].tasks.insert(job_id);
+            }
+        }
+    }
+
+    /// The newest jobs are not cancelled: some nodes have not read them yet.
+    fn cancel_oldest_job(&mut self, node: usize) {
+        if self.store.live_jobs.len() <= 4 {
+            return;
+        }
+        let Some(job_id) = self.store.live_jobs.pop_first() else { return };
+        let delay = self.random_delay();
+        let process = self.nodes[node].process;
+        self.send(delay, Delivery::CancellationCommitted { node, process, job_id });
+    }
+
+    /// Leaseholders send shard heartbeats to the leader. These and their acknowledgements may be lost.
+    pub(super) fn run_leaseholders(&mut self) {
+        for node in 0..NODES {
+            if self.is_running(node) {
+                self.run_leaseholder(node);
+            }
+        }
+    }
+
+    fn run_leaseholder(&mut self, node: usize) {
+        let now = self.local_time(node);
+        let Some(followed) = self.nodes[node].leadership.followed_leader(now) else { return };
+        let FollowedLeader { node: leader, token, heartbeat_stamp: stamp, .. } = followed;
+        self.nodes[node].shard.follow(token);
+        let Some(heartbeat) = self.nodes[node].shard.next_heartbeat(now) else { return };
+        let leader_time = self.local_time(leader);
+        let is_recent = stamp <= leader_time && leader_time < stamp + limits::RELAY_MAX_AGE;
+        let accepted = is_recent && self.leads_with(leader, token) && !self.are_partitioned(node, leader);
+        if !accepted || self.rng.random_bool(0.1) {
+            return;
+        }
+        let received = Renewal { at_leader: leader_time, at: self.now };
+        self.nodes[leader].ledger.record_shard_heartbeat(node, &heartbeat, stamp, received);
+        let lease = self.nodes[leader].leadership.shard_lease(leader_time);
+        if self.rng.random_bool(0.9) {
+            assert!(self.nodes[node].shard.acknowledge(heartbeat.id, lease));
+        }
+    }
+
+    /// Whether the node runs and has authority under this token.
+    fn leads_with(&self, node: usize, token: u64) -> bool {
+        let authority = self.nodes[node].leadership.authority(self.local_time(node));
+        self.is_running(node) && authority == Some(token)
+    }
+
+    pub(super) fn run_worker(&mut self, number: usize) {
+        if self.now >= self.workers[number].lease_until {
+            self.workers[number].restart(self.now);
+        }
+        if self.now < self.workers[number].next_report_at {
+            return;
+        }
+        self.workers[number].next_report_at = self.now + self.rng.random_range(750 * MS..1_250 * MS);
+        self.workers[number].sequence += 1;
+        self.check_cancelled_tasks_ended(number);
+        let Worker { node, home, .. } = self.workers[number];
+        let is_cut_off = self.are_partitioned(node, home);
+        let response = if is_cut_off || !self.is_running(node) { None } else { self.report_to(number, node) };
+        let worker = &mut self.workers[number];
+        match response {
+            Some(response) if response.token >= worker.token => {
+                worker.token = response.token;
+                worker.lease_until = self.now + WORKER_LEASE;
+                worker.tasks.retain(|job_id| !response.stopped.contains(job_id));
+            }
+            Some(_) => {}
+            None => {
+                worker.node = (node + 1) % NODES;
+                worker.next_report_at = self.now + if is_cut_off { 5 * SECOND } else { SECOND };
+            }
+        }
+    }
+
+    /// Checked when a worker reports, after the last response had its effect.
+    fn check_cancelled_tasks_ended(&self, number: usize) {
+        for (job_id, confirmed_at) in &self.confirmed {
+            let runs = self.workers[number].tasks.contains(job_id);
+            assert!(
+                !runs || self.now <= confirmed_at + CANCELLATION_DEADLINE,
+                "worker {number} runs {job_id}, whose cancellation was confirmed at {confirmed_at}"
+            );
+        }
+    }
+
+    /// The node's response to the worker's heartbeat, if it may give one.
+    fn report_to(&mut self, number: usize, node: usize) -> Option<WorkerResponse> {
+        let now = self.local_time(node);
+        let heartbeat = self.workers[number].heartbeat(number.to_string());
+        let keep_alive_stops = self.keep_alive_stops(node, &heartbeat);
+        if let Some(token) = self.nodes[node].leadership.authority(now) {
+            let stops =
+                if self.has_loaded(node) { self.leader_stops(node, &heartbeat) } else { keep_alive_stops }?;
+            let renewal = Renewal { at_leader: now, at: self.now };
+            self.nodes[node].ledger.record_renewal(number, renewal);
+            return Some(WorkerResponse::new(token, stops));
+        }
+        if let Some(token) = self.nodes[node].leadership.keep_alive_token(now) {
+            let stops = keep_alive_stops?;
+            self.autonomous_responses += 1;
+            return Some(WorkerResponse::new(token, stops));
+        }
+        let followed = self.nodes[node].leadership.followed_leader(now);
+        if let Some(leader) = followed {
+            self.nodes[node].shard.follow(leader.token);
+        }
+        if let Some(stops) = keep_alive_stops {
+            if let Some(token) = self.nodes[node].shard.respond(now, &heartbeat, followed.is_some()).token() {
+                self.autonomous_responses += 1;
+                return Some(WorkerResponse::new(token, stops));
+            }
+        }
+        if let Some(response) = followed.and_then(|leader| self.relay(number, node, leader, heartbeat)) {
+            return Some(response);
+        }
+        let token = self.workers[number].token;
+        let actions = self.nodes[node].leadership.observe_token(token, now);
+        self.apply_actions(node, actions);
+        None
+    }
+
+    /// The leader's response to a heartbeat that the node relays.
+    fn relay(
+        &mut self,
+        number: usize,
+        node: usize,
+        followed: FollowedLeader,
+        heartbeat: Heartbeat,
+    ) -> Option<WorkerResponse> {
+        let FollowedLeader { node: leader, token, .. } = followed;
+        let reached = !self.are_partitioned(node, leader) && self.leads_with(leader, token);
+        if !reached || !self.has_loaded(leader) {
+            return None;
+        }
+        let stops = self.leader_stops(leader, &heartbeat)?;
+        let renewal = Renewal { at_leader: self.local_time(leader), at: self.now };
+        self.nodes[leader].ledger.record_renewal(number, renewal);
+        let now = self.local_time(node);
+        let cacheable = stops.is_empty();
+        self.nodes[node].shard.record_relayed_response(now, heartbeat, token, cacheable);
+        Some(WorkerResponse::new(token, stops))
+    }
+
+    /// Whether the node has read the jobs since its process or its term as leader began.
+    fn has_loaded(&self, node: usize) -> bool {
+        self.cancellation_period == 0 || self.nodes[node].jobs_read_at > 0
+    }
+
+    /// The stop commands of a response that the node gives without the leader's job list, as
+    /// `Controller::keep_alive_stops` does; None: it may not respond.
+    fn keep_alive_stops(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
+        if self.cancellation_period == 0 {
+            return Some(Vec::new());
+        }
+        let (now, cancellations) = (self.local_time(node), &self.nodes[node].leadership.cancellations);
+        (now + limits::AUTHORITY_MARGIN < cancellations.keep_alive_until())
+            .then(|| cancellations.stop_commands(heartbeat))
+            .flatten()
+    }
+
+    /// The stop commands of a leader that has loaded the jobs; None: it may not respond.
+    fn leader_stops(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
+        if self.cancellation_period == 0 {
+            return Some(Vec::new());
+        }
+        let (now, cancellations) = (self.local_time(node), &self.nodes[node].leadership.cancellations);
+        // It stops the tasks that it has no job for, as the scheduler does.
+        let orphaned = heartbeat.tasks.iter().filter(|task| !cancellations.is_live(task.id.job_id));
+        let stop =
+            |task: &ReportedTask| TaskCommand::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 };
+        (now < cancellations.keep_alive_until())
+            .then(|| cancellations.with_stop_commands(orphaned.map(stop).collect(), heartbeat))
+    }
+}
