--- a/src/api.rs
+++ b/src/api.rs
@@ -1,33 +1,31 @@
 //! What users and workers ask, over HTTP. No decisions here: users' requests are decided by transactions of the
 //! state service, heartbeats by the owner of the state.
 
-use crate::controller::{Event, HeartbeatReply};
 use crate::http::wall_ms;
 use crate::limits;
+use crate::node_events::{Event, Health, HeartbeatReply, Summary, Types};
 use crate::protocol;
 use crate::protocol::records::{FinalRecord, LiveRecord};
 use crate::protocol::users::{JobState, JobStatus, Submission};
 use crate::protocol::workers::{HeartbeatRequest, Redirect};
-use crate::scheduler::model::{JobId, JobSpec, Kind, MachineType, Resources};
+use crate::scheduler::model::{JobId, JobSpec, Kind, Resources};
 use crate::scheduler::overview::PageStart;
 use crate::scheduler::Scheduler;
 use crate::settings::{Draining, Team};
-use crate::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore, StoreError};
+use crate::storage::key_value_store::{
+    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore, StoreError,
+};
+use crate::storage::keys;
 use crate::storage::live_job_cache::LiveJobCache;
 use poem::http::{header, StatusCode};
 use poem::web::{Data, Path, Query};
 use poem::{get, handler, post, Body, EndpointExt, IntoEndpoint, Response, Route};
-use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::collections::{HashMap, VecDeque};
+use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 use tokio::sync::{mpsc, oneshot, watch, Semaphore, SemaphorePermit};
 use tracing::{debug, info, warn};
 
-/// The machine types of the cloud's catalog, by name.
-pub type Types = Arc<BTreeMap<String, MachineType>>;
-/// Per job: finished and running tasks, as the leader last said.
-pub type Summary = Arc<HashMap<JobId, (u32, u32)>>;
-
 /// Final states that this node has read or written; they never change.
 #[derive(Default)]
 struct OverCache {
@@ -35,15 +33,6 @@
     order: VecDeque<JobId>,
 }
 
-/// What the owner of the state thinks of this node.
-#[derive(Default)]
-pub struct Health {
-    /// Whether `/healthz` answers 200.
-    pub healthy: AtomicBool,
-    /// The state service does not answer this node, and others may fare better.
-    pub cut_off: AtomicBool,
-}
-
 /// What the settings say that requests are checked against.
 pub struct ApiSettings {
     /// The teams with their guarantees and limits.
@@ -207,7 +196,7 @@
     }
 
     async fn read_over(&self, job_id: JobId) -> Result<Option<JobState>, Refusal> {
-        let Some((value, _)) = self.store.get(&store::over(job_id), limits::POLL_TIMEOUT).await? else {
+        let Some((value, _)) = self.store.get(&keys::final_state(job_id), limits::POLL_TIMEOUT).await? else {
             return Ok(None);
         };
         let over: FinalRecord =
@@ -272,14 +261,14 @@
             return Err(Refusal::Never(why));
         }
         self.may_ask(1)?;
-        let (live, over) = (store::live(job.job_id), store::over(job.job_id));
+        let (live, over) = (keys::live_job(job.job_id), keys::final_state(job.job_id));
         let record = LiveRecord { submission, accepted_ms: wall_ms() };
         let bytes = serde_json::to_vec(&record).map_err(|e| Refusal::Malformed(e.to_string()))?;
         if bytes.len() > self.store.max_value_bytes() {
             return Err(Refusal::Never("its names are too long to be stored".into()));
         }
-        let record = store::write(&live, &record).map_err(|e| Refusal::Malformed(e.to_string()))?;
-        let absent = vec![store::compare(&live, 0), store::compare(&over, 0)];
+        let record = write_change(&live, &record).map_err(|e| Refusal::Malformed(e.to_string()))?;
+        let absent = vec![compare_version(&live, 0), compare_version(&over, 0)];
         match self.store.commit(absent, vec![record]).await {
             CommitOutcome::Committed { .. } => {
                 info!(job = %job.job_id, class = job.class, team = job.team, tasks = job.tasks, "accepted");
@@ -311,16 +300,16 @@
         }
         let _turn = self.admit_change()?;
         self.may_ask(2)?;
-        let (live, over) = (store::live(job_id), store::over(job_id));
+        let (live, over) = (keys::live_job(job_id), keys::final_state(job_id));
         let Some((value, version)) = self.store.get(&live, limits::POLL_TIMEOUT).await? else {
             let state = self.read_over(job_id).await?.ok_or(Refusal::NoSuchJob)?;
             return Ok(json(StatusCode::OK, &state));
         };
         let tasks = LiveRecord::tasks_of(&value);
-        let record = store::write(&over, FinalRecord { status: JobStatus::Cancelled, tasks })
+        let record = write_change(&over, FinalRecord { status: JobStatus::Cancelled, tasks })
             .map_err(|e| Refusal::Later(e.to_string()))?;
-        let then = vec![record, store::remove(&live)];
-        match self.store.commit(vec![store::compare(&live, version)], then).await {
+        let then = vec![record, remove_change(&live)];
+        match self.store.commit(vec![compare_version(&live, version)], then).await {
             CommitOutcome::Committed { .. } => {
                 info!(job = %job_id, "cancelled");
                 let state = JobState::without_counts(job_id, JobStatus::Cancelled);
@@ -339,7 +328,7 @@
 
     async fn cold_start(&self) -> Result<Response, Refusal> {
         self.may_ask(0)?;
-        match self.store.get(store::COLD_START, limits::STORE_TIMEOUT).await? {
+        match self.store.get(keys::COLD_START_REPORT, limits::STORE_TIMEOUT).await? {
             Some((heartbeat, _)) => Ok(json(StatusCode::OK, &heartbeat)),
             None => Err(Refusal::NotFound("no cold start has been reported".into())),
         }
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -1,14 +1,14 @@
 //! Drives the cloud: rentals and deletions within its limit, the list of machines, the catalog of machine types.
 
-use super::Event;
-use crate::api::Types;
 use crate::cloud::{self, Cloud};
 use crate::http::Clock;
 use crate::limits;
+use crate::node_events::{Event, Types};
 use crate::protocol::cloud::{Catalog, RentalRequest};
 use crate::scheduler::{Command, ListedMachine, WriteOutcome};
 use crate::settings::CloudLimits;
-use crate::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore};
+use crate::storage::key_value_store::{compare_version, write_change, CommitOutcome, KeyValueStore};
+use crate::storage::keys;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -49,7 +49,7 @@
         types.send_replace(known.clone());
         Event::Types(known)
     };
-    let stored = store.get(store::CATALOG, limits::STORE_TIMEOUT).await;
+    let stored = store.get(keys::MACHINE_TYPE_CATALOG, limits::STORE_TIMEOUT).await;
     let mut kept = false;
     if let Ok(Some((value, _))) = &stored {
         if let Ok(catalog) = serde_json::from_value(value.clone()) {
@@ -68,8 +68,9 @@
         }
         if !kept {
             // Whoever comes first; losing the race changes nothing.
-            if let Ok(change) = store::write(store::CATALOG, &catalog) {
-                let outcome = store.commit(vec![store::compare(store::CATALOG, 0)], vec![change]).await;
+            if let Ok(change) = write_change(keys::MACHINE_TYPE_CATALOG, &catalog) {
+                let outcome =
+                    store.commit(vec![compare_version(keys::MACHINE_TYPE_CATALOG, 0)], vec![change]).await;
                 kept = matches!(outcome, CommitOutcome::Committed { .. } | CommitOutcome::Conflict);
             }
         }
--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -8,14 +8,15 @@
 use crate::scheduler::cold_start::{ColdStartReport, JobReading};
 use crate::scheduler::model::JobId;
 use crate::scheduler::Command;
-use crate::storage::key_value_store as store;
+use crate::storage::key_value_store::write_change;
+use crate::storage::keys;
 
 impl Controller {
     pub(super) fn read_job(&self, job_id: JobId) {
         let store = self.store.clone();
         let sent = self.clock.now();
         self.spawn_scheduler_request(async move {
-            let key = store::live(job_id);
+            let key = keys::live_job(job_id);
             let reading = match store.get(&key, limits::STORE_TIMEOUT).await {
                 Ok(Some((value, version))) => match stored_job(&Record { key, value, version }) {
                     Some(job) => JobReading::Live(Box::new(job)),
@@ -32,7 +33,7 @@
         let (store, versions, leads) =
             (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
         self.spawn_scheduler_request(async move {
-            let changes = store::write(store::COLD_START, report).into_iter().collect();
+            let changes = write_change(keys::COLD_START_REPORT, report).into_iter().collect();
             Command::ColdStartWritten(outcome_of(versions.commit(&store, vec![leads], changes).await).await)
         });
     }
--- a/src/controller/drain_records.rs
+++ b/src/controller/drain_records.rs
@@ -2,12 +2,13 @@
 
 use super::effects::outcome_of;
 use super::job_watch::pause;
-use super::{Controller, Event};
+use super::Controller;
 use crate::drains::records;
 use crate::limits;
+use crate::node_events::Event;
 use crate::scheduler::drains::{DrainKey, DrainValue};
 use crate::scheduler::Command;
-use crate::storage::key_value_store::{self as store, KeyValueStore};
+use crate::storage::key_value_store::{write_change, KeyValueStore};
 use tokio::sync::mpsc;
 use tracing::{debug, warn};
 
@@ -17,7 +18,7 @@
         let (store, versions, leads) =
             (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
         self.spawn_scheduler_request(async move {
-            let changes = store::write(&records::key_of(&key), value).into_iter().collect();
+            let changes = write_change(&records::key_of(&key), value).into_iter().collect();
             let outcome = outcome_of(versions.commit(&store, vec![leads], changes).await).await;
             Command::DrainWritten { key, outcome }
         });
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -3,8 +3,9 @@
 use super::cloud_driver::{CloudRequest, Gate};
 use super::finished_tasks::done_changes;
 use super::job_watch::sweep;
-use super::{Controller, Event};
+use super::Controller;
 use crate::limits;
+use crate::node_events::Event;
 use crate::peer::Payload;
 use crate::protocol::records::{FinalRecord, MachineRecord};
 use crate::protocol::state_service::Comparison;
@@ -12,7 +13,8 @@
 use crate::protocol::workers::{DirectCommands, WorkerCommand};
 use crate::scheduler::model::JobId;
 use crate::scheduler::{Command, Effect, StoredMachine, TaskCommand, WriteOutcome};
-use crate::storage::key_value_store::{self as store, CommitOutcome};
+use crate::storage::key_value_store::{compare_version, remove_change, write_change, CommitOutcome};
+use crate::storage::keys;
 use crate::worker;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -68,7 +70,7 @@
 
     /// Every transaction of a leader rests on its epoch.
     pub(super) fn epoch_comparison(&self) -> Comparison {
-        store::compare(store::EPOCH, self.epoch_version)
+        compare_version(keys::LEADER_EPOCH, self.epoch_version)
     }
 
     fn send_direct(&self, machine: &str, address: String, agent_epoch: u64, task_commands: &[TaskCommand]) {
@@ -97,7 +99,7 @@
             (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
         self.spawn_scheduler_request(async move {
             let (tasks, changes) = done_changes(job_id, tasks, &all_done, most);
-            let conditions = vec![leads, store::compare(&store::live(job_id), version)];
+            let conditions = vec![leads, compare_version(&keys::live_job(job_id), version)];
             let outcome = outcome_of(versions.commit(&store, conditions, changes).await).await;
             Command::Committed { job_id, tasks, outcome }
         });
@@ -110,14 +112,14 @@
         let (store, epoch, leads) = (self.store.clone(), self.epoch_version, self.epoch_comparison());
         self.spawn_scheduler_request(async move {
             let record = FinalRecord { status: JobStatus::Done, tasks };
-            let mut changes: Vec<_> = store::write(&store::over(job_id), record).into_iter().collect();
-            changes.push(store::remove(&store::live(job_id)));
-            changes.extend(chunks.iter().map(|chunk| store::remove(&store::done(job_id, *chunk))));
-            let conditions = vec![leads, store::compare(&store::live(job_id), version)];
+            let mut changes: Vec<_> = write_change(&keys::final_state(job_id), record).into_iter().collect();
+            changes.push(remove_change(&keys::live_job(job_id)));
+            changes.extend(chunks.iter().map(|chunk| remove_change(&keys::finished_tasks(job_id, *chunk))));
+            let conditions = vec![leads, compare_version(&keys::live_job(job_id), version)];
             let outcome = outcome_of(store.commit(conditions, changes).await).await;
             if outcome == WriteOutcome::Done {
                 info!(job = %job_id, "done");
-                let rest = rest.into_iter().map(|chunk| store::done(job_id, chunk)).collect();
+                let rest = rest.into_iter().map(|chunk| keys::finished_tasks(job_id, chunk)).collect();
                 tokio::spawn(sweep(store, rest, epoch));
             }
             Command::Finished { job_id, outcome }
@@ -128,12 +130,12 @@
         let (store, versions, leads) =
             (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
         self.spawn_scheduler_request(async move {
-            let path = format!("{}{key}", store::FLEET);
+            let path = keys::machine_record(&key);
             let records: Vec<MachineRecord> = machines.into_iter().map(MachineRecord::from).collect();
             let change = if records.is_empty() {
-                vec![store::remove(&path)]
+                vec![remove_change(&path)]
             } else {
-                store::write(&path, records).into_iter().collect()
+                write_change(&path, records).into_iter().collect()
             };
             let outcome = outcome_of(versions.commit(&store, vec![leads], change).await).await;
             Command::Recorded { key, outcome }
--- a/src/controller/finished_tasks.rs
+++ b/src/controller/finished_tasks.rs
@@ -3,7 +3,8 @@
 use crate::limits;
 use crate::protocol::state_service::Change;
 use crate::scheduler::model::JobId;
-use crate::storage::key_value_store as store;
+use crate::storage::key_value_store::write_change;
+use crate::storage::keys;
 use std::collections::BTreeSet;
 
 /// The keys of finished tasks to write for `tasks`, as many as one transaction takes, and the tasks
@@ -24,7 +25,7 @@
             let first = chunk * limits::FINISHED_TASKS_CHUNK;
             let bits =
                 encode_bits(all_done.range(first..first + limits::FINISHED_TASKS_CHUNK).map(|t| t - first));
-            store::write(&store::done(job_id, *chunk), bits).ok()
+            write_change(&keys::finished_tasks(job_id, *chunk), bits).ok()
         })
         .collect();
     (covered, changes)
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -1,8 +1,9 @@
 //! What this node tells of itself: to the load balancer, to its peers and to operators.
 
-use super::{Controller, NodeView};
+use super::Controller;
 use crate::leadership::Status;
 use crate::limits;
+use crate::node_events::NodeView;
 use crate::scheduler::overview::PageStart;
 use crate::scheduler::Scheduler;
 use std::sync::atomic::Ordering;
--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -7,6 +7,7 @@
 use crate::lease::renewal::LeaseRenewal;
 use crate::lease::shard::{ShardHeartbeat, ShardResponse};
 use crate::limits;
+use crate::node_events::HeartbeatReply;
 use crate::peer::{self, Payload};
 use crate::protocol::workers::{HeartbeatRequest, HeartbeatResponse};
 use crate::scheduler::model::Heartbeat;
@@ -14,12 +15,6 @@
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
 
-pub enum HeartbeatReply {
-    Accepted(HeartbeatResponse),
-    Redirected(Option<String>),
-    Malformed,
-}
-
 /// Where the answer to a heartbeat goes.
 pub(super) enum ReplyTo {
     /// With the stops that it must not leave without.
--- a/src/controller/ignored_frames.rs
+++ b/src/controller/ignored_frames.rs
@@ -1,6 +1,6 @@
 //! Frames of peers that nothing follows from: counted, and logged once for each peer.
 
-use serde::Serialize;
+use crate::node_events::FrameCounts;
 use std::collections::BTreeSet;
 use tracing::info;
 
@@ -13,13 +13,6 @@
     Unasked,
 }
 
-/// Frames that nothing followed from, since this process started.
-#[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct FrameCounts {
-    stale: u64,
-    unasked: u64,
-}
-
 /// Counts frames that nothing follows from.
 #[derive(Debug, Default)]
 pub(super) struct FramesIgnored {
@@ -31,7 +24,7 @@
     pub(super) fn note(&mut self, from: usize, why: IgnoredFrame) {
         match why {
             IgnoredFrame::Stale => self.counts.stale += 1,
-            IgnoredFrame::Unasked => self.counts.unasked += 1,
+            IgnoredFrame::Unasked => self.counts.unsolicited += 1,
         }
         if self.logged.insert((from, why)) {
             info!(from, ?why, "frame ignored; further ones of this kind are only counted");
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -2,16 +2,17 @@
 //! that users submit and cancel from then on.
 
 use super::finished_tasks::decode_bits;
-use super::Event;
 use crate::drains;
 use crate::http::wall_ms;
 use crate::limits;
+use crate::node_events::Event;
 use crate::protocol::records::{LiveRecord, MachineRecord};
 use crate::protocol::state_service::{ChangeEvent, Record};
 use crate::scheduler::model::JobId;
 use crate::scheduler::{Command, StoredJob, StoredMachine};
 use crate::settings::Team;
-use crate::storage::key_value_store::{self as store, KeyValueStore};
+use crate::storage::key_value_store::{compare_version, remove_change, KeyValueStore, StoreError};
+use crate::storage::keys;
 use crate::storage::record_versions::RecordVersions;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -43,10 +44,10 @@
     revision: u64,
 }
 
-async fn load(store: &KeyValueStore, versions: &RecordVersions) -> Result<Loaded, store::StoreError> {
-    let (live, revision) = store.list(store::LIVE).await?;
-    let (done, _) = store.list(store::DONE).await?;
-    let (fleet, _) = store.list(store::FLEET).await?;
+async fn load(store: &KeyValueStore, versions: &RecordVersions) -> Result<Loaded, StoreError> {
+    let (live, revision) = store.list(keys::LIVE_JOBS).await?;
+    let (done, _) = store.list(keys::FINISHED_TASKS).await?;
+    let (fleet, _) = store.list(keys::MACHINE_RECORDS).await?;
     done.iter().chain(&fleet).for_each(|record| versions.note(&record.key, record.version));
     let mut jobs: HashMap<JobId, StoredJob> =
         live.iter().filter_map(stored_job).map(|job| (job.spec.job_id, job)).collect();
@@ -73,7 +74,7 @@
     let records = fleet
         .into_iter()
         .filter_map(|record| {
-            let key = record.key.strip_prefix(store::FLEET)?.to_string();
+            let key = record.key.strip_prefix(keys::MACHINE_RECORDS)?.to_string();
             match serde_json::from_value::<Vec<MachineRecord>>(record.value) {
                 Ok(machines) => Some((key, machines.into_iter().map(StoredMachine::from).collect())),
                 Err(error) => {
@@ -104,7 +105,7 @@
     let mut follower = Follower { store, events, token, known: BTreeSet::new() };
     let mut revision = follower.load(epoch, &versions, drains_of.as_deref()).await;
     loop {
-        match follower.store.follow(store::LIVE, revision, limits::STORE_WATCH_MS).await {
+        match follower.store.follow(keys::LIVE_JOBS, revision, limits::STORE_WATCH_MS).await {
             Ok(Some(log)) => {
                 revision = revision.max(log.revision);
                 for event in log.events {
@@ -168,7 +169,7 @@
         &self,
         versions: &RecordVersions,
         drains_of: Option<&[Team]>,
-    ) -> Result<(), store::StoreError> {
+    ) -> Result<(), StoreError> {
         let Some(teams) = drains_of else { return Ok(()) };
         let stored = drains::records::load(&self.store, versions, teams).await?;
         self.send(Command::LoadDrains(stored)).await;
@@ -177,7 +178,7 @@
 
     /// The log does not go back far enough: reads the live jobs again.
     async fn read_again(&mut self) -> Option<u64> {
-        let (records, revision) = self.store.list(store::LIVE).await.ok()?;
+        let (records, revision) = self.store.list(keys::LIVE_JOBS).await.ok()?;
         let jobs: Vec<_> = records.iter().filter_map(stored_job).collect();
         let listed: BTreeSet<JobId> = jobs.iter().map(|job| job.spec.job_id).collect();
         for job_id in self.known.difference(&listed) {
@@ -198,7 +199,7 @@
                 self.send(Command::JobAdded(job)).await;
             }
         } else if let Some(key) = event.removed {
-            if let Some(job_id) = key.strip_prefix(store::LIVE).and_then(JobId::parse) {
+            if let Some(job_id) = key.strip_prefix(keys::LIVE_JOBS).and_then(JobId::parse) {
                 self.known.remove(&job_id);
                 self.send(Command::JobRemoved(job_id)).await;
             }
@@ -209,7 +210,8 @@
 /// Removes what cancelled jobs left behind, slowly enough to stay clear of the write limit.
 pub(super) async fn sweep(store: KeyValueStore, orphans: Vec<String>, version: u64) {
     for key in orphans {
-        let _ = store.commit(vec![store::compare(store::EPOCH, version)], vec![store::remove(&key)]).await;
+        let _ =
+            store.commit(vec![compare_version(keys::LEADER_EPOCH, version)], vec![remove_change(&key)]).await;
         tokio::time::sleep(Duration::from_millis(limits::STORE_RETRY_DELAY_MS)).await;
     }
 }
--- a/src/controller/leadership_actions.rs
+++ b/src/controller/leadership_actions.rs
@@ -3,14 +3,15 @@
 
 use super::cloud_driver::{drive_cloud, list_machines};
 use super::drain_records::follow_drains;
-use super::heartbeat_routing::{HeartbeatReply, ReplyTo};
+use super::heartbeat_routing::ReplyTo;
 use super::job_watch::follow_jobs;
-use super::{Controller, Event};
+use super::Controller;
 use crate::leadership::{Action, Message, StoreResponse};
+use crate::node_events::{Event, HeartbeatReply};
 use crate::peer::Payload;
 use crate::protocol::records::Epoch;
 use crate::scheduler::{Command, Scheduler};
-use crate::storage::key_value_store::KeyValueStore;
+use crate::storage::key_value_store::{KeyValueStore, LockCondition, LockState, Takeover, TakeoverError};
 use crate::storage::record_versions::RecordVersions;
 use tokio::sync::mpsc;
 use tracing::debug;
@@ -25,8 +26,10 @@
                     self.send(to, Payload::Attestation(attestation));
                 }
                 Action::Probe => self.spawn_store_request(probe),
-                Action::TakeOver { token, version, ignore_lock: over_lock } => {
-                    self.take_over(token, version, over_lock)
+                Action::TakeOver { token, version, ignore_lock } => {
+                    let lock_condition =
+                        if ignore_lock { LockCondition::Ignored } else { LockCondition::Absent };
+                    self.take_over(token, version, lock_condition);
                 }
                 Action::Renew { lease } => self.renew(lease),
                 Action::Release { lease } => {
@@ -51,15 +54,15 @@
         self.send(to, Payload::Leadership(status, message));
     }
 
-    fn take_over(&self, token: u64, version: u64, over_lock: bool) {
+    fn take_over(&self, token: u64, version: u64, lock_condition: LockCondition) {
         let node = self.settings.node_name.clone();
         let epoch = Epoch { token, node, incarnation: self.incarnation };
         self.spawn_store_request(move |store| async move {
-            match store.take_over(&epoch, version, over_lock).await {
-                Ok((lease, version, lease_sent)) => {
-                    StoreResponse::TakeoverCommitted { lease, version, lease_sent }
+            match store.take_over(&epoch, version, lock_condition).await {
+                Ok(Takeover { lease, version, requested_at }) => {
+                    StoreResponse::TakeoverCommitted { lease, version, lease_sent: requested_at }
                 }
-                Err(lease) => StoreResponse::TakeoverFailed { lease },
+                Err(TakeoverError { lease }) => StoreResponse::TakeoverFailed { lease },
             }
         });
     }
@@ -152,8 +155,10 @@
 }
 
 async fn probe(store: KeyValueStore) -> StoreResponse {
-    match store.read_epoch().await {
-        Ok((epoch, locked)) => StoreResponse::Probed { epoch, locked },
+    match store.read_lock_state().await {
+        Ok(LockState { epoch, locked }) => {
+            StoreResponse::Probed { epoch: epoch.map(|stored| (stored.epoch, stored.version)), locked }
+        }
         Err(error) => {
             debug!(%error, "probe");
             StoreResponse::Failed
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -13,29 +13,25 @@
 mod leadership_actions;
 mod startup;
 
-pub use heartbeat_routing::HeartbeatReply;
 pub use startup::{run, ServeError};
 
-use crate::api::{Health, Summary, Types};
 use crate::cloud::Cloud;
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{wall_ms, Clock, Http};
-use crate::leadership::{Leadership, StoreResponse};
+use crate::leadership::Leadership;
 use crate::lease::renewal::RenewalCounts;
 use crate::lease::shard::Shard;
 use crate::limits;
+use crate::node_events::{Event, Health, HeartbeatReply, LiveJobsUpdate, Summary, Types};
 use crate::peer::{Payload, Received, RequestIds};
 use crate::protocol::workers::HeartbeatRequest;
 use crate::scheduler::model::JobId;
-use crate::scheduler::overview::{Overview, PageStart};
 use crate::scheduler::{Command, Config, Scheduler};
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::storage::live_job_cache::LiveJobsUpdate;
 use crate::storage::record_versions::RecordVersions;
 use cloud_driver::CloudRequest;
 use heartbeat_routing::{RelayedHeartbeat, ReplyTo};
-pub use ignored_frames::FrameCounts;
 use ignored_frames::FramesIgnored;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -45,35 +41,6 @@
 use tokio::task::JoinHandle;
 use tracing::info;
 
-/// Who leads, and what the leader sees; empty on the others.
-#[derive(serde::Serialize)]
-pub struct NodeView {
-    pub node: String,
-    pub leader: Option<String>,
-    pub token: u64,
-    /// Answers to heartbeats that this node gave, by what they rest on.
-    #[serde(rename = "answers")]
-    pub renewals: RenewalCounts,
-    /// Frames of peers that nothing followed from.
-    pub frames_ignored: FrameCounts,
-    #[serde(flatten)]
-    pub scheduler: Option<Overview>,
-}
-
-pub enum Event {
-    Overview(PageStart, oneshot::Sender<NodeView>),
-    Heartbeat(HeartbeatRequest, oneshot::Sender<HeartbeatReply>),
-    Peer(Received),
-    /// The live jobs were read.
-    LiveJobs(LiveJobsUpdate),
-    /// A user is to be told that the job is cancelled; the answer is whether that may be told now.
-    Cancelled(JobId, oneshot::Sender<bool>),
-    Store(StoreResponse),
-    /// For the scheduler of this token, and no other.
-    Scheduler(u64, Command),
-    Types(Types),
-}
-
 /// The one owner of this process's state.
 pub(crate) struct Controller {
     config: Config,
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -2,8 +2,8 @@
 
 use super::cloud_driver::keep_catalog;
 use super::ignored_frames::FramesIgnored;
-use super::{Controller, Event};
-use crate::api::{self, Api, ApiSettings, Health, Summary, Types};
+use super::Controller;
+use crate::api::{self, Api, ApiSettings};
 use crate::cloud::Cloud;
 use crate::fleet_limits::LimitWarnings;
 use crate::http::{Clock, Http};
@@ -12,6 +12,7 @@
 use crate::lease::renewal::RenewalCounts;
 use crate::lease::shard::Shard;
 use crate::limits::{self, Capacity};
+use crate::node_events::{Event, Health, Summary, Types};
 use crate::peer::{self, Received, RequestIds, Sender};
 use crate::scheduler::Config;
 use crate::settings::{Operator, Settings};
--- a/src/drains/endpoint.rs
+++ b/src/drains/endpoint.rs
@@ -9,7 +9,8 @@
 use crate::protocol;
 use crate::protocol::records::MachineRecord;
 use crate::protocol::state_service::Record;
-use crate::storage::key_value_store::{self as store, CommitOutcome};
+use crate::storage::key_value_store::{compare_version, write_change, CommitOutcome};
+use crate::storage::keys;
 use dockpier_drain::ledger::{Ledger, LedgerRecord};
 use dockpier_drain::progress::MachineEntry;
 use dockpier_drain::request::{DesiredState, DrainId, DrainRequest, Inventory, StoredRequest};
@@ -173,8 +174,8 @@
             let why = "target.machines: too many names for one record; drain fewer, or by type and zone";
             return Err(Refusal::Malformed(why.into()));
         }
-        let change = store::write(&key, stored).map_err(|e| Refusal::Malformed(e.to_string()))?;
-        Ok(self.store.commit(vec![store::compare(&key, version)], vec![change]).await)
+        let change = write_change(&key, stored).map_err(|e| Refusal::Malformed(e.to_string()))?;
+        Ok(self.store.commit(vec![compare_version(&key, version)], vec![change]).await)
     }
 
     /// What exists, as the state service and the cloud's catalog have it.
@@ -183,7 +184,7 @@
         if types.is_empty() {
             return Err(Refusal::Later("machine types not known yet".into()));
         }
-        let (fleet, _) = self.store.list(store::FLEET).await?;
+        let (fleet, _) = self.store.list(keys::MACHINE_RECORDS).await?;
         let machines = fleet.iter().filter_map(records::read::<Vec<MachineRecord>>).flatten();
         Ok(Inventory {
             machines: machines.map(|record| record.machine).collect(),
--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -332,7 +332,7 @@
             self.cold_start.report = Some(report.clone());
             self.cold_start.written = false;
         }
-        if self.cold_start.written || self.cold_start.writing || !self.writes.take(1.0) {
+        if self.cold_start.written || self.cold_start.writing || !self.writes.take_allowing_debt(1.0) {
             return;
         }
         (self.cold_start.written, self.cold_start.writing) = (true, true);
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -129,7 +129,7 @@
         due.extend(self.progress_to_write());
         due.extend(self.summaries_to_write());
         for (key, value) in due {
-            if !self.writes.take(1.0) {
+            if !self.writes.take_allowing_debt(1.0) {
                 return;
             }
             self.note_sent(&key);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -70,7 +70,7 @@
     machines_by_image: BTreeMap<String, BTreeSet<String>>,
     ledger: overview::Ledger,
     records: records::Records,
-    writes: records::WriteBudget,
+    writes: crate::token_bucket::TokenBucket,
     /// Where the last round of decisions stopped.
     cursor: Option<JobId>,
     /// The next round is due without news then, and allowed with news from then on.
@@ -102,7 +102,7 @@
 
 impl Scheduler {
     pub fn new(config: Config, now: u64) -> Self {
-        let writes = records::WriteBudget::new(config.write_rps, now);
+        let writes = records::write_budget(config.write_rps, now);
         // Lessees may answer as long as that for the last leader.
         let shard_lease = config.shard_lease;
         Scheduler {
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -6,6 +6,7 @@
 use super::model::*;
 use super::{Effect, Scheduler, StoredMachine, WriteOutcome};
 use crate::limits;
+use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How urgently a record is to be written again.
@@ -51,35 +52,10 @@
     }
 }
 
-/// The leader's share of the state service's puts and deletes.
-#[derive(Debug)]
-pub struct WriteBudget {
-    rate: f64,
-    most: f64,
-    left: f64,
-    at: u64,
-}
-
-impl WriteBudget {
-    pub fn new(write_rps: f64, now: u64) -> Self {
-        let rate = write_rps * limits::LEADER_WRITE_SHARE;
-        let most = rate.max(limits::MIN_WRITE_BURST);
-        WriteBudget { rate, most, left: most, at: now }
-    }
-
-    fn refill(&mut self, now: u64) {
-        let passed = now.saturating_sub(self.at) as f64 / limits::SECOND as f64;
-        self.left = (self.left + passed * self.rate).min(self.most);
-        self.at = now;
-    }
-
-    pub(super) fn take(&mut self, writes: f64) -> bool {
-        let enough = self.left >= writes.min(self.most);
-        if enough {
-            self.left -= writes;
-        }
-        enough
-    }
+/// The leader's share of the state service's puts and deletes. `now` is in microseconds.
+pub(super) fn write_budget(write_rps: f64, now: u64) -> TokenBucket {
+    let rate = write_rps * limits::LEADER_WRITE_SHARE;
+    TokenBucket::new(rate, rate.max(limits::MIN_WRITE_BURST), now)
 }
 
 impl Scheduler {
@@ -190,7 +166,7 @@
         };
         let due: Vec<String> = groups.iter().filter(|(_, g)| due(g)).map(|(key, _)| key.clone()).collect();
         for key in due {
-            if !self.writes.take(1.0) {
+            if !self.writes.take_allowing_debt(1.0) {
                 return false;
             }
             let Some(group) = self.records.groups.get_mut(&key) else { continue };
@@ -210,7 +186,7 @@
         for job_id in ready.collect::<Vec<_>>() {
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
             let chunks = job.chunks();
-            if !self.writes.take(2.0 + chunks.len() as f64) {
+            if !self.writes.take_allowing_debt(2.0 + chunks.len() as f64) {
                 return false;
             }
             job.progress.write_in_flight = true;
@@ -238,7 +214,7 @@
         ready.sort_unstable();
         for (_, job_id) in ready {
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
-            if !self.writes.take(1.0) {
+            if !self.writes.take_allowing_debt(1.0) {
                 return false;
             }
             job.progress.write_in_flight = true;
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -1,4 +1,5 @@
-//! The client of the state service.
+//! The client of the state service: reads, watches, compare-and-swap transactions, leases, and the two operations of
+//! an election. It owns the time of the last response and the budgets of users' requests; clones share both.
 
 use crate::http::{Answer, CallError, Clock, Http};
 use crate::limits;
@@ -7,6 +8,8 @@
     Change, ChangeLog, Comparison, Lease, Page, Record, Revision, Transaction, Value,
 };
 use crate::settings::StateLimits;
+use crate::storage::keys;
+use crate::token_bucket::TokenBucket;
 use reqwest::Method;
 use serde::Deserialize;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,19 +18,33 @@
 use thiserror::Error;
 use tracing::debug;
 
+/// The least capacity of a budget of users' requests: a cancellation takes two writes at once.
+const MIN_USER_BURST: f64 = 2.0;
+/// Seconds of the rate that users' requests, and their writes, may use at once.
+const USER_REQUEST_BURST_S: f64 = 1.0;
+const USER_WRITE_BURST_S: f64 = 2.0;
+/// Keys of one page of a list.
+const LIST_PAGE_KEYS: usize = 500;
+
+/// Why a read, a watch or a lease request failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
+    /// The service answered with this HTTP status.
     #[error("refused with {0}")]
     Refused(u16),
+    /// The request was not sent, or got no answer.
     #[error("{0}")]
     Call(#[from] CallError),
+    /// The body of the answer, or a stored value, could not be read.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction.
+#[must_use]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitOutcome {
+    /// All conditions held and all changes were made.
     Committed {
         /// The version of every key that it changed.
         version: u64,
@@ -36,65 +53,119 @@
     Conflict,
     /// Not carried out.
     Refused,
-    /// No answer: of unknown outcome until read back.
+    /// No answer: the outcome is unknown until the keys are read back.
     Unknown,
 }
 
-/// A bucket of requests per second.
-struct Budget {
-    rate: f64,
-    most: f64,
-    tokens: f64,
-    at: u64,
+/// The epoch of the last leader, as it is stored.
+#[derive(Debug, PartialEq)]
+pub struct StoredEpoch {
+    /// Its value.
+    pub epoch: Epoch,
+    /// The version of its key.
+    pub version: u64,
 }
 
-impl Budget {
-    fn new(rate: f64, burst_s: f64, now: u64) -> Self {
-        let most = (rate * burst_s).max(2.0);
-        Budget { rate, most, tokens: most, at: now }
-    }
+/// What a candidate reads before a takeover.
+#[derive(Debug, PartialEq)]
+pub struct LockState {
+    /// `None`: no leader has ever been elected.
+    pub epoch: Option<StoredEpoch>,
+    /// Whether the leader's lock existed. It was read before the epoch.
+    pub locked: bool,
+}
+
+/// Whether a takeover needs the lock to be free.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LockCondition {
+    /// The transaction fails while the lock exists.
+    Absent,
+    /// The lock may exist: the takeover has another proof that its holder no longer acts.
+    Ignored,
+}
 
-    fn take(&mut self, now: u64, count: f64) -> bool {
-        let passed = now.saturating_sub(self.at) as f64 / limits::SECOND as f64;
-        self.at = now;
-        self.tokens = (self.tokens + passed * self.rate).min(self.most);
-        let enough = self.tokens >= count;
-        if enough {
-            self.tokens -= count;
+/// A takeover that was committed.
+#[must_use]
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Takeover {
+    /// The lease that the lock hangs on.
+    pub lease: u64,
+    /// The version of the new epoch.
+    pub version: u64,
+    /// When the lease was requested, in microseconds: it runs from then at the earliest.
+    pub requested_at: u64,
+}
+
+/// A takeover that was not committed, or is not known to be.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("takeover not committed")]
+pub struct TakeoverError {
+    /// The lease that was created for it and is to be revoked.
+    pub lease: Option<u64>,
+}
+
+/// What users' requests of this node may ask of the service.
+struct UserBudgets {
+    requests: TokenBucket,
+    /// Puts and deletes.
+    writes: TokenBucket,
+}
+
+impl UserBudgets {
+    fn new(limits: &StateLimits, nodes: usize, now: u64) -> Self {
+        let bucket =
+            |rate: f64, burst_s: f64| TokenBucket::new(rate, (rate * burst_s).max(MIN_USER_BURST), now);
+        UserBudgets {
+            requests: bucket(limits.rps * crate::limits::USER_STORE_REQUEST_SHARE, USER_REQUEST_BURST_S),
+            writes: bucket(crate::limits::user_writes(limits.write_rps, nodes), USER_WRITE_BURST_S),
         }
-        enough
+    }
+
+    /// Takes one request with `writes` puts and deletes. A request that the second bucket refuses has still taken
+    /// its writes from the first.
+    fn take(&mut self, now: u64, writes: u32) -> bool {
+        (writes == 0 || self.writes.refill_and_take(now, f64::from(writes)))
+            && self.requests.refill_and_take(now, 1.0)
     }
 }
 
+/// The client of the state service. Clones share the connection pool, the time of the last response and the budgets.
 #[derive(Clone)]
 pub struct KeyValueStore {
     http: Http,
     base: String,
     clock: Clock,
+    /// Microseconds; 0 before the first response.
     last_response_at: Arc<AtomicU64>,
-    /// Bytes that a value may have.
     max_value_bytes: usize,
-    /// What users' requests of this node may ask of the service: requests, and puts and deletes.
-    user_budgets: Arc<Mutex<(Budget, Budget)>>,
+    /// Held only while tokens are taken, never across an await.
+    user_budgets: Arc<Mutex<UserBudgets>>,
 }
 
 fn json<T: for<'a> Deserialize<'a>>(answer: &Answer) -> Result<T, StoreError> {
-    serde_json::from_slice(&answer.body).map_err(|e| StoreError::Malformed(e.to_string()))
+    serde_json::from_slice(&answer.body).map_err(|error| StoreError::Malformed(error.to_string()))
 }
 
-pub fn write(key: &str, value: impl serde::Serialize) -> Result<Change, serde_json::Error> {
+/// A change that puts `value` under `key`.
+///
+/// # Errors
+/// The value has no JSON form.
+pub fn write_change(key: &str, value: impl serde::Serialize) -> Result<Change, serde_json::Error> {
     Ok(Change::Write { key: key.into(), value: serde_json::to_value(value)?, lease: None })
 }
 
-pub fn remove(key: &str) -> Change {
+/// A change that removes `key`.
+pub fn remove_change(key: &str) -> Change {
     Change::Remove { key: key.into() }
 }
 
-pub fn compare(key: &str, version: u64) -> Comparison {
+/// The condition that `key` has this version; 0: that it does not exist.
+pub fn compare_version(key: &str, version: u64) -> Comparison {
     Comparison { key: key.into(), version }
 }
 
 impl KeyValueStore {
+    /// A client of the service at `address`. `nodes`: controllers that share the service's limits.
     pub fn new(
         http: Http,
         address: std::net::SocketAddr,
@@ -102,38 +173,40 @@
         limits: &StateLimits,
         nodes: usize,
     ) -> Self {
-        let now = clock.now();
-        let requests = Budget::new(limits.rps * crate::limits::USER_STORE_REQUEST_SHARE, 1.0, now);
-        let writes = Budget::new(crate::limits::user_writes(limits.write_rps, nodes), 2.0, now);
+        let user_budgets = UserBudgets::new(limits, nodes, clock.now());
         KeyValueStore {
             http,
             base: format!("http://{address}"),
             clock,
             last_response_at: Arc::new(AtomicU64::new(0)),
             max_value_bytes: (limits.value_kb * 1024.0) as usize,
-            user_budgets: Arc::new(Mutex::new((requests, writes))),
+            user_budgets: Arc::new(Mutex::new(user_budgets)),
         }
     }
 
+    /// The time of this process's steady clock, in microseconds.
     pub fn now(&self) -> u64 {
         self.clock.now()
     }
 
+    /// The most bytes that a value may have.
     pub fn max_value_bytes(&self) -> usize {
         self.max_value_bytes
     }
 
-    /// When it last answered this node.
+    /// When the service last answered this node other than with 503, in microseconds; 0 if it never did.
     pub fn last_response_at(&self) -> u64 {
         self.last_response_at.load(Ordering::Relaxed)
     }
 
-    /// Whether a user's request of this node may ask once more now, with so many puts and deletes.
+    /// Whether a user's request of this node may send one more request now, with `writes` puts and deletes; takes them
+    /// from the budgets.
+    #[must_use]
     pub fn try_acquire_user_budget(&self, writes: u32) -> bool {
         let now = self.clock.now();
+        // A poisoned lock must not shut users out.
         let Ok(mut budgets) = self.user_budgets.lock() else { return true };
-        let (requests, puts) = &mut *budgets;
-        (writes == 0 || puts.take(now, f64::from(writes))) && requests.take(now, 1.0)
+        budgets.take(now, writes)
     }
 
     async fn call(
@@ -145,13 +218,19 @@
     ) -> Result<Answer, CallError> {
         let answer = self.http.call(method, &format!("{}{path}", self.base), body, timeout).await;
         match &answer {
-            Ok(a) if a.status != 503 => self.last_response_at.store(self.clock.now(), Ordering::Relaxed),
+            Ok(response) if response.status != 503 => {
+                self.last_response_at.store(self.clock.now(), Ordering::Relaxed)
+            }
             Ok(_) => debug!(path, "state service answers 503"),
             Err(error) => debug!(path, %error, "state service"),
         }
         answer
     }
 
+    /// The value of a key and its version; `None`: the key does not exist.
+    ///
+    /// # Errors
+    /// No answer, a refusal, or an answer that can't be read.
     pub async fn get(
         &self,
         key: &str,
@@ -165,13 +244,16 @@
         }
     }
 
-    /// Everything under a prefix, and the revision from which to follow it.
+    /// Every record under a prefix, and the revision from which to follow it.
+    ///
+    /// # Errors
+    /// As [`KeyValueStore::get`]; what was read before the error is dropped.
     pub async fn list(&self, prefix: &str) -> Result<(Vec<Record>, u64), StoreError> {
         let mut records: Vec<Record> = Vec::new();
         let mut revision = None;
         loop {
-            let from = records.last().map(|r| format!("&from={}", r.key)).unwrap_or_default();
-            let path = format!("/store?prefix={prefix}{from}&limit=500");
+            let from = records.last().map(|last| format!("&from={}", last.key)).unwrap_or_default();
+            let path = format!("/store?prefix={prefix}{from}&limit={LIST_PAGE_KEYS}");
             let answer = self.call(Method::GET, &path, None, limits::STORE_TIMEOUT).await?;
             if answer.status != 200 {
                 return Err(StoreError::Refused(answer.status));
@@ -187,6 +269,7 @@
         }
     }
 
+    /// Makes all changes if all conditions hold.
     pub async fn commit(&self, conditions: Vec<Comparison>, changes: Vec<Change>) -> CommitOutcome {
         let body = match serde_json::to_vec(&Transaction { conditions, changes }) {
             Ok(body) => body,
@@ -205,8 +288,12 @@
         }
     }
 
-    pub async fn create_lease(&self, life_ms: u64) -> Result<u64, StoreError> {
-        let body = serde_json::json!({ "life_ms": life_ms }).to_string().into_bytes();
+    /// Creates a lease of so many milliseconds; returns its number.
+    ///
+    /// # Errors
+    /// As [`KeyValueStore::get`].
+    pub async fn create_lease(&self, duration_ms: u64) -> Result<u64, StoreError> {
+        let body = serde_json::json!({ "life_ms": duration_ms }).to_string().into_bytes();
         let answer = self.call(Method::POST, "/grants", Some(body), limits::STORE_TIMEOUT).await?;
         match answer.status {
             200 => json::<Lease>(&answer).map(|granted| granted.lease),
@@ -214,7 +301,10 @@
         }
     }
 
-    /// Whether the lease still runs; an error leaves it open.
+    /// Renews a lease; returns whether it still runs.
+    ///
+    /// # Errors
+    /// As [`KeyValueStore::get`]; the lease may or may not have been renewed.
     pub async fn renew_lease(&self, lease: u64) -> Result<bool, StoreError> {
         let path = format!("/grants/{lease}/extend");
         let answer = self.call(Method::POST, &path, Some(b"{}".to_vec()), limits::STORE_TIMEOUT).await?;
@@ -225,14 +315,18 @@
         }
     }
 
+    /// Ends a lease now, and removes the keys that hang on it. Best effort: without it the lease expires soon after.
     pub async fn revoke_lease(&self, lease: u64) {
-        // Best effort: the lease ends by itself soon after.
         let path = format!("/grants/{lease}");
+        // A failure is logged by `call`, and needs no other action.
         let _ = self.call(Method::DELETE, &path, None, limits::STORE_TIMEOUT).await;
     }
 
-    /// Changes under a prefix, waiting for the first of them; None when `from` is too old and the keys
-    /// must be read again.
+    /// Changes under a prefix after the revision `from`. Waits up to `wait_ms` for the first of them; 0: does not wait.
+    /// `None`: the log no longer goes back to `from`, and the keys must be listed again.
+    ///
+    /// # Errors
+    /// As [`KeyValueStore::get`].
     pub async fn follow(
         &self,
         prefix: &str,
@@ -252,62 +346,48 @@
         }
     }
 
-    pub async fn read_epoch(&self) -> Result<(Option<(Epoch, u64)>, bool), StoreError> {
+    /// Reads the lock and the epoch of the last leader.
+    ///
+    /// # Errors
+    /// As [`KeyValueStore::get`], for either key.
+    pub async fn read_lock_state(&self) -> Result<LockState, StoreError> {
         // The lock first: an epoch read after an absent lock is at least as new as its end.
-        let locked = self.get(LOCK, limits::STORE_TIMEOUT).await?.is_some();
-        let epoch = self.get(EPOCH, limits::STORE_TIMEOUT).await?;
-        let epoch = epoch
-            .map(|(value, version)| {
-                serde_json::from_value(value)
-                    .map(|epoch| (epoch, version))
-                    .map_err(|e| StoreError::Malformed(e.to_string()))
-            })
-            .transpose()?;
-        Ok((epoch, locked))
+        let locked = self.get(keys::LEADER_LOCK, limits::STORE_TIMEOUT).await?.is_some();
+        let Some((value, version)) = self.get(keys::LEADER_EPOCH, limits::STORE_TIMEOUT).await? else {
+            return Ok(LockState { epoch: None, locked });
+        };
+        let epoch =
+            serde_json::from_value(value).map_err(|error| StoreError::Malformed(error.to_string()))?;
+        Ok(LockState { epoch: Some(StoredEpoch { epoch, version }), locked })
     }
 
-    /// The takeover transaction. The error carries the lease to be ended, if there is one.
+    /// Writes a new epoch over the one at `version`, and the lock under a new lease, in one transaction.
+    ///
+    /// # Errors
+    /// Not committed, or not known to be. The error carries the lease that is to be revoked, if there is one.
     pub async fn take_over(
         &self,
         epoch: &Epoch,
         version: u64,
-        over_lock: bool,
-    ) -> Result<(u64, u64, u64), Option<u64>> {
-        let sent = self.clock.now();
-        let lease = self.create_lease(limits::LOCK_LEASE_MS).await.map_err(|_| None)?;
-        let mut conditions = vec![compare(EPOCH, version)];
-        if !over_lock {
-            conditions.push(compare(LOCK, 0));
+        lock_condition: LockCondition,
+    ) -> Result<Takeover, TakeoverError> {
+        let requested_at = self.clock.now();
+        let lease =
+            self.create_lease(limits::LOCK_LEASE_MS).await.map_err(|_| TakeoverError { lease: None })?;
+        let failed = TakeoverError { lease: Some(lease) };
+        let mut conditions = vec![compare_version(keys::LEADER_EPOCH, version)];
+        match lock_condition {
+            LockCondition::Absent => conditions.push(compare_version(keys::LEADER_LOCK, 0)),
+            LockCondition::Ignored => {}
         }
-        let value = serde_json::to_value(epoch).map_err(|_| Some(lease))?;
+        let value = serde_json::to_value(epoch).map_err(|_| failed)?;
         let changes = vec![
-            Change::Write { key: EPOCH.into(), value: value.clone(), lease: None },
-            Change::Write { key: LOCK.into(), value, lease: Some(lease) },
+            Change::Write { key: keys::LEADER_EPOCH.into(), value: value.clone(), lease: None },
+            Change::Write { key: keys::LEADER_LOCK.into(), value, lease: Some(lease) },
         ];
         match self.commit(conditions, changes).await {
-            CommitOutcome::Committed { version } => Ok((lease, version, sent)),
-            _ => Err(Some(lease)),
+            CommitOutcome::Committed { version } => Ok(Takeover { lease, version, requested_at }),
+            CommitOutcome::Conflict | CommitOutcome::Refused | CommitOutcome::Unknown => Err(failed),
         }
     }
 }
-
-pub const EPOCH: &str = "leader/epoch";
-pub const LOCK: &str = "leader/lock";
-pub const CATALOG: &str = "fleet/catalog";
-/// The heartbeat of the last cold start, written by the leader.
-pub const COLD_START: &str = "cold-start/report";
-pub const LIVE: &str = "live/";
-pub const DONE: &str = "done/";
-pub const FLEET: &str = "fleet/machines/";
-
-pub fn live(job_id: impl std::fmt::Display) -> String {
-    format!("{LIVE}{job_id}")
-}
-
-pub fn over(job_id: impl std::fmt::Display) -> String {
-    format!("over/{job_id}")
-}
-
-pub fn done(job_id: impl std::fmt::Display, chunk: u32) -> String {
-    format!("{DONE}{job_id}/{chunk}")
-}
--- /dev/null
+++ b/src/token_bucket.rs
@@ -0,0 +1,59 @@
+//! A token bucket: paces requests or writes so that they stay within a rate per second.
+//!
+//! Owned by the part that spends from it: the state service's client for users' requests, the scheduler for the
+//! leader's own records. The caller passes the time, so the bucket itself reads no clock.
+
+use crate::limits;
+
+/// Tokens that refill at a constant rate up to a capacity. One token is one request or one write.
+#[derive(Debug)]
+pub struct TokenBucket {
+    /// Tokens per second.
+    rate: f64,
+    /// Tokens that it holds at most.
+    capacity: f64,
+    /// Tokens that it holds. Negative after [`TokenBucket::take_allowing_debt`] took more than the capacity.
+    available: f64,
+    /// Time of the last refill, in microseconds.
+    refilled_at: u64,
+}
+
+impl TokenBucket {
+    /// A full bucket. `rate` is in tokens per second, `now` in microseconds.
+    pub fn new(rate: f64, capacity: f64, now: u64) -> Self {
+        TokenBucket { rate, capacity, available: capacity, refilled_at: now }
+    }
+
+    /// Adds the tokens for the time since the last refill. `now` is in microseconds.
+    pub fn refill(&mut self, now: u64) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / limits::SECOND as f64;
+        self.refilled_at = now;
+        self.available = (self.available + elapsed_s * self.rate).min(self.capacity);
+    }
+
+    /// Refills, then takes `count` tokens if all of them are available. A `count` above the capacity is never granted.
+    #[must_use]
+    pub fn refill_and_take(&mut self, now: u64, count: f64) -> bool {
+        self.refill(now);
+        let granted = self.available >= count;
+        if granted {
+            self.available -= count;
+        }
+        granted
+    }
+
+    /// Takes `count` tokens without a refill. A `count` above the capacity is granted when the bucket is full; the
+    /// excess becomes a debt that later refills pay. Without this a write larger than the capacity would never be made.
+    #[must_use]
+    pub fn take_allowing_debt(&mut self, count: f64) -> bool {
+        let granted = self.available >= count.min(self.capacity);
+        if granted {
+            self.available -= count;
+        }
+        granted
+    }
+}
+
+#[cfg(test)]
+#[path = "token_bucket_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/token_bucket_tests.rs
@@ -0,0 +1,55 @@
+//! Both ways of taking from a token bucket, and its refill.
+
+use super::TokenBucket;
+use crate::limits::SECOND;
+
+#[test]
+fn refill_and_take_grants_up_to_the_capacity_and_refills_at_the_rate() {
+    let mut bucket = TokenBucket::new(2.0, 4.0, 0);
+    assert!(bucket.refill_and_take(0, 3.0));
+    assert!(!bucket.refill_and_take(0, 2.0));
+    // A refused request takes nothing.
+    assert!(bucket.refill_and_take(0, 1.0));
+    assert!(!bucket.refill_and_take(SECOND / 2 - 1, 1.0));
+    assert!(bucket.refill_and_take(SECOND / 2, 1.0));
+    assert!(!bucket.refill_and_take(SECOND / 2, 1.0));
+}
+
+#[test]
+fn refill_and_take_never_grants_more_than_the_capacity() {
+    let mut bucket = TokenBucket::new(2.0, 4.0, 0);
+    assert!(!bucket.refill_and_take(100 * SECOND, 4.5));
+    assert!(bucket.refill_and_take(100 * SECOND, 4.0));
+    assert!(!bucket.refill_and_take(100 * SECOND, 0.5));
+}
+
+#[test]
+fn take_allowing_debt_does_not_refill() {
+    let mut bucket = TokenBucket::new(2.0, 4.0, 0);
+    assert!(bucket.take_allowing_debt(4.0));
+    assert!(!bucket.take_allowing_debt(1.0));
+    bucket.refill(SECOND);
+    assert!(bucket.take_allowing_debt(2.0));
+    assert!(!bucket.take_allowing_debt(1.0));
+}
+
+#[test]
+fn take_allowing_debt_grants_more_than_the_capacity_from_a_full_bucket_only() {
+    let mut bucket = TokenBucket::new(2.0, 4.0, 0);
+    assert!(bucket.take_allowing_debt(1.0));
+    assert!(!bucket.take_allowing_debt(10.0));
+    bucket.refill(SECOND);
+    assert!(bucket.take_allowing_debt(10.0));
+    // A debt of six is paid by three seconds; nothing is granted before.
+    bucket.refill(4 * SECOND);
+    assert!(!bucket.take_allowing_debt(1.0));
+    bucket.refill(4 * SECOND + SECOND / 2);
+    assert!(bucket.take_allowing_debt(1.0));
+}
+
+#[test]
+fn a_time_before_the_last_refill_adds_nothing() {
+    let mut bucket = TokenBucket::new(2.0, 4.0, 10 * SECOND);
+    assert!(bucket.refill_and_take(10 * SECOND, 4.0));
+    assert!(!bucket.refill_and_take(9 * SECOND, 0.5));
+}
--- a/tests/loopback/draining.rs
+++ b/tests/loopback/draining.rs
@@ -6,7 +6,7 @@
 use crate::{on_runtime, start_in_zones, submission, User};
 use dockpier::drains::records;
 use dockpier::settings::Team;
-use dockpier::storage::key_value_store::write;
+use dockpier::storage::key_value_store::{write_change, CommitOutcome};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -300,7 +300,8 @@
             ("drains/requests/new", request("new")),
             ("drains/ledgers/team", json!("spoilt")),
         ] {
-            versions.commit(&store, Vec::new(), vec![write(key, value).unwrap()]).await;
+            let written = versions.commit(&store, Vec::new(), vec![write_change(key, value).unwrap()]).await;
+            assert!(matches!(written, CommitOutcome::Committed { .. }), "{key}");
         }
         let team = Team { name: "team".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
         let loaded = records::load(&store, &versions, &[team]).await.unwrap();
--- a/tests/loopback/late_writes.rs
+++ b/tests/loopback/late_writes.rs
@@ -5,7 +5,7 @@
 use crate::{on_runtime, standins};
 use dockpier::http::{Clock, Http};
 use dockpier::settings::StateLimits;
-use dockpier::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore};
+use dockpier::storage::key_value_store::{remove_change, write_change, CommitOutcome, KeyValueStore};
 use dockpier::storage::record_versions::RecordVersions;
 
 /// A machine record, and a record of finished tasks.
@@ -20,7 +20,7 @@
 }
 
 async fn write(store: &KeyValueStore, versions: &RecordVersions, key: &str, value: &str) -> CommitOutcome {
-    versions.commit(store, Vec::new(), vec![store::write(key, value).unwrap()]).await
+    versions.commit(store, Vec::new(), vec![write_change(key, value).unwrap()]).await
 }
 
 async fn read(store: &KeyValueStore, key: &str) -> Option<String> {
@@ -51,10 +51,10 @@
     on_runtime(async {
         for key in RECORDS {
             let (state, store, versions) = leader().await;
-            write(&store, &versions, key, "first").await;
+            assert!(matches!(write(&store, &versions, key, "first").await, CommitOutcome::Committed { .. }));
             // A removal writes nothing by itself: another record of the transaction marks it.
             state.lock().unwrap().trouble = Some(("marker".into(), Trouble::Held));
-            let late = vec![store::remove(key), store::write("marker", "x").unwrap()];
+            let late = vec![remove_change(key), write_change("marker", "x").unwrap()];
             assert_eq!(versions.commit(&store, Vec::new(), late).await, CommitOutcome::Unknown);
             assert!(matches!(write(&store, &versions, key, "newer").await, CommitOutcome::Committed { .. }));
             assert_eq!(state.lock().unwrap().carry_out_held(), [409]);
--- a/tests/pinned_state/cold_start_records.rs
+++ b/tests/pinned_state/cold_start_records.rs
@@ -2,7 +2,7 @@
 
 use crate::golden;
 use dockpier::scheduler::cold_start::{ColdStartReport, MachineCounts, Phase};
-use dockpier::storage::key_value_store as store;
+use dockpier::storage::keys;
 use dockpier_reconcile::{Counts, Evidence, Verdict};
 
 const FILE: &str = "cold-start-records.txt";
@@ -45,7 +45,7 @@
 #[test]
 fn the_report_is_written_as_ever() {
     let lines: String =
-        PHASES.into_iter().map(|phase| golden::write_line(store::COLD_START, report(phase))).collect();
+        PHASES.into_iter().map(|phase| golden::write_line(keys::COLD_START_REPORT, report(phase))).collect();
     golden::check(FILE, &lines);
 }
 
--- a/tests/pinned_state/golden.rs
+++ b/tests/pinned_state/golden.rs
@@ -30,7 +30,7 @@
 
 /// A write of a transaction, as the state service is sent it, in a line of its own.
 pub fn write_line(key: &str, value: impl Serialize) -> String {
-    let change = dockpier::storage::key_value_store::write(key, value).unwrap();
+    let change = dockpier::storage::key_value_store::write_change(key, value).unwrap();
     serde_json::to_string(&change).unwrap() + "\n"
 }
 
--- a/tests/pinned_state/job_records.rs
+++ b/tests/pinned_state/job_records.rs
@@ -7,7 +7,7 @@
 use dockpier::protocol::users::{JobKind, JobPriority, JobStatus, Submission};
 use dockpier::scheduler::model::JobId;
 use dockpier::scheduler::StoredMachine;
-use dockpier::storage::key_value_store as store;
+use dockpier::storage::keys;
 
 const FILE: &str = "job-records.txt";
 
@@ -52,10 +52,11 @@
 }
 
 fn written() -> String {
-    let mut lines = golden::write_line(store::EPOCH, epoch()) + &golden::write_line(store::LOCK, epoch());
+    let mut lines =
+        golden::write_line(keys::LEADER_EPOCH, epoch()) + &golden::write_line(keys::LEADER_LOCK, epoch());
     for (number, submission) in submissions() {
         let record = LiveRecord { submission, accepted_ms: 1_764_645_000_000 };
-        lines += &golden::write_line(&store::live(JobId(number)), record);
+        lines += &golden::write_line(&keys::live_job(JobId(number)), record);
     }
     for (number, status, tasks) in [
         (412, JobStatus::Done, 3),
@@ -63,12 +64,12 @@
         (414, JobStatus::Pending, 1),
         (415, JobStatus::Running, 1),
     ] {
-        lines += &golden::write_line(&store::over(JobId(number)), FinalRecord { status, tasks });
+        lines += &golden::write_line(&keys::final_state(JobId(number)), FinalRecord { status, tasks });
     }
-    lines += &golden::write_line(&store::done(JobId(412), 0), "d00f");
-    lines += &golden::write_line(&store::done(JobId(1_234_567), 24), "1");
-    lines += &golden::write_line(&format!("{}41-1", store::FLEET), machine_records());
-    lines += &golden::write_line(store::CATALOG, catalog());
+    lines += &golden::write_line(&keys::finished_tasks(JobId(412), 0), "d00f");
+    lines += &golden::write_line(&keys::finished_tasks(JobId(1_234_567), 24), "1");
+    lines += &golden::write_line(&format!("{}41-1", keys::MACHINE_RECORDS), machine_records());
+    lines += &golden::write_line(keys::MACHINE_TYPE_CATALOG, catalog());
     lines
 }
 
@@ -137,7 +138,10 @@
 /// Which keys begin which listing.
 #[test]
 fn prefixes_of_jobs_and_machines_are_as_ever() {
-    assert_eq!((store::LIVE, store::DONE, store::FLEET), ("live/", "done/", "fleet/machines/"));
-    assert_eq!((store::EPOCH, store::LOCK), ("leader/epoch", "leader/lock"));
-    assert_eq!((store::CATALOG, store::COLD_START), ("fleet/catalog", "cold-start/report"));
+    assert_eq!(
+        (keys::LIVE_JOBS, keys::FINISHED_TASKS, keys::MACHINE_RECORDS),
+        ("live/", "done/", "fleet/machines/")
+    );
+    assert_eq!((keys::LEADER_EPOCH, keys::LEADER_LOCK), ("leader/epoch", "leader/lock"));
+    assert_eq!((keys::MACHINE_TYPE_CATALOG, keys::COLD_START_REPORT), ("fleet/catalog", "cold-start/report"));
 }
--- a/tests/pinned_state/node_api.rs
+++ b/tests/pinned_state/node_api.rs
@@ -3,11 +3,11 @@
 
 use crate::golden::masked;
 use crate::standins::{self, State};
-use dockpier::api::{routes, Api, ApiSettings, Health, Types};
-use dockpier::controller::{Event, FrameCounts, HeartbeatReply, NodeView};
+use dockpier::api::{routes, Api, ApiSettings};
 use dockpier::http::{Clock, Http};
 use dockpier::lease::renewal::RenewalCounts;
 use dockpier::limits::Capacity;
+use dockpier::node_events::{Event, FrameCounts, Health, HeartbeatReply, NodeView, Types};
 use dockpier::protocol::workers::{HeartbeatRequest, HeartbeatResponse, WorkerCommand};
 use dockpier::scheduler::model::{MachineType, Resources};
 use dockpier::scheduler::overview::{JobLine, MachineLine, Overview, PageStart};
@@ -27,7 +27,7 @@
     pub types: watch::Sender<Types>,
     address: SocketAddr,
     client: reqwest::Client,
-    _summary: watch::Sender<dockpier::api::Summary>,
+    _summary: watch::Sender<dockpier::node_events::Summary>,
 }
 
 impl NodeApi {
--- a/tests/pinned_state/store_requests.rs
+++ b/tests/pinned_state/store_requests.rs
@@ -4,7 +4,11 @@
 use crate::golden;
 use crate::node_api::store;
 use dockpier::protocol::records::Epoch;
-use dockpier::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore};
+use dockpier::storage::key_value_store::{
+    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore, LockCondition, LockState,
+    StoredEpoch, Takeover,
+};
+use dockpier::storage::keys;
 use dockpier::storage::record_versions::RecordVersions;
 
 const LOCK_VALUE: &str = r#"{"path":"leader/lock","value":{"token":41},"entry":9,"permit":5}"#;
@@ -39,35 +43,37 @@
 }
 
 async fn read(store: &KeyValueStore) {
-    assert_eq!(store.read_epoch().await.unwrap(), (Some((epoch(41), 8)), true));
+    let stored = StoredEpoch { epoch: epoch(41), version: 8 };
+    assert_eq!(store.read_lock_state().await.unwrap(), LockState { epoch: Some(stored), locked: true });
     assert!(store.get("over/job-000001", dockpier::limits::POLL_TIMEOUT).await.unwrap().is_none());
-    let (records, revision) = store.list(store::LIVE).await.unwrap();
+    let (records, revision) = store.list(keys::LIVE_JOBS).await.unwrap();
     let keys: Vec<&str> = records.iter().map(|record| record.key.as_str()).collect();
     assert_eq!((keys, revision), (vec!["live/job-000001", "live/job-000002"], 30));
-    let log = store.follow(store::LIVE, 30, 0).await.unwrap().unwrap();
+    let log = store.follow(keys::LIVE_JOBS, 30, 0).await.unwrap().unwrap();
     let [written, removed] = &log.events[..] else { panic!("two changes") };
     assert_eq!((written.written.as_deref(), written.version), (Some("live/job-000001"), 30));
     assert_eq!((removed.removed.as_deref(), removed.version), (Some("live/job-000002"), 31));
     assert_eq!(log.revision, 31);
-    assert!(store.follow(store::LIVE, 1, 4_000).await.unwrap().is_none());
+    assert!(store.follow(keys::LIVE_JOBS, 1, 4_000).await.unwrap().is_none());
 }
 
 async fn write(store: &KeyValueStore) {
-    for over_lock in [false, true] {
-        let (lease, version, _) = store.take_over(&epoch(42), 8, over_lock).await.unwrap();
+    for lock_condition in [LockCondition::Absent, LockCondition::Ignored] {
+        let Takeover { lease, version, .. } = store.take_over(&epoch(42), 8, lock_condition).await.unwrap();
         assert_eq!((lease, version), (6, 32));
     }
     assert!(store.renew_lease(6).await.unwrap());
     assert!(!store.renew_lease(7).await.unwrap());
     store.revoke_lease(6).await;
-    let changes = vec![store::write("cold-start/report", 1).unwrap(), store::remove("live/job-000001")];
-    let conditions = vec![store::compare("leader/epoch", 8), store::compare("live/job-000001", 0)];
+    let changes = vec![write_change("cold-start/report", 1).unwrap(), remove_change("live/job-000001")];
+    let conditions = vec![compare_version("leader/epoch", 8), compare_version("live/job-000001", 0)];
     assert_eq!(store.commit(conditions, changes).await, CommitOutcome::Committed { version: 32 });
     let versions = RecordVersions::default();
     versions.note("drains/summaries/firmware-7", 17);
     for _ in 0..2 {
-        let change = vec![store::write("drains/summaries/firmware-7", 1).unwrap()];
-        versions.commit(store, vec![store::compare("leader/epoch", 8)], change).await;
+        let change = vec![write_change("drains/summaries/firmware-7", 1).unwrap()];
+        let outcome = versions.commit(store, vec![compare_version("leader/epoch", 8)], change).await;
+        assert_eq!(outcome, CommitOutcome::Committed { version: 32 });
     }
 }
 
--- a/tests/pinned_wire/http_edge.rs
+++ b/tests/pinned_wire/http_edge.rs
@@ -3,10 +3,10 @@
 
 use crate::wire::{ask, Message, StandIn};
 use crate::{spell, worker_orders};
-use dockpier::api::{routes, Api, ApiSettings, Health, Summary, Types};
-use dockpier::controller::{Event, HeartbeatReply};
+use dockpier::api::{routes, Api, ApiSettings};
 use dockpier::http::{Clock, Http};
 use dockpier::limits::Capacity;
+use dockpier::node_events::{Event, Health, HeartbeatReply, Summary, Types};
 use dockpier::scheduler::model::{Heartbeat, JobId, MachineType, Resources};
 use dockpier::settings::{Draining, StateLimits, Team};
 use dockpier::storage::key_value_store::KeyValueStore;
--- a/tests/pinned_wire/state_requests.rs
+++ b/tests/pinned_wire/state_requests.rs
@@ -7,7 +7,11 @@
 use dockpier::protocol::records::Epoch;
 use dockpier::protocol::state_service::{Change, ChangeLog, Record};
 use dockpier::settings::StateLimits;
-use dockpier::storage::key_value_store::{self as store, CommitOutcome, KeyValueStore, StoreError};
+use dockpier::storage::key_value_store::{
+    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore, LockCondition, LockState,
+    StoreError, StoredEpoch, Takeover,
+};
+use dockpier::storage::keys;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -147,11 +151,11 @@
 fn transactions_go_out_with_the_same_bytes() {
     on_runtime(async {
         let mut transcript = Transcript::default();
-        let conditions = || vec![store::compare("a/b", 0), store::compare("a/c", 412)];
+        let conditions = || vec![compare_version("a/b", 0), compare_version("a/c", 412)];
         let changes = || {
             let value = json!({"x": 1.5, "text": "\u{e9}\n"});
             let leased = Change::Write { key: "a/b".into(), value: value.clone(), lease: Some(7) };
-            vec![leased, store::write("a/c", &value).unwrap(), store::remove("c/d")]
+            vec![leased, write_change("a/c", &value).unwrap(), remove_change("c/d")]
         };
         for (status, body) in [
             (200, r#"{"ledger":432,"later":1}"#),
@@ -168,7 +172,8 @@
             transcript.case("outcome", committed(outcome));
         }
         let service = StandIn::answering(200, r#"{"ledger":432}"#).await;
-        client(service.address).commit(conditions(), Vec::new()).await;
+        let outcome = client(service.address).commit(conditions(), Vec::new()).await;
+        assert_eq!(outcome, CommitOutcome::Committed { version: 432 });
         transcript.case("compared only", service.asked_text());
         let outcome = client(nobody()).commit(Vec::new(), changes()).await;
         transcript.case("nobody there", committed(outcome));
@@ -217,36 +222,44 @@
                 _ => (status, r#"{"ledger":432}"#.into()),
             })
             .await;
-            let taken = client(service.address).take_over(&epoch, 412, over_lock).await;
+            let lock_condition = if over_lock { LockCondition::Ignored } else { LockCondition::Absent };
+            let taken = client(service.address).take_over(&epoch, 412, lock_condition).await;
             let title = format!("takeover, over a lock: {over_lock}, answered {status}");
             transcript.case(title, service.asked_text());
-            let taken = taken.map(|(lease, version, _)| format!("lease {lease} version {version}"));
-            transcript
-                .case("outcome", taken.unwrap_or_else(|lease| format!("failed, to be ended: {lease:?}")));
+            let taken =
+                taken.map(|Takeover { lease, version, .. }| format!("lease {lease} version {version}"));
+            transcript.case(
+                "outcome",
+                taken.unwrap_or_else(|error| format!("failed, to be ended: {:?}", error.lease)),
+            );
         }
         for body in [
             r#"{"path":"leader/epoch","value":{"token":41,"node":"berth-2","incarnation":77},"entry":9}"#,
             r#"{"path":"leader/epoch","value":{"token":41},"entry":9}"#,
         ] {
             let service = StandIn::answering(200, body).await;
-            let read = client(service.address).read_epoch().await;
+            let read = client(service.address).read_lock_state().await;
             transcript.case(format!("epoch asked, answered {body}"), service.asked_text());
-            let spell = |(epoch, locked): (Option<(Epoch, u64)>, bool)| {
-                let (epoch, version) = epoch.unwrap();
+            let spell = |LockState { epoch, locked }: LockState| {
+                let StoredEpoch { epoch, version } = epoch.unwrap();
                 let Epoch { token, node, incarnation } = epoch;
                 format!("token {token} node {node:?} life {incarnation} at {version}, locked: {locked}")
             };
             transcript.case("read", shown(read, service.address, spell));
         }
-        let keys = [store::live("job-000412"), store::over("job-000412"), store::done("job-000412", 3)];
+        let keys = [
+            keys::live_job("job-000412"),
+            keys::final_state("job-000412"),
+            keys::finished_tasks("job-000412", 3),
+        ];
         let fixed = [
-            store::EPOCH,
-            store::LOCK,
-            store::CATALOG,
-            store::COLD_START,
-            store::LIVE,
-            store::DONE,
-            store::FLEET,
+            keys::LEADER_EPOCH,
+            keys::LEADER_LOCK,
+            keys::MACHINE_TYPE_CATALOG,
+            keys::COLD_START_REPORT,
+            keys::LIVE_JOBS,
+            keys::FINISHED_TASKS,
+            keys::MACHINE_RECORDS,
         ];
         transcript.case("keys", format!("{}\n{}", keys.join("\n"), fixed.join("\n")));
         transcript.must_equal(include_str!("../golden/wire-state-takeovers.txt"));
