--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -1,4 +1,5 @@
-//! Drives the cloud: rentals and deletions within its limit, the list of machines, the catalog of machine types.
+//! Requests to the cloud, within its limits: rentals and deletions, the list of machines, the catalog of machine types.
+//! The catalog's task belongs to the process; the others to one leadership, which aborts them when it ends.
 
 use crate::cloud::{self, Cloud};
 use crate::http::Clock;
@@ -10,33 +11,46 @@
 use crate::storage::key_value_store::{compare_version, write_change, CommitOutcome, KeyValueStore};
 use crate::storage::keys;
 use std::collections::VecDeque;
+use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Asked right before bytes leave: a process may stand still for half a minute anywhere, and what it had in
-/// hand then is a deposed leader's.
+/// How often a rental without an answer is repeated.
+const MAX_RENTAL_RETRIES: usize = 2;
+/// Bounds of the seconds between two machine lists.
+const MIN_LIST_INTERVAL_S: f64 = 4.0;
+const MAX_LIST_INTERVAL_S: f64 = 30.0;
+/// Milliseconds between two attempts to read the catalog.
+const CATALOG_RETRY_DELAY_MS: Range<u64> = 1_500..3_000;
+
+/// Whether this node may still act as the leader. Checked right before a request is sent: a process may be paused for
+/// half a minute anywhere, and be deposed meanwhile.
 #[derive(Clone)]
-pub(super) struct Gate {
+pub(super) struct AuthorityGate {
     pub(super) clock: Clock,
+    /// Microseconds; updated by the controller after each batch of events.
     pub(super) until: Arc<AtomicU64>,
 }
 
-impl Gate {
-    pub(super) fn open(&self) -> bool {
+impl AuthorityGate {
+    pub(super) fn is_open(&self) -> bool {
         self.clock.now() < self.until.load(Ordering::Relaxed)
     }
 }
 
+/// A change of the fleet.
 pub(super) enum CloudRequest {
+    /// Rents machines. `name` makes the request idempotent.
     Rent { request: u64, name: String, machine_type: String, zone: String, spot: bool, count: u32 },
+    /// Deletes the machines of these names.
     Delete(Vec<String>),
 }
 
-/// Keeps the machine types known: from the state service at first, so that a node need not wait for
-/// the cloud, then from the cloud.
+/// Publishes the machine types: first from the state service, so that a node need not wait for the cloud, then from
+/// the cloud, again and again.
 pub(super) async fn keep_catalog(
     cloud: Cloud,
     store: KeyValueStore,
@@ -44,56 +58,60 @@
     events: mpsc::Sender<Event>,
 ) {
     let publish = |catalog: &Catalog| {
-        let by_name = cloud::types(catalog).into_iter().map(|t| (t.name.clone(), t)).collect();
+        let by_name = cloud::types(catalog)
+            .into_iter()
+            .map(|machine_type| (machine_type.name.clone(), machine_type))
+            .collect();
         let known: Types = Arc::new(by_name);
         types.send_replace(known.clone());
         Event::Types(known)
     };
     let stored = store.get(keys::MACHINE_TYPE_CATALOG, limits::STORE_TIMEOUT).await;
-    let mut kept = false;
+    let mut is_stored = false;
     if let Ok(Some((value, _))) = &stored {
         if let Ok(catalog) = serde_json::from_value(value.clone()) {
-            kept = true;
+            is_stored = true;
+            // The controller ends only with the process.
             let _ = events.send(publish(&catalog)).await;
         }
     }
     loop {
         let Some(catalog) = cloud.catalog().await else {
-            let pause = rand::random_range(1_500..3_000);
+            let pause = rand::random_range(CATALOG_RETRY_DELAY_MS);
             tokio::time::sleep(Duration::from_millis(pause)).await;
             continue;
         };
         if events.send(publish(&catalog)).await.is_err() {
             return;
         }
-        if !kept {
-            // Whoever comes first; losing the race changes nothing.
+        if !is_stored {
+            // The first node stores it; a conflict means that another did.
             if let Ok(change) = write_change(keys::MACHINE_TYPE_CATALOG, &catalog) {
                 let outcome =
                     store.commit(vec![compare_version(keys::MACHINE_TYPE_CATALOG, 0)], vec![change]).await;
-                kept = matches!(outcome, CommitOutcome::Committed { .. } | CommitOutcome::Conflict);
+                is_stored = matches!(outcome, CommitOutcome::Committed { .. } | CommitOutcome::Conflict);
             }
         }
         tokio::time::sleep(limits::CATALOG_REFRESH_INTERVAL).await;
     }
 }
 
-/// Sends rentals and deletions within the cloud's limit; deletions first, since machines cost money and tasks
-/// wait for the proof that they are gone. None waits for the answer to another: one that hangs must hold
-/// nothing up.
+/// Sends rentals and deletions within the cloud's limit of `rps` requests a second. Deletions go first: machines cost
+/// money, and tasks are replaced only once their machine is proved to be deleted. Requests run side by side, so that
+/// one without an answer does not delay the others.
 pub(super) async fn drive_cloud(
     cloud: Cloud,
     events: mpsc::Sender<Event>,
     mut queue: mpsc::UnboundedReceiver<CloudRequest>,
     token: u64,
     rps: f64,
-    gate: Gate,
+    gate: AuthorityGate,
 ) {
     // Half of the limit: lists and the other nodes' catalogs need some too.
     let pace = Duration::from_secs_f64(2.0 / rps.max(0.1));
     let mut waiting: VecDeque<CloudRequest> = VecDeque::new();
-    // Ended with this task, and so with the leadership.
-    let mut under_way = JoinSet::new();
+    // Aborted with this task, and so with the leadership.
+    let mut in_flight = JoinSet::new();
     loop {
         if waiting.is_empty() {
             match queue.recv().await {
@@ -104,25 +122,27 @@
         while let Ok(request) = queue.try_recv() {
             waiting.push_back(request);
         }
-        while under_way.try_join_next().is_some() {}
-        let at = waiting.iter().position(|r| matches!(r, CloudRequest::Delete(_))).unwrap_or(0);
-        let Some(request) = waiting.remove(at) else { continue };
+        while in_flight.try_join_next().is_some() {}
+        let next = waiting.iter().position(|request| matches!(request, CloudRequest::Delete(_))).unwrap_or(0);
+        let Some(request) = waiting.remove(next) else { continue };
         let (cloud, events, gate) = (cloud.clone(), events.clone(), gate.clone());
-        under_way.spawn(async move {
-            let command = ask_cloud(cloud, request, pace, gate).await;
+        in_flight.spawn(async move {
+            let command = send_request(cloud, request, pace, gate).await;
+            // The controller ends only with the process.
             let _ = events.send(Event::Scheduler(token, command)).await;
         });
         tokio::time::sleep(pace).await;
     }
 }
 
-async fn ask_cloud(cloud: Cloud, request: CloudRequest, pace: Duration, gate: Gate) -> Command {
+/// Sends one request and returns its outcome for the scheduler.
+async fn send_request(cloud: Cloud, request: CloudRequest, pace: Duration, gate: AuthorityGate) -> Command {
     match request {
-        // Not sent: if this node leads still, it will ask again.
-        CloudRequest::Delete(machines) if !gate.open() => {
+        // Not sent. If this node still leads, the scheduler repeats the request.
+        CloudRequest::Delete(machines) if !gate.is_open() => {
             Command::Deleted { machines, outcome: WriteOutcome::Refused }
         }
-        CloudRequest::Rent { request, .. } if !gate.open() => {
+        CloudRequest::Rent { request, .. } if !gate.is_open() => {
             Command::Rented { request, machines: None, outcome: WriteOutcome::Refused }
         }
         CloudRequest::Delete(machines) => {
@@ -133,9 +153,9 @@
             let rental =
                 RentalRequest { request_id: &name, machine_type: &machine_type, zone: &zone, spot, count };
             let mut answer = cloud.rent(&rental).await;
-            for _ in 0..2 {
-                if answer.0 == WriteOutcome::Unknown && gate.open() {
-                    // The same name again rents nothing twice.
+            for _ in 0..MAX_RENTAL_RETRIES {
+                if answer.0 == WriteOutcome::Unknown && gate.is_open() {
+                    // A repeated name rents nothing twice.
                     tokio::time::sleep(pace * 2).await;
                     answer = cloud.rent(&rental).await;
                 }
@@ -146,39 +166,41 @@
     }
 }
 
-/// Reads the machine list again and again; it lags, so there is no point in hurrying.
+/// Reads the machine list again and again. The cloud's list lags, so a shorter interval would show nothing new.
 pub(super) async fn list_machines(
     cloud: Cloud,
     events: mpsc::Sender<Event>,
     token: u64,
     allowed: CloudLimits,
 ) {
-    let every = Duration::from_secs_f64(allowed.list_lag_s.clamp(4.0, 30.0));
+    let interval =
+        Duration::from_secs_f64(allowed.list_lag_s.clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S));
     let pace = Duration::from_secs_f64(limits::MACHINE_LIST_PACE / allowed.rps.max(0.1));
     loop {
-        // Half a list would make machines seem missing.
-        if let Some(all) = whole_list(&cloud, pace).await {
-            if events.send(Event::Scheduler(token, Command::Listed(all))).await.is_err() {
+        // With a partial list machines would seem missing.
+        if let Some(machines) = complete_list(&cloud, pace).await {
+            if events.send(Event::Scheduler(token, Command::Listed(machines))).await.is_err() {
                 return;
             }
         }
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
-/// Every page of the list, one after the other. The list of 6,000 machines is twelve calls: all at once they would
-/// pass the limit of a cloud that allows two a second, and a list given up at its first refusal is never whole.
-async fn whole_list(cloud: &Cloud, pace: Duration) -> Option<Vec<ListedMachine>> {
-    let mut all: Vec<ListedMachine> = Vec::new();
+/// Reads every page of the list, one after the other; `None` after too many refusals. The list of 6,000 machines takes
+/// twelve calls: all at once would exceed the limit of a cloud that allows two a second, and a list that is given up at
+/// its first refusal is never complete.
+async fn complete_list(cloud: &Cloud, pace: Duration) -> Option<Vec<ListedMachine>> {
+    let mut machines: Vec<ListedMachine> = Vec::new();
     let mut refusals = 0;
     loop {
-        let from = all.last().map(|m| m.machine.name.clone()).unwrap_or_default();
+        let from = machines.last().map(|last| last.machine.name.clone()).unwrap_or_default();
         match cloud.page(&from).await {
             Some((page, more)) => {
-                let ended = !more || page.is_empty();
-                all.extend(page);
-                if ended {
-                    return Some(all);
+                let is_last = !more || page.is_empty();
+                machines.extend(page);
+                if is_last {
+                    return Some(machines);
                 }
             }
             None if refusals < limits::MAX_LIST_REFUSALS => refusals += 1,
--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -1,6 +1,6 @@
-//! Cold start: asks the store about jobs that reports name and nobody knows, and stores the report.
+//! Requests of a cold start: reads jobs that heartbeats name and the scheduler does not know, and writes the report.
 
-use super::effects::outcome_of;
+use super::effects::write_outcome;
 use super::job_watch::stored_job;
 use super::Controller;
 use crate::limits;
@@ -12,8 +12,9 @@
 use crate::storage::keys;
 
 impl Controller {
+    /// Reads one job for the scheduler.
     pub(super) fn read_job(&self, job_id: JobId) {
-        let store = self.store.clone();
+        let store = self.clients.store.clone();
         let sent = self.clock.now();
         self.spawn_scheduler_request(async move {
             let key = keys::live_job(job_id);
@@ -29,12 +30,14 @@
         });
     }
 
+    /// Stores the report, under the version that is known of it.
     pub(super) fn write_cold_start(&self, report: ColdStartReport) {
-        let (store, versions, leads) =
-            (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
+        let (store, versions, leads) = self.record_writer();
         self.spawn_scheduler_request(async move {
             let changes = write_change(keys::COLD_START_REPORT, report).into_iter().collect();
-            Command::ColdStartWritten(outcome_of(versions.commit(&store, vec![leads], changes).await).await)
+            Command::ColdStartWritten(
+                write_outcome(versions.commit(&store, vec![leads], changes).await).await,
+            )
         });
     }
 }
--- a/src/controller/drain_records.rs
+++ b/src/controller/drain_records.rs
@@ -1,6 +1,6 @@
-//! The leader's drains in the state service: read when it begins, followed from then on, written as the scheduler decides.
+//! The leader's drains in the state service: requests of operators are followed, and the scheduler's records written.
 
-use super::effects::outcome_of;
+use super::effects::write_outcome;
 use super::job_watch::pause;
 use super::Controller;
 use crate::drains::records;
@@ -15,17 +15,17 @@
 impl Controller {
     /// Stores a record of a drain, under the version that is known of it.
     pub(super) fn write_drain(&self, key: DrainKey, value: DrainValue) {
-        let (store, versions, leads) =
-            (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
+        let (store, versions, leads) = self.record_writer();
         self.spawn_scheduler_request(async move {
             let changes = write_change(&records::key_of(&key), value).into_iter().collect();
-            let outcome = outcome_of(versions.commit(&store, vec![leads], changes).await).await;
+            let outcome = write_outcome(versions.commit(&store, vec![leads], changes).await).await;
             Command::DrainWritten { key, outcome }
         });
     }
 }
 
-/// Tells the scheduler of this token what operators ask for, whenever that changes.
+/// Sends the operators' requests to the scheduler of this token, first all and then after each change. Owned by one
+/// leadership, which aborts it when it ends.
 pub(super) async fn follow_drains(store: KeyValueStore, events: mpsc::Sender<Event>, token: u64) {
     let mut revision = 0;
     loop {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns once some request may have changed, with the revision up to which nothing else has.
+/// Returns once a request may have changed, with the revision up to which there was no other change.
 async fn wait_for_change(store: &KeyValueStore, mut revision: u64) -> u64 {
     loop {
         match store.follow(records::REQUESTS, revision, limits::STORE_WATCH_MS).await {
@@ -57,7 +57,7 @@
                     return revision;
                 }
             }
-            // Too old to follow from: read again.
+            // The revision is too old to follow from: the requests are read again.
             Ok(None) => return revision,
             Err(error) => {
                 debug!(%error, "following drains");
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,7 +1,8 @@
-//! Carries out what the scheduler decides: answers, direct commands, transactions, requests to the cloud.
+//! Carries out what the scheduler decides: responses to heartbeats, direct commands, transactions, requests to the
+//! cloud. The outcome comes back as a command to the scheduler.
 
-use super::cloud_driver::{CloudRequest, Gate};
-use super::finished_tasks::done_changes;
+use super::cloud_driver::{AuthorityGate, CloudRequest};
+use super::finished_tasks::finished_tasks_changes;
 use super::job_watch::sweep;
 use super::Controller;
 use crate::limits;
@@ -13,8 +14,11 @@
 use crate::protocol::workers::{DirectCommands, WorkerCommand};
 use crate::scheduler::model::JobId;
 use crate::scheduler::{Command, Effect, StoredMachine, TaskCommand, WriteOutcome};
-use crate::storage::key_value_store::{compare_version, remove_change, write_change, CommitOutcome};
+use crate::storage::key_value_store::{
+    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore,
+};
 use crate::storage::keys;
+use crate::storage::record_versions::RecordVersions;
 use crate::worker;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -24,13 +28,16 @@
 const FINAL_CHANGES: usize = 2;
 
 impl Controller {
-    /// Runs something for the scheduler of the present token and hands it the outcome.
+    /// Runs a request of the scheduler and sends it the outcome as a command under the current token.
     pub(super) fn spawn_scheduler_request<F>(&self, future: F)
     where
         F: std::future::Future<Output = Command> + Send + 'static,
     {
         let (events, token) = (self.events.clone(), self.config.token);
+        // Not aborted by an owner: its transaction compares the epoch, and the controller drops a command under an
+        // earlier token.
         tokio::spawn(async move {
+            // The controller ends only with the process.
             let _ = events.send(Event::Scheduler(token, future.await)).await;
         });
     }
@@ -38,27 +45,29 @@
     /// Carries out one effect of the scheduler.
     pub(super) fn apply_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: keep } => {
-                self.respond(reply, renewal, task_commands, keep)
+            Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable } => {
+                self.respond(reply, renewal, task_commands, cacheable)
             }
             Effect::RequestWake { node, machine } => {
-                self.send(node, Payload::WakeRequest(vec![machine]));
+                self.peers.send(node, Payload::WakeRequest(vec![machine]));
             }
             Effect::DirectCommands { machine, address, agent_epoch, task_commands } => {
                 self.send_direct(&machine, address, agent_epoch, &task_commands);
             }
             Effect::CommitDone { job_id, version, tasks, all_done } => {
-                self.commit_done(job_id, version, tasks, all_done);
+                self.write_finished_tasks(job_id, version, tasks, all_done);
             }
-            Effect::Finish { job_id, version, tasks, chunks } => self.finish(job_id, version, tasks, chunks),
-            Effect::Record { key, machines } => self.record(key, machines),
+            Effect::Finish { job_id, version, tasks, chunks } => {
+                self.finish_job(job_id, version, tasks, chunks)
+            }
+            Effect::Record { key, machines } => self.write_machine_record(key, machines),
             Effect::Rent { request, name, machine_type, zone, spot, count } => {
-                // The token makes the name unique among all leaders there will ever be.
+                // The token makes the name unique among all leaders, past and future.
                 let name = name.unwrap_or_else(|| format!("r-{}-{request}", self.config.token));
                 self.cloud_request(CloudRequest::Rent { request, name, machine_type, zone, spot, count });
             }
             Effect::ReadJob { job_id } => self.read_job(job_id),
-            Effect::WriteColdStart(heartbeat) => self.write_cold_start(*heartbeat),
+            Effect::WriteColdStart(report) => self.write_cold_start(*report),
             Effect::WriteDrain { key, value } => self.write_drain(key, value),
             Effect::Delete(names) => self.cloud_request(CloudRequest::Delete(names)),
             Effect::Deposed(token) => {
@@ -68,67 +77,79 @@
         }
     }
 
-    /// Every transaction of a leader rests on its epoch.
+    /// The condition of every transaction of a leader: no other has written its epoch since.
     pub(super) fn epoch_comparison(&self) -> Comparison {
-        compare_version(keys::LEADER_EPOCH, self.epoch_version)
+        compare_version(keys::LEADER_EPOCH, self.term.epoch_version)
     }
 
+    /// Sends stop commands to a worker's address, without waiting for its next heartbeat.
     fn send_direct(&self, machine: &str, address: String, agent_epoch: u64, task_commands: &[TaskCommand]) {
         let Some(token) = self.leadership.authority(self.clock.now()) else { return };
         let commands = task_commands.iter().map(WorkerCommand::from).collect();
         let commands = DirectCommands { token, agent_epoch, commands };
-        // The next heartbeat brings the stops as well.
-        let Ok(turn) = self.direct_command_permits.clone().try_acquire_owned() else { return };
-        let (http, events, gate) = (self.worker_client.clone(), self.events.clone(), self.gate());
+        // Without a permit the response to the next heartbeat carries the stops.
+        let Ok(permit) = self.clients.direct_command_permits.clone().try_acquire_owned() else { return };
+        let (http, events, gate) = (self.clients.workers.clone(), self.events.clone(), self.authority_gate());
         debug!(machine, stops = commands.commands.len(), "direct stops");
+        // Not aborted by an owner: it ends with its request, and sends nothing without authority.
         tokio::spawn(async move {
-            let answer = match gate.open() {
+            let response = match gate.is_open() {
                 true => worker::send_commands(&http, &address, &commands).await,
                 false => None,
             };
-            drop(turn);
-            if let Some(heartbeat) = answer {
+            drop(permit);
+            if let Some(heartbeat) = response {
+                // The controller ends only with the process.
                 let _ = events.send(Event::Scheduler(token, Command::DirectCommandAnswered(heartbeat))).await;
             }
         });
     }
 
-    fn commit_done(&self, job_id: JobId, version: u64, tasks: BTreeSet<u32>, all_done: BTreeSet<u32>) {
-        let most = self.settings.deployment.state.txn_ops;
-        let (store, versions, leads) =
-            (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
+    /// Writes finished tasks of a job that goes on.
+    fn write_finished_tasks(
+        &self,
+        job_id: JobId,
+        version: u64,
+        tasks: BTreeSet<u32>,
+        all_done: BTreeSet<u32>,
+    ) {
+        let max_changes = self.settings.deployment.state.txn_ops;
+        let (store, versions, leads) = self.record_writer();
         self.spawn_scheduler_request(async move {
-            let (tasks, changes) = done_changes(job_id, tasks, &all_done, most);
+            let (tasks, changes) = finished_tasks_changes(job_id, tasks, &all_done, max_changes);
             let conditions = vec![leads, compare_version(&keys::live_job(job_id), version)];
-            let outcome = outcome_of(versions.commit(&store, conditions, changes).await).await;
+            let outcome = write_outcome(versions.commit(&store, conditions, changes).await).await;
             Command::Committed { job_id, tasks, outcome }
         });
     }
 
-    fn finish(&self, job_id: JobId, version: u64, tasks: u32, mut chunks: Vec<u32>) {
+    /// Moves a job from the live jobs to its final state, and removes its finished tasks.
+    fn finish_job(&self, job_id: JobId, version: u64, tasks: u32, mut chunks: Vec<u32>) {
         // What does not fit the transaction is removed after it: readers ask for the job first.
-        let fit = self.settings.deployment.state.txn_ops.saturating_sub(FINAL_CHANGES);
-        let rest = chunks.split_off(fit.min(chunks.len()));
-        let (store, epoch, leads) = (self.store.clone(), self.epoch_version, self.epoch_comparison());
+        let max_chunks = self.settings.deployment.state.txn_ops.saturating_sub(FINAL_CHANGES);
+        let rest = chunks.split_off(max_chunks.min(chunks.len()));
+        let (store, epoch, leads) =
+            (self.clients.store.clone(), self.term.epoch_version, self.epoch_comparison());
         self.spawn_scheduler_request(async move {
             let record = FinalRecord { status: JobStatus::Done, tasks };
             let mut changes: Vec<_> = write_change(&keys::final_state(job_id), record).into_iter().collect();
             changes.push(remove_change(&keys::live_job(job_id)));
             changes.extend(chunks.iter().map(|chunk| remove_change(&keys::finished_tasks(job_id, *chunk))));
             let conditions = vec![leads, compare_version(&keys::live_job(job_id), version)];
-            let outcome = outcome_of(store.commit(conditions, changes).await).await;
+            let outcome = write_outcome(store.commit(conditions, changes).await).await;
             if outcome == WriteOutcome::Done {
                 info!(job = %job_id, "done");
                 let rest = rest.into_iter().map(|chunk| keys::finished_tasks(job_id, chunk)).collect();
+                // Not aborted by an owner: see `sweep`.
                 tokio::spawn(sweep(store, rest, epoch));
             }
             Command::Finished { job_id, outcome }
         });
     }
 
-    fn record(&self, key: String, machines: Vec<StoredMachine>) {
-        let (store, versions, leads) =
-            (self.store.clone(), self.record_versions.clone(), self.epoch_comparison());
+    /// Writes a machine record, or removes one without machines.
+    fn write_machine_record(&self, key: String, machines: Vec<StoredMachine>) {
+        let (store, versions, leads) = self.record_writer();
         self.spawn_scheduler_request(async move {
             let path = keys::machine_record(&key);
             let records: Vec<MachineRecord> = machines.into_iter().map(MachineRecord::from).collect();
@@ -137,31 +158,38 @@
             } else {
                 write_change(&path, records).into_iter().collect()
             };
-            let outcome = outcome_of(versions.commit(&store, vec![leads], change).await).await;
+            let outcome = write_outcome(versions.commit(&store, vec![leads], change).await).await;
             Command::Recorded { key, outcome }
         });
     }
 
-    pub(super) fn gate(&self) -> Gate {
-        Gate { clock: self.clock, until: self.authority_until.clone() }
+    /// What a task that writes the leader's records needs: the client, the records' versions, and the condition that
+    /// this node still leads.
+    pub(super) fn record_writer(&self) -> (KeyValueStore, RecordVersions, Comparison) {
+        (self.clients.store.clone(), self.term.record_versions.clone(), self.epoch_comparison())
+    }
+
+    pub(super) fn authority_gate(&self) -> AuthorityGate {
+        AuthorityGate { clock: self.clock, until: self.authority_until.clone() }
     }
 
     fn cloud_request(&self, request: CloudRequest) {
-        if let Some(queue) = &self.cloud_requests {
+        if let Some(queue) = &self.term.cloud_requests {
+            // The receiver ends only with the leadership.
             let _ = queue.send(request);
         }
     }
 }
 
-/// What the scheduler needs to know of a transaction. A failed one is reported after a pause, so that a
-/// service in trouble is not asked hot and an outage ends without a stampede.
-pub(super) async fn outcome_of(committed: CommitOutcome) -> WriteOutcome {
-    if !matches!(committed, CommitOutcome::Committed { .. }) {
-        let pause = limits::STORE_RETRY_DELAY_MS;
-        let pause = pause + rand::random_range(0..=pause);
-        tokio::time::sleep(Duration::from_millis(pause)).await;
+/// The outcome of a transaction for the scheduler. A failure is reported after a random delay: the scheduler retries
+/// at once, and must neither load a service in trouble nor end an outage with a stampede.
+pub(super) async fn write_outcome(outcome: CommitOutcome) -> WriteOutcome {
+    if !matches!(outcome, CommitOutcome::Committed { .. }) {
+        let shortest = limits::STORE_RETRY_DELAY_MS;
+        let delay_ms = shortest + rand::random_range(0..=shortest);
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
-    match committed {
+    match outcome {
         CommitOutcome::Committed { .. } => WriteOutcome::Done,
         CommitOutcome::Conflict | CommitOutcome::Refused => WriteOutcome::Refused,
         CommitOutcome::Unknown => WriteOutcome::Unknown,
--- a/src/controller/finished_tasks.rs
+++ b/src/controller/finished_tasks.rs
@@ -1,4 +1,5 @@
-//! How finished tasks are kept in the state service: bits of 4,096 tasks a key, as hexadecimal digits.
+//! The form of finished tasks in the state service: bits of 4,096 tasks (a chunk) under each key, as hexadecimal
+//! digits. Written by `effects`, read by `job_watch`.
 
 use crate::limits;
 use crate::protocol::state_service::Change;
@@ -7,24 +8,25 @@
 use crate::storage::keys;
 use std::collections::BTreeSet;
 
-/// The keys of finished tasks to write for `tasks`, as many as one transaction takes, and the tasks
-/// that these cover.
-pub(super) fn done_changes(
+/// The changes that record `tasks`, at most `max_changes`, and the tasks that these cover. A chunk is written as a
+/// complete value, so `all_done` gives the tasks of the job that were recorded before as well.
+pub(super) fn finished_tasks_changes(
     job_id: JobId,
     tasks: BTreeSet<u32>,
     all_done: &BTreeSet<u32>,
-    most: usize,
+    max_changes: usize,
 ) -> (BTreeSet<u32>, Vec<Change>) {
-    let chunks: BTreeSet<u32> = tasks.iter().map(|t| t / limits::FINISHED_TASKS_CHUNK).collect();
-    let chunks: BTreeSet<u32> = chunks.into_iter().take(most).collect();
+    let chunks: BTreeSet<u32> = tasks.iter().map(|task| task / limits::FINISHED_TASKS_CHUNK).collect();
+    let chunks: BTreeSet<u32> = chunks.into_iter().take(max_changes).collect();
     let covered =
-        tasks.into_iter().filter(|t| chunks.contains(&(t / limits::FINISHED_TASKS_CHUNK))).collect();
+        tasks.into_iter().filter(|task| chunks.contains(&(task / limits::FINISHED_TASKS_CHUNK))).collect();
     let changes = chunks
         .iter()
         .filter_map(|chunk| {
             let first = chunk * limits::FINISHED_TASKS_CHUNK;
-            let bits =
-                encode_bits(all_done.range(first..first + limits::FINISHED_TASKS_CHUNK).map(|t| t - first));
+            let bits = encode_bits(
+                all_done.range(first..first + limits::FINISHED_TASKS_CHUNK).map(|task| task - first),
+            );
             write_change(&keys::finished_tasks(job_id, *chunk), bits).ok()
         })
         .collect();
@@ -35,19 +37,20 @@
 pub(super) fn encode_bits(tasks: impl Iterator<Item = u32>) -> String {
     let mut digits: Vec<u8> = Vec::new();
     for task in tasks {
-        let at = (task / 4) as usize;
-        if digits.len() <= at {
-            digits.resize(at + 1, 0);
+        let index = (task / 4) as usize;
+        if digits.len() <= index {
+            digits.resize(index + 1, 0);
         }
-        digits[at] |= 1 << (task % 4);
+        digits[index] |= 1 << (task % 4);
     }
-    digits.into_iter().filter_map(|d| char::from_digit(d.into(), 16)).collect()
+    digits.into_iter().filter_map(|digit| char::from_digit(digit.into(), 16)).collect()
 }
 
+/// The task numbers of a text that [`encode_bits`] made; a character that is no digit counts as 0.
 pub(super) fn decode_bits(text: &str) -> impl Iterator<Item = u32> + '_ {
-    text.chars().enumerate().flat_map(|(at, c)| {
-        let digit = c.to_digit(16).unwrap_or(0);
-        (0..4).filter(move |bit| digit & (1 << bit) != 0).map(move |bit| at as u32 * 4 + bit)
+    text.chars().enumerate().flat_map(|(index, character)| {
+        let digit = character.to_digit(16).unwrap_or(0);
+        (0..4).filter(move |bit| digit & (1 << bit) != 0).map(move |bit| index as u32 * 4 + bit)
     })
 }
 
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -1,55 +1,128 @@
-//! What this node tells of itself: to the load balancer, to its peers and to operators.
+//! What this node publishes about itself: health for the load balancer, its status for peers, the summary of jobs for
+//! its own API, and the overview for operators.
 
+use super::peer_links::PeerLinks;
 use super::Controller;
+use crate::fleet_limits::LimitWarnings;
 use crate::leadership::Status;
 use crate::limits;
-use crate::node_events::NodeView;
+use crate::node_events::{Health, NodeView, Summary};
+use crate::peer::Payload;
+use crate::scheduler::model::JobId;
 use crate::scheduler::overview::PageStart;
 use crate::scheduler::Scheduler;
+use crate::settings::Deployment;
 use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use tokio::sync::watch;
 use tracing::info;
 
+/// Microseconds between two summaries of the leader.
+const SUMMARY_INTERVAL: u64 = limits::SECOND;
+/// Microseconds between two `usage` lines of the leader.
+const USAGE_LOG_INTERVAL: u64 = 10 * limits::SECOND;
+
+/// What the controller publishes, and when next.
+pub(super) struct Publication {
+    /// Read by this node's API.
+    summary: watch::Sender<Summary>,
+    /// Read by this node's API.
+    health: Arc<Health>,
+    /// Microseconds.
+    next_summary_at: u64,
+    /// Microseconds.
+    next_usage_log_at: u64,
+    limit_warnings: LimitWarnings,
+}
+
+impl Publication {
+    pub(super) fn new(summary: watch::Sender<Summary>, health: Arc<Health>) -> Self {
+        Publication {
+            summary,
+            health,
+            next_summary_at: 0,
+            next_usage_log_at: 0,
+            limit_warnings: LimitWarnings::default(),
+        }
+    }
+
+    /// Publishes the counts of a peer that leads.
+    pub(super) fn replace_summary(&self, lines: Vec<(u64, u32, u32)>) {
+        let lines = lines.into_iter().map(|(job, done, running)| (JobId(job), (done, running)));
+        self.summary.send_replace(Arc::new(lines.collect()));
+    }
+
+    /// Publishes the leader's counts here and to all peers, if they are due.
+    pub(super) fn publish_summary(&mut self, now: u64, scheduler: &Scheduler, peers: &PeerLinks) {
+        if now < self.next_summary_at {
+            return;
+        }
+        self.next_summary_at = now + SUMMARY_INTERVAL;
+        let lines = scheduler.summary();
+        let own = lines.iter().map(|(job_id, done, running)| (*job_id, (*done, *running))).collect();
+        self.summary.send_replace(Arc::new(own));
+        // A job that is not named counts as without a task; a frame holds some four thousand.
+        let started = lines.into_iter().filter(|(_, done, running)| done + running > 0);
+        let lines = started.map(|(job_id, done, running)| (job_id.0, done, running)).collect();
+        peers.broadcast(&Payload::Summary(lines));
+    }
+
+    /// Logs the use of the fleet, and limits that are small for it, if that is due.
+    pub(super) fn log_usage(&mut self, now: u64, token: u64, scheduler: &Scheduler, deployment: &Deployment) {
+        if now < self.next_usage_log_at {
+            return;
+        }
+        self.next_usage_log_at = now + USAGE_LOG_INTERVAL;
+        info!(token, "{}", scheduler.fleet_line());
+        self.limit_warnings.judge(scheduler.machines.len(), deployment);
+    }
+}
+
 impl Controller {
+    /// What this node reports to its peers. Forgets heartbeats that are older than the window.
     pub(super) fn status(&mut self, now: u64) -> Status {
         let window = limits::reach_window(self.config.workers.report_s);
-        while self.recent_heartbeats.front().is_some_and(|at| at + window < now) {
-            self.recent_heartbeats.pop_front();
+        let recent = &mut self.routing.recent_heartbeats;
+        while recent.front().is_some_and(|at| at + window < now) {
+            recent.pop_front();
         }
         Status {
-            state_age: now.saturating_sub(self.store.last_response_at()),
-            workers: self.recent_heartbeats.len() as u32,
+            state_age: now.saturating_sub(self.clients.store.last_response_at()),
+            workers: recent.len() as u32,
             machines: self.scheduler.as_ref().map_or(0, Scheduler::machines_up),
             attests: true,
         }
     }
 
-    pub(super) fn judge_health(&mut self, now: u64) {
-        let lost = now.saturating_sub(self.store.last_response_at()) >= limits::STORE_LOST_TIMEOUT;
-        // In an outage that everybody shares nobody serves users better than we do. A node that hears no
-        // peer either is more likely alone in it.
-        let shared = self.leadership.has_live_peer(now) && !self.leadership.peer_has_state(now);
-        self.health.cut_off.store(lost && !shared, Ordering::Relaxed);
-        let healthy = !self.types.is_empty() && (!lost || shared);
-        if self.health.healthy.swap(healthy, Ordering::Relaxed) != healthy {
+    /// Judges whether users are served better here than elsewhere.
+    pub(super) fn update_health(&mut self, now: u64) {
+        let store_lost =
+            now.saturating_sub(self.clients.store.last_response_at()) >= limits::STORE_LOST_TIMEOUT;
+        // In an outage of the state service for all nodes, no other node serves users better. A node that
+        // receives nothing from any peer is more likely the only one that is cut off.
+        let outage_shared = self.leadership.has_live_peer(now) && !self.leadership.peer_has_state(now);
+        let health = &self.publication.health;
+        health.cut_off.store(store_lost && !outage_shared, Ordering::Relaxed);
+        let healthy = !self.types.is_empty() && (!store_lost || outage_shared);
+        if health.healthy.swap(healthy, Ordering::Relaxed) != healthy {
             info!(healthy, "health");
         }
     }
 
-    /// What operators see of this node.
+    /// The overview for operators.
     pub(super) fn view(&self, now: u64, start: &PageStart) -> NodeView {
         let node = self.settings.node_name.clone();
         let leader = match self.leadership.is_leader() {
             true => Some(node.clone()),
             false => self.leadership.leader_name(now).map(str::to_string),
         };
-        let scheduler = self.scheduler.as_ref().map(|scheduler| scheduler.overview(start));
         NodeView {
             node,
             leader,
             token: self.config.token,
-            renewals: self.renewal_counts,
-            frames_ignored: self.frames_ignored.counts(),
-            scheduler,
+            renewals: self.routing.renewal_counts,
+            frames_ignored: self.peers.ignored_counts(),
+            scheduler: self.scheduler.as_ref().map(|scheduler| scheduler.overview(start)),
         }
     }
 }
--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -1,288 +1,379 @@
-//! Workers' heartbeats: answered by the leader's scheduler, by this node as the leaseholder of a shard, by a node in keep-alive mode, or
-//! sent elsewhere; and the frames about them between leader and leaseholders.
+//! The way of a heartbeat through a controller.
+//!
+//! A worker's heartbeat is answered by the leader's scheduler, by this node as the leaseholder of a shard, or by this
+//! node in keep-alive mode; it is relayed to the leader, or the worker is redirected. The second half of the file
+//! handles the frames between leader and leaseholders, one function for each payload.
 
 use super::ignored_frames::IgnoredFrame;
 use super::Controller;
 use crate::leadership::FollowedLeader;
-use crate::lease::renewal::LeaseRenewal;
-use crate::lease::shard::{ShardHeartbeat, ShardResponse};
+use crate::lease::renewal::{LeaseRenewal, RenewalCounts};
+use crate::lease::shard::{Shard, ShardHeartbeat, ShardResponse};
 use crate::limits;
 use crate::node_events::HeartbeatReply;
-use crate::peer::{self, Payload};
+use crate::peer::{self, Payload, RequestIds};
 use crate::protocol::workers::{HeartbeatRequest, HeartbeatResponse};
 use crate::scheduler::model::Heartbeat;
 use crate::scheduler::{Command, TaskCommand};
+use std::collections::{BTreeMap, VecDeque};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
 
-/// Where the answer to a heartbeat goes.
+/// The state of heartbeats that are under way, and of this node's shard.
+pub(super) struct HeartbeatRouting {
+    /// Heartbeats that the scheduler has not answered yet, by the number of the reply.
+    pub(super) pending_replies: BTreeMap<u64, ReplyTo>,
+    /// Heartbeats that were relayed to the leader, by the number of the request.
+    relayed: BTreeMap<u64, RelayedHeartbeat>,
+    /// Numbers of replies and of relayed requests.
+    request_ids: RequestIds,
+    /// The workers whose leases this node renews while another node leads.
+    pub(super) shard: Shard,
+    pub(super) renewal_counts: RenewalCounts,
+    /// When workers sent heartbeats lately, in microseconds.
+    pub(super) recent_heartbeats: VecDeque<u64>,
+}
+
+/// Where the reply to a heartbeat goes.
 pub(super) enum ReplyTo {
-    /// With the stops that it must not leave without.
+    /// To the worker, with the stop commands that the reply must not leave without.
     Worker(oneshot::Sender<HeartbeatReply>, Vec<TaskCommand>),
-    /// To the leaseholder that passed it on, under its number.
+    /// To the leaseholder that relayed it: its node, and its number of the request.
     Leaseholder(usize, u64),
 }
 
-/// An answer that this node gives without the leader, as far as it knows.
+/// A heartbeat on its way to the leader.
+struct RelayedHeartbeat {
+    reply: oneshot::Sender<HeartbeatReply>,
+    heartbeat: Heartbeat,
+    /// Microseconds.
+    sent_at: u64,
+}
+
+impl HeartbeatRouting {
+    pub(super) fn new(max_shard_machines: usize, incarnation: u64) -> Self {
+        HeartbeatRouting {
+            pending_replies: BTreeMap::new(),
+            relayed: BTreeMap::new(),
+            request_ids: RequestIds::of(incarnation),
+            shard: Shard::new(max_shard_machines, incarnation),
+            renewal_counts: RenewalCounts::default(),
+            recent_heartbeats: VecDeque::new(),
+        }
+    }
+
+    /// A reply that renews a worker's lease.
+    fn accept<'a>(
+        &mut self,
+        token: u64,
+        renewal: LeaseRenewal,
+        task_commands: impl IntoIterator<Item = &'a TaskCommand>,
+    ) -> HeartbeatReply {
+        self.renewal_counts.count(&renewal);
+        HeartbeatReply::Accepted(HeartbeatResponse::new(token, renewal, task_commands))
+    }
+
+    /// A reply that sends the worker to the leader, or to any other node.
+    fn redirect(&mut self, leader: Option<String>) -> HeartbeatReply {
+        self.renewal_counts.count_refused();
+        HeartbeatReply::Redirected(leader)
+    }
+}
+
 fn log_lease_renewal(heartbeat: &Heartbeat, renewal: &LeaseRenewal, token: u64) {
     let Heartbeat { machine, agent_epoch, sequence, .. } = heartbeat;
     debug!(machine, agent_epoch, sequence, token, basis = ?renewal.basis(), "lease renewed");
 }
 
-/// A heartbeat on its way to the leader.
-pub(super) struct RelayedHeartbeat {
-    pub(super) to: oneshot::Sender<HeartbeatReply>,
-    pub(super) heartbeat: Heartbeat,
-    pub(super) sent: u64,
+/// Replies to a worker.
+fn reply_to_worker(to: oneshot::Sender<HeartbeatReply>, reply: HeartbeatReply) {
+    // The worker's request may have timed out; its next heartbeat is answered again.
+    let _ = to.send(reply);
 }
 
-impl Controller {
-    /// An answer of this node's own that keeps a worker alive: the stops that it bears, or None if it may not.
-    pub(super) fn keep_alive_stops(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
-        let cancellations = &self.leadership.cancellations;
-        (now + limits::AUTHORITY_MARGIN < cancellations.keep_alive_until())
-            .then(|| cancellations.stop_commands(heartbeat))
-            .flatten()
-    }
+/// Whether a frame echoes a recent stamp of this leader. Stamps of other leaders lie outside the window: each clock
+/// starts at a random point.
+fn is_recent_stamp(now: u64, stamp: u64) -> bool {
+    stamp <= now && now < stamp + limits::RELAY_MAX_AGE
+}
 
-    /// A frame of the leader's to a leaseholder, or of a leaseholder's to the leader.
-    pub(super) fn handle_shard_frame(
+/// Heartbeats of workers.
+impl Controller {
+    /// Routes a worker's heartbeat; what is for the scheduler goes to `commands`.
+    pub(super) fn route_heartbeat(
         &mut self,
         now: u64,
-        from: usize,
-        payload: Payload,
+        request: HeartbeatRequest,
+        to: oneshot::Sender<HeartbeatReply>,
         commands: &mut Vec<Command>,
     ) {
-        let leads = self.leadership.authority(now).is_some() && self.scheduler.is_some();
-        // Stamps of other leaders' heartbeats lie outside every window: clocks start at random points.
-        let fresh = |stamp: u64| stamp <= now && now < stamp + limits::RELAY_MAX_AGE;
-        match payload {
-            Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
-                if !leads || !fresh(stamp) || now >= self.leadership.cancellations.keep_alive_until() {
-                    self.frames_ignored.note(from, IgnoredFrame::Stale);
-                    // A node in keep-alive mode keeps workers alive whichever way they come.
-                    let care =
-                        self.leadership.keep_alive_token(now).zip(self.keep_alive_stops(now, &heartbeat));
-                    let (token, task_commands) = care.unzip();
-                    let task_commands = task_commands.unwrap_or_default();
-                    self.send(from, Payload::RelayedResponse { id, token, cacheable: false, task_commands });
-                    return;
-                }
-                self.recent_heartbeats.push_back(now);
-                let reply = self.request_ids.take();
-                self.pending_replies.insert(reply, ReplyTo::Leaseholder(from, id));
-                commands.push(Command::Heartbeat { reply, heartbeat, via: Some(from) });
-            }
-            Payload::ShardHeartbeat { id, stamp, complete: whole, first_of_incarnation: anew, machines }
-                if leads && fresh(stamp) =>
-            {
-                self.recent_heartbeats.push_back(now);
-                let covers = whole.then_some(stamp);
-                commands.push(Command::ShardHeartbeat {
-                    node: from,
-                    machines,
-                    covers_until: covers,
-                    first_of_incarnation: anew,
-                });
-                let lease_ms = (self.leadership.shard_lease(now) / 1_000) as u32;
-                self.send(from, Payload::ShardHeartbeatAck { id, lease_ms });
-            }
-            Payload::RelayedResponse { id, token, cacheable: keep, task_commands } => {
-                let Some(RelayedHeartbeat { to, heartbeat, .. }) = self.relayed_heartbeats.remove(&id) else {
-                    return self.frames_ignored.note(from, IgnoredFrame::Unasked);
-                };
-                let reply = match token {
-                    Some(token) => {
-                        let task_commands =
-                            self.leadership.cancellations.with_stop_commands(task_commands, &heartbeat);
-                        self.shard.record_relayed_response(now, heartbeat, token, keep);
-                        self.accept_heartbeat(token, LeaseRenewal::relayed(), &task_commands)
-                    }
-                    None => self.redirect_heartbeat(None),
-                };
-                let _ = to.send(reply);
-            }
-            Payload::WakeRequest(machines) => self.shard.request_wake(&machines),
-            Payload::ShardHeartbeatAck { id, lease_ms } => {
-                let lease = (u64::from(lease_ms) * 1_000).min(self.config.shard_lease);
-                if !self.shard.acknowledge(id, lease) {
-                    self.frames_ignored.note(from, IgnoredFrame::Unasked);
-                }
+        self.routing.recent_heartbeats.push_back(now);
+        let heartbeat = match Heartbeat::try_from(request) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                warn!(%error, "heartbeat dropped");
+                return reply_to_worker(to, HeartbeatReply::Malformed);
             }
-            Payload::ShardHeartbeat { .. } => self.frames_ignored.note(from, IgnoredFrame::Stale),
-            _ => {}
+        };
+        let authority = self.leadership.authority(now).filter(|_| self.scheduler.is_some());
+        if let Some((token, renewal)) = self.renewal_without_scheduler(now, authority) {
+            let reply = self.respond_without_scheduler(now, &heartbeat, token, renewal);
+            return reply_to_worker(to, reply);
         }
+        if authority.is_none() {
+            return self.relay_or_redirect(now, heartbeat, to);
+        }
+        let reply = self.routing.request_ids.take();
+        let stops = self.leadership.cancellations.with_stop_commands(Vec::new(), &heartbeat);
+        self.routing.pending_replies.insert(reply, ReplyTo::Worker(to, stops));
+        commands.push(Command::Heartbeat { reply, heartbeat, via: None });
     }
 
-    /// What a leaseholder does as time passes: tells the leader whom it answered, and gives up waiting for it.
-    pub(super) fn maintain_shard(&mut self, now: u64) {
-        let followed = self.leadership.followed_leader(now);
-        if let Some(FollowedLeader { node: leader, token, heartbeat_stamp: stamp, .. }) = followed {
-            self.shard.follow(token);
-            if let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines }) =
-                self.shard.next_heartbeat(now)
-            {
-                self.send(
-                    leader,
-                    Payload::ShardHeartbeat {
-                        id,
-                        stamp,
-                        complete: whole,
-                        first_of_incarnation: fresh,
-                        machines,
-                    },
-                );
-            }
-        }
-        while let Some(entry) = self.relayed_heartbeats.first_entry() {
-            if now < entry.get().sent + limits::RELAY_TIMEOUT {
-                return;
-            }
-            let RelayedHeartbeat { to, heartbeat, .. } = entry.remove();
-            let reply = self.respond_as_leaseholder(now, &heartbeat, false);
-            let reply = reply.unwrap_or_else(|| self.redirect_heartbeat(None));
-            let _ = to.send(reply);
+    /// Whether this node may act as the leader now.
+    fn leads(&self, now: u64) -> bool {
+        self.scheduler.is_some() && self.leadership.authority(now).is_some()
+    }
+
+    /// The token and the basis of renewals that this node makes for every worker without the scheduler: as a leader
+    /// that has not loaded the jobs, or in keep-alive mode. Such a leader knows no more than a node in keep-alive mode:
+    /// leases are renewed, and tasks only stopped if they are cancelled.
+    /// `authority`: the token of this node's leadership, if it may act.
+    fn renewal_without_scheduler(&self, now: u64, authority: Option<u64>) -> Option<(u64, LeaseRenewal)> {
+        let loading = self.scheduler.as_ref().is_some_and(|scheduler| !scheduler.loaded);
+        if let Some(token) = authority.filter(|_| loading) {
+            return Some((token, LeaseRenewal::before_load()));
         }
+        let token = self.leadership.keep_alive_token(now)?;
+        Some((token, LeaseRenewal::by_keep_alive()))
     }
 
-    /// An answer that renews a worker's lease.
-    fn accept_heartbeat<'a>(
+    fn respond_without_scheduler(
         &mut self,
+        now: u64,
+        heartbeat: &Heartbeat,
         token: u64,
         renewal: LeaseRenewal,
-        task_commands: impl IntoIterator<Item = &'a TaskCommand>,
     ) -> HeartbeatReply {
-        self.renewal_counts.count(&renewal);
-        HeartbeatReply::Accepted(HeartbeatResponse::new(token, renewal, task_commands))
-    }
-
-    /// No answer here: the worker is to ask another node.
-    fn redirect_heartbeat(&mut self, leader: Option<String>) -> HeartbeatReply {
-        self.renewal_counts.count_refused();
-        HeartbeatReply::Redirected(leader)
+        let Some(stops) = self.keep_alive_stops(now, heartbeat) else {
+            return self.routing.redirect(None);
+        };
+        log_lease_renewal(heartbeat, &renewal, token);
+        self.routing.accept(token, renewal, &stops)
     }
 
-    /// The answer of this node as a leaseholder, if it may answer by itself.
-    pub(super) fn respond_as_leaseholder(
-        &mut self,
-        now: u64,
-        heartbeat: &Heartbeat,
-        leader_heard: bool,
-    ) -> Option<HeartbeatReply> {
-        let stops = self.keep_alive_stops(now, heartbeat)?;
-        match self.shard.respond(now, heartbeat, leader_heard) {
-            ShardResponse::Renewed(token, renewal) => {
-                log_lease_renewal(heartbeat, &renewal, token);
-                Some(self.accept_heartbeat(token, renewal, &stops))
-            }
-            ShardResponse::Duplicate => Some(self.redirect_heartbeat(None)),
-            ShardResponse::NotResponsible => None,
+    /// The stop commands that a renewal by this node alone must carry; `None`: this node knows too little of
+    /// cancellations to renew the lease.
+    fn keep_alive_stops(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
+        let cancellations = &self.leadership.cancellations;
+        if now + limits::AUTHORITY_MARGIN >= cancellations.keep_alive_until() {
+            return None;
         }
+        cancellations.stop_commands(heartbeat)
     }
 
-    /// A heartbeat at a node that does not lead: answered by itself, passed on, or sent elsewhere.
-    pub(super) fn relay_or_redirect(
-        &mut self,
-        now: u64,
-        heartbeat: Heartbeat,
-        to: oneshot::Sender<HeartbeatReply>,
-    ) {
+    /// A heartbeat at a node that does not lead: answered as the leaseholder, relayed, or redirected.
+    fn relay_or_redirect(&mut self, now: u64, heartbeat: Heartbeat, to: oneshot::Sender<HeartbeatReply>) {
         let followed = self.leadership.followed_leader(now);
-        if let Some(leader) = followed {
-            self.shard.follow(leader.token);
+        if let Some(leader) = &followed {
+            self.routing.shard.follow(leader.token);
         }
         if let Some(reply) = self.respond_as_leaseholder(now, &heartbeat, followed.is_some()) {
-            let _ = to.send(reply);
-            return;
+            return reply_to_worker(to, reply);
         }
         if let Some(FollowedLeader { node: leader, token, heartbeat_stamp: stamp, .. }) = followed {
             if heartbeat.token <= token && peer::fits_frame(&heartbeat) {
-                let id = self.request_ids.take();
-                if self.send(leader, Payload::RelayedHeartbeat { id, stamp, heartbeat: heartbeat.clone() }) {
-                    self.relayed_heartbeats.insert(id, RelayedHeartbeat { to, heartbeat, sent: now });
+                let id = self.routing.request_ids.take();
+                let frame = Payload::RelayedHeartbeat { id, stamp, heartbeat: heartbeat.clone() };
+                if self.peers.send(leader, frame) {
+                    let relayed = RelayedHeartbeat { reply: to, heartbeat, sent_at: now };
+                    self.routing.relayed.insert(id, relayed);
                     return;
                 }
             }
         }
-        // A node that has forgotten everything learns the last token from the workers.
+        // A node that has lost its state learns the last token from the workers.
         let actions = self.leadership.observe_token(heartbeat.token, now);
         self.apply_actions(actions);
         let leader = self.leadership.leader_name(now).map(str::to_string);
         debug!(machine = heartbeat.machine, leader, "heartbeat redirected");
-        let _ = to.send(self.redirect_heartbeat(leader));
+        reply_to_worker(to, self.routing.redirect(leader));
     }
 
-    pub(super) fn route_heartbeat(
+    /// The reply of this node as a leaseholder; `None`: it may not answer by itself.
+    fn respond_as_leaseholder(
         &mut self,
         now: u64,
-        heartbeat_request: HeartbeatRequest,
-        to: oneshot::Sender<HeartbeatReply>,
-        commands: &mut Vec<Command>,
-    ) {
-        self.recent_heartbeats.push_back(now);
-        let heartbeat = match Heartbeat::try_from(heartbeat_request) {
-            Ok(heartbeat) => heartbeat,
-            Err(error) => {
-                warn!(%error, "heartbeat dropped");
-                let _ = to.send(HeartbeatReply::Malformed);
-                return;
+        heartbeat: &Heartbeat,
+        has_leader: bool,
+    ) -> Option<HeartbeatReply> {
+        let stops = self.keep_alive_stops(now, heartbeat)?;
+        match self.routing.shard.respond(now, heartbeat, has_leader) {
+            ShardResponse::Renewed(token, renewal) => {
+                log_lease_renewal(heartbeat, &renewal, token);
+                Some(self.routing.accept(token, renewal, &stops))
             }
-        };
-        let leads = self.leadership.authority(now).filter(|_| self.scheduler.is_some());
-        // Before the jobs are loaded a leader knows no more than a node in keep-alive mode: the worker's lease runs on, and
-        // there is nobody to say what it should do but stop what is cancelled.
-        let loaded = self.scheduler.as_ref().is_some_and(|scheduler| scheduler.loaded);
-        let unloaded = leads.filter(|_| !loaded).map(|token| (token, LeaseRenewal::before_load()));
-        let keeper = || Some((self.leadership.keep_alive_token(now)?, LeaseRenewal::by_keep_alive()));
-        if let Some((token, renewal)) = unloaded.or_else(keeper) {
-            let reply = match self.keep_alive_stops(now, &heartbeat) {
-                Some(stops) => {
-                    log_lease_renewal(&heartbeat, &renewal, token);
-                    self.accept_heartbeat(token, renewal, &stops)
-                }
-                None => self.redirect_heartbeat(None),
-            };
-            // The worker may have given up meanwhile.
-            let _ = to.send(reply);
-            return;
-        }
-        if leads.is_none() {
-            return self.relay_or_redirect(now, heartbeat, to);
+            ShardResponse::Duplicate => Some(self.routing.redirect(None)),
+            ShardResponse::NotResponsible => None,
         }
-        let reply = self.request_ids.take();
-        let stops = self.leadership.cancellations.with_stop_commands(Vec::new(), &heartbeat);
-        self.pending_replies.insert(reply, ReplyTo::Worker(to, stops));
-        commands.push(Command::Heartbeat { reply, heartbeat, via: None });
     }
 
-    /// Gives the leader's answer to a heartbeat.
+    /// Sends the scheduler's response to a heartbeat. `renewal` is `None` if it does not renew the lease.
     pub(super) fn respond(
         &mut self,
         reply: u64,
         renewal: Option<LeaseRenewal>,
         task_commands: Vec<TaskCommand>,
-        keep: bool,
+        cacheable: bool,
     ) {
-        let Some(to) = self.pending_replies.remove(&reply) else { return };
+        let Some(to) = self.routing.pending_replies.remove(&reply) else { return };
         // Checked again at the last moment: the round may have taken long.
         let now = self.clock.now();
-        let known = now < self.leadership.cancellations.keep_alive_until();
-        let entitled = self.leadership.authority(now).filter(|_| known).zip(renewal);
-        let (to, stops) = match to {
-            ReplyTo::Worker(to, stops) => (to, stops),
+        let knows_cancellations = now < self.leadership.cancellations.keep_alive_until();
+        let entitled = self.leadership.authority(now).filter(|_| knows_cancellations).zip(renewal);
+        match to {
+            ReplyTo::Worker(to, stops) => {
+                let missing = stops.iter().filter(|stop| !task_commands.contains(stop));
+                let reply = match entitled {
+                    Some((token, renewal)) => {
+                        self.routing.accept(token, renewal, task_commands.iter().chain(missing))
+                    }
+                    None => self.routing.redirect(None),
+                };
+                reply_to_worker(to, reply);
+            }
             ReplyTo::Leaseholder(node, id) => {
                 let token = entitled.map(|(token, _)| token);
-                self.send(node, Payload::RelayedResponse { id, token, cacheable: keep, task_commands });
-                return;
+                self.peers.send(node, Payload::RelayedResponse { id, token, cacheable, task_commands });
+            }
+        }
+    }
+
+    /// Answers what the scheduler has not answered when this node's leadership ends.
+    pub(super) fn redirect_pending_replies(&mut self) {
+        for (_, to) in std::mem::take(&mut self.routing.pending_replies) {
+            match to {
+                // Not counted as a refusal.
+                ReplyTo::Worker(to, _) => reply_to_worker(to, HeartbeatReply::Redirected(None)),
+                ReplyTo::Leaseholder(node, id) => self.refuse_relayed_heartbeat(node, id),
+            }
+        }
+    }
+
+    fn refuse_relayed_heartbeat(&self, node: usize, id: u64) {
+        let task_commands = Vec::new();
+        self.peers.send(node, Payload::RelayedResponse { id, token: None, cacheable: false, task_commands });
+    }
+}
+
+/// Frames between the leader and leaseholders.
+impl Controller {
+    /// As the leader: a leaseholder relays a heartbeat.
+    pub(super) fn handle_relayed_heartbeat(
+        &mut self,
+        now: u64,
+        from: usize,
+        id: u64,
+        stamp: u64,
+        heartbeat: Heartbeat,
+        commands: &mut Vec<Command>,
+    ) {
+        let knows_cancellations = now < self.leadership.cancellations.keep_alive_until();
+        if !self.leads(now) || !is_recent_stamp(now, stamp) || !knows_cancellations {
+            self.peers.count_ignored(from, IgnoredFrame::Stale);
+            return self.respond_to_stale_relay(now, from, id, &heartbeat);
+        }
+        self.routing.recent_heartbeats.push_back(now);
+        let reply = self.routing.request_ids.take();
+        self.routing.pending_replies.insert(reply, ReplyTo::Leaseholder(from, id));
+        commands.push(Command::Heartbeat { reply, heartbeat, via: Some(from) });
+    }
+
+    /// A node in keep-alive mode renews leases whichever way heartbeats arrive; any other refuses.
+    fn respond_to_stale_relay(&mut self, now: u64, from: usize, id: u64, heartbeat: &Heartbeat) {
+        let keep_alive = self.leadership.keep_alive_token(now).zip(self.keep_alive_stops(now, heartbeat));
+        match keep_alive {
+            Some((token, task_commands)) => {
+                let token = Some(token);
+                self.peers
+                    .send(from, Payload::RelayedResponse { id, token, cacheable: false, task_commands });
             }
+            None => self.refuse_relayed_heartbeat(from, id),
+        }
+    }
+
+    /// As the leader: a leaseholder names the machines whose leases it renewed. `command` holds them.
+    pub(super) fn handle_shard_heartbeat(
+        &mut self,
+        now: u64,
+        from: usize,
+        id: u64,
+        stamp: u64,
+        command: Command,
+        commands: &mut Vec<Command>,
+    ) {
+        if !self.leads(now) || !is_recent_stamp(now, stamp) {
+            return self.peers.count_ignored(from, IgnoredFrame::Stale);
+        }
+        self.routing.recent_heartbeats.push_back(now);
+        commands.push(command);
+        let lease_ms = (self.leadership.shard_lease(now) / 1_000) as u32;
+        self.peers.send(from, Payload::ShardHeartbeatAck { id, lease_ms });
+    }
+
+    /// As a leaseholder: the leader's response to a heartbeat that this node relayed.
+    pub(super) fn handle_relayed_response(
+        &mut self,
+        now: u64,
+        from: usize,
+        id: u64,
+        token: Option<u64>,
+        cacheable: bool,
+        task_commands: Vec<TaskCommand>,
+    ) {
+        let Some(RelayedHeartbeat { reply: to, heartbeat, .. }) = self.routing.relayed.remove(&id) else {
+            return self.peers.count_ignored(from, IgnoredFrame::Unsolicited);
         };
-        let missing = stops.iter().filter(|stop| !task_commands.contains(stop));
-        let reply = match entitled {
-            Some((token, renewal)) => {
-                self.accept_heartbeat(token, renewal, task_commands.iter().chain(missing))
+        let reply = match token {
+            Some(token) => {
+                let task_commands =
+                    self.leadership.cancellations.with_stop_commands(task_commands, &heartbeat);
+                self.routing.shard.record_relayed_response(now, heartbeat, token, cacheable);
+                self.routing.accept(token, LeaseRenewal::relayed(), &task_commands)
             }
-            None => self.redirect_heartbeat(None),
+            None => self.routing.redirect(None),
         };
-        let _ = to.send(reply);
+        reply_to_worker(to, reply);
+    }
+
+    /// As a leaseholder: the leader acknowledges a shard heartbeat, which extends the shard lease.
+    pub(super) fn handle_shard_heartbeat_ack(&mut self, from: usize, id: u64, lease_ms: u32) {
+        let lease = (u64::from(lease_ms) * 1_000).min(self.config.shard_lease);
+        if !self.routing.shard.acknowledge(id, lease) {
+            self.peers.count_ignored(from, IgnoredFrame::Unsolicited);
+        }
+    }
+
+    /// As a leaseholder: sends the shard heartbeat that is due, and answers relayed heartbeats that timed out.
+    pub(super) fn maintain_shard(&mut self, now: u64) {
+        self.send_shard_heartbeat(now);
+        while let Some(entry) = self.routing.relayed.first_entry() {
+            if now < entry.get().sent_at + limits::RELAY_TIMEOUT {
+                return;
+            }
+            let RelayedHeartbeat { reply: to, heartbeat, .. } = entry.remove();
+            let reply = self.respond_as_leaseholder(now, &heartbeat, false);
+            let reply = reply.unwrap_or_else(|| self.routing.redirect(None));
+            reply_to_worker(to, reply);
+        }
+    }
+
+    fn send_shard_heartbeat(&mut self, now: u64) {
+        let Some(leader) = self.leadership.followed_leader(now) else { return };
+        self.routing.shard.follow(leader.token);
+        let Some(heartbeat) = self.routing.shard.next_heartbeat(now) else { return };
+        let ShardHeartbeat { id, complete, first_of_incarnation, machines } = heartbeat;
+        let stamp = leader.heartbeat_stamp;
+        let frame = Payload::ShardHeartbeat { id, stamp, complete, first_of_incarnation, machines };
+        self.peers.send(leader.node, frame);
     }
 }
--- a/src/controller/ignored_frames.rs
+++ b/src/controller/ignored_frames.rs
@@ -1,33 +1,34 @@
-//! Frames of peers that nothing follows from: counted, and logged once for each peer.
+//! Frames of peers that were ignored: counted, and logged once for each peer and reason.
 
 use crate::node_events::FrameCounts;
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// Why nothing follows from a frame.
+/// Why a frame was ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum IgnoredFrame {
-    /// A heartbeat or a heartbeat that echoes an old stamp, or for a leader that does not lead any more.
+    /// A heartbeat that echoes a stamp which is too old, or is for a leader that does not lead any more.
     Stale,
-    /// An answer to nobody: its request was given up, or is an earlier process's.
-    Unasked,
+    /// A response to a request that was given up, or of an earlier process.
+    Unsolicited,
 }
 
-/// Counts frames that nothing follows from.
+/// Counts ignored frames since this process started.
 #[derive(Debug, Default)]
-pub(super) struct FramesIgnored {
+pub(super) struct IgnoredFrames {
     counts: FrameCounts,
+    /// Peers and reasons that were logged.
     logged: BTreeSet<(usize, IgnoredFrame)>,
 }
 
-impl FramesIgnored {
-    pub(super) fn note(&mut self, from: usize, why: IgnoredFrame) {
-        match why {
+impl IgnoredFrames {
+    pub(super) fn count(&mut self, from: usize, reason: IgnoredFrame) {
+        match reason {
             IgnoredFrame::Stale => self.counts.stale += 1,
-            IgnoredFrame::Unasked => self.counts.unsolicited += 1,
+            IgnoredFrame::Unsolicited => self.counts.unsolicited += 1,
         }
-        if self.logged.insert((from, why)) {
-            info!(from, ?why, "frame ignored; further ones of this kind are only counted");
+        if self.logged.insert((from, reason)) {
+            info!(from, ?reason, "frame ignored; further ones of this kind are only counted");
         }
     }
 
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -1,5 +1,5 @@
-//! What a leader reads from the state service: jobs, finished tasks and machine records when it begins, and the jobs
-//! that users submit and cancel from then on.
+//! Reads the state service for a leader: jobs, finished tasks and machine records when its leadership begins, and from
+//! then on the jobs that users submit and cancel. Owned by one leadership, which aborts it when it ends.
 
 use super::finished_tasks::decode_bits;
 use crate::drains;
@@ -19,9 +19,12 @@
 use tokio::sync::mpsc;
 use tracing::{debug, info, warn};
 
+/// Parses a live record; `None`, with a warning, if it can't be read.
 pub(super) fn stored_job(record: &Record) -> Option<StoredJob> {
     let live: Result<LiveRecord, _> = serde_json::from_value(record.value.clone());
-    let checked = live.map_err(|e| e.to_string()).and_then(|l| Ok((l.submission.check()?, l.accepted_ms)));
+    let checked = live
+        .map_err(|error| error.to_string())
+        .and_then(|record| Ok((record.submission.check()?, record.accepted_ms)));
     match checked {
         Ok((spec, accepted_ms)) => {
             let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
@@ -35,27 +38,37 @@
     }
 }
 
-/// Everything a new leader reads: jobs, finished tasks, machines; and where to follow from.
+/// Everything that a new leader reads.
 struct Loaded {
     jobs: Vec<StoredJob>,
+    /// Machine records by their name, without the prefix of their keys.
     records: Vec<(String, Vec<StoredMachine>)>,
-    /// Keys of finished tasks whose job is over.
+    /// Keys of finished tasks whose job is not live any more.
     orphans: Vec<String>,
+    /// Changes after this revision are still to be followed.
     revision: u64,
 }
 
 async fn load(store: &KeyValueStore, versions: &RecordVersions) -> Result<Loaded, StoreError> {
+    // The live jobs first: what finishes during the other reads is then followed from their revision.
     let (live, revision) = store.list(keys::LIVE_JOBS).await?;
-    let (done, _) = store.list(keys::FINISHED_TASKS).await?;
+    let (finished, _) = store.list(keys::FINISHED_TASKS).await?;
     let (fleet, _) = store.list(keys::MACHINE_RECORDS).await?;
-    done.iter().chain(&fleet).for_each(|record| versions.note(&record.key, record.version));
+    finished.iter().chain(&fleet).for_each(|record| versions.note(&record.key, record.version));
     let mut jobs: HashMap<JobId, StoredJob> =
         live.iter().filter_map(stored_job).map(|job| (job.spec.job_id, job)).collect();
+    let orphans = add_finished_tasks(&mut jobs, finished);
+    let records = fleet.into_iter().filter_map(stored_machines).collect();
+    Ok(Loaded { jobs: jobs.into_values().collect(), records, orphans, revision })
+}
+
+/// Adds finished tasks to their jobs; returns the keys of those whose job is not live.
+fn add_finished_tasks(jobs: &mut HashMap<JobId, StoredJob>, records: Vec<Record>) -> Vec<String> {
     let mut orphans = Vec::new();
-    for record in done {
+    for record in records {
         let mut parts = record.key.split('/').skip(1);
         let job_id = parts.next().and_then(JobId::parse);
-        let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
+        let chunk = parts.next().and_then(|chunk| chunk.parse::<u32>().ok());
         let Some(job) = job_id.and_then(|job_id| jobs.get_mut(&job_id)) else {
             orphans.push(record.key);
             continue;
@@ -64,52 +77,55 @@
             warn!(key = record.key, "unreadable record of finished tasks: skipped");
             continue;
         };
+        let first = chunk.saturating_mul(limits::FINISHED_TASKS_CHUNK);
         let tasks = job.spec.tasks;
-        job.succeeded.extend(
-            decode_bits(bits)
-                .map(|t| t + chunk.saturating_mul(limits::FINISHED_TASKS_CHUNK))
-                .filter(|t| *t < tasks),
-        );
+        job.succeeded.extend(decode_bits(bits).map(|task| task + first).filter(|task| *task < tasks));
+    }
+    orphans
+}
+
+/// Parses a machine record; `None`, with a warning, if it can't be read.
+fn stored_machines(record: Record) -> Option<(String, Vec<StoredMachine>)> {
+    let name = record.key.strip_prefix(keys::MACHINE_RECORDS)?.to_string();
+    match serde_json::from_value::<Vec<MachineRecord>>(record.value) {
+        Ok(machines) => Some((name, machines.into_iter().map(StoredMachine::from).collect())),
+        Err(error) => {
+            warn!(key = record.key, %error, "unreadable machine record: skipped");
+            None
+        }
     }
-    let records = fleet
-        .into_iter()
-        .filter_map(|record| {
-            let key = record.key.strip_prefix(keys::MACHINE_RECORDS)?.to_string();
-            match serde_json::from_value::<Vec<MachineRecord>>(record.value) {
-                Ok(machines) => Some((key, machines.into_iter().map(StoredMachine::from).collect())),
-                Err(error) => {
-                    warn!(key = record.key, %error, "unreadable machine record: skipped");
-                    None
-                }
-            }
-        })
-        .collect();
-    Ok(Loaded { jobs: jobs.into_values().collect(), records, orphans, revision })
 }
 
+/// Waits before a failed request to the state service is repeated, for a random time against stampedes.
 pub(super) async fn pause() {
-    let pause = limits::STORE_RETRY_DELAY_MS;
-    tokio::time::sleep(Duration::from_millis(rand::random_range(pause..=2 * pause))).await;
+    let shortest = limits::STORE_RETRY_DELAY_MS;
+    tokio::time::sleep(Duration::from_millis(rand::random_range(shortest..=2 * shortest))).await;
 }
 
-/// Loads the jobs and follows what users commit through any node. `drains_of`: drains are loaded first, with the
-/// ledgers of these teams.
-pub(super) async fn follow_jobs(
-    store: KeyValueStore,
-    events: mpsc::Sender<Event>,
-    token: u64,
-    epoch: u64,
-    versions: RecordVersions,
-    drains_of: Option<Vec<Team>>,
-) {
+/// What [`follow_jobs`] needs of its leadership.
+pub(super) struct JobWatch {
+    pub(super) store: KeyValueStore,
+    /// The controller's queue; when it is full, the watch waits.
+    pub(super) events: mpsc::Sender<Event>,
+    pub(super) token: u64,
+    /// Version of the leader's epoch, for removals of orphaned records.
+    pub(super) epoch_version: u64,
+    pub(super) record_versions: RecordVersions,
+    /// If drains are enabled: they are loaded before the jobs, with the ledgers of these teams.
+    pub(super) drain_teams: Option<Vec<Team>>,
+}
+
+/// Loads the jobs, and follows what users commit through any node.
+pub(super) async fn follow_jobs(watch: JobWatch) {
+    let JobWatch { store, events, token, epoch_version, record_versions, drain_teams } = watch;
     let mut follower = Follower { store, events, token, known: BTreeSet::new() };
-    let mut revision = follower.load(epoch, &versions, drains_of.as_deref()).await;
+    let mut revision = follower.load(epoch_version, &record_versions, drain_teams.as_deref()).await;
     loop {
         match follower.store.follow(keys::LIVE_JOBS, revision, limits::STORE_WATCH_MS).await {
             Ok(Some(log)) => {
                 revision = revision.max(log.revision);
                 for event in log.events {
-                    follower.take(event).await;
+                    follower.apply(event).await;
                 }
             }
             Ok(None) => match follower.read_again().await {
@@ -129,20 +145,20 @@
     store: KeyValueStore,
     events: mpsc::Sender<Event>,
     token: u64,
-    /// The jobs that the scheduler was told of.
+    /// The jobs that were sent to the scheduler and not removed since.
     known: BTreeSet<JobId>,
 }
 
 impl Follower {
     async fn send(&self, command: Command) {
-        // The owner of the state has ended with the process.
+        // The controller ends only with the process.
         let _ = self.events.send(Event::Scheduler(self.token, command)).await;
     }
 
-    /// Reads everything, as often as it takes; returns the revision to follow from.
-    async fn load(&mut self, epoch: u64, versions: &RecordVersions, drains_of: Option<&[Team]>) -> u64 {
+    /// Loads everything, again after each error; returns the revision to follow from.
+    async fn load(&mut self, epoch: u64, versions: &RecordVersions, drain_teams: Option<&[Team]>) -> u64 {
         loop {
-            if let Err(error) = self.load_drains(versions, drains_of).await {
+            if let Err(error) = self.load_drains(versions, drain_teams).await {
                 warn!(%error, "cannot load drains yet");
                 pause().await;
                 continue;
@@ -153,6 +169,7 @@
                     let (token, jobs_read, machine_records) = (self.token, jobs.len(), records.len());
                     info!(token, epoch, revision, jobs_read, machine_records, "state read");
                     self.send(Command::Load { jobs, records }).await;
+                    // Not aborted by an owner: see `sweep`.
                     tokio::spawn(sweep(self.store.clone(), orphans, epoch));
                     return revision;
                 }
@@ -164,19 +181,19 @@
         }
     }
 
-    /// Before the jobs, so that a machine that is being drained gets no work in between.
+    /// Loads drains, before the jobs: a machine that is being drained must get no work in between.
     async fn load_drains(
         &self,
         versions: &RecordVersions,
-        drains_of: Option<&[Team]>,
+        drain_teams: Option<&[Team]>,
     ) -> Result<(), StoreError> {
-        let Some(teams) = drains_of else { return Ok(()) };
+        let Some(teams) = drain_teams else { return Ok(()) };
         let stored = drains::records::load(&self.store, versions, teams).await?;
         self.send(Command::LoadDrains(stored)).await;
         Ok(())
     }
 
-    /// The log does not go back far enough: reads the live jobs again.
+    /// Reads the live jobs again, because the log no longer goes back to the last revision. `None`: no answer.
     async fn read_again(&mut self) -> Option<u64> {
         let (records, revision) = self.store.list(keys::LIVE_JOBS).await.ok()?;
         let jobs: Vec<_> = records.iter().filter_map(stored_job).collect();
@@ -191,7 +208,7 @@
         Some(revision)
     }
 
-    async fn take(&mut self, event: ChangeEvent) {
+    async fn apply(&mut self, event: ChangeEvent) {
         if let Some(key) = event.written {
             let record = Record { key, value: event.value, version: event.version };
             if let Some(job) = stored_job(&record) {
@@ -207,11 +224,13 @@
     }
 }
 
-/// Removes what cancelled jobs left behind, slowly enough to stay clear of the write limit.
-pub(super) async fn sweep(store: KeyValueStore, orphans: Vec<String>, version: u64) {
+/// Removes records that ended jobs left behind, slowly enough to stay clear of the write limit. It may run on after the
+/// leadership: each removal compares the epoch, and fails once another leader has written its own.
+pub(super) async fn sweep(store: KeyValueStore, orphans: Vec<String>, epoch_version: u64) {
     for key in orphans {
-        let _ =
-            store.commit(vec![compare_version(keys::LEADER_EPOCH, version)], vec![remove_change(&key)]).await;
+        let leads = compare_version(keys::LEADER_EPOCH, epoch_version);
+        // What is not removed is found again by the next leader.
+        let _ = store.commit(vec![leads], vec![remove_change(&key)]).await;
         tokio::time::sleep(Duration::from_millis(limits::STORE_RETRY_DELAY_MS)).await;
     }
 }
--- a/src/controller/leadership_actions.rs
+++ b/src/controller/leadership_actions.rs
@@ -1,19 +1,19 @@
-//! Carries out what leadership decides: messages, requests to the state service, the beginning and the end of this
-//! node's own leadership.
+//! Carries out what leadership decides: messages to peers, requests to the state service, and the beginning and the
+//! end of this node's own leadership.
 
 use super::cloud_driver::{drive_cloud, list_machines};
 use super::drain_records::follow_drains;
-use super::heartbeat_routing::ReplyTo;
-use super::job_watch::follow_jobs;
-use super::Controller;
+use super::job_watch::{follow_jobs, JobWatch};
+use super::{Controller, LeadershipTerm};
 use crate::leadership::{Action, Message, StoreResponse};
-use crate::node_events::{Event, HeartbeatReply};
+use crate::node_events::Event;
 use crate::peer::Payload;
 use crate::protocol::records::Epoch;
 use crate::scheduler::{Command, Scheduler};
 use crate::storage::key_value_store::{KeyValueStore, LockCondition, LockState, Takeover, TakeoverError};
-use crate::storage::record_versions::RecordVersions;
+use std::future::Future;
 use tokio::sync::mpsc;
+use tokio::task::JoinSet;
 use tracing::debug;
 
 impl Controller {
@@ -23,7 +23,7 @@
             match action {
                 Action::Send(to, message) => self.send_message(to, message),
                 Action::Attest(to, attestation) => {
-                    self.send(to, Payload::Attestation(attestation));
+                    self.peers.send(to, Payload::Attestation(attestation));
                 }
                 Action::Probe => self.spawn_store_request(probe),
                 Action::TakeOver { token, version, ignore_lock } => {
@@ -31,27 +31,24 @@
                         if ignore_lock { LockCondition::Ignored } else { LockCondition::Absent };
                     self.take_over(token, version, lock_condition);
                 }
-                Action::Renew { lease } => self.renew(lease),
-                Action::Release { lease } => {
-                    let store = self.store.clone();
-                    tokio::spawn(async move { store.revoke_lease(lease).await });
-                }
+                Action::Renew { lease } => self.renew_lock(lease),
+                Action::Release { lease } => self.release_lock(lease),
                 Action::Elected { token, version } => self.begin_leadership(token, version),
                 Action::Deposed { keep_until } => {
-                    // Its workers are a shard now like any other's.
-                    self.shard.retain_after_leadership(self.config.token, keep_until);
+                    // Its workers now form a shard like that of any other node.
+                    self.routing.shard.retain_after_leadership(self.config.token, keep_until);
                     self.end_leadership();
                 }
             }
         }
     }
 
+    /// Sends a message with this node's status, as far as that peer may know it.
     fn send_message(&mut self, to: usize, message: Message) {
         let now = self.clock.now();
         let mut status = self.status(now);
         status.state_age = self.leadership.reported_state_age(now, to, status.state_age);
-        // A full queue means a peer that does not answer; later messages replace this one.
-        self.send(to, Payload::Leadership(status, message));
+        self.peers.send(to, Payload::Leadership(status, message));
     }
 
     fn take_over(&self, token: u64, version: u64, lock_condition: LockCondition) {
@@ -67,7 +64,7 @@
         });
     }
 
-    fn renew(&self, lease: u64) {
+    fn renew_lock(&self, lease: u64) {
         let sent = self.clock.now();
         self.spawn_store_request(move |store| async move {
             match store.renew_lease(lease).await {
@@ -80,22 +77,31 @@
         });
     }
 
-    fn spawn_store_request<F>(&self, ask: impl FnOnce(KeyValueStore) -> F)
+    fn release_lock(&self, lease: u64) {
+        let store = self.clients.store.clone();
+        // Not aborted by an owner: it ends with its request, and the lease must be revoked also after a leadership.
+        tokio::spawn(async move { store.revoke_lease(lease).await });
+    }
+
+    fn spawn_store_request<F>(&self, request: impl FnOnce(KeyValueStore) -> F)
     where
-        F: std::future::Future<Output = StoreResponse> + Send + 'static,
+        F: Future<Output = StoreResponse> + Send + 'static,
     {
-        let (events, future) = (self.events.clone(), ask(self.store.clone()));
+        let (events, response) = (self.events.clone(), request(self.clients.store.clone()));
+        // Not aborted by an owner: it ends with its request, and leadership needs the response in every role (a lease
+        // that was created too late is revoked).
         tokio::spawn(async move {
-            let _ = events.send(Event::Store(future.await)).await;
+            // The controller ends only with the process.
+            let _ = events.send(Event::Store(response.await)).await;
         });
     }
 
+    /// Starts a scheduler under the new token, and the tasks that serve it.
     fn begin_leadership(&mut self, token: u64, version: u64) {
         self.end_leadership();
         let now = self.clock.now();
         self.config.token = token;
-        self.epoch_version = version;
-        self.record_versions = RecordVersions::default();
+        self.term = LeadershipTerm { epoch_version: version, ..LeadershipTerm::default() };
         let mut scheduler = Scheduler::new(self.config.clone(), now);
         let types = Command::Types(self.types.values().cloned().collect());
         let effects = scheduler.step(now, vec![types]);
@@ -103,57 +109,48 @@
         for effect in effects {
             self.apply_effect(effect);
         }
-        let (to, queue) = mpsc::unbounded_channel();
-        self.cloud_requests = Some(to);
-        let events = self.events.clone();
-        let rps = self.settings.deployment.cloud.rps;
+        self.spawn_leadership_tasks(token, version);
+    }
+
+    fn spawn_leadership_tasks(&mut self, token: u64, version: u64) {
+        let (cloud_requests, queue) = mpsc::unbounded_channel();
+        self.term.cloud_requests = Some(cloud_requests);
+        let (store, cloud, events) =
+            (self.clients.store.clone(), self.clients.cloud.clone(), self.events.clone());
         let cloud_limits = self.settings.deployment.cloud.clone();
         let draining = self.config.operator.draining.enabled;
-        self.leadership_tasks = vec![
-            tokio::spawn(follow_jobs(
-                self.store.clone(),
-                events.clone(),
-                token,
-                version,
-                self.record_versions.clone(),
-                draining.then(|| self.config.teams.clone()),
-            )),
-            tokio::spawn(drive_cloud(self.cloud.clone(), events.clone(), queue, token, rps, self.gate())),
-            tokio::spawn(list_machines(self.cloud.clone(), events.clone(), token, cloud_limits)),
-        ];
+        let watch = JobWatch {
+            store: store.clone(),
+            events: events.clone(),
+            token,
+            epoch_version: version,
+            record_versions: self.term.record_versions.clone(),
+            drain_teams: draining.then(|| self.config.teams.clone()),
+        };
+        let gate = self.authority_gate();
+        let tasks = &mut self.term.tasks;
+        tasks.spawn(follow_jobs(watch));
+        tasks.spawn(drive_cloud(cloud.clone(), events.clone(), queue, token, cloud_limits.rps, gate));
+        tasks.spawn(list_machines(cloud, events.clone(), token, cloud_limits));
         if draining {
-            self.leadership_tasks.push(tokio::spawn(follow_drains(self.store.clone(), events, token)));
+            tasks.spawn(follow_drains(store, events, token));
         }
     }
 
+    /// Aborts the tasks of this leadership and drops the scheduler. The epoch's version stays: effects that are still
+    /// to be carried out compare it, and so fail once another leader has written its own.
     fn end_leadership(&mut self) {
-        self.leadership_tasks.drain(..).for_each(|task| task.abort());
-        self.cloud_requests = None;
+        self.term.tasks = JoinSet::new();
+        self.term.cloud_requests = None;
         if let Some(mut scheduler) = self.scheduler.take() {
             scheduler.write_usage();
         }
         self.config.token = 0;
-        for (_, to) in std::mem::take(&mut self.pending_replies) {
-            match to {
-                ReplyTo::Worker(to, _) => {
-                    let _ = to.send(HeartbeatReply::Redirected(None));
-                }
-                ReplyTo::Leaseholder(node, id) => {
-                    self.send(
-                        node,
-                        Payload::RelayedResponse {
-                            id,
-                            token: None,
-                            cacheable: false,
-                            task_commands: Vec::new(),
-                        },
-                    );
-                }
-            }
-        }
+        self.redirect_pending_replies();
     }
 }
 
+/// Reads the lock and the epoch for a candidate.
 async fn probe(store: KeyValueStore) -> StoreResponse {
     match store.read_lock_state().await {
         Ok(LockState { epoch, locked }) => {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,8 @@
-//! The owner of a controller's state: one queue of events, taken in batches, into leadership and scheduler; their effects
-//! out. Each module beside this one carries out one kind of work for it.
+//! The controller: the one owner of a process's state.
+//!
+//! One task takes events from one queue in batches, passes them to leadership and the scheduler, which do no I/O, and
+//! carries out what they decide. Every other task of the process talks to it through [`Event`]s only. The modules
+//! beside this one each carry out one kind of work for it; `startup` builds it.
 
 mod cloud_driver;
 mod cold_start;
@@ -11,19 +14,17 @@
 mod ignored_frames;
 mod job_watch;
 mod leadership_actions;
+mod peer_links;
 mod startup;
 
 pub use startup::{run, ServeError};
 
 use crate::cloud::Cloud;
-use crate::fleet_limits::LimitWarnings;
 use crate::http::{wall_ms, Clock, Http};
 use crate::leadership::Leadership;
-use crate::lease::renewal::RenewalCounts;
-use crate::lease::shard::Shard;
 use crate::limits;
-use crate::node_events::{Event, Health, HeartbeatReply, LiveJobsUpdate, Summary, Types};
-use crate::peer::{Payload, Received, RequestIds};
+use crate::node_events::{Event, HeartbeatReply, LiveJobsUpdate, Types};
+use crate::peer::{Payload, Received};
 use crate::protocol::workers::HeartbeatRequest;
 use crate::scheduler::model::JobId;
 use crate::scheduler::{Command, Config, Scheduler};
@@ -31,82 +32,101 @@
 use crate::storage::key_value_store::KeyValueStore;
 use crate::storage::record_versions::RecordVersions;
 use cloud_driver::CloudRequest;
-use heartbeat_routing::{RelayedHeartbeat, ReplyTo};
-use ignored_frames::FramesIgnored;
-use std::collections::{BTreeMap, VecDeque};
+use health::Publication;
+use heartbeat_routing::HeartbeatRouting;
+use peer_links::PeerLinks;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::{mpsc, oneshot, watch, Semaphore};
-use tokio::task::JoinHandle;
-use tracing::info;
+use tokio::sync::{mpsc, oneshot, Semaphore};
+use tokio::task::JoinSet;
+
+/// How long the controller waits for events before it does what is due without them.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The one owner of this process's state.
-pub(crate) struct Controller {
+struct Controller {
+    /// The scheduler's configuration; its token is 0 while this node does not lead.
     config: Config,
     settings: Settings,
     clock: Clock,
-    /// For commands to workers' addresses.
-    worker_client: Http,
-    direct_command_permits: Arc<Semaphore>,
-    store: KeyValueStore,
-    cloud: Cloud,
+    clients: Clients,
+    /// The controller's own queue, for the tasks that it starts. When it is full, they wait.
     events: mpsc::Sender<Event>,
-    leadership: Leadership,
+    /// Tells this process from earlier ones on the same node.
     incarnation: u64,
-    peer_queues: Vec<Option<mpsc::Sender<Payload>>>,
+    types: Types,
+    peers: PeerLinks,
+    leadership: Leadership,
+    /// `None` while this node does not lead.
     scheduler: Option<Scheduler>,
-    /// Version of the epoch that every transaction of this leader rests on.
+    term: LeadershipTerm,
+    /// Until when rentals, deletions and direct commands may be sent, in microseconds. Read by the tasks that send
+    /// them.
+    authority_until: Arc<AtomicU64>,
+    routing: HeartbeatRouting,
+    publication: Publication,
+    /// Cancellations that other members must acknowledge before they are confirmed to users.
+    pending_confirmations: Vec<PendingConfirmation>,
+}
+
+/// The clients of everything outside.
+struct Clients {
+    store: KeyValueStore,
+    cloud: Cloud,
+    /// For direct commands to workers' addresses.
+    workers: Http,
+    /// One for each direct command under way. Without one a command is left to the next heartbeat.
+    direct_command_permits: Arc<Semaphore>,
+}
+
+/// What belongs to this node's current or last leadership.
+#[derive(Default)]
+struct LeadershipTerm {
+    /// Version of the epoch that every transaction of this leader compares.
     epoch_version: u64,
     record_versions: RecordVersions,
-    pending_replies: BTreeMap<u64, ReplyTo>,
-    request_ids: RequestIds,
-    frames_ignored: FramesIgnored,
-    renewal_counts: RenewalCounts,
-    /// The workers that heartbeat here while another node leads.
-    shard: Shard,
-    relayed_heartbeats: BTreeMap<u64, RelayedHeartbeat>,
-    /// Tasks that only run while this node leads.
-    leadership_tasks: Vec<JoinHandle<()>>,
+    /// Tasks that run only while this node leads. Dropping the set aborts them.
+    tasks: JoinSet<()>,
+    /// Filled by the scheduler's effects, emptied at the cloud's pace. Unbounded: the scheduler limits its rentals
+    /// under way, and deletions are limited by the number of machines.
     cloud_requests: Option<mpsc::UnboundedSender<CloudRequest>>,
-    summary: watch::Sender<Summary>,
-    health: Arc<Health>,
-    types: Types,
-    /// When workers sent a heartbeat lately.
-    recent_heartbeats: VecDeque<u64>,
-    /// Until when rentals, deletions and orders may leave.
-    authority_until: Arc<AtomicU64>,
-    next_summary_at: u64,
-    next_usage_log_at: u64,
-    limit_warnings: LimitWarnings,
-    /// Cancellations that members must hold before they are told.
-    pending_confirmations: Vec<(JobId, oneshot::Sender<bool>)>,
 }
 
-/// A heartbeat and where its answer goes.
-type WaitingHeartbeat = (HeartbeatRequest, oneshot::Sender<HeartbeatReply>);
+/// A user's cancellation that waits until it may be confirmed.
+struct PendingConfirmation {
+    job_id: JobId,
+    reply: oneshot::Sender<bool>,
+}
+
+/// A heartbeat and where its reply goes.
+struct WaitingHeartbeat {
+    request: HeartbeatRequest,
+    reply: oneshot::Sender<HeartbeatReply>,
+}
 
 /// What a batch of events asks for beyond what leadership carried out at once.
 #[derive(Default)]
 struct Batch {
     /// For the scheduler, in order.
     commands: Vec<Command>,
-    /// Answered once leadership has taken in the whole batch.
+    /// Routed once leadership has processed the complete batch.
     heartbeats: Vec<WaitingHeartbeat>,
 }
 
 impl Controller {
+    /// Runs until the process is killed.
     async fn run(mut self, mut queue: mpsc::Receiver<Event>) {
         let mut batch = Vec::with_capacity(limits::MAX_EVENT_BATCH);
         loop {
-            let wait = Duration::from_millis(100);
-            // A timeout is a tick without news.
-            let _ = tokio::time::timeout(wait, queue.recv_many(&mut batch, limits::MAX_EVENT_BATCH)).await;
+            // After a timeout the batch is empty, and only what is due is done.
+            let _ = tokio::time::timeout(TICK_INTERVAL, queue.recv_many(&mut batch, limits::MAX_EVENT_BATCH))
+                .await;
             self.process_batch(std::mem::take(&mut batch));
         }
     }
 
-    /// Takes a batch of events and does what is due.
+    /// Processes a batch of events and does what is due.
     fn process_batch(&mut self, events: Vec<Event>) {
         let now = self.clock.now();
         let mut batch = Batch::default();
@@ -117,11 +137,11 @@
         let actions = self.leadership.tick(now, status);
         self.apply_actions(actions);
         self.authority_until.store(self.leadership.authority_until(now), Ordering::Relaxed);
-        self.judge_health(now);
+        self.update_health(now);
         self.answer_pending_confirmations(now);
         let Batch { mut commands, heartbeats } = batch;
-        for (heartbeat_request, to) in heartbeats {
-            self.route_heartbeat(now, heartbeat_request, to, &mut commands);
+        for WaitingHeartbeat { request, reply } in heartbeats {
+            self.route_heartbeat(now, request, reply, &mut commands);
         }
         self.run_scheduler(now, commands);
         self.maintain_shard(now);
@@ -129,26 +149,21 @@
 
     fn handle_event(&mut self, now: u64, event: Event, batch: &mut Batch) {
         match event {
-            Event::Heartbeat(heartbeat_request, to) => batch.heartbeats.push((heartbeat_request, to)),
-            Event::Overview(start, to) => {
-                let _ = to.send(self.view(now, &start));
+            Event::Heartbeat(request, reply) => batch.heartbeats.push(WaitingHeartbeat { request, reply }),
+            Event::Overview(start, reply) => {
+                // The operator's request may have timed out.
+                let _ = reply.send(self.view(now, &start));
             }
             Event::Peer(received) => self.handle_frame(now, received, batch),
-            Event::LiveJobs(reading) => {
-                let LiveJobsUpdate { requested_at: sent, complete: whole, added, removed } = reading;
-                let over = self.leadership.cancellations.apply_live_jobs(now, sent, whole, &added, &removed);
-                batch.commands.extend(over.into_iter().map(Command::JobRemoved));
+            Event::LiveJobs(update) => {
+                let LiveJobsUpdate { requested_at, complete, added, removed } = update;
+                let cancellations = &mut self.leadership.cancellations;
+                let terminated = cancellations.apply_live_jobs(now, requested_at, complete, &added, &removed);
+                batch.remove_jobs(terminated);
             }
-            Event::Cancelled(job_id, to) => {
-                let outcome = self.leadership.confirm_cancellation(now, job_id);
-                self.apply_actions(outcome.actions);
-                if outcome.is_new {
-                    batch.commands.push(Command::JobRemoved(job_id));
-                }
-                self.pending_confirmations.push((job_id, to));
-            }
-            Event::Store(answer) => {
-                let actions = self.leadership.handle_store_response(now, answer);
+            Event::Cancelled(job_id, reply) => self.handle_cancellation(now, job_id, reply, batch),
+            Event::Store(response) => {
+                let actions = self.leadership.handle_store_response(now, response);
                 self.apply_actions(actions);
             }
             Event::Scheduler(token, command) => {
@@ -163,8 +178,25 @@
         }
     }
 
+    fn handle_cancellation(
+        &mut self,
+        now: u64,
+        job_id: JobId,
+        reply: oneshot::Sender<bool>,
+        batch: &mut Batch,
+    ) {
+        let outcome = self.leadership.confirm_cancellation(now, job_id);
+        self.apply_actions(outcome.actions);
+        if outcome.is_new {
+            batch.commands.push(Command::JobRemoved(job_id));
+        }
+        // Answered at the end of this batch at the earliest.
+        self.pending_confirmations.push(PendingConfirmation { job_id, reply });
+    }
+
     fn handle_frame(&mut self, now: u64, received: Received, batch: &mut Batch) {
         let Received { from, incarnation, payload } = received;
+        let commands = &mut batch.commands;
         match payload {
             Payload::Leadership(status, message) => {
                 let actions = self.leadership.handle_message(now, from, incarnation, status, message);
@@ -173,19 +205,33 @@
             Payload::Attestation(attestation) => {
                 let outcome = self.leadership.handle_attestation(now, from, incarnation, &attestation);
                 self.apply_actions(outcome.actions);
-                batch.commands.extend(outcome.terminated.into_iter().map(Command::JobRemoved));
+                batch.remove_jobs(outcome.terminated);
             }
             Payload::Summary(lines) => {
                 if !self.leadership.is_leader() {
-                    let lines = lines.into_iter().map(|(job, done, running)| (JobId(job), (done, running)));
-                    self.summary.send_replace(Arc::new(lines.collect()));
+                    self.publication.replace_summary(lines);
                 }
             }
-            payload => self.handle_shard_frame(now, from, payload, &mut batch.commands),
+            Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
+                self.handle_relayed_heartbeat(now, from, id, stamp, heartbeat, commands);
+            }
+            Payload::RelayedResponse { id, token, cacheable, task_commands } => {
+                self.handle_relayed_response(now, from, id, token, cacheable, task_commands);
+            }
+            Payload::ShardHeartbeat { id, stamp, complete, first_of_incarnation, machines } => {
+                let covers_until = complete.then_some(stamp);
+                let command =
+                    Command::ShardHeartbeat { node: from, machines, covers_until, first_of_incarnation };
+                self.handle_shard_heartbeat(now, from, id, stamp, command, commands);
+            }
+            Payload::ShardHeartbeatAck { id, lease_ms } => {
+                self.handle_shard_heartbeat_ack(from, id, lease_ms)
+            }
+            Payload::WakeRequest(machines) => self.routing.shard.request_wake(&machines),
         }
     }
 
-    /// What the state service says of a job may come later than a member's word that it is cancelled.
+    /// Drops jobs that are known as cancelled: a read of the state service may be older than a member's attestation.
     fn unless_terminated(&self, command: Command) -> Option<Command> {
         let cancellations = &self.leadership.cancellations;
         match command {
@@ -198,49 +244,36 @@
         }
     }
 
-    /// Answers those who want to tell a user of a cancellation, as soon as it may be told.
+    /// Confirms cancellations to users as soon as that is safe; forgets those whose user has given up.
     fn answer_pending_confirmations(&mut self, now: u64) {
-        for (job_id, to) in std::mem::take(&mut self.pending_confirmations) {
-            if self.leadership.cancellations.confirm(now, job_id).is_permitted {
-                let _ = to.send(true);
-            } else if !to.is_closed() {
-                self.pending_confirmations.push((job_id, to));
+        for pending in std::mem::take(&mut self.pending_confirmations) {
+            let outcome = self.leadership.cancellations.confirm(now, pending.job_id);
+            if outcome.is_permitted {
+                // The user's request may have timed out.
+                let _ = pending.reply.send(true);
+            } else if !pending.reply.is_closed() {
+                self.pending_confirmations.push(pending);
             }
         }
     }
 
-    pub(super) fn send(&self, node: usize, payload: Payload) -> bool {
-        // A full queue means a peer that does not answer; later frames make up for this one.
-        self.peer_queues
-            .get(node)
-            .is_some_and(|to| to.as_ref().is_some_and(|to| to.try_send(payload).is_ok()))
-    }
-
     fn run_scheduler(&mut self, now: u64, commands: Vec<Command>) {
         let Some(scheduler) = &mut self.scheduler else { return };
         scheduler.record_kept_alive_until(self.leadership.autonomous_until(now));
         scheduler.out_of_touch(now, self.leadership.unreachable_peers(now));
         scheduler.time_of_day(now, wall_ms());
         let effects = scheduler.step(now, commands);
-        if now >= self.next_summary_at {
-            self.next_summary_at = now + limits::SECOND;
-            let lines = scheduler.summary();
-            let own = lines.iter().map(|(u, d, r)| (*u, (*d, *r))).collect();
-            self.summary.send_replace(Arc::new(own));
-            // A job that is not named counts as without a task; a frame holds some four thousand.
-            let begun = lines.into_iter().filter(|(_, done, running)| done + running > 0);
-            let lines: Vec<_> = begun.map(|(job_id, done, running)| (job_id.0, done, running)).collect();
-            for to in self.peer_queues.iter().flatten() {
-                let _ = to.try_send(Payload::Summary(lines.clone()));
-            }
-        }
-        if now >= self.next_usage_log_at {
-            self.next_usage_log_at = now + 10 * limits::SECOND;
-            info!(token = self.config.token, "{}", scheduler.fleet_line());
-            self.limit_warnings.judge(scheduler.machines.len(), &self.settings.deployment);
-        }
+        self.publication.publish_summary(now, scheduler, &self.peers);
+        self.publication.log_usage(now, self.config.token, scheduler, &self.settings.deployment);
         for effect in effects {
             self.apply_effect(effect);
         }
     }
 }
+
+impl Batch {
+    /// Tells the scheduler that these jobs are cancelled.
+    fn remove_jobs(&mut self, terminated: Vec<JobId>) {
+        self.commands.extend(terminated.into_iter().map(Command::JobRemoved));
+    }
+}
