--- a/src/scheduler/autoscaler.rs
+++ b/src/scheduler/autoscaler.rs
@@ -2,7 +2,6 @@
 
 use super::model::*;
 use super::scaling_plan::Plan;
-use super::termination_proof::TerminationProof;
 use super::{Effect, ListedMachine, Scheduler, WriteOutcome};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -251,7 +251,7 @@
     /// Jobs that reports name and nobody knows: the store is asked, again and again while there are any.
     fn ask_about_unknown_jobs(&mut self) {
         let unknown = self.machines.values().flat_map(|machine| machine.reported.unverified.keys());
-        let unknown: BTreeSet<JobId> = unknown.map(|(id, _)| id.job_id).collect();
+        let unknown: BTreeSet<JobId> = unknown.map(|unknown| unknown.task.job_id).collect();
         self.cold_start.asked.retain(|job_id, _| unknown.contains(job_id));
         let (now, asked) = (self.now, &self.cold_start.asked);
         let due = |job_id: &JobId| {
@@ -282,8 +282,9 @@
     /// The job is known after all: its tasks are where the newest reports list them. Left to the next reports, they
     /// were ordered a second time in between.
     fn adopt_unknown(&mut self, job_id: JobId) {
-        let lists =
-            |machine: &&Machine| machine.reported.unverified.keys().any(|(id, _)| id.job_id == job_id);
+        let lists = |machine: &&Machine| {
+            machine.reported.unverified.keys().any(|unknown| unknown.task.job_id == job_id)
+        };
         let listing: Vec<(String, Vec<ReportedTask>)> = self
             .machines
             .values()
@@ -291,7 +292,7 @@
             .map(|machine| (machine.name.clone(), machine.heartbeats.reported_tasks.clone()))
             .collect();
         for (name, listed) in listing {
-            self.take_listed(&name, &listed);
+            self.apply_task_list(&name, &listed);
         }
     }
 
@@ -300,17 +301,17 @@
         let now = self.now;
         let mut stopped = Vec::new();
         for machine in self.machines.values_mut() {
-            let over: Vec<(TaskId, u64)> = machine
+            let over: Vec<TaskAttempt> = machine
                 .reported
                 .unverified
                 .iter()
-                .filter(|((id, _), seen)| id.job_id == job_id && **seen < sent)
+                .filter(|(unknown, seen)| unknown.task.job_id == job_id && **seen < sent)
                 .map(|(key, _)| *key)
                 .collect();
             for key in over {
                 let seen = machine.reported.unverified.remove(&key).unwrap_or(now);
                 let seconds = (now - seen) as f64 / limits::SECOND as f64;
-                info!(task = %key.0, machine = machine.name, seconds, "orphaned task stopped");
+                info!(task = %key.task, machine = machine.name, seconds, "orphaned task stopped");
                 machine.reported.orphaned.insert(key);
                 stopped.push(machine.name.clone());
             }
@@ -389,7 +390,10 @@
             waits_for,
             until_ms: (phase == Phase::Reconciling).then(|| day(until)),
             unheard: open.into_iter().take(limits::MAX_COLD_START_NAMES).cloned().collect(),
-            unknown_tasks: unknown.take(limits::MAX_COLD_START_NAMES).map(|(id, _)| id.to_string()).collect(),
+            unknown_tasks: unknown
+                .take(limits::MAX_COLD_START_NAMES)
+                .map(|unknown| unknown.task.to_string())
+                .collect(),
         }
     }
 }
@@ -420,7 +424,7 @@
         },
     };
     MachineFact::Heard {
-        number: ReportNumber(machine.heartbeats.agent_epoch, machine.heartbeats.sequence),
+        number: ReportNumber(machine.heartbeats.newest.agent_epoch, machine.heartbeats.newest.sequence),
         at: machine.heartbeats.last_at,
         tasks: machine.heartbeats.reported_tasks.iter().map(reported).collect(),
     }
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -14,12 +14,10 @@
 pub use capacity::FreeCapacity;
 
 use crate::limits;
-use crate::scheduler::model::{Job, JobId, Kind, TaskId};
+use crate::scheduler::model::{Job, JobId, Kind, PendingReason, TaskId};
 use crate::scheduler::Scheduler;
 use tracing::debug;
 
-const GAP: &str = "rescale gap";
-
 impl Scheduler {
     fn in_gap(&self, job: &Job) -> bool {
         job.elasticity.last_resized_at > 0
@@ -50,10 +48,9 @@
         }
         // Room that no job outside the gap takes would lie idle: it goes to those inside.
         for job_id in order {
-            let in_gap = self
-                .jobs
-                .get(&job_id)
-                .is_some_and(|j| j.pending_reason == GAP && !j.progress.pending.is_empty());
+            let in_gap = self.jobs.get(&job_id).is_some_and(|j| {
+                j.pending_reason == Some(PendingReason::RescaleGap) && !j.progress.pending.is_empty()
+            });
             if in_gap && steps < budget && !capacity.free.is_empty() {
                 self.consider(job_id, true, &mut capacity, &mut steps);
             }
@@ -66,11 +63,11 @@
     }
 
     /// Notes why a job is pending, for operators.
-    pub fn wait(&mut self, job_id: JobId, why: &'static str) {
+    pub fn wait(&mut self, job_id: JobId, why: PendingReason) {
         if let Some(job) = self.jobs.get_mut(&job_id) {
-            if job.pending_reason != why {
-                debug!(job = %job_id, why, waiting = job.progress.pending.len(), "waits");
-                job.pending_reason = why;
+            if job.pending_reason != Some(why) {
+                debug!(job = %job_id, why = why.as_str(), waiting = job.progress.pending.len(), "waits");
+                job.pending_reason = Some(why);
             }
         }
     }
@@ -81,12 +78,12 @@
             return;
         }
         if job.failure_history.backoff_until > self.now {
-            return self.wait(job_id, "its tasks failed");
+            return self.wait(job_id, PendingReason::TasksFailed);
         }
         // A task of an earlier leader's may be on a machine that has not reported yet, if it is one that
         // the job may use at all.
         if job.inherited && !self.reconciled_for(job) {
-            return self.wait(job_id, "machines of the last leader have not reported");
+            return self.wait(job_id, PendingReason::UnreconciledMachines);
         }
         let held = job.placements.len() as u32;
         // A gang starts only whole.
@@ -103,7 +100,7 @@
         };
         let want = target.saturating_sub(held).min(job.progress.pending.len() as u32);
         if want == 0 {
-            return self.wait(job_id, GAP);
+            return self.wait(job_id, PendingReason::RescaleGap);
         }
         let want = want.min(self.team_room(job, &capacity.teams));
         // What only its wait for a beginning has earned is a beginning; more comes by its plain rank.
@@ -114,13 +111,13 @@
         let may = want;
         let want = self.paced(&job_id, may);
         if want == 0 && may > 0 {
-            return self.wait(job_id, "pace of a cold start");
+            return self.wait(job_id, PendingReason::ColdStartPace);
         }
         let Some(job) = self.jobs.get(&job_id) else { return };
         // A gang within whose team's limit only a part of it fits would start in part, be stopped as
         // incomplete, and keep others out with it, again and again.
         if want == 0 || held + want < job.admission() {
-            return self.wait(job_id, "team limit");
+            return self.wait(job_id, PendingReason::TeamLimit);
         }
         let patient = self.now < job.submitted_at.max(job.elasticity.last_resized_at) + limits::FETCH_TIMEOUT;
         let found = self.find(job, want, patient, capacity, steps);
@@ -139,7 +136,7 @@
             if self.jobs.get(&job_id).is_none_or(|j| j.progress.pending.is_empty()) {
                 return;
             }
-            self.wait(job_id, "no further free slot");
+            self.wait(job_id, PendingReason::NoFurtherFreeSlot);
             if self.jobs.get(&job_id).is_some_and(|j| j.spec.kind != Kind::Service) {
                 return;
             }
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -1,7 +1,7 @@
 //! Shrinking lower jobs for one that cannot start.
 
 use super::capacity::FreeCapacity;
-use crate::scheduler::model::{Job, JobId, Kind, Priority, Resources, TaskId};
+use crate::scheduler::model::{Job, JobId, Kind, PendingReason, Priority, Resources, TaskId};
 use crate::scheduler::quota::TeamUsage;
 use crate::scheduler::scoring;
 use crate::scheduler::Scheduler;
@@ -26,13 +26,13 @@
         if coming.len() as u32 >= missing {
             // Hold the room for this job: nobody later in the round may take it.
             coming.iter().filter_map(|m| self.machines.get(m)).for_each(|m| capacity.take(m, &needs));
-            self.wait(job_id, "stops or a fetch under way");
+            self.wait(job_id, PendingReason::StopsOrFetchUnderWay);
             return true;
         }
         let may_any = capacity.lowest.is_some_and(|lowest| lowest < job.spec.priority)
             || self.within_guarantee(&job.spec.team, &needs, &capacity.teams);
         if !may_any {
-            self.wait(job_id, "no free slot, and nobody below it runs");
+            self.wait(job_id, PendingReason::NothingToPreempt);
             return false;
         }
         // A critical job that cannot start goes on where the design stops: jobs inside the gap yield too,
@@ -50,7 +50,7 @@
             (targets.len() as u32 >= missing).then_some((stops, targets))
         });
         let Some((mut stops, targets)) = chosen else {
-            self.wait(job_id, "no free slot, and lower jobs cannot yield its minimum");
+            self.wait(job_id, PendingReason::PreemptionInsufficient);
             return false;
         };
         // Stops on machines that the newcomer ends up not using would be for nothing.
@@ -71,7 +71,7 @@
             }
             self.stop(&machine, id, grace);
         }
-        self.wait(job_id, "stops under way");
+        self.wait(job_id, PendingReason::StopsUnderWay);
         true
     }
 
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -1,238 +1,350 @@
-//! Failure detection: which machines that do not report are declared dead.
+//! Failure detection: which machines that send no heartbeats are declared dead.
 //!
-//! Missing heartbeats have many causes that look alike for a while: a machine's own death, a hang, a route that is
-//! lost (the controller that passed its heartbeats on), a partitioned zone, a fault of our own. A machine that is
-//! declared dead is deleted, and with it everything that may still run there. So the causes in which machines
-//! live on are told apart first: by zone, by route and by time.
+//! Missing heartbeats have many causes that look alike for a while: a failed machine, a hang, a lost route (the
+//! controller that relayed its heartbeats), a partitioned zone, a fault of the leader itself. A machine that is declared
+//! dead is deleted, and with it everything that may still run there. So the causes in which machines live on are ruled
+//! out first: by zone, by route and by time.
+//!
+//! [`FailureDetector`] owns what is known of zones and routes. `lease_expiry` has it updated, the autoscaler asks which
+//! machines to delete, and placement asks which zones are unreachable. Times are in microseconds.
 
-use super::model::*;
+use super::model::{Machine, MachineState, PreviousRoute};
 use super::Scheduler;
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// Whether anything is heard from a zone, or by a route.
+/// Whether heartbeats arrive from a zone, or by a route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Reachability {
     unreachable: bool,
-    /// When it was last unreachable, from and until.
-    last: Option<(u64, u64)>,
+    /// The last outage, which may go on.
+    last_outage: Option<Outage>,
+}
+
+/// A time during which a zone or a route was unreachable.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct Outage {
+    from: u64,
+    until: u64,
 }
 
 impl Reachability {
     fn update(&mut self, unreachable: bool, now: u64) {
-        match &mut self.last {
-            Some((_, until)) if unreachable && self.unreachable => *until = now,
-            _ if unreachable => self.last = Some((now, now)),
-            _ => {}
+        match &mut self.last_outage {
+            Some(outage) if unreachable && self.unreachable => outage.until = now,
+            Some(_) | None if unreachable => self.last_outage = Some(Outage { from: now, until: now }),
+            Some(_) | None => {}
         }
         self.unreachable = unreachable;
     }
 
+    /// When the last outage began; the end of time if there was none.
     fn unreachable_from(&self) -> u64 {
-        self.last.map_or(u64::MAX, |(from, _)| from)
+        self.last_outage.map_or(u64::MAX, |outage| outage.from)
     }
 
-    /// From when on what is still silent after that has no excuse: its machines may hang at two nodes
-    /// before they are heard.
-    fn back(&self) -> u64 {
-        self.last.map_or(0, |(_, until)| until + limits::FAILOVER_GRACE_PERIOD)
+    /// When a machine that is still silent can no longer be excused by the last outage. Until its heartbeats arrive,
+    /// the machine may have to wait for timeouts at two nodes.
+    fn recovered_at(&self) -> u64 {
+        self.last_outage.map_or(0, |outage| outage.until + limits::FAILOVER_GRACE_PERIOD)
+    }
+
+    /// Whether no outage excuses silence at this time.
+    fn is_recovered(&self, now: u64) -> bool {
+        !self.unreachable && now >= self.recovered_at()
     }
 }
 
-/// A machine as this judgement sees it.
+/// A machine as failure detection sees it.
 #[derive(Debug, Clone)]
-pub struct Observed<'a> {
+pub struct ObservedMachine<'a> {
+    /// Name of the machine.
     pub name: &'a str,
+    /// Its zone.
     pub zone: &'a str,
+    /// The node that relays its heartbeats. None: they come straight to the leader.
     pub route: Option<usize>,
-    /// The route that it came by before, and when it left that one.
-    pub previous_route: Option<(Option<usize>, u64)>,
+    /// The route before this one.
+    pub previous_route: Option<PreviousRoute>,
+    /// When its last heartbeat arrived.
     pub last_heartbeat_at: u64,
+    /// Whether its heartbeats show that no response arrives there.
     pub unresponsive: bool,
-    /// An earlier leader recorded it, and it has not come to this one.
+    /// Whether an earlier leader recorded it and it has sent no heartbeat to this one.
     pub expected: bool,
-    /// Its lease is over: it holds nothing, and still tells whether its zone is heard.
+    /// Whether its lease has expired: it holds nothing, and still shows whether its zone is reachable.
     pub lost: bool,
 }
 
-/// What is known of zones and routes, kept from one observation to the next.
-#[derive(Debug, Default)]
-pub struct FailureDetector {
-    zones: BTreeMap<String, Reachability>,
-    routes: BTreeMap<Option<usize>, Reachability>,
+impl ObservedMachine<'_> {
+    /// Whether its heartbeat is overdue.
+    ///
+    /// Machines of one outage become silent one after the other over an interval. Those that are only late already
+    /// count towards a common cause, or the first of them would be declared dead before they were many.
+    fn is_late(&self, now: u64, timeouts: &DetectionTimeouts) -> bool {
+        let due = self.last_heartbeat_at + timeouts.heartbeat_interval / 4 * 5;
+        self.unresponsive || now >= due + limits::LATE_HEARTBEAT_MARGIN
+    }
+
+    /// Whether it is dead, if no common cause explains its silence.
+    fn is_dead(&self, now: u64, timeouts: &DetectionTimeouts) -> bool {
+        self.unresponsive || now >= self.last_heartbeat_at + timeouts.silence
+    }
+
+    /// Whether it left this route since the route became unreachable.
+    fn left_during_outage(&self, route: Option<usize>, reachability: Reachability) -> bool {
+        let previous = self.previous_route;
+        previous.is_some_and(|left| left.via == route && left.left_at >= reachability.unreachable_from())
+    }
 }
 
-/// Times that the judgement rests on, in microseconds.
+/// Times on which failure detection rests, in microseconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct DetectionTimeouts {
+    /// Interval between the heartbeats of a machine.
     pub heartbeat_interval: u64,
-    /// A machine's own silence.
-    pub silent: u64,
-    /// How long a leaseholder out of touch may answer by itself.
+    /// After this time without a heartbeat a machine is silent.
+    pub silence: u64,
+    /// How long a leaseholder that the leader does not reach may go on to respond by itself.
     pub shard_lease: u64,
-    /// When this leader began to listen.
-    pub started: u64,
+    /// When this leader began to receive heartbeats.
+    pub started_at: u64,
+}
+
+impl DetectionTimeouts {
+    /// Whether a zone or route is unreachable, judged by the last heartbeat of any of its machines.
+    ///
+    /// The more machines there are, the sooner their common silence is significant. A margin is needed all the same:
+    /// machines that once arrived all together do so again.
+    fn is_unreachable(&self, now: u64, arrivals: Arrivals) -> bool {
+        let mean_interval = self.heartbeat_interval / arrivals.machines.max(1) as u64;
+        let silent_since = arrivals.latest.max(self.started_at);
+        let timeout = limits::route_silence_timeout(self.heartbeat_interval);
+        arrivals.machines >= limits::MIN_CORRELATED_SILENCE as usize
+            && now >= silent_since + timeout + 3 * mean_interval
+    }
+
+    /// Whether the leader is too young to declare any machine dead.
+    fn is_initial_grace(&self, now: u64) -> bool {
+        now < self.started_at + self.silence.max(limits::FAILOVER_GRACE_PERIOD)
+    }
 }
 
-fn too_many(silent: usize, of: usize, share: f64) -> bool {
-    silent > 2 && silent as f64 > share * of as f64
+/// Heartbeats from the machines of a zone or of a route.
+#[derive(Debug, Clone, Copy, Default)]
+struct Arrivals {
+    /// Number of machines.
+    machines: usize,
+    /// When the last heartbeat of any of them arrived.
+    latest: u64,
 }
 
-impl Patience {
-    /// Nothing has come from so many machines since `latest`. The more there are, the sooner their common
-    /// silence means something, but for a while after they all came at once they do so again together.
-    fn unreachable(&self, now: u64, machines: usize, latest: u64) -> bool {
-        let interval = self.heartbeat_interval / machines.max(1) as u64;
-        machines >= limits::MIN_CORRELATED_SILENCE as usize
-            && now
-                >= latest.max(self.started)
-                    + limits::route_silence_timeout(self.heartbeat_interval)
-                    + 3 * interval
+impl Arrivals {
+    fn add(&mut self, last_heartbeat_at: u64) {
+        self.machines += 1;
+        self.latest = self.latest.max(last_heartbeat_at);
     }
 }
 
+/// Whether so many are silent that a common cause is more likely than failures of each. Two never are.
+fn are_too_many(silent: usize, total: usize, max_share: f64) -> bool {
+    silent > 2 && silent as f64 > max_share * total as f64
+}
+
+/// What is known of zones and routes, kept from one observation to the next.
+#[derive(Debug, Default)]
+pub struct FailureDetector {
+    zones: BTreeMap<String, Reachability>,
+    routes: BTreeMap<Option<usize>, Reachability>,
+}
+
+/// Machines that have sent heartbeats to this leader, by route.
+type MachinesByRoute<'o, 'a> = BTreeMap<Option<usize>, Vec<&'o ObservedMachine<'a>>>;
+
 impl FailureDetector {
-    /// Looks at all machines that should be heard. `out_of_touch`: leaseholders that this leader does not reach.
-    pub fn observe(&mut self, now: u64, p: &Patience, observed: &[Observed], out_of_touch: &BTreeSet<usize>) {
-        let mut zones: BTreeMap<&str, (usize, u64)> = BTreeMap::new();
-        let mut routes: BTreeMap<Option<usize>, (usize, u64)> = BTreeMap::new();
-        for m in observed {
-            let zone = zones.entry(m.zone).or_default();
-            *zone = (zone.0 + 1, zone.1.max(m.last_heartbeat_at));
-            if !m.expected && !m.lost {
-                let route = routes.entry(m.route).or_default();
-                *route = (route.0 + 1, route.1.max(m.last_heartbeat_at));
-            }
+    /// Updates zones and routes. `out_of_touch`: leaseholders that this leader does not reach.
+    pub fn observe(
+        &mut self,
+        now: u64,
+        timeouts: &DetectionTimeouts,
+        observed: &[ObservedMachine],
+        out_of_touch: &BTreeSet<usize>,
+    ) {
+        self.observe_zones(now, timeouts, observed);
+        let mut arrivals: BTreeMap<Option<usize>, Arrivals> = BTreeMap::new();
+        for machine in observed.iter().filter(|machine| !machine.expected && !machine.lost) {
+            arrivals.entry(machine.route).or_default().add(machine.last_heartbeat_at);
+        }
+        for (route, arrivals) in arrivals {
+            let node_is_lost = route.is_some_and(|node| out_of_touch.contains(&node));
+            let unreachable = node_is_lost || timeouts.is_unreachable(now, arrivals);
+            self.routes.entry(route).or_default().update(unreachable, now);
         }
-        for zone in zones.keys() {
+    }
+
+    fn observe_zones(&mut self, now: u64, timeouts: &DetectionTimeouts, observed: &[ObservedMachine]) {
+        let mut arrivals: BTreeMap<&str, Arrivals> = BTreeMap::new();
+        for machine in observed {
+            arrivals.entry(machine.zone).or_default().add(machine.last_heartbeat_at);
+        }
+        for zone in arrivals.keys() {
             self.zones.entry(zone.to_string()).or_default();
         }
-        // A zone whose last machine is gone is not unreachable any more, or none would ever be rented there again.
+        // Zones without machines are updated too. They count as reachable, or nothing would ever be rented in a zone
+        // whose last machine is gone.
         for (zone, reachability) in &mut self.zones {
-            let (machines, latest) = zones.get(zone.as_str()).copied().unwrap_or_default();
+            let arrivals = arrivals.get(zone.as_str()).copied().unwrap_or_default();
             let before = reachability.unreachable;
-            reachability.update(p.unreachable(now, machines, latest), now);
-            if reachability.unreachable != before {
-                info!(zone, unreachable = reachability.unreachable, machines, "zone");
+            reachability.update(timeouts.is_unreachable(now, arrivals), now);
+            let unreachable = reachability.unreachable;
+            if unreachable != before {
+                info!(zone, unreachable, machines = arrivals.machines, "zone");
             }
         }
-        for (route, (machines, latest)) in routes {
-            let lost = route.is_some_and(|node| out_of_touch.contains(&node));
-            self.routes.entry(route).or_default().update(lost || p.unreachable(now, machines, latest), now);
-        }
     }
 
+    /// Whether no heartbeat arrives from the zone.
     pub fn zone_unreachable(&self, zone: &str) -> bool {
-        self.zones.get(zone).is_some_and(|reachability| reachability.unreachable)
+        self.zone(zone).unreachable
     }
 
     fn zone(&self, zone: &str) -> Reachability {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
-    /// The machines that are dead, as far as can be told.
-    pub fn declared_dead<'a>(&self, now: u64, p: &Patience, observed: &[Observed<'a>]) -> Vec<&'a str> {
-        // What an unreachable zone holds may all run on, and its machines could not be replaced there anyway.
-        let back = |reachability: Reachability| !reachability.unreachable && now >= reachability.back();
-        let reachable: Vec<&Observed> =
-            observed.iter().filter(|m| !m.lost && back(self.zone(m.zone))).collect();
-        let mut dead = Vec::new();
-        if now < p.started + p.silent.max(limits::FAILOVER_GRACE_PERIOD) {
-            return dead;
-        }
-        // Those that have not come to a new leader have no route yet: they are judged against all that should.
-        let expected: Vec<&str> = reachable.iter().filter(|m| m.expected).map(|m| m.name).collect();
-        if !too_many(expected.len(), reachable.len(), limits::MAX_SILENT_SHARE) {
-            dead.extend(expected);
+    fn route(&self, route: Option<usize>) -> Reachability {
+        self.routes.get(&route).copied().unwrap_or_default()
+    }
+
+    /// Names of the machines that are dead, as far as can be told.
+    pub fn declared_dead<'a>(
+        &self,
+        now: u64,
+        timeouts: &DetectionTimeouts,
+        observed: &[ObservedMachine<'a>],
+    ) -> Vec<&'a str> {
+        if timeouts.is_initial_grace(now) {
+            return Vec::new();
         }
-        // They fall due one after the other over an interval: those that are late already count, or the first of
-        // them would be declared dead before they were too many.
-        let late = |m: &Observed| {
-            m.unresponsive
-                || now >= m.last_heartbeat_at + p.heartbeat_interval / 4 * 5 + limits::LATE_HEARTBEAT_MARGIN
-        };
-        let mut routes: BTreeMap<Option<usize>, Vec<&Observed>> = BTreeMap::new();
-        for m in reachable.iter().filter(|m| !m.expected) {
-            routes.entry(m.route).or_default().push(m);
+        // Everything in an unreachable zone may run on, and its machines could not be replaced there anyway.
+        let reachable: Vec<&ObservedMachine> = observed
+            .iter()
+            .filter(|machine| !machine.lost && self.zone(machine.zone).is_recovered(now))
+            .collect();
+        let mut dead = dead_among_expected(&reachable);
+        let mut routes = MachinesByRoute::new();
+        for &machine in reachable.iter().filter(|machine| !machine.expected) {
+            routes.entry(machine.route).or_default().push(machine);
         }
-        let route_reachability = |route: &Option<usize>| self.routes.get(route).copied().unwrap_or_default();
-        let heard =
-            routes.iter().filter(|(route, _)| back(route_reachability(route))).flat_map(|(_, here)| here);
-        let (known, all_late) = heard.fold((0, 0), |(n, l), m| (n + 1, l + usize::from(late(m))));
-        let many = too_many(all_late, known, limits::MAX_SILENT_SHARE);
-        for (route, here) in &routes {
-            let (route, reachability) = (*route, route_reachability(route));
-            // Those whose leaseholder has crashed come by another route, and only the dead are left on theirs.
-            let left = |m: &&&Observed| {
-                m.previous_route
-                    .is_some_and(|(from, at)| from == route && at >= reachability.unreachable_from())
-            };
-            let route_size = here.len() + reachable.iter().filter(left).count();
-            let silent = |m: &&&Observed| now >= m.last_heartbeat_at + p.silent;
-            let quiet = here.iter().filter(|m| late(m)).count();
-            // A leaseholder that is only out of touch answers what says nothing new until its lease ends.
-            let wait = if reachability.unreachable {
-                reachability.unreachable_from() + p.shard_lease + limits::FAILOVER_GRACE_PERIOD
-            } else {
-                reachability.back()
-            };
-            // Many that fall silent together although others are heard, or most of a route's: their leases will
-            // tell. Few are not too many because chance put three of them on one route of nine.
-            if now < wait
-                || many && !reachability.unreachable
-                || too_many(quiet, route_size, limits::MAX_SILENT_ROUTE_SHARE)
+        let many_are_late = self.many_are_late(now, timeouts, &routes);
+        for (route, machines) in &routes {
+            let reachability = self.route(*route);
+            // Machines whose leaseholder has crashed have moved to another route, and only dead ones are left on this.
+            let moved = reachable.iter().filter(|machine| machine.left_during_outage(*route, reachability));
+            let route_size = machines.len() + moved.count();
+            let late = machines.iter().filter(|machine| machine.is_late(now, timeouts)).count();
+            // If many fall silent together, of all or of one route, their leases will tell. Few are not too many, since
+            // by chance three of them may be on one route of nine.
+            if now < route_excused_until(reachability, timeouts)
+                || many_are_late && !reachability.unreachable
+                || are_too_many(late, route_size, limits::MAX_SILENT_ROUTE_SHARE)
             {
                 continue;
             }
-            dead.extend(here.iter().filter(|m| silent(m) || m.unresponsive).map(|m| m.name));
+            let silent = machines.iter().filter(|machine| machine.is_dead(now, timeouts));
+            dead.extend(silent.map(|machine| machine.name));
         }
         dead
     }
+
+    /// Whether so many machines of all recovered routes are late that a common cause is likely.
+    fn many_are_late(&self, now: u64, timeouts: &DetectionTimeouts, routes: &MachinesByRoute) -> bool {
+        let recovered = routes.iter().filter(|(route, _)| self.route(**route).is_recovered(now));
+        let (mut total, mut late) = (0, 0);
+        for machine in recovered.flat_map(|(_, machines)| machines) {
+            total += 1;
+            late += usize::from(machine.is_late(now, timeouts));
+        }
+        are_too_many(late, total, limits::MAX_SILENT_SHARE)
+    }
+}
+
+/// Machines of earlier leaders that have sent no heartbeat to this one are dead, unless they are many. They have no
+/// route yet, so their number is compared with all machines that should send heartbeats.
+fn dead_among_expected<'a>(reachable: &[&ObservedMachine<'a>]) -> Vec<&'a str> {
+    let expected: Vec<&str> =
+        reachable.iter().filter(|machine| machine.expected).map(|machine| machine.name).collect();
+    if are_too_many(expected.len(), reachable.len(), limits::MAX_SILENT_SHARE) {
+        return Vec::new();
+    }
+    expected
+}
+
+/// Until when the state of its route excuses the silence of a machine. A leaseholder that only the leader does not reach
+/// goes on to respond to unchanged heartbeats until its lease ends.
+fn route_excused_until(reachability: Reachability, timeouts: &DetectionTimeouts) -> u64 {
+    if reachability.unreachable {
+        reachability.unreachable_from() + timeouts.shard_lease + limits::FAILOVER_GRACE_PERIOD
+    } else {
+        reachability.recovered_at()
+    }
 }
 
 impl Scheduler {
-    fn patience(&self) -> Patience {
+    fn detection_timeouts(&self) -> DetectionTimeouts {
         let report_s = self.config.workers.report_s;
-        Patience {
+        DetectionTimeouts {
             heartbeat_interval: limits::micros(report_s),
-            silent: limits::silence_timeout(report_s),
+            silence: limits::silence_timeout(report_s),
             shard_lease: self.config.shard_lease,
-            started: self.started_at,
+            started_at: self.started_at,
         }
     }
 
-    fn observed(&self) -> Vec<Observed<'_>> {
-        let expected = |m: &Machine| m.inherited && !m.reconciled && m.state == MachineState::Pending;
-        let heard = self.machines.values().filter(|m| m.state != MachineState::Pending || expected(m));
-        heard
-            .map(|m| Observed {
-                name: &m.name,
-                zone: &m.zone,
-                route: m.route.via,
-                previous_route: m.route.previous,
-                last_heartbeat_at: m.heartbeats.last_at,
-                unresponsive: m.commands.unacknowledged_heartbeats >= limits::MAX_UNACKNOWLEDGED_HEARTBEATS,
-                expected: expected(m),
-                lost: m.state == MachineState::Lost,
+    /// All machines from which heartbeats should arrive.
+    fn observed_machines(&self) -> Vec<ObservedMachine<'_>> {
+        let is_expected = |machine: &Machine| {
+            machine.inherited && !machine.reconciled && machine.state == MachineState::Pending
+        };
+        self.machines
+            .values()
+            .filter(|machine| machine.state != MachineState::Pending || is_expected(machine))
+            .map(|machine| ObservedMachine {
+                name: &machine.name,
+                zone: &machine.zone,
+                route: machine.route.via,
+                previous_route: machine.route.previous,
+                last_heartbeat_at: machine.heartbeats.last_at,
+                unresponsive: machine.commands.unacknowledged_heartbeats
+                    >= limits::MAX_UNACKNOWLEDGED_HEARTBEATS,
+                expected: is_expected(machine),
+                lost: machine.state == MachineState::Lost,
             })
             .collect()
     }
 
-    /// Notes which zones and routes are unreachable.
-    pub fn update_reachability(&mut self) {
+    /// Updates which zones and routes are unreachable.
+    pub(super) fn update_reachability(&mut self) {
         let mut detector = std::mem::take(&mut self.failure_detector);
-        let recent = |(_, last): &(&usize, &u64)| self.now < *last + limits::HEARTBEAT_INTERVAL;
-        let out_of_touch = self.out_of_touch.iter().filter(recent).map(|(node, _)| *node).collect();
-        detector.observe(self.now, &self.patience(), &self.observed(), &out_of_touch);
+        let out_of_touch = self
+            .out_of_touch
+            .iter()
+            .filter(|(_, last)| self.now < **last + limits::HEARTBEAT_INTERVAL)
+            .map(|(node, _)| *node)
+            .collect();
+        let observed = self.observed_machines();
+        detector.observe(self.now, &self.detection_timeouts(), &observed, &out_of_touch);
         self.failure_detector = detector;
     }
 
-    pub fn machines_to_declare_dead(&self) -> Vec<String> {
-        let observed = self.observed();
-        let dead = self.failure_detector.declared_dead(self.now, &self.patience(), &observed);
-        let deleting = |name: &str| self.machines.get(name).is_some_and(|m| m.lifecycle.deleting);
-        dead.into_iter().filter(|name| !deleting(name)).map(str::to_string).collect()
+    /// Names of the machines that are dead and not being deleted yet.
+    pub(super) fn machines_to_declare_dead(&self) -> Vec<String> {
+        let observed = self.observed_machines();
+        let dead = self.failure_detector.declared_dead(self.now, &self.detection_timeouts(), &observed);
+        let is_deleting =
+            |name: &str| self.machines.get(name).is_some_and(|machine| machine.lifecycle.deleting);
+        dead.into_iter().filter(|name| !is_deleting(name)).map(str::to_string).collect()
     }
 }
 
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -16,13 +16,13 @@
 /// have. Returns which are given up, and how long after its beginning the first is.
 fn play(machines: usize, trouble: Trouble, lost_route: Option<usize>, time: u64) -> (usize, u64) {
     let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
-    let patience = Patience {
+    let timeouts = DetectionTimeouts {
         heartbeat_interval: REPORT,
-        silent: limits::silence_timeout(3.0),
+        silence: limits::silence_timeout(3.0),
         shard_lease: SHARD_LEASE,
-        started: SECOND,
+        started_at: SECOND,
     };
-    let mut silence = FailureDetector::default();
+    let mut detector = FailureDetector::default();
     let mut declared_dead: BTreeSet<usize> = BTreeSet::new();
     let mut first = u64::MAX;
     for step in 0..(FROM / 2 + time) / limits::LEASE_EXPIRY_INTERVAL {
@@ -40,9 +40,9 @@
                 heartbeat(now).max(until)
             }
         };
-        let observed: Vec<Observed> = (0..machines)
+        let observed: Vec<ObservedMachine> = (0..machines)
             .filter(|i| !declared_dead.contains(i))
-            .map(|i| Observed {
+            .map(|i| ObservedMachine {
                 name: &names[i],
                 zone: ZONES[i % 2],
                 route: [None, Some(1), Some(2)][i % 3],
@@ -54,8 +54,8 @@
             })
             .collect();
         let lost = lost_route.filter(|_| now >= FROM).into_iter().collect();
-        silence.observe(now, &patience, &observed, &lost);
-        for name in silence.declared_dead(now, &patience, &observed) {
+        detector.observe(now, &timeouts, &observed, &lost);
+        for name in detector.declared_dead(now, &timeouts, &observed) {
             first = first.min(now - FROM);
             declared_dead.extend(name[2..].parse::<usize>());
         }
@@ -66,13 +66,13 @@
 /// A zone stayed unreachable for ever once the list had said that all its machines had failed.
 #[test]
 fn a_zone_without_machines_is_not_dark() {
-    let patience = Patience {
+    let timeouts = DetectionTimeouts {
         heartbeat_interval: REPORT,
-        silent: limits::silence_timeout(3.0),
+        silence: limits::silence_timeout(3.0),
         shard_lease: SHARD_LEASE,
-        started: SECOND,
+        started_at: SECOND,
     };
-    let machine = |name, lost| Observed {
+    let machine = |name, lost| ObservedMachine {
         name,
         zone: "a",
         route: None,
@@ -82,16 +82,16 @@
         expected: false,
         lost,
     };
-    let mut silence = FailureDetector::default();
+    let mut detector = FailureDetector::default();
     let all = ["x", "y", "z"].map(|name| machine(name, false));
-    silence.observe(FROM, &patience, &all, &BTreeSet::new());
-    assert!(silence.zone_unreachable("a"));
+    detector.observe(FROM, &timeouts, &all, &BTreeSet::new());
+    assert!(detector.zone_unreachable("a"));
     // Their leases are over, and still nobody hears them: the cut goes on.
     let all = ["x", "y", "z"].map(|name| machine(name, true));
-    silence.observe(FROM + 60 * SECOND, &patience, &all, &BTreeSet::new());
-    assert!(silence.zone_unreachable("a"));
-    silence.observe(FROM + 61 * SECOND, &patience, &[], &BTreeSet::new());
-    assert!(!silence.zone_unreachable("a"));
+    detector.observe(FROM + 60 * SECOND, &timeouts, &all, &BTreeSet::new());
+    assert!(detector.zone_unreachable("a"));
+    detector.observe(FROM + 61 * SECOND, &timeouts, &[], &BTreeSet::new());
+    assert!(!detector.zone_unreachable("a"));
 }
 
 #[test]
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -2,7 +2,7 @@
 //! another, start together and end together; the operators' page on gangs (`docs/design.md`) has the details.
 
 use super::elastic::FreeCapacity;
-use super::model::{Job, JobId, Kind, Machine, TaskStatus};
+use super::model::{Job, JobId, Kind, Machine, PendingReason, StopRequest, TaskStatus};
 use super::Scheduler;
 use crate::limits;
 use std::collections::BTreeSet;
@@ -67,25 +67,21 @@
                 let Some(job) = self.jobs.get_mut(&job_id) else { return };
                 let since = *job.gang.incomplete_since.get_or_insert(now);
                 if now < since + patience {
-                    return self.wait(job_id, "no free slot for the rest of its gang");
+                    return self.wait(job_id, PendingReason::NoSlotForRestOfGang);
                 }
                 job.gang.incomplete_since = None;
                 self.stop_all(job_id);
-                self.wait(job_id, "its gang was not complete in time");
+                self.wait(job_id, PendingReason::GangIncomplete);
             }
             // What is left of it would only find out by itself, up to `gang_peer_s` later. Tasks that were told to
             // save are left to it: the first that has saved keeps the progress of all.
             Stage::Broken => {
-                let saves = |grace: f64, at: u64| {
-                    grace > 0.0 && self.now < at + limits::micros(grace) + limits::STOP_TIMEOUT
-                };
-                let saving = self
-                    .placements_of(job)
-                    .any(|(_, _, t)| t.stopping.is_some_and(|(at, grace)| saves(grace, at)));
+                let saves = |stop: StopRequest| stop.grace_s > 0.0 && !stop.is_overdue(self.now);
+                let saving = self.placements_of(job).any(|(_, _, t)| t.stopping.is_some_and(saves));
                 if !saving {
                     self.stop_all(job_id);
                 }
-                self.wait(job_id, "its last attempt has not ended everywhere");
+                self.wait(job_id, PendingReason::LastAttemptNotEnded);
             }
             Stage::Nowhere | Stage::Whole => {}
         }
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -1,133 +1,168 @@
-//! What workers are told: answers to their heartbeats, and direct stops.
+//! Responses to heartbeats, requests to leaseholders to relay a heartbeat, and direct commands.
+//!
+//! Every response that may renew a worker's lease is recorded before it is made ([`Scheduler::record_renewal`]).
 
-use super::model::*;
-use super::{Effect, Scheduler, TaskCommand};
+use super::model::{ExitReason, Job, JobId, Machine, MachineState, TaskCommand};
+use super::{Effect, Scheduler};
 use crate::lease::renewal::LeaseRenewal;
+use std::collections::BTreeMap;
 use tracing::debug;
 
+/// Stops of the machine's own tasks and of orphaned ones.
+fn stop_commands(machine: &Machine) -> impl Iterator<Item = TaskCommand> + '_ {
+    let placed = machine.tasks.iter().filter_map(|(id, placement)| {
+        let stop = placement.stopping?;
+        Some(TaskCommand::Stop { id: *id, attempt: placement.attempt, grace_s: stop.grace_s })
+    });
+    let orphaned = machine.reported.orphaned.iter().map(|orphan| TaskCommand::Stop {
+        id: orphan.task,
+        attempt: orphan.attempt,
+        grace_s: 0.0,
+    });
+    placed.chain(orphaned)
+}
+
+/// Exited tasks that the worker may forget. It keeps the result of a succeeded task until the leader has committed it,
+/// since until then there is no other copy.
+fn forget_commands<'a>(
+    machine: &'a Machine,
+    jobs: &'a BTreeMap<JobId, Job>,
+) -> impl Iterator<Item = TaskCommand> + 'a {
+    let is_uncommitted = |job: &Job, task: u32| job.progress.unrecorded.contains(&task);
+    machine
+        .reported
+        .exited
+        .iter()
+        .filter(move |(exited, reason)| {
+            let job = jobs.get(&exited.task.job_id);
+            **reason != ExitReason::Done || !job.is_some_and(|job| is_uncommitted(job, exited.task.task))
+        })
+        .map(|(exited, _)| TaskCommand::Forget { id: exited.task, attempt: exited.attempt })
+}
+
+/// Starts that have not left yet. From now on they count as sent in the response to the newest heartbeat.
+fn take_start_commands(machine: &mut Machine) -> impl Iterator<Item = TaskCommand> + '_ {
+    let newest = machine.heartbeats.newest;
+    let unsent = machine
+        .tasks
+        .iter_mut()
+        .filter(|(_, placement)| placement.is_unsent() && placement.stopping.is_none());
+    unsent.map(move |(id, placement)| {
+        placement.start_sent_in = Some(newest);
+        TaskCommand::Start { id: *id, attempt: placement.attempt }
+    })
+}
+
 impl Scheduler {
-    pub(super) fn stop_commands(machine: &Machine) -> impl Iterator<Item = TaskCommand> + '_ {
-        let own = machine.tasks.iter().filter_map(|(id, t)| {
-            t.stopping.map(|(_, grace_s)| TaskCommand::Stop { id: *id, attempt: t.attempt, grace_s })
-        });
-        let foreign = machine.reported.orphaned.iter().map(|(id, attempt)| TaskCommand::Stop {
-            id: *id,
-            attempt: *attempt,
-            grace_s: 0.0,
-        });
-        own.chain(foreign)
+    /// Records that a heartbeat will be responded to, which renews the machine's lease. None: the machine is gone.
+    pub(super) fn record_renewal(&mut self, name: &str) -> Option<LeaseRenewal> {
+        let Some(machine) = self.machines.get_mut(name) else {
+            // A leader that has not loaded knows no machines; one that has knows that the machine is gone.
+            return (!self.loaded).then(LeaseRenewal::before_load);
+        };
+        debug!(
+            machine = name,
+            agent_epoch = machine.heartbeats.newest.agent_epoch,
+            sequence = machine.heartbeats.last_periodic_sequence,
+            "lease renewed"
+        );
+        Some(machine.last_renewal.record(self.now))
     }
 
-    /// Notes that a heartbeat will be answered, which renews the machine's lease. None: the machine is gone.
-    pub(super) fn record_renewal(&mut self, name: &str) -> Option<LeaseRenewal> {
-        match self.machines.get_mut(name) {
-            Some(machine) => {
-                debug!(
-                    machine = name,
-                    agent_epoch = machine.heartbeats.agent_epoch,
-                    sequence = machine.heartbeats.last_sequence,
-                    "lease renewed"
-                );
-                Some(machine.last_renewal.record(self.now))
-            }
-            // A leader that has not loaded knows no machines; one that has knows that it is gone.
-            None => (!self.loaded).then(LeaseRenewal::before_load),
-        }
+    /// Responds to a heartbeat with all commands for its machine.
+    pub(super) fn respond(&mut self, reply: u64, name: &str, renewal: Option<LeaseRenewal>) {
+        let task_commands = self.take_commands(name);
+        let cacheable = self.update_cacheable(name, &task_commands);
+        self.effects.push(Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable });
     }
 
-    /// Answers a heartbeat.
-    pub(super) fn answer(&mut self, reply: u64, name: &str, renewal: Option<LeaseRenewal>) {
-        let (task_commands, keep) = self.commands_for(name);
-        self.effects.push(Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: keep });
+    /// Responds to a heartbeat of which nothing was taken in.
+    pub(super) fn respond_without_commands(&mut self, reply: u64, renewal: Option<LeaseRenewal>) {
+        let task_commands = Vec::new();
+        self.effects.push(Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: false });
     }
 
-    /// What the answer to a heartbeat tells the machine; and whether the node that it came through may answer by itself
-    /// what says nothing new.
-    fn commands_for(&mut self, name: &str) -> (Vec<TaskCommand>, bool) {
-        let reconciled_and_recorded;
-        let mut task_commands: Vec<TaskCommand>;
-        {
-            let Some(machine) = self.machines.get_mut(name) else { return (Vec::new(), false) };
-            machine.route.wake_requested = false;
-            machine.commands.token_unacknowledged = machine.route.via.is_none() && !machine.reconciled;
-            task_commands = Self::stop_commands(machine).collect();
-            reconciled_and_recorded = machine.reconciled && machine.recorded;
-        }
-        let machine = &self.machines[name];
-        for ((id, attempt), reason) in &machine.reported.exited {
-            // The result on the worker is the only one until ours is committed.
-            let job = self.jobs.get(&id.job_id);
-            let kept =
-                *reason == ExitReason::Done && job.is_some_and(|j| j.progress.unrecorded.contains(&id.task));
-            if !kept {
-                task_commands.push(TaskCommand::Forget { id: *id, attempt: *attempt });
-            }
-        }
-        if let Some(machine) = self.machines.get_mut(name).filter(|_| reconciled_and_recorded) {
-            let newest = (machine.heartbeats.agent_epoch, machine.heartbeats.sequence);
-            for (id, placed) in &mut machine.tasks {
-                if placed.start_sent_in.is_none() && !placed.confirmed && placed.stopping.is_none() {
-                    placed.start_sent_in = Some(newest);
-                    task_commands.push(TaskCommand::Start { id: *id, attempt: placed.attempt });
-                }
-            }
-            // What goes through a leaseholder may be lost between it and us; that says nothing of the machine.
-            if machine.route.via.is_none() {
+    /// The commands for a machine. From now on they count as sent.
+    fn take_commands(&mut self, name: &str) -> Vec<TaskCommand> {
+        let Some(machine) = self.machines.get_mut(name) else { return Vec::new() };
+        let is_direct = machine.route.via.is_none();
+        machine.route.wake_requested = false;
+        machine.commands.token_unacknowledged = is_direct && !machine.reconciled;
+        let mut task_commands: Vec<TaskCommand> = stop_commands(machine).collect();
+        task_commands.extend(forget_commands(machine, &self.jobs));
+        if machine.reconciled && machine.recorded {
+            task_commands.extend(take_start_commands(machine));
+            // A response that a leaseholder relays may be lost on the way to it, which proves nothing of the machine.
+            if is_direct {
                 machine.commands.unacknowledged.clone_from(&task_commands);
             }
         }
-        let shard = self.config.shard_lease > 0;
-        let Some(machine) = self.machines.get_mut(name) else { return (task_commands, false) };
-        machine.route.cached_by_leaseholder = shard
+        task_commands
+    }
+
+    /// Decides and records whether the leaseholder that relayed the machine's heartbeat may respond to unchanged ones
+    /// by itself.
+    fn update_cacheable(&mut self, name: &str, task_commands: &[TaskCommand]) -> bool {
+        let has_leaseholders = self.config.shard_lease > 0;
+        let Some(machine) = self.machines.get_mut(name) else { return false };
+        machine.route.cached_by_leaseholder = has_leaseholders
             && machine.route.via.is_some()
             && task_commands.is_empty()
             && machine.is_settled()
             && machine.reported.exited.is_empty();
-        (task_commands, machine.route.cached_by_leaseholder)
+        machine.route.cached_by_leaseholder
     }
 
-    /// A leaseholder has answered these machines by itself, and nobody else before `covers`. Their leases run on;
-    /// one that there is something to tell is to be passed on, whether or not its leaseholder was told so before.
-    pub fn apply_shard_heartbeat(&mut self, node: usize, names: Vec<String>, covers: Option<u64>) {
+    /// A leaseholder has responded to these machines by itself, and to no others before `covers_until` (microseconds;
+    /// None: the list may be incomplete). Their leases are renewed. A machine for which there is a command is asked
+    /// for again, whether or not its leaseholder was asked before.
+    pub(super) fn apply_shard_heartbeat(
+        &mut self,
+        node: usize,
+        names: Vec<String>,
+        covers_until: Option<u64>,
+    ) {
         let now = self.now;
         let leaseholder = self.leaseholders.entry(node).or_default();
-        leaseholder.covered_until = leaseholder.covered_until.max(covers.unwrap_or(0));
+        leaseholder.covered_until = leaseholder.covered_until.max(covers_until.unwrap_or(0));
         leaseholder.last_heartbeat_at = now;
         for name in names {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             machine.last_renewal.record_by_leaseholder(now);
             machine.heartbeats.last_at = now;
-            // Come back to a leaseholder that still knew it, it says nothing new there, and was taken for silent on
-            // the way that it had left; what it did elsewhere meanwhile the leaseholder can't tell.
-            let came = machine.set_route(Some(node), now);
-            if came || !machine.is_settled() {
-                (machine.route.wake_requested, machine.route.cached_by_leaseholder) = (false, true);
+            // A machine may come back to a leaseholder that still has its heartbeat cached. It then sends nothing new
+            // there, and was taken for silent on the route that it had left. What it did elsewhere meanwhile the
+            // leaseholder does not know, so its next heartbeat has to be relayed.
+            let changed_route = machine.route.record(Some(node), now);
+            if changed_route || !machine.is_settled() {
+                machine.route.wake_requested = false;
+                machine.route.cached_by_leaseholder = true;
                 self.request_wake(&name);
             }
         }
     }
 
-    /// There is something to tell this machine: its leaseholder is to pass its next heartbeat on.
-    pub fn request_wake(&mut self, name: &str) {
+    /// Asks the leaseholder of a machine, if it may respond by itself, to relay the machine's next heartbeat: there is
+    /// a command for the machine.
+    pub(super) fn request_wake(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        if let (Some(node), false, true) =
-            (machine.route.via, machine.route.wake_requested, machine.route.cached_by_leaseholder)
-        {
+        let Some(node) = machine.route.via else { return };
+        if machine.route.cached_by_leaseholder && !machine.route.wake_requested {
             machine.route.wake_requested = true;
             self.effects.push(Effect::RequestWake { node, machine: name.to_string() });
         }
     }
 
-    /// Stops go straight to the worker too, since its next heartbeat may be seconds away.
-    pub fn direct_stops(&mut self) {
+    /// Sends stops straight to the workers too, since their next heartbeats may be seconds away.
+    pub(super) fn send_direct_stops(&mut self) {
         for name in std::mem::take(&mut self.fleet.direct) {
             let Some(machine) = self.machines.get(&name) else { continue };
-            let task_commands: Vec<TaskCommand> = Self::stop_commands(machine).collect();
+            let task_commands: Vec<TaskCommand> = stop_commands(machine).collect();
             if machine.state == MachineState::Ready && !task_commands.is_empty() {
                 self.effects.push(Effect::DirectCommands {
                     machine: name,
                     address: machine.address.clone(),
-                    agent_epoch: machine.heartbeats.agent_epoch,
+                    agent_epoch: machine.heartbeats.newest.agent_epoch,
                     task_commands,
                 });
             }
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,149 +1,167 @@
-//! What workers report, and what they are told.
+//! Heartbeats of workers, from their arrival to the task list.
+//!
+//! The way of a heartbeat through the scheduler:
+//! 1. `Scheduler::take` in `mod.rs` hands it to [`Scheduler::handle_heartbeat`], or, if it is the response to a direct
+//!    command, straight to [`Scheduler::apply_heartbeat`].
+//! 2. `apply_heartbeat` finds out what it is (a [`HeartbeatOutcome`]). An unchanged one is recorded and ends here. A
+//!    late one goes to `stale_heartbeats`. A new one goes on: `reachability` checks that the machine receives its
+//!    commands, `task_lists` squares the task list with the placements, `task_exit` and `placements` follow from that,
+//!    and `recall` stops tasks whose machine the cloud takes away.
+//! 3. `handle_heartbeat` records the lease renewal, before any response is made. The response to a changed heartbeat
+//!    waits for the next round of decisions, since that may have a start for the machine.
+//! 4. `heartbeat_responses` makes the response.
+//!
+//! An arrival is recorded in two places. `HeartbeatTracker::last_at` is when the machine last showed that it is alive;
+//! `Machine::last_renewal` is the last response that may have renewed its lease, and it is also recorded for
+//! heartbeats whose list is not taken in. Both hold back lease expiry, which counts from the later of them.
 
-use super::model::*;
-use super::termination_proof::TerminationProof;
-use super::{HeartbeatOutcome, Scheduler, StoredMachine};
-use crate::lease::renewal::LastRenewal;
+use super::model::{Heartbeat, HeartbeatSource, Machine, MachineState, StoredMachine, TerminationProof};
+use super::{Effect, HeartbeatOutcome, PendingHeartbeat, Scheduler};
 use crate::limits;
-use std::collections::{BTreeMap, BTreeSet};
-use tracing::{debug, info, warn};
+use std::collections::BTreeSet;
+use tracing::info;
+
+/// Boot time that is assumed of a machine whose type is not known, in seconds.
+const DEFAULT_BOOT_S: f64 = 60.0;
+
+impl Machine {
+    /// Whether a periodic heartbeat tells nothing that the last one did not.
+    fn is_unchanged_by(&self, heartbeat: &Heartbeat, token: u64) -> bool {
+        heartbeat.agent_epoch == self.heartbeats.newest.agent_epoch
+            && heartbeat.sequence > self.heartbeats.newest.sequence
+            && heartbeat.token == token
+            && heartbeat.notice_s.is_none()
+            && self.is_settled()
+            && heartbeat.tasks == self.heartbeats.reported_tasks
+    }
+
+    /// Records that a periodic heartbeat of the machine arrived at `now` (microseconds).
+    fn record_alive(&mut self, now: u64) {
+        self.heartbeats.last_at = now;
+        if self.state != MachineState::Ready {
+            info!(machine = self.name, zone = self.zone, spot = self.spot, "machine up");
+            self.lifecycle.idle_since = now;
+            self.state = MachineState::Ready;
+        }
+    }
+}
 
 impl Scheduler {
     /// The machine of this name, made known if it is new.
     pub fn machine(&mut self, stored: &StoredMachine) -> &mut Machine {
-        let type_known = self.types.get(&stored.machine_type);
-        let has = type_known.map(|t| t.capacity).unwrap_or_default();
-        let boot = type_known.map_or(60.0, |t| t.boot_s) * limits::BOOT_TIMEOUT_FACTOR;
+        let machine_type = self.types.get(&stored.machine_type);
+        let capacity = machine_type.map(|known| known.capacity).unwrap_or_default();
+        let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |known| known.boot_s) * limits::BOOT_TIMEOUT_FACTOR;
         let now = self.now;
-        self.machines.entry(stored.name.clone()).or_insert_with(|| Machine {
-            name: stored.name.clone(),
-            machine_type: stored.machine_type.clone(),
-            zone: stored.zone.clone(),
-            spot: stored.spot,
-            address: stored.address.clone(),
-            capacity: has,
-            state: MachineState::Pending,
-            reconciled: false,
-            recorded: false,
-            inherited: false,
-            last_renewal: LastRenewal::default(),
-            tasks: BTreeMap::new(),
-            heartbeats: HeartbeatTracker::default(),
-            route: Route::default(),
-            commands: CommandTracker::default(),
-            reported: ReportedTasks::default(),
-            image_cache: ImageCache::default(),
-            health: MachineHealth::default(),
-            lifecycle: Lifecycle {
-                idle_since: now,
-                known_since: now,
-                boot_deadline: now + limits::micros(boot),
-                ..Lifecycle::default()
-            },
-        })
+        self.machines
+            .entry(stored.name.clone())
+            .or_insert_with(|| Machine::new(stored, capacity, now, now + limits::micros(boot_s)))
+    }
+
+    /// Takes in a periodic heartbeat that came by way of `via` (None: straight to the leader), and responds to it or
+    /// leaves that to the next round.
+    pub(super) fn handle_heartbeat(&mut self, reply: u64, heartbeat: Heartbeat, via: Option<usize>) {
+        if heartbeat.token > self.config.token {
+            self.effects.push(Effect::Deposed(heartbeat.token));
+            return;
+        }
+        let name = heartbeat.machine.clone();
+        match self.apply_heartbeat(heartbeat, HeartbeatSource::Periodic) {
+            HeartbeatOutcome::Changed => {
+                self.record_route(&name, via);
+                self.round_requested = true;
+                let renewal = self.record_renewal(&name);
+                self.pending_heartbeats.push(PendingHeartbeat { reply, machine: name, renewal });
+            }
+            HeartbeatOutcome::Unchanged => {
+                self.record_route(&name, via);
+                let renewal = self.record_renewal(&name);
+                self.respond(reply, &name, renewal);
+            }
+            HeartbeatOutcome::Overtaken => {
+                let renewal = self.record_renewal(&name);
+                self.respond_without_commands(reply, renewal);
+            }
+            HeartbeatOutcome::Stale => self.respond_without_commands(reply, None),
+        }
     }
 
-    /// Takes in a task list. `periodic`: it came as a heartbeat, which proves that the answer to the
-    /// one before was carried out or dropped; an answer to direct commands proves no such thing.
-    pub fn apply_heartbeat(&mut self, heartbeat: Heartbeat, periodic: bool) -> HeartbeatOutcome {
-        // A heartbeat that a cut held back may arrive after its machine was returned; its tasks are long
-        // elsewhere, and taking it in would make them seem to be in two places.
+    /// Takes in a heartbeat: what it says of its machine, and its task list.
+    pub(super) fn apply_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+        source: HeartbeatSource,
+    ) -> HeartbeatOutcome {
         if !self.loaded {
             return HeartbeatOutcome::Unchanged;
         }
+        // A heartbeat that a partition held back may arrive after its machine was deleted. Its tasks may run elsewhere
+        // by then; taken in, it would make them seem to be in two places.
         if self.fleet.deleted.contains_key(&heartbeat.machine) {
             self.ignored_heartbeats.stale += 1;
             return HeartbeatOutcome::Stale;
         }
-        let (now, token) = (self.now, self.config.token);
-        if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
-            let unchanged = periodic
-                && heartbeat.agent_epoch == machine.heartbeats.agent_epoch
-                && heartbeat.sequence > machine.heartbeats.sequence
-                && heartbeat.token == token
-                && heartbeat.notice_s.is_none()
-                && machine.is_settled()
-                && heartbeat.tasks == machine.heartbeats.reported_tasks;
-            if unchanged {
-                machine.heartbeats.sequence = heartbeat.sequence;
-                machine.heartbeats.last_sequence = heartbeat.sequence;
-                machine.heartbeats.last_at = now;
-                machine.commands.unacknowledged_heartbeats = 0;
-                return HeartbeatOutcome::Unchanged;
-            }
-        }
-        let stored = StoredMachine {
-            name: heartbeat.machine.clone(),
-            machine_type: heartbeat.machine_type.clone(),
-            zone: heartbeat.zone.clone(),
-            spot: heartbeat.spot,
-            address: heartbeat.address.clone(),
-            images: BTreeSet::new(),
-        };
-        let expected = self.machines.contains_key(&heartbeat.machine);
-        let machine = self.machine(&stored);
-        // Held messages arrive late and out of order: only the newest list counts.
-        if (heartbeat.agent_epoch, heartbeat.sequence)
-            <= (machine.heartbeats.agent_epoch, machine.heartbeats.sequence)
-        {
-            return self.ignore_late_heartbeat(&heartbeat, periodic);
+        if source == HeartbeatSource::Periodic && self.record_if_unchanged(&heartbeat) {
+            return HeartbeatOutcome::Unchanged;
         }
-        if periodic {
-            machine.assess_reachability(&heartbeat, token);
-        }
-        if heartbeat.agent_epoch > machine.heartbeats.agent_epoch {
-            if machine.heartbeats.agent_epoch > 0 {
-                info!(
-                    machine = heartbeat.machine,
-                    agent_epoch = heartbeat.agent_epoch,
-                    "new agent epoch: its tasks ended with their lease"
-                );
-            }
-            // Whatever an earlier agent epoch held died with its lease.
-            self.release_machine(
-                &heartbeat.machine,
-                TerminationProof::NewAgentEpoch { agent_epoch: heartbeat.agent_epoch },
-            );
+        let was_known = self.machines.contains_key(&heartbeat.machine);
+        let machine = self.machine(&StoredMachine::of_heartbeat(&heartbeat));
+        // Messages that were held back arrive late and out of order: only the newest list counts.
+        if heartbeat.number() <= machine.heartbeats.newest {
+            return self.ignore_late_heartbeat(&heartbeat, source);
         }
+        self.apply_newest_heartbeat(heartbeat, source, was_known)
+    }
+
+    /// Records a periodic heartbeat that lists what the last one did. Returns false, without effect, if it is
+    /// not such a one.
+    fn record_if_unchanged(&mut self, heartbeat: &Heartbeat) -> bool {
+        let token = self.config.token;
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return false };
+        if !machine.is_unchanged_by(heartbeat, token) {
+            return false;
+        }
+        machine.heartbeats.record_unchanged(heartbeat.sequence, self.now);
+        machine.commands.unacknowledged_heartbeats = 0;
+        true
+    }
+
+    /// Takes in a heartbeat that is newer than all before it. `was_known`: the machine was known before it came.
+    fn apply_newest_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+        source: HeartbeatSource,
+        was_known: bool,
+    ) -> HeartbeatOutcome {
+        let (now, token, number) = (self.now, self.config.token, heartbeat.number());
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
-        if heartbeat.agent_epoch != machine.heartbeats.agent_epoch {
-            machine.heartbeats.last_sequence = 0;
-        }
-        if periodic {
-            machine.heartbeats.last_sequence = heartbeat.sequence;
+        if source == HeartbeatSource::Periodic {
+            let agent_epoch = machine.heartbeats.newest.agent_epoch;
+            machine.commands.assess_reachability(agent_epoch, &heartbeat, token);
         }
-        machine.heartbeats.agent_epoch = heartbeat.agent_epoch;
-        machine.heartbeats.sequence = heartbeat.sequence;
+        self.end_earlier_agent_epochs(&heartbeat);
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
+        machine.heartbeats.record_newest(number, source);
         machine.address = heartbeat.address;
-        machine.lifecycle.recall_at = heartbeat.notice_s.map(|s| now + limits::micros(s));
+        machine.lifecycle.recall_at = heartbeat.notice_s.map(|seconds| now + limits::micros(seconds));
         machine.reconciled |= heartbeat.token == token;
         if !machine.reconciled {
-            // Its first heartbeat to this leader, or a copy of one made for an earlier leader, which may be of
-            // any age: its list proves nothing, and taken in, it would make tasks seem to be in two places;
-            // nor does it prove that the machine is there. The next heartbeat states our token. A machine that
-            // nobody expects may be long gone, so that it is not recorded yet.
-            if expected && !machine.recorded {
+            // This is the machine's first heartbeat to this leader, or a copy of one made for an earlier leader, which
+            // may be of any age. Its list proves nothing: taken in, it would make tasks seem to be in two places. Nor
+            // does it prove that the machine exists. The next heartbeat states our token. A machine that was not known
+            // before may be long gone, so it is not recorded yet.
+            if was_known && !machine.recorded {
                 self.record(&heartbeat.machine);
             }
             return HeartbeatOutcome::Changed;
         }
-        if periodic {
-            machine.heartbeats.last_at = now;
-            if machine.state != MachineState::Ready {
-                info!(machine = heartbeat.machine, zone = machine.zone, spot = machine.spot, "machine up");
-                machine.lifecycle.idle_since = now;
-                machine.state = MachineState::Ready;
-            }
+        if source == HeartbeatSource::Periodic {
+            machine.record_alive(now);
         }
-        let listed = self.take_listed(&heartbeat.machine, &heartbeat.tasks);
-        self.drop_unlisted(
-            &heartbeat.machine,
-            &listed,
-            (heartbeat.agent_epoch, heartbeat.sequence),
-            periodic,
-        );
+        let listed = self.apply_task_list(&heartbeat.machine, &heartbeat.tasks);
+        self.remove_unlisted(&heartbeat.machine, &listed, number, source);
         if heartbeat.notice_s.is_some() {
-            self.drain_for_notice(&heartbeat.machine);
+            self.stop_before_recall(&heartbeat.machine);
         }
         let machine = &self.machines[&heartbeat.machine];
         if !machine.recorded || machine.image_cache.changed {
@@ -155,162 +173,41 @@
         HeartbeatOutcome::Changed
     }
 
-    /// Updates what the heartbeat lists and returns its living (task, attempt) pairs.
-    pub(super) fn take_listed(&mut self, name: &str, tasks: &[ReportedTask]) -> BTreeSet<(TaskId, u64)> {
-        let mut living = BTreeSet::new();
-        let mut exited = BTreeSet::new();
-        let mut foreign = BTreeSet::new();
-        let mut unknown = BTreeMap::new();
-        for task in tasks {
-            if let TaskStatus::Exited(reason) = task.status {
-                exited.insert((task.id, task.attempt));
-                self.take_exit(name, task.id, task.attempt, reason);
-                continue;
-            }
-            living.insert((task.id, task.attempt));
-            let known = self
-                .jobs
-                .get(&task.id.job_id)
-                .map(|j| (j.spec.resource_request, j.terminated, j.spec.image.clone()));
-            let Some((needs, over, image)) = known else {
-                self.take_unknown(name, (task.id, task.attempt), &mut foreign, &mut unknown);
-                continue;
-            };
-            let now = self.now;
-            let Some(machine) = self.machines.get_mut(name) else { break };
-            if task.status == TaskStatus::Running {
-                if machine.tasks.get(&task.id).is_some_and(|t| t.status != TaskStatus::Running) {
-                    debug!(task = %task.id, machine = name, "runs");
-                }
-                if machine.image_cache.images.insert(image.clone()) {
-                    machine.image_cache.changed = true;
-                    self.machines_by_image.entry(image.clone()).or_default().insert(name.to_string());
-                }
-            }
-            match machine.tasks.get_mut(&task.id) {
-                Some(placed) if placed.attempt == task.attempt || !placed.confirmed => {
-                    placed.attempt = task.attempt;
-                    placed.confirmed = true;
-                    if placed.status != TaskStatus::Running && task.status == TaskStatus::Running {
-                        placed.running_since = Some(now);
-                    }
-                    placed.status = task.status;
-                }
-                // Two attempts of one task on one machine are ruled out by the worker.
-                Some(_) => {}
-                None => {
-                    let placed = Placement {
-                        attempt: task.attempt,
-                        resource_request: needs,
-                        start_sent_in: None,
-                        confirmed: true,
-                        status: task.status,
-                        running_since: None,
-                        image,
-                        placed_at: now,
-                        stopping: None,
-                    };
-                    machine.tasks.insert(task.id, placed);
-                    self.adopt(name, task.id, over);
-                }
-            }
-        }
-        if let Some(machine) = self.machines.get_mut(name) {
-            machine.reported.exited.retain(|key, _| exited.contains(key));
-            machine.reported.orphaned = foreign;
-            machine.reported.unverified = unknown;
-        }
-        living
-    }
-
-    /// A task of a job that is not known here: to be stopped, or kept until the store has been asked about it.
-    fn take_unknown(
-        &self,
-        name: &str,
-        key: (TaskId, u64),
-        foreign: &mut BTreeSet<(TaskId, u64)>,
-        unknown: &mut BTreeMap<(TaskId, u64), u64>,
-    ) {
-        let machine = self.machines.get(name);
-        let known_to_be_over = machine.is_some_and(|machine| machine.reported.orphaned.contains(&key));
-        if known_to_be_over || !self.keeps_unknown_tasks() {
-            foreign.insert(key);
+    /// If the heartbeat begins a new agent epoch of its worker, everything of earlier ones has ended with their lease.
+    fn end_earlier_agent_epochs(&mut self, heartbeat: &Heartbeat) {
+        let agent_epoch = heartbeat.agent_epoch;
+        let Some(machine) = self.machines.get(&heartbeat.machine) else { return };
+        let previous = machine.heartbeats.newest.agent_epoch;
+        if agent_epoch <= previous {
             return;
         }
-        let seen = machine.and_then(|machine| machine.reported.unverified.get(&key)).copied();
-        unknown.insert(key, seen.unwrap_or(self.now));
-    }
-
-    /// A task that an earlier leader started here.
-    fn adopt(&mut self, name: &str, id: TaskId, over: bool) {
-        let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
-        let elsewhere = job.placements.get(&id.task).is_some_and(|n| !n.is_empty());
-        let finished = job.progress.succeeded.contains(&id.task) || id.task >= job.spec.tasks;
-        job.progress.pending.remove(&id.task);
-        let names = job.placements.entry(id.task).or_default();
-        if !names.iter().any(|n| n == name) {
-            names.push(name.into());
-        }
-        let held = job.placements.len() as u32;
-        job.elasticity.width = job.elasticity.width.max(held);
-        if elsewhere {
-            warn!(task = %id, machine = name, "a task is on two machines; stopping this one");
-        }
-        if over || elsewhere || finished {
-            self.stop(name, id, 0.0);
+        if previous > 0 {
+            info!(
+                machine = heartbeat.machine,
+                agent_epoch, "new agent epoch: its tasks ended with their lease"
+            );
         }
+        self.release_machine(&heartbeat.machine, TerminationProof::NewAgentEpoch { agent_epoch });
     }
 
-    /// Places that the heartbeat disproves.
-    fn drop_unlisted(
-        &mut self,
-        name: &str,
-        listed: &BTreeSet<(TaskId, u64)>,
-        newest: (u64, u64),
-        periodic: bool,
-    ) {
-        let Some(machine) = self.machines.get_mut(name) else { return };
-        let gone: Vec<TaskId> = machine
-            .tasks
-            .iter()
-            .filter(|(id, t)| !listed.contains(&(**id, t.attempt)))
-            // A start whose answer is still under way is only disproved by the next heartbeat.
-            .filter(|(_, t)| t.confirmed || periodic && t.start_sent_in.is_some_and(|sent| newest > sent))
-            .map(|(id, _)| *id)
-            .collect();
-        for id in gone {
-            debug!(task = %id, machine = name, "not on the machine any more");
-            if let Some(machine) = self.machines.get_mut(name) {
-                machine.tasks.remove(&id);
-            }
-            self.remove_placement(name, id, TerminationProof::NotListed { heartbeat: newest });
+    fn record_route(&mut self, name: &str, via: Option<usize>) {
+        let now = self.now;
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.route.record(via, now);
         }
     }
+}
 
-    /// The cloud will take the machine: tasks that can save are stopped in time to do so, the others
-    /// may still finish.
-    fn drain_for_notice(&mut self, name: &str) {
-        let Some(machine) = self.machines.get(name) else { return };
-        let Some(recall_at) = machine.lifecycle.recall_at else { return };
-        let left_s = recall_at.saturating_sub(self.now) as f64 / limits::SECOND as f64;
-        let stops: Vec<_> = machine
-            .tasks
-            .keys()
-            .filter_map(|id| self.jobs.get(&id.job_id).map(|j| (*id, j)))
-            .filter(|(_, job)| {
-                let saves = job.spec.checkpoint_s > 0.0;
-                let gang = job.spec.kind == Kind::Gang;
-                let together = if gang { self.config.workers.gang_peer_s } else { 0.0 };
-                let slack = job.spec.save_s + together + limits::RECALL_MARGIN_S;
-                job.spec.kind == Kind::Service || saves && left_s <= slack
-            })
-            .map(|(id, job)| (id, job.spec.kind, job.spec.save_s))
-            .collect();
-        for (id, kind, grace) in stops {
-            match kind {
-                Kind::Gang => self.stop_gang(id.job_id),
-                _ => self.stop(name, id, grace),
-            }
+impl StoredMachine {
+    /// The machine as its heartbeat describes it.
+    fn of_heartbeat(heartbeat: &Heartbeat) -> Self {
+        StoredMachine {
+            name: heartbeat.machine.clone(),
+            machine_type: heartbeat.machine_type.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            address: heartbeat.address.clone(),
+            images: BTreeSet::new(),
         }
     }
 }
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -1,101 +1,153 @@
-//! What is known of earlier leaders' machines, and when a machine may be counted on or its lease is over.
+//! When the lease of a worker has expired, and which machines of earlier leaders are accounted for.
+//!
+//! A task may be started elsewhere only when its worker's lease has provably expired. The lease of a machine is counted
+//! from the latest of four records:
+//! - `Machine::last_renewal`: the last response that may have renewed it, by this leader or by a leaseholder;
+//! - `HeartbeatTracker::last_at`: its last heartbeat, since a worker may have begun its lease as late as that;
+//! - `Scheduler::started_at`: responses before this leader had loaded its state are not recorded anywhere else;
+//! - `Scheduler::kept_alive_until`: somebody else may have responded until then.
+//!
+//! A leaseholder may have responded to any machine since its last shard heartbeat, so nothing later than the oldest
+//! `Leaseholder::covered_until` is counted as silence until the leaseholder's own lease has ended.
 
-use super::model::*;
-use super::termination_proof::TerminationProof;
+use super::model::{Job, Machine, MachineState, TerminationProof};
 use super::{autoscaler, Scheduler};
 use crate::limits;
 use std::collections::BTreeSet;
 use tracing::info;
 
+impl Machine {
+    /// When its lease may last have been renewed, in microseconds.
+    fn lease_renewed_at(&self) -> u64 {
+        self.last_renewal.at().max(self.heartbeats.last_at)
+    }
+
+    /// Whether an earlier leader may have started tasks on it of which this one does not know.
+    fn is_unreconciled(&self) -> bool {
+        self.inherited && !self.reconciled
+    }
+}
+
 impl Scheduler {
     /// Whether all machines of earlier leaders are accounted for.
     pub fn is_reconciled(&self) -> bool {
         self.reconciled
     }
 
-    pub fn is_schedulable(&self, machine: &Machine) -> bool {
+    /// Whether tasks may be placed on the machine.
+    pub(super) fn is_schedulable(&self, machine: &Machine) -> bool {
         machine.state == MachineState::Ready
             && machine.reconciled
             && machine.recorded
-            && !machine.lifecycle.draining
-            && !machine.lifecycle.deleting
+            && !machine.lifecycle.is_leaving()
             && !self.drains.is_cordoned(&machine.name)
-            && machine.lifecycle.recall_at.is_none()
-            && machine.reported.orphaned.is_empty()
-            && machine.reported.unverified.is_empty()
+            && !machine.reported.has_unknown()
             && machine.health.no_room_backoff_until <= self.now
             && !self.failure_detector.zone_unreachable(&machine.zone)
             && machine.commands.unacknowledged_heartbeats < limits::MAX_UNACKNOWLEDGED_HEARTBEATS
             && self.now < machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s)
     }
 
-    /// Whether every machine that an earlier leader may have started the job on is accounted for, as of
-    /// the beginning of the round.
-    pub fn reconciled_for(&self, job: &Job) -> bool {
+    /// Whether every machine on which an earlier leader may have started the job is accounted for, as of the beginning
+    /// of the round.
+    pub(super) fn reconciled_for(&self, job: &Job) -> bool {
         let may_use = |(machine_type, zone, spot): &autoscaler::Offer| {
             job.spec.allows_type(machine_type) && job.spec.allows_zone(zone) && (!spot || job.spec.spot)
         };
         self.reconciled || !self.unreconciled.iter().any(may_use)
     }
 
+    /// Updates the kinds of machine of which some are not accounted for.
     pub(super) fn note_unreconciled(&mut self) {
-        let open = self.machines.values().filter(|m| m.inherited && !m.reconciled);
-        self.unreconciled = if self.reconciled {
-            BTreeSet::new()
-        } else {
-            open.map(|m| (m.machine_type.clone(), m.zone.clone(), m.spot)).collect()
-        };
+        if self.reconciled {
+            self.unreconciled = BTreeSet::new();
+            return;
+        }
+        let unreconciled = self.machines.values().filter(|machine| machine.is_unreconciled());
+        self.unreconciled = unreconciled
+            .map(|machine| (machine.machine_type.clone(), machine.zone.clone(), machine.spot))
+            .collect();
     }
 
+    /// Releases the machines whose leases have expired. Runs once per `LEASE_EXPIRY_INTERVAL`.
     pub(super) fn expire_leases(&mut self) {
         if self.now < self.next_expiry_check_at {
             return;
         }
         self.next_expiry_check_at = self.now + limits::LEASE_EXPIRY_INTERVAL;
         self.update_reachability();
-        let lease = limits::worker_lease(self.config.workers.lease_s);
-        let now = self.now;
-        let alive = self.started_at.max(self.kept_alive_until);
-        // A leaseholder may have answered anybody since its last word, until its own lease ends.
+        for name in self.expired_machines() {
+            self.expire_lease(&name);
+        }
+        if self.loaded && !self.reconciled {
+            self.update_reconciled();
+        }
+    }
+
+    /// Since when the leases of machines that no record names may run, in microseconds.
+    fn unrecorded_renewals_until(&self) -> u64 {
+        self.started_at.max(self.kept_alive_until)
+    }
+
+    /// Until when every response of every leaseholder is known here, in microseconds.
+    fn responses_known_until(&self, worker_lease: u64) -> u64 {
         let shard_lease = limits::lengthened(self.config.shard_lease);
-        let open = self.leaseholders.values().filter(|h| now < h.last_heartbeat_at + shard_lease + lease);
-        let covered = open.map(|h| h.covered_until).min().unwrap_or(u64::MAX);
-        let ended: Vec<String> = self
-            .machines
+        let may_respond = self
+            .leaseholders
             .values()
-            .filter(|m| m.state != MachineState::Lost)
-            // A worker first heard of may have begun its lease as late as then: without its heartbeat in the
-            // sum, every machine younger than this leader was given up the moment it came up.
-            .filter(|m| now.min(covered) >= m.last_renewal.at().max(m.heartbeats.last_at).max(alive) + lease)
-            .filter(|m| {
-                m.state == MachineState::Ready || !m.tasks.is_empty() || (m.inherited && !m.reconciled)
-            })
-            .map(|m| m.name.clone())
-            .collect();
-        for name in ended {
-            let Some(proof) = self.machines.get(&name).map(|m| TerminationProof::lease_expired(m, now))
-            else {
-                continue;
-            };
-            info!(machine = name, proof = %proof, "lease expired: its tasks have ended");
-            self.release_machine(&name, proof);
-            if let Some(machine) = self.machines.get_mut(&name) {
-                machine.state = MachineState::Lost;
-                machine.reconciled = true;
-            }
-            self.round_requested = true;
+            .filter(|leaseholder| self.now < leaseholder.last_heartbeat_at + shard_lease + worker_lease);
+        may_respond.map(|leaseholder| leaseholder.covered_until).min().unwrap_or(u64::MAX)
+    }
+
+    /// Machines whose leases have expired and on which something may have run.
+    fn expired_machines(&self) -> Vec<String> {
+        let worker_lease = limits::worker_lease(self.config.workers.lease_s);
+        let silent_until = self.now.min(self.responses_known_until(worker_lease));
+        let unrecorded_until = self.unrecorded_renewals_until();
+        let lease_may_run = |machine: &Machine| {
+            // The last heartbeat counts too, not only the last response: a worker may have begun its lease as late as
+            // that. Without it, every machine younger than this leader expired the moment it came up.
+            silent_until < machine.lease_renewed_at().max(unrecorded_until) + worker_lease
+        };
+        let may_hold_tasks = |machine: &Machine| match machine.state {
+            MachineState::Ready => true,
+            MachineState::Pending => !machine.tasks.is_empty() || machine.is_unreconciled(),
+            MachineState::Lost => false,
+        };
+        self.machines
+            .values()
+            .filter(|machine| may_hold_tasks(machine) && !lease_may_run(machine))
+            .map(|machine| machine.name.clone())
+            .collect()
+    }
+
+    fn expire_lease(&mut self, name: &str) {
+        let Some(machine) = self.machines.get(name) else { return };
+        let proof = TerminationProof::LeaseExpired {
+            last_renewal: machine.lease_renewed_at(),
+            via: machine.route.via,
+            at: self.now,
+        };
+        info!(machine = name, proof = %proof, "lease expired: its tasks have ended");
+        self.release_machine(name, proof);
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.state = MachineState::Lost;
+            machine.reconciled = true;
         }
-        if !self.reconciled && self.loaded {
-            let open = |m: &&Machine| m.inherited && !m.reconciled;
-            self.reconciled = now >= alive + lease || self.machines.values().filter(open).count() == 0;
-            if self.reconciled {
-                info!(
-                    after_ms = (now - self.started_at) / 1000,
-                    "all machines of earlier leaders reconciled"
-                );
-                self.round_requested = true;
-                self.note_all_accounted_for();
-            }
+        self.round_requested = true;
+    }
+
+    /// All machines of earlier leaders are accounted for when each has sent a heartbeat, or when every lease that an
+    /// earlier leader granted has expired.
+    fn update_reconciled(&mut self) {
+        let worker_lease = limits::worker_lease(self.config.workers.lease_s);
+        let all_expired = self.now >= self.unrecorded_renewals_until() + worker_lease;
+        self.reconciled = all_expired || !self.machines.values().any(Machine::is_unreconciled);
+        if self.reconciled {
+            let after_ms = (self.now - self.started_at) / 1000;
+            info!(after_ms, "all machines of earlier leaders reconciled");
+            self.round_requested = true;
+            self.note_all_accounted_for();
         }
     }
 }
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -41,18 +41,6 @@
     pub succeeded: BTreeSet<u32>,
 }
 
-/// A machine as the state service has it.
-#[derive(Debug, Clone, PartialEq)]
-pub struct StoredMachine {
-    pub name: String,
-    pub machine_type: String,
-    pub zone: String,
-    pub spot: bool,
-    pub address: String,
-    /// Images it has, so that a new leader still places jobs where they start at once.
-    pub images: BTreeSet<String>,
-}
-
 /// A machine as the cloud lists it: only ever a hint.
 #[derive(Debug, Clone)]
 pub struct ListedMachine {
@@ -150,14 +138,6 @@
     ColdStartWritten(WriteOutcome),
 }
 
-/// What a worker is told.
-#[derive(Debug, Clone, PartialEq)]
-pub enum TaskCommand {
-    Start { id: TaskId, attempt: u64 },
-    Stop { id: TaskId, attempt: u64, grace_s: f64 },
-    Forget { id: TaskId, attempt: u64 },
-}
-
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     HeartbeatResponse {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -19,14 +19,16 @@
 pub mod quarantine;
 pub mod quota;
 mod reachability;
+mod recall;
 pub mod records;
 pub mod scaling_plan;
 pub mod scoring;
 mod stale_heartbeats;
 mod task_exit;
-pub mod termination_proof;
+mod task_lists;
 
-pub use messages::*;
+pub use messages::{Command, Config, Effect, HeartbeatOutcome, ListedMachine, StoredJob, WriteOutcome};
+pub use model::{StoredMachine, TaskCommand};
 pub use stale_heartbeats::IgnoredHeartbeats;
 
 use crate::lease::renewal::LeaseRenewal;
@@ -168,13 +170,13 @@
             self.fleet_round();
             self.drain_round();
             self.cold_start_round();
-            self.direct_stops();
+            self.send_direct_stops();
         }
         // A heartbeat with news waits for the round, which is never far.
         let held = self.round_requested && self.loaded;
         let replies = if held { Vec::new() } else { std::mem::take(&mut self.pending_heartbeats) };
         for PendingHeartbeat { reply, machine, renewal } in replies {
-            self.answer(reply, &machine, renewal);
+            self.respond(reply, &machine, renewal);
         }
         std::mem::take(&mut self.effects)
     }
@@ -185,10 +187,6 @@
             Command::JobAdded(stored) => self.add_job(stored, false),
             Command::JobRemoved(job_id) => self.remove_job(job_id),
             Command::Heartbeat { reply, heartbeat, via } => {
-                if heartbeat.token > self.config.token {
-                    self.effects.push(Effect::Deposed(heartbeat.token));
-                    return;
-                }
                 return self.handle_heartbeat(reply, heartbeat, via);
             }
             Command::ShardHeartbeat { node, machines, covers_until: covers, first_of_incarnation: fresh } => {
@@ -200,7 +198,9 @@
                 return self.apply_shard_heartbeat(node, machines, covers);
             }
             Command::DirectCommandAnswered(heartbeat) => {
-                if self.apply_heartbeat(heartbeat, false) != HeartbeatOutcome::Changed {
+                if self.apply_heartbeat(heartbeat, HeartbeatSource::DirectResponse)
+                    != HeartbeatOutcome::Changed
+                {
                     return;
                 }
             }
@@ -235,47 +235,6 @@
         self.round_requested = true;
     }
 
-    fn handle_heartbeat(&mut self, reply: u64, heartbeat: Heartbeat, via: Option<usize>) {
-        let name = heartbeat.machine.clone();
-        let taken = self.apply_heartbeat(heartbeat, true);
-        let now = self.now;
-        if let Some(machine) = self
-            .machines
-            .get_mut(&name)
-            .filter(|_| matches!(taken, HeartbeatOutcome::Changed | HeartbeatOutcome::Unchanged))
-        {
-            machine.set_route(via, now);
-        }
-        match taken {
-            HeartbeatOutcome::Changed => {
-                self.round_requested = true;
-                let renewal = self.record_renewal(&name);
-                self.pending_heartbeats.push(PendingHeartbeat { reply, machine: name, renewal });
-            }
-            HeartbeatOutcome::Unchanged => {
-                let renewal = self.record_renewal(&name);
-                self.answer(reply, &name, renewal);
-            }
-            HeartbeatOutcome::Overtaken => {
-                let renewal = self.record_renewal(&name);
-                self.effects.push(Effect::HeartbeatResponse {
-                    reply,
-                    renewal,
-                    task_commands: Vec::new(),
-                    cacheable: false,
-                });
-            }
-            HeartbeatOutcome::Stale => {
-                self.effects.push(Effect::HeartbeatResponse {
-                    reply,
-                    renewal: None,
-                    task_commands: Vec::new(),
-                    cacheable: false,
-                });
-            }
-        }
-    }
-
     fn load(&mut self, jobs: Vec<StoredJob>, records: Vec<(String, Vec<StoredMachine>)>) {
         info!(jobs = jobs.len(), records = records.len(), "loaded");
         for stored in jobs {
--- a/src/scheduler/model/id.rs
+++ b/src/scheduler/model/id.rs
@@ -1,4 +1,4 @@
-//! Ids of jobs and tasks.
+//! Ids of jobs, tasks and attempts.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Only the canonical form is an id: two spellings of one number would be two ids to a user.
+    /// Parses an id. Only the canonical form is one: two spellings of one number would be two ids to a user.
     pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("job-")?;
         let plain = digits.len() >= 6 && digits.bytes().all(|b| b.is_ascii_digit());
@@ -22,9 +22,12 @@
     }
 }
 
+/// One task of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// The job.
     pub job_id: JobId,
+    /// Index of the task within the job, from 0.
     pub task: u32,
 }
 
@@ -33,3 +36,12 @@
         write!(f, "{}/{}", self.job_id, self.task)
     }
 }
+
+/// One start of a task. Ordered by task, then by attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TaskAttempt {
+    /// The task.
+    pub task: TaskId,
+    /// Number of the attempt; the leader's fencing token is in it, so that no two leaders use one twice.
+    pub attempt: u64,
+}
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -1,193 +1,221 @@
 //! Machines: their types, and what the leader knows of each.
 
-use super::super::TaskCommand;
-use super::{ExitReason, JobId, Placement, ReportedTask, Resources, TaskId, TaskStatus};
+use super::{
+    CommandTracker, HeartbeatTracker, JobId, Placement, ReportedTasks, Resources, Route, TaskId, TaskStatus,
+};
 use crate::lease::renewal::LastRenewal;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A type of machine that the cloud offers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
+    /// Name of the type.
     pub name: String,
+    /// Resources of one machine.
     pub capacity: Resources,
+    /// Price per hour as an ordinary machine.
     pub price: f64,
+    /// Price per hour as a spot machine. None: not offered as one.
     pub spot_price: Option<f64>,
+    /// Usual time from rental to the first heartbeat, in seconds.
     pub boot_s: f64,
-    /// Rate at which images are fetched, in GB a second; 0: not known.
+    /// Rate at which images are fetched, in GB per second; 0: not known.
     pub fetch_gb_per_s: f64,
+    /// Zones in which it is offered.
     pub zones: Vec<String>,
 }
 
+/// Whether a machine can hold tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented or listed; its worker has not reported to this leader.
+    /// It is rented, recorded or listed; its worker has sent no heartbeat to this leader.
     Pending,
-    /// Its worker reports.
+    /// Its worker sends heartbeats.
     Ready,
-    /// Its lease has ended or it is gone: it holds nothing.
+    /// Its lease has expired or it is deleted: it holds no task.
     Lost,
 }
 
-/// What is known of a machine by its heartbeats.
-#[derive(Debug, Clone, Default)]
-pub struct HeartbeatTracker {
-    pub agent_epoch: u64,
-    pub sequence: u64,
-    /// The sequence of the last heartbeat that was taken in this agent epoch: answers to direct commands raise `sequence`
-    /// too, and overtake heartbeats that are under way.
-    pub last_sequence: u64,
-    pub last_at: u64,
-    /// A late or repeated heartbeat of it was logged.
-    pub stale_logged: bool,
-    /// The task list of the newest heartbeat, to tell an unchanged one by.
-    pub reported_tasks: Vec<ReportedTask>,
-}
-
-/// The controller through which a machine sends its heartbeats.
-#[derive(Debug, Clone, Default)]
-pub struct Route {
-    /// The node that its last heartbeat came through, if that was not this one, and whether that node answers
-    /// by itself what says nothing new.
-    pub via: Option<usize>,
-    pub cached_by_leaseholder: bool,
-    /// The way that it reported by before, and when it left that one.
-    pub previous: Option<(Option<usize>, u64)>,
-    /// Its leaseholder has been told to pass its next heartbeat on.
-    pub wake_requested: bool,
-}
-
-/// Commands whose effect the next heartbeat has to show.
-#[derive(Debug, Clone, Default)]
-pub struct CommandTracker {
-    /// What the last answer said that the next heartbeat must show some trace of, our token included.
-    pub unacknowledged: Vec<TaskCommand>,
-    pub token_unacknowledged: bool,
-    /// Heartbeats running that show no trace of what the answer before them said.
-    pub unacknowledged_heartbeats: u32,
-}
-
-/// Tasks that a machine reports beside those placed on it.
-#[derive(Debug, Clone, Default)]
-pub struct ReportedTasks {
-    /// Exited tasks still listed: (task, attempt) -> cause.
-    pub exited: BTreeMap<(TaskId, u64), ExitReason>,
-    /// Tasks of jobs that this leader does not know, to be stopped: (task, attempt).
-    pub orphaned: BTreeSet<(TaskId, u64)>,
-    /// Tasks of jobs that are not known here, and when they were first reported: kept until the store has been asked.
-    pub unverified: BTreeMap<(TaskId, u64), u64>,
+/// A machine as the state service has it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct StoredMachine {
+    /// Name of the machine.
+    pub name: String,
+    /// Name of its type.
+    pub machine_type: String,
+    /// Its zone.
+    pub zone: String,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+    /// Where its worker accepts direct commands.
+    pub address: String,
+    /// Images that it has, so that a new leader still places jobs where they start at once.
+    pub images: BTreeSet<String>,
 }
 
 /// Images that a machine has.
 #[derive(Debug, Clone, Default)]
 pub struct ImageCache {
+    /// Names of the images.
     pub images: BTreeSet<String>,
-    /// Its record in the state service does not name all of them yet.
+    /// Whether the machine's record in the state service lacks some of them.
     pub changed: bool,
 }
 
 /// Failures that are held against a machine.
 #[derive(Debug, Clone, Default)]
 pub struct MachineHealth {
+    /// Jobs of which a task failed here, unless the job was itself suspected at that time.
     pub failed_jobs: BTreeSet<JobId>,
+    /// Until then nothing is placed here, in microseconds: a task failed, or the worker had no room for one.
     pub no_room_backoff_until: u64,
     /// Tasks in a row that took far longer here than the rest of their job elsewhere.
     pub slow_tasks: u32,
-    /// Until then no array or gang is started here.
+    /// Until then no array or gang is placed here, in microseconds.
     pub quarantined_until: u64,
 }
 
 /// From the rental of a machine to its deletion.
 #[derive(Debug, Clone, Default)]
 pub struct Lifecycle {
-    /// When the cloud takes it away.
+    /// When the cloud recalls it, in microseconds, if it has given notice.
     pub recall_at: Option<u64>,
+    /// Whether it is to be replaced: nothing new is placed on it.
     pub draining: bool,
     /// An ordinary machine that fixed work and the reserve could do without.
     pub consolidation_target: bool,
+    /// Whether its deletion has been ordered.
     pub deleting: bool,
+    /// Since when it holds no task, in microseconds.
     pub idle_since: u64,
+    /// When this leader first knew of it, in microseconds.
     pub known_since: u64,
+    /// When it counts as failed if it has sent no heartbeat, in microseconds.
     pub boot_deadline: u64,
 }
 
+impl Lifecycle {
+    /// Whether the machine is on its way out, for whatever reason.
+    pub(in super::super) fn is_leaving(&self) -> bool {
+        self.draining || self.deleting || self.recall_at.is_some()
+    }
+}
+
 /// A machine as the leader knows it.
 #[derive(Debug, Clone)]
 pub struct Machine {
+    /// Name of the machine.
     pub name: String,
+    /// Name of its type.
     pub machine_type: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Where its worker accepts direct commands.
     pub address: String,
+    /// Its resources, all of them.
     pub capacity: Resources,
+    /// Whether it can hold tasks.
     pub state: MachineState,
-    /// A heartbeat has stated this leader's token: the task list is exact.
+    /// Whether a heartbeat has stated this leader's fencing token: from then on its task list is exact.
     pub reconciled: bool,
-    /// Its record is in the state service, so that a later leader knows to wait for it.
+    /// Whether its record is in the state service, so that a later leader knows to wait for it.
     pub recorded: bool,
-    /// An earlier leader recorded it, and may have started tasks on it.
+    /// Whether an earlier leader recorded it, and may have started tasks on it.
     pub inherited: bool,
-    /// The last answer that may have renewed its lease.
+    /// The last response that may have renewed its lease. Lease expiry counts from the later of this and
+    /// `heartbeats.last_at`; see `lease_expiry`.
     pub last_renewal: LastRenewal,
+    /// Tasks that it holds, or may hold.
     pub tasks: BTreeMap<TaskId, Placement>,
-    /// What is known of a machine by its heartbeats.
+    /// Its heartbeats.
     pub heartbeats: HeartbeatTracker,
-    /// The controller through which a machine sends its heartbeats.
+    /// The controller through which it sends its heartbeats.
     pub route: Route,
     /// Commands whose effect the next heartbeat has to show.
     pub commands: CommandTracker,
-    /// Tasks that a machine reports beside those placed on it.
+    /// Tasks that it reports beside those placed on it.
     pub reported: ReportedTasks,
-    /// Images that a machine has.
+    /// Images that it has.
     pub image_cache: ImageCache,
-    /// Failures that are held against a machine.
+    /// Failures that are held against it.
     pub health: MachineHealth,
-    /// From the rental of a machine to its deletion.
+    /// From its rental to its deletion.
     pub lifecycle: Lifecycle,
 }
 
 impl Machine {
-    /// Nothing is under way between it and us: it would be told nothing, and a heartbeat that lists what
-    /// the last one did says nothing new.
+    /// A machine of which nothing is known but what is stored. `now` and `boot_deadline` are in microseconds.
+    pub(in super::super) fn new(
+        stored: &StoredMachine,
+        capacity: Resources,
+        now: u64,
+        boot_deadline: u64,
+    ) -> Self {
+        Machine {
+            name: stored.name.clone(),
+            machine_type: stored.machine_type.clone(),
+            zone: stored.zone.clone(),
+            spot: stored.spot,
+            address: stored.address.clone(),
+            capacity,
+            state: MachineState::Pending,
+            reconciled: false,
+            recorded: false,
+            inherited: false,
+            last_renewal: LastRenewal::default(),
+            tasks: BTreeMap::new(),
+            heartbeats: HeartbeatTracker::default(),
+            route: Route::default(),
+            commands: CommandTracker::default(),
+            reported: ReportedTasks::default(),
+            image_cache: ImageCache::default(),
+            health: MachineHealth::default(),
+            lifecycle: Lifecycle { idle_since: now, known_since: now, boot_deadline, ..Lifecycle::default() },
+        }
+    }
+
+    /// Whether nothing is under way between the machine and the leader: a heartbeat that lists what the last one did
+    /// changes nothing, and its response bears no command.
     pub fn is_settled(&self) -> bool {
         self.state == MachineState::Ready
             && self.reconciled
             && self.recorded
             && self.lifecycle.recall_at.is_none()
             && self.commands.unacknowledged.is_empty()
-            && self.reported.orphaned.is_empty()
-            && self.reported.unverified.is_empty()
-            && self.tasks.values().all(|t| t.confirmed && t.stopping.is_none())
+            && !self.reported.has_unknown()
+            && self.tasks.values().all(|task| task.confirmed && task.stopping.is_none())
     }
 
-    /// How long a task with this image would wait for it, in fetches: none where the image is, and
-    /// one more for every other image that is being fetched, since they share the rate.
+    /// How long a task would wait for this image, counted in fetches: none if the machine has it; otherwise one, and
+    /// one more for each other image that is being fetched, since they share the rate.
     pub fn image_fetches(&self, image: &str) -> i64 {
         if self.image_cache.images.contains(image) {
             return 0;
         }
-        let waiting = self.tasks.values().filter(|t| t.status == TaskStatus::Fetching);
+        let waiting = self.tasks.values().filter(|task| task.status == TaskStatus::Fetching);
         let mut others: Vec<&str> = waiting
-            .map(|t| t.image.as_str())
-            .filter(|i| *i != image && !self.image_cache.images.contains(*i))
+            .map(|task| task.image.as_str())
+            .filter(|other| *other != image && !self.image_cache.images.contains(*other))
             .collect();
         others.sort_unstable();
         others.dedup();
         1 + others.len() as i64
     }
 
+    /// Resources that no task takes.
     pub fn available(&self) -> Resources {
-        self.tasks.values().fold(self.capacity, |room, t| room.minus(&t.resource_request))
+        self.tasks.values().fold(self.capacity, |available, task| available.minus(&task.resource_request))
     }
 
-    /// Room once every stop under way is confirmed. A stop that has taken long is not counted on.
+    /// Resources that no task takes once every stop under way is confirmed. An overdue stop is not counted on.
+    /// `now` is in microseconds.
     pub fn available_soon(&self, now: u64) -> Resources {
-        let under_way = |t: &Placement| {
-            t.stopping.is_some_and(|(at, grace)| {
-                now < at + crate::limits::micros(grace) + crate::limits::STOP_TIMEOUT
-            })
-        };
+        let ends_soon = |task: &Placement| task.stopping.is_some_and(|stop| !stop.is_overdue(now));
         self.tasks
             .values()
-            .filter(|t| !under_way(t))
-            .fold(self.capacity, |room, t| room.minus(&t.resource_request))
+            .filter(|task| !ends_soon(task))
+            .fold(self.capacity, |available, task| available.minus(&task.resource_request))
     }
 }
--- a/src/scheduler/model/mod.rs
+++ b/src/scheduler/model/mod.rs
@@ -1,18 +1,28 @@
-//! The domain: jobs, tasks, machines and heartbeats. Data and what follows from it alone; the rules are beside it.
+//! The domain: jobs, tasks, machines and heartbeats.
+//!
+//! It owns the data of the scheduler and what follows from that data alone. The rules that change it are in the
+//! modules beside this one. Nothing here depends on them.
 
+mod commands;
 mod heartbeat;
 mod id;
 mod job;
 mod machine;
+mod pending_reason;
+mod reported_tasks;
 mod resources;
+mod route;
 mod task;
+mod termination_proof;
 
-pub use heartbeat::{Heartbeat, ReportedTask};
-pub use id::{JobId, TaskId};
-pub use job::{Elasticity, GangState, Job, JobFailures, JobSpec, Kind, Priority, Progress};
-pub use machine::{
-    CommandTracker, HeartbeatTracker, ImageCache, Lifecycle, Machine, MachineHealth, MachineState,
-    MachineType, ReportedTasks, Route,
-};
+pub use commands::{CommandTracker, TaskCommand};
+pub use heartbeat::{Heartbeat, HeartbeatNumber, HeartbeatSource, HeartbeatTracker, ReportedTask};
+pub use id::{JobId, TaskAttempt, TaskId};
+pub use job::{Elasticity, GangState, Job, JobFailures, JobSpec, Kind, Priority, Progress, RunTimes};
+pub use machine::{ImageCache, Lifecycle, Machine, MachineHealth, MachineState, MachineType, StoredMachine};
+pub use pending_reason::PendingReason;
+pub use reported_tasks::ReportedTasks;
 pub use resources::Resources;
-pub use task::{ExitReason, Placement, TaskStatus};
+pub use route::{PreviousRoute, Route};
+pub use task::{ExitReason, Placement, StopRequest, TaskStatus};
+pub use termination_proof::{PreviousPlacement, TerminationProof};
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -82,7 +82,11 @@
             placed: job.placements.len(),
             waiting: job.progress.pending.len(),
             done: job.progress.succeeded.len(),
-            waits_for: if job.progress.pending.is_empty() { "" } else { job.pending_reason },
+            waits_for: if job.progress.pending.is_empty() {
+                ""
+            } else {
+                job.pending_reason.map_or("", PendingReason::as_str)
+            },
         }
     }
 }
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -1,48 +1,44 @@
-//! Whether a machine hears what it is told, and by which controller it reports.
+//! Whether a machine receives the responses to its heartbeats. Called by `heartbeats` with each periodic heartbeat.
 
-use super::model::*;
-use super::TaskCommand;
+use super::model::{CommandTracker, Heartbeat, TaskCommand, TaskStatus};
 
-impl Machine {
-    /// Its heartbeat came this way. Returns whether that is another way than before.
-    pub fn set_route(&mut self, way: Option<usize>, now: u64) -> bool {
-        let other = self.route.via != way;
-        if other {
-            self.route.previous = Some((self.route.via, now));
-            self.route.via = way;
-        }
-        other
-    }
-
-    /// A machine whose heartbeats arrive may be deaf: no answer and no command reaches it. It shows when
-    /// heartbeats running bear no trace of anything that the answers before them said.
-    pub(super) fn assess_reachability(&mut self, heartbeat: &Heartbeat, token: u64) {
-        if heartbeat.agent_epoch > self.heartbeats.agent_epoch {
-            // Its lease ended although we answered, unless nobody answered it for as long.
-            self.commands.unacknowledged_heartbeats +=
-                u32::from(self.heartbeats.agent_epoch > 0 && !self.commands.unacknowledged.is_empty());
-            self.commands.unacknowledged.clear();
+impl CommandTracker {
+    /// Counts heartbeats in a row that show no effect of the response before them.
+    ///
+    /// A machine whose heartbeats arrive may be unreachable one way: no response and no command arrives there. That
+    /// shows when its heartbeats bear no trace of anything in the responses before them. `agent_epoch` is that of the
+    /// heartbeat before this one; `token` is the leader's fencing token.
+    pub(super) fn assess_reachability(&mut self, agent_epoch: u64, heartbeat: &Heartbeat, token: u64) {
+        if heartbeat.agent_epoch > agent_epoch {
+            // The worker's lease ended although it was sent responses, unless none was sent for as long as a lease.
+            let lease_ended_despite_commands = agent_epoch > 0 && !self.unacknowledged.is_empty();
+            self.unacknowledged_heartbeats += u32::from(lease_ended_despite_commands);
+            self.unacknowledged.clear();
             return;
         }
-        if self.commands.unacknowledged.is_empty() && !self.commands.token_unacknowledged {
+        if self.unacknowledged.is_empty() && !self.token_unacknowledged {
             return;
         }
-        let status = |id: &TaskId, attempt: u64| {
-            let listed = heartbeat.tasks.iter().find(|t| t.id == *id && t.attempt == attempt);
-            listed.map(|t| t.status)
-        };
-        let carried_out = |command: &TaskCommand| match command {
-            TaskCommand::Start { id, attempt } => status(id, *attempt).is_some(),
-            TaskCommand::Forget { id, attempt } => status(id, *attempt).is_none(),
-            TaskCommand::Stop { id, attempt, .. } => {
-                !matches!(status(id, *attempt), Some(TaskStatus::Fetching | TaskStatus::Running))
-            }
-        };
-        let heard = self.commands.token_unacknowledged && heartbeat.token == token
-            || self.commands.unacknowledged.iter().any(carried_out);
-        self.commands.unacknowledged_heartbeats =
-            if heard { 0 } else { self.commands.unacknowledged_heartbeats + 1 };
-        self.commands.unacknowledged.clear();
-        self.commands.token_unacknowledged = false;
+        let acknowledged = self.token_unacknowledged && heartbeat.token == token
+            || self.unacknowledged.iter().any(|command| command.shows_in(heartbeat));
+        self.unacknowledged_heartbeats = if acknowledged { 0 } else { self.unacknowledged_heartbeats + 1 };
+        self.unacknowledged.clear();
+        self.token_unacknowledged = false;
+    }
+}
+
+impl TaskCommand {
+    /// Whether the task list of the heartbeat is as it is after the command.
+    fn shows_in(&self, heartbeat: &Heartbeat) -> bool {
+        let (TaskCommand::Start { id, attempt }
+        | TaskCommand::Stop { id, attempt, .. }
+        | TaskCommand::Forget { id, attempt }) = self;
+        let listed = heartbeat.tasks.iter().find(|task| task.id == *id && task.attempt == *attempt);
+        let status = listed.map(|task| task.status);
+        match self {
+            TaskCommand::Start { .. } => status.is_some(),
+            TaskCommand::Forget { .. } => status.is_none(),
+            TaskCommand::Stop { .. } => !matches!(status, Some(TaskStatus::Fetching | TaskStatus::Running)),
+        }
     }
 }
--- a/src/scheduler/stale_heartbeats.rs
+++ b/src/scheduler/stale_heartbeats.rs
@@ -1,57 +1,59 @@
-//! Heartbeats of which nothing is taken in: copies, late ones, and heartbeats that direct answers have overtaken.
+//! Heartbeats of which nothing is taken in: duplicates, late ones, and those that a direct response has overtaken.
+//! Called by `heartbeats`; it owns the counts that operators see.
 
-use super::model::*;
+use super::model::{Heartbeat, HeartbeatSource, MachineState};
 use super::{HeartbeatOutcome, Scheduler};
 use serde::Serialize;
 use tracing::{debug, info};
 
-/// heartbeats of which nothing was taken in, since this leader began.
+/// Heartbeats of which nothing was taken in, since this leader began.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct IgnoredHeartbeats {
-    /// Overtaken by the answer to direct commands.
+    /// Overtaken by the response to a direct command.
     pub overtaken: u64,
-    /// Copies, and heartbeats of agent epochs or machines that are gone.
+    /// Duplicates, and heartbeats of agent epochs or machines that are gone.
     pub stale: u64,
 }
 
 impl Scheduler {
-    /// A heartbeat older than the newest: its list says nothing. The answer to direct commands may have overtaken a
-    /// heartbeat whose worker waits, and an answer to that renews the worker's lease. While such answers were given
-    /// without being noted, tasks were started elsewhere seconds before the lease that they ran under had ended.
+    /// Ignores the list of a heartbeat that is not newer than the newest.
+    ///
+    /// The response to a direct command may have overtaken a periodic heartbeat whose worker waits for its response.
+    /// That response renews the worker's lease, so it must be recorded. While it was not, tasks were started elsewhere
+    /// seconds before the lease under which they ran had ended.
     pub(super) fn ignore_late_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
-        periodic: bool,
+        source: HeartbeatSource,
     ) -> HeartbeatOutcome {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
+        let periodic = source == HeartbeatSource::Periodic;
         let overtaken = periodic
-            && heartbeat.agent_epoch == machine.heartbeats.agent_epoch
-            && heartbeat.sequence > machine.heartbeats.last_sequence
+            && heartbeat.agent_epoch == machine.heartbeats.newest.agent_epoch
+            && heartbeat.sequence > machine.heartbeats.last_periodic_sequence
             && machine.state != MachineState::Lost;
-        let (agent_epoch, sequence, newest) =
-            (heartbeat.agent_epoch, heartbeat.sequence, machine.heartbeats.sequence);
+        let name = &heartbeat.machine;
+        let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
+        let newest = machine.heartbeats.newest.sequence;
         if overtaken {
-            debug!(
-                machine = heartbeat.machine,
-                agent_epoch, sequence, newest, "heartbeat overtaken by a direct response"
-            );
-            machine.heartbeats.last_sequence = heartbeat.sequence;
-            machine.heartbeats.last_at = now;
+            debug!(machine = name, agent_epoch, sequence, newest, "heartbeat overtaken by a direct response");
+            machine.heartbeats.record_overtaken(sequence, now);
             self.ignored_heartbeats.overtaken += 1;
             return HeartbeatOutcome::Overtaken;
         }
-        debug!(
-            machine = heartbeat.machine,
-            agent_epoch, sequence, newest, periodic, "late heartbeat ignored"
-        );
-        if periodic && !std::mem::replace(&mut machine.heartbeats.stale_logged, true) {
+        debug!(machine = name, agent_epoch, sequence, newest, periodic, "late heartbeat ignored");
+        if !periodic {
+            return HeartbeatOutcome::Stale;
+        }
+        if !machine.heartbeats.stale_logged {
+            machine.heartbeats.stale_logged = true;
             info!(
-                machine = heartbeat.machine,
+                machine = name,
                 agent_epoch, sequence, newest, "late or duplicate heartbeat; further ones are only counted"
             );
         }
-        self.ignored_heartbeats.stale += u64::from(periodic);
+        self.ignored_heartbeats.stale += 1;
         HeartbeatOutcome::Stale
     }
 }
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -1,86 +1,104 @@
-//! Tasks that exited: what follows for their jobs and their machines.
+//! Tasks that exited: what follows for their jobs and their machines. Called by `task_lists`.
 
-use super::model::*;
-use super::termination_proof::TerminationProof;
+use super::model::{ExitReason, JobId, Kind, TaskAttempt, TaskId, TerminationProof};
+use super::quarantine::TaskFailure;
 use super::Scheduler;
 use crate::limits;
 use tracing::{debug, info, warn};
 
 impl Scheduler {
-    /// A heartbeat lists the task as exited.
-    pub(super) fn take_exit(&mut self, name: &str, id: TaskId, attempt: u64, reason: ExitReason) {
-        let now = self.now;
+    /// A heartbeat lists the task as exited. It does so until the worker is told to forget the task; only the first
+    /// time has consequences beyond the placement.
+    pub(super) fn apply_exit(&mut self, name: &str, exited: TaskAttempt, reason: ExitReason) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let news = machine.reported.exited.insert((id, attempt), reason).is_none();
-        let held = machine.tasks.get(&id).is_some_and(|t| t.attempt == attempt);
-        let intended = machine.tasks.get(&id).is_some_and(|t| t.stopping.is_some());
-        if held {
-            let ran = machine.tasks.remove(&id).and_then(|t| t.running_since).map(|since| now - since);
-            if let (ExitReason::Done, Some(ran)) = (reason, ran) {
-                self.judge_speed(name, id.job_id, ran);
-            }
-            self.remove_placement(name, id, TerminationProof::Exited);
+        let is_first_report = machine.reported.exited.insert(exited, reason).is_none();
+        let placement = machine.tasks.get(&exited.task);
+        let is_placed = placement.is_some_and(|placement| placement.attempt == exited.attempt);
+        let stop_requested = placement.is_some_and(|placement| placement.stopping.is_some());
+        if is_placed {
+            self.end_placement(name, exited.task, reason);
         }
-        if !news {
+        if !is_first_report {
             return;
         }
-        debug!(task = %id, machine = name, ?reason, "ended");
+        debug!(task = %exited.task, machine = name, ?reason, "ended");
         if reason != ExitReason::Done && reason != ExitReason::Stopped {
-            info!(task = %id, machine = name, ?reason, "task did not run to its end");
+            info!(task = %exited.task, machine = name, ?reason, "task did not run to its end");
+        }
+        self.record_exit(name, exited, reason, stop_requested);
+    }
+
+    /// The task is not on the machine any more.
+    fn end_placement(&mut self, name: &str, id: TaskId, reason: ExitReason) {
+        let now = self.now;
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let running_since = machine.tasks.remove(&id).and_then(|placement| placement.running_since);
+        if let (ExitReason::Done, Some(since)) = (reason, running_since) {
+            self.assess_speed(name, id.job_id, now - since);
         }
+        self.remove_placement(name, id, TerminationProof::Exited);
+    }
+
+    /// What follows from an exit that is reported for the first time.
+    fn record_exit(&mut self, name: &str, exited: TaskAttempt, reason: ExitReason, stop_requested: bool) {
+        let job_id = exited.task.job_id;
         match reason {
             ExitReason::Done => {
-                if let Some(job) =
-                    self.jobs.get_mut(&id.job_id).filter(|j| !j.terminated && id.task < j.spec.tasks)
-                {
-                    // The tasks of a gang complete together: its record must not wait for the heartbeat of a
-                    // machine that is lost.
-                    let ended = match job.spec.kind {
-                        Kind::Service => 0..0,
-                        Kind::Gang => 0..job.spec.tasks,
-                        Kind::Array => id.task..id.task + 1,
-                    };
-                    let before = job.progress.succeeded.len();
-                    job.progress.succeeded.extend(ended.clone());
-                    if job.progress.succeeded.len() > before {
-                        job.progress.pending.retain(|task| !ended.contains(task));
-                        job.progress.unrecorded.extend(ended);
-                        job.progress.unrecorded_since.get_or_insert(now);
-                    }
-                }
-                self.note_success(id.job_id);
+                self.record_succeeded(exited.task);
+                self.record_job_success(job_id);
             }
-            ExitReason::Error | ExitReason::Unknown if !intended => {
-                self.note_failure(name, id.job_id, reason == ExitReason::Error);
-            }
-            // Stopped, or it found its mates gone or never come: the attempt is over for all of a gang.
+            // A task that was asked to stop may fail without being at fault.
+            ExitReason::Error | ExitReason::Unknown if stop_requested => {}
+            ExitReason::Error => self.record_job_failure(name, job_id, TaskFailure::WhileRunning),
+            ExitReason::Unknown => self.record_job_failure(name, job_id, TaskFailure::NotKnownToWorker),
+            // It was asked to stop, or found that other members of its gang were gone or never came: the attempt has
+            // ended for the whole gang.
             ExitReason::Stopped => {
-                if let Some(job) = self.jobs.get_mut(&id.job_id).filter(|j| j.spec.kind == Kind::Gang) {
-                    job.gang.ended_attempt = job.gang.ended_attempt.max(attempt);
+                if let Some(job) = self.jobs.get_mut(&job_id).filter(|job| job.spec.kind == Kind::Gang) {
+                    job.gang.ended_attempt = job.gang.ended_attempt.max(exited.attempt);
                 }
             }
             ExitReason::NoRoom | ExitReason::Busy => {
+                let now = self.now;
                 if let Some(machine) = self.machines.get_mut(name) {
                     machine.health.no_room_backoff_until = now + limits::NO_ROOM_BACKOFF;
                 }
             }
-            _ => {}
         }
     }
 
-    /// Tasks of one job differ by half or so; one that takes far longer than the others did speaks
-    /// against its machine, and a second one in a row keeps arrays off it for a while.
-    fn judge_speed(&mut self, name: &str, job_id: JobId, ran: u64) {
+    /// A task exited with success.
+    fn record_succeeded(&mut self, id: TaskId) {
+        let now = self.now;
+        let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
+        if job.terminated || id.task >= job.spec.tasks {
+            return;
+        }
+        let succeeded = match job.spec.kind {
+            Kind::Service => 0..0,
+            // The tasks of a gang complete together: its record must not wait for the heartbeat of a machine that is
+            // lost.
+            Kind::Gang => 0..job.spec.tasks,
+            Kind::Array => id.task..id.task + 1,
+        };
+        job.progress.record_succeeded(succeeded, now);
+    }
+
+    /// Compares a run time (microseconds) with those of the same job.
+    ///
+    /// Tasks of one job differ by half or so. One that takes far longer than the others did counts against its
+    /// machine, and several in a row keep arrays off the machine for a while.
+    fn assess_speed(&mut self, name: &str, job_id: JobId, run_time: u64) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
-        let (sum, count) = job.run_times;
-        job.run_times = (sum + ran, count + 1);
-        if count < limits::MIN_SPEED_SAMPLES {
+        let earlier = job.run_times;
+        job.run_times.add(run_time);
+        if earlier.count < limits::MIN_SPEED_SAMPLES {
             return;
         }
-        let slow = ran as f64 > limits::SLOW_FACTOR * sum as f64 / count as f64;
+        let is_slow = run_time as f64 > limits::SLOW_FACTOR * earlier.total as f64 / earlier.count as f64;
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
-        machine.health.slow_tasks = if slow { machine.health.slow_tasks + 1 } else { 0 };
+        machine.health.slow_tasks = if is_slow { machine.health.slow_tasks + 1 } else { 0 };
         if machine.health.slow_tasks >= limits::MAX_SLOW_TASKS {
             warn!(machine = name, "slow: no arrays here for a while");
             machine.health.slow_tasks = 0;
--- /dev/null
+++ b/src/scheduler/task_lists.rs
@@ -0,0 +1,187 @@
+//! Task lists of heartbeats, squared with the placements.
+//!
+//! Called by `heartbeats` with the list of each newest heartbeat, and by `cold_start` with the last list again when a
+//! job has become known. It owns `Machine::reported` and the confirmation of placements.
+
+use super::model::{
+    HeartbeatNumber, HeartbeatSource, JobSpec, Machine, Placement, ReportedTask, TaskAttempt, TaskId,
+    TaskStatus, TerminationProof,
+};
+use super::Scheduler;
+use std::collections::{BTreeMap, BTreeSet};
+use tracing::{debug, warn};
+
+/// What a task list holds, by what follows for each task.
+#[derive(Default)]
+struct ListedTasks {
+    /// Tasks that have not exited.
+    live: BTreeSet<TaskAttempt>,
+    /// Tasks that have exited.
+    exited: BTreeSet<TaskAttempt>,
+    /// See `ReportedTasks::orphaned`.
+    orphaned: BTreeSet<TaskAttempt>,
+    /// See `ReportedTasks::unverified`.
+    unverified: BTreeMap<TaskAttempt, u64>,
+}
+
+impl Placement {
+    /// A placement that a heartbeat has shown, and that this leader did not make.
+    fn adopted(task: &ReportedTask, spec: &JobSpec, now: u64) -> Self {
+        Placement {
+            attempt: task.attempt,
+            resource_request: spec.resource_request,
+            start_sent_in: None,
+            confirmed: true,
+            status: task.status,
+            running_since: None,
+            image: spec.image.clone(),
+            placed_at: now,
+            stopping: None,
+        }
+    }
+
+    /// A heartbeat lists the task.
+    fn confirm(&mut self, task: &ReportedTask, now: u64) {
+        self.attempt = task.attempt;
+        self.confirmed = true;
+        if self.status != TaskStatus::Running && task.status == TaskStatus::Running {
+            self.running_since = Some(now);
+        }
+        self.status = task.status;
+    }
+}
+
+impl Machine {
+    /// A running task proves that the machine has its image. Returns whether that is new.
+    fn record_image(&mut self, image: &str) -> bool {
+        if self.image_cache.images.contains(image) {
+            return false;
+        }
+        self.image_cache.images.insert(image.to_string());
+        self.image_cache.changed = true;
+        true
+    }
+}
+
+impl Scheduler {
+    /// Updates placements, jobs and images by a task list. Returns its tasks that have not exited.
+    pub(super) fn apply_task_list(&mut self, name: &str, tasks: &[ReportedTask]) -> BTreeSet<TaskAttempt> {
+        let mut listed = ListedTasks::default();
+        for task in tasks {
+            let attempt = TaskAttempt { task: task.id, attempt: task.attempt };
+            match task.status {
+                TaskStatus::Exited(reason) => {
+                    listed.exited.insert(attempt);
+                    self.apply_exit(name, attempt, reason);
+                }
+                TaskStatus::Fetching | TaskStatus::Running | TaskStatus::Saving => {
+                    listed.live.insert(attempt);
+                    if self.jobs.contains_key(&task.id.job_id) {
+                        self.apply_live_task(name, task);
+                    } else {
+                        self.classify_unknown(name, attempt, &mut listed);
+                    }
+                }
+            }
+        }
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.reported.exited.retain(|attempt, _| listed.exited.contains(attempt));
+            machine.reported.orphaned = listed.orphaned;
+            machine.reported.unverified = listed.unverified;
+        }
+        listed.live
+    }
+
+    /// A listed task of a known job that has not exited.
+    fn apply_live_task(&mut self, name: &str, task: &ReportedTask) {
+        let now = self.now;
+        let Some(job) = self.jobs.get(&task.id.job_id) else { return };
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        if task.status == TaskStatus::Running {
+            let placement = machine.tasks.get(&task.id);
+            if placement.is_some_and(|placement| placement.status != TaskStatus::Running) {
+                debug!(task = %task.id, machine = name, "runs");
+            }
+            if machine.record_image(&job.spec.image) {
+                let machines = self.machines_by_image.entry(job.spec.image.clone()).or_default();
+                machines.insert(name.to_string());
+            }
+        }
+        match machine.tasks.get_mut(&task.id) {
+            Some(placement) if placement.attempt == task.attempt || !placement.confirmed => {
+                placement.confirm(task, now);
+            }
+            // The worker never holds two attempts of one task.
+            Some(_) => {}
+            None => {
+                machine.tasks.insert(task.id, Placement::adopted(task, &job.spec, now));
+                self.adopt(name, task.id);
+            }
+        }
+    }
+
+    /// A listed task of a job that is not known here. It is stopped, or left alone until the state service has been
+    /// asked about its job.
+    fn classify_unknown(&self, name: &str, attempt: TaskAttempt, listed: &mut ListedTasks) {
+        let reported = self.machines.get(name).map(|machine| &machine.reported);
+        let is_orphaned = reported.is_some_and(|reported| reported.orphaned.contains(&attempt));
+        if is_orphaned || !self.keeps_unknown_tasks() {
+            listed.orphaned.insert(attempt);
+            return;
+        }
+        let first_reported_at = reported.and_then(|reported| reported.unverified.get(&attempt)).copied();
+        listed.unverified.insert(attempt, first_reported_at.unwrap_or(self.now));
+    }
+
+    /// A task that an earlier leader started on the machine.
+    fn adopt(&mut self, name: &str, id: TaskId) {
+        let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
+        let is_elsewhere = job.placements.get(&id.task).is_some_and(|names| !names.is_empty());
+        let has_succeeded = job.progress.succeeded.contains(&id.task) || id.task >= job.spec.tasks;
+        job.progress.pending.remove(&id.task);
+        let names = job.placements.entry(id.task).or_default();
+        if !names.iter().any(|other| other == name) {
+            names.push(name.into());
+        }
+        let placed = job.placements.len() as u32;
+        job.elasticity.width = job.elasticity.width.max(placed);
+        let terminated = job.terminated;
+        if is_elsewhere {
+            warn!(task = %id, machine = name, "a task is on two machines; stopping this one");
+        }
+        if terminated || is_elsewhere || has_succeeded {
+            self.stop(name, id, 0.0);
+        }
+    }
+
+    /// Removes the placements that the task list of the heartbeat `number` disproves.
+    pub(super) fn remove_unlisted(
+        &mut self,
+        name: &str,
+        listed: &BTreeSet<TaskAttempt>,
+        number: HeartbeatNumber,
+        source: HeartbeatSource,
+    ) {
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        // A start whose response is still under way is only disproved by the next periodic heartbeat.
+        let start_was_processed = |placement: &Placement| {
+            source == HeartbeatSource::Periodic && placement.start_sent_in.is_some_and(|sent| number > sent)
+        };
+        let unlisted: Vec<TaskId> = machine
+            .tasks
+            .iter()
+            .filter(|(id, placement)| {
+                !listed.contains(&TaskAttempt { task: **id, attempt: placement.attempt })
+            })
+            .filter(|(_, placement)| placement.confirmed || start_was_processed(placement))
+            .map(|(id, _)| *id)
+            .collect();
+        for id in unlisted {
+            debug!(task = %id, machine = name, "not on the machine any more");
+            if let Some(machine) = self.machines.get_mut(name) {
+                machine.tasks.remove(&id);
+            }
+            self.remove_placement(name, id, TerminationProof::NotListed { heartbeat: number });
+        }
+    }
+}
--- a/tests/scheduler_rules.rs
+++ b/tests/scheduler_rules.rs
@@ -901,7 +901,8 @@
     /// An invariant of the scheduler rather than a rule: it counts no lease as over that still runs.
     fn check_leases(&mut self) {
         let lost = self.scheduler.machines.values().filter(|machine| machine.state == MachineState::Lost);
-        let lost: BTreeMap<String, u64> = lost.map(|m| (m.name.clone(), m.heartbeats.agent_epoch)).collect();
+        let lost: BTreeMap<String, u64> =
+            lost.map(|m| (m.name.clone(), m.heartbeats.newest.agent_epoch)).collect();
         for (name, agent_epoch) in lost.iter().filter(|(name, _)| !self.lost.contains_key(*name)) {
             let Some(worker) = self.workers.get(name) else { continue };
             let runs = !worker.dead && worker.agent_epoch == *agent_epoch && self.now < worker.lease_until;
