--- a/src/scheduler/cold_start.rs
+++ b/src/scheduler/cold_start.rs
@@ -365,7 +365,7 @@
             (None, None) => Phase::Reconciling,
         };
         let lease = limits::worker_lease(self.config.workers.lease_s);
-        let until = self.started_at.max(self.kept_alive_until) + lease;
+        let until = self.unrecorded_renewals_until() + lease;
         let waits_for = match phase {
             Phase::Reconciling => "machines that have not reported".to_string(),
             Phase::Restarting => "places and the pace for missing tasks".to_string(),
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -35,11 +35,12 @@
         // The look at every machine is the fixed price of a round; the budget is for the jobs.
         let jobs = limits::MIN_ROUND_JOBS * self.machines.len();
         let budget = steps + self.config.round_steps.max(jobs);
-        let start = self.cursor.and_then(|job_id| order.iter().position(|u| *u == job_id)).unwrap_or(0);
-        self.cursor = None;
+        let start =
+            self.rounds.resume_at.and_then(|job_id| order.iter().position(|u| *u == job_id)).unwrap_or(0);
+        self.rounds.resume_at = None;
         for job_id in &order[start..] {
             if steps >= budget {
-                self.cursor = Some(*job_id);
+                self.rounds.resume_at = Some(*job_id);
                 debug!(job = %job_id, "round out of budget, goes on here");
                 break;
             }
@@ -56,10 +57,7 @@
             }
         }
         self.steps += steps as u64;
-        let idle = if self.cursor.is_some() { 0 } else { limits::IDLE_ROUND_INTERVAL };
-        let rest = limits::round_pause(steps, self.config.cpu_share);
-        self.earliest_round_at = self.now + rest;
-        self.next_round_at = self.now + rest.max(idle);
+        self.rounds.end(self.now, limits::round_pause(steps, self.config.cpu_share));
     }
 
     /// Notes why a job is pending, for operators.
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -77,8 +77,8 @@
     let zones = config.zones.clone();
     let types = vec![machine_type("m", 4.0, &zones), machine_type("n", 8.0, &zones)];
     let mut scheduler = Scheduler::new(config, limits::SECOND);
-    scheduler
-        .step(limits::SECOND, vec![Command::Types(types), Command::Load { jobs: vec![], records: vec![] }]);
+    let load = Command::Load { jobs: vec![], records: vec![] };
+    drop(scheduler.step(limits::SECOND, vec![Command::Types(types), load]));
     // Everybody has the first image of some fleets.
     let popular = rng.random_bool(0.5);
     for number in 0..machines {
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -327,12 +327,7 @@
     /// Updates which zones and routes are unreachable.
     pub(super) fn update_reachability(&mut self) {
         let mut detector = std::mem::take(&mut self.failure_detector);
-        let out_of_touch = self
-            .out_of_touch
-            .iter()
-            .filter(|(_, last)| self.now < **last + limits::HEARTBEAT_INTERVAL)
-            .map(|(node, _)| *node)
-            .collect();
+        let out_of_touch = self.peers.out_of_touch(self.now);
         let observed = self.observed_machines();
         detector.observe(self.now, &self.detection_timeouts(), &observed, &out_of_touch);
         self.failure_detector = detector;
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -123,9 +123,7 @@
         covers_until: Option<u64>,
     ) {
         let now = self.now;
-        let leaseholder = self.leaseholders.entry(node).or_default();
-        leaseholder.covered_until = leaseholder.covered_until.max(covers_until.unwrap_or(0));
-        leaseholder.last_heartbeat_at = now;
+        self.peers.record_shard_heartbeat(node, covers_until, now);
         for name in names {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             machine.last_renewal.record_by_leaseholder(now);
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers, from their arrival to the task list.
 //!
 //! The way of a heartbeat through the scheduler:
-//! 1. `Scheduler::take` in `mod.rs` hands it to [`Scheduler::handle_heartbeat`], or, if it is the response to a direct
+//! 1. `Scheduler::apply` in `mod.rs` hands it to [`Scheduler::handle_heartbeat`], or, if it is the response to a direct
 //!    command, straight to [`Scheduler::apply_heartbeat`].
 //! 2. `apply_heartbeat` finds out what it is (a [`HeartbeatOutcome`]). An unchanged one is recorded and ends here. A
 //!    late one goes to `stale_heartbeats`. A new one goes on: `reachability` checks that the machine receives its
@@ -69,7 +69,7 @@
         match self.apply_heartbeat(heartbeat, HeartbeatSource::Periodic) {
             HeartbeatOutcome::Changed => {
                 self.record_route(&name, via);
-                self.round_requested = true;
+                self.rounds.request();
                 let renewal = self.record_renewal(&name);
                 self.pending_heartbeats.push(PendingHeartbeat { reply, machine: name, renewal });
             }
--- /dev/null
+++ b/src/scheduler/job_registry.rs
@@ -0,0 +1,58 @@
+//! The jobs that the scheduler knows: added when they are submitted or loaded, removed when they are finished or
+//! cancelled. Called by `Scheduler::apply`, and by `cold_start` for jobs that the state service was asked about.
+
+use super::model::{Job, JobId, TaskStatus};
+use super::{Scheduler, StoredJob, WriteOutcome};
+use std::collections::BTreeSet;
+use tracing::debug;
+
+impl Scheduler {
+    /// Adds a job unless it is known. `inherited`: an earlier leader may have started it.
+    pub(super) fn add_job(&mut self, stored: StoredJob, inherited: bool) {
+        let job_id = stored.spec.job_id;
+        if self.jobs.contains_key(&job_id) {
+            return;
+        }
+        debug!(job = %job_id, tasks = stored.spec.tasks, inherited, "job known");
+        let submitted_at = self.now.saturating_sub(stored.age);
+        let job = Job::new(stored.spec, stored.version, submitted_at, inherited, stored.succeeded);
+        self.jobs.insert(job_id, job);
+    }
+
+    /// Terminates a job: no task of it starts, and all that run are stopped.
+    pub(super) fn remove_job(&mut self, job_id: JobId) {
+        let Some(job) = self.jobs.get_mut(&job_id) else { return };
+        job.terminated = true;
+        job.progress.pending.clear();
+        self.stop_all(job_id);
+        self.remove_if_terminated(job_id);
+    }
+
+    /// The write that removes a job whose tasks have all succeeded has ended.
+    pub(super) fn finish_written(&mut self, job_id: JobId, outcome: WriteOutcome) {
+        match outcome {
+            WriteOutcome::Done => self.remove_job(job_id),
+            // It was cancelled meanwhile, or the outcome is not known. Its record decides, and the write is repeated.
+            WriteOutcome::Refused | WriteOutcome::Unknown => {
+                if let Some(job) = self.jobs.get_mut(&job_id) {
+                    job.progress.write_in_flight = false;
+                }
+            }
+        }
+    }
+
+    /// For each job that is not terminated: its id, and the numbers of its succeeded and of its running tasks.
+    pub fn summary(&self) -> Vec<(JobId, u32, u32)> {
+        let running = |job: &Job| {
+            let placements = self.placements_of(job);
+            let running = placements.filter(|(_, _, placement)| placement.status == TaskStatus::Running);
+            // A task that is on two machines counts once.
+            running.map(|(id, _, _)| id).collect::<BTreeSet<_>>().len() as u32
+        };
+        self.jobs
+            .values()
+            .filter(|job| !job.terminated)
+            .map(|job| (job.spec.job_id, job.progress.succeeded.len() as u32, running(job)))
+            .collect()
+    }
+}
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -5,10 +5,10 @@
 //! - `Machine::last_renewal`: the last response that may have renewed it, by this leader or by a leaseholder;
 //! - `HeartbeatTracker::last_at`: its last heartbeat, since a worker may have begun its lease as late as that;
 //! - `Scheduler::started_at`: responses before this leader had loaded its state are not recorded anywhere else;
-//! - `Scheduler::kept_alive_until`: somebody else may have responded until then.
+//! - `PeerNodes::kept_alive_until`: another node may have responded until then.
 //!
-//! A leaseholder may have responded to any machine since its last shard heartbeat, so nothing later than the oldest
-//! `Leaseholder::covered_until` is counted as silence until the leaseholder's own lease has ended.
+//! A leaseholder may have responded to any machine since its last shard heartbeat, so silence only counts up to
+//! `PeerNodes::responses_known_until`.
 
 use super::model::{Job, Machine, MachineState, TerminationProof};
 use super::{autoscaler, Scheduler};
@@ -84,25 +84,16 @@
         }
     }
 
-    /// Since when the leases of machines that no record names may run, in microseconds.
-    fn unrecorded_renewals_until(&self) -> u64 {
-        self.started_at.max(self.kept_alive_until)
-    }
-
-    /// Until when every response of every leaseholder is known here, in microseconds.
-    fn responses_known_until(&self, worker_lease: u64) -> u64 {
-        let shard_lease = limits::lengthened(self.config.shard_lease);
-        let may_respond = self
-            .leaseholders
-            .values()
-            .filter(|leaseholder| self.now < leaseholder.last_heartbeat_at + shard_lease + worker_lease);
-        may_respond.map(|leaseholder| leaseholder.covered_until).min().unwrap_or(u64::MAX)
+    /// Until when leases may have been renewed without a record here, in microseconds.
+    pub(super) fn unrecorded_renewals_until(&self) -> u64 {
+        self.started_at.max(self.peers.kept_alive_until())
     }
 
     /// Machines whose leases have expired and on which something may have run.
     fn expired_machines(&self) -> Vec<String> {
         let worker_lease = limits::worker_lease(self.config.workers.lease_s);
-        let silent_until = self.now.min(self.responses_known_until(worker_lease));
+        let known_until = self.peers.responses_known_until(self.now, self.config.shard_lease, worker_lease);
+        let silent_until = self.now.min(known_until);
         let unrecorded_until = self.unrecorded_renewals_until();
         let lease_may_run = |machine: &Machine| {
             // The last heartbeat counts too, not only the last response: a worker may have begun its lease as late as
@@ -134,7 +125,7 @@
             machine.state = MachineState::Lost;
             machine.reconciled = true;
         }
-        self.round_requested = true;
+        self.rounds.request();
     }
 
     /// All machines of earlier leaders are accounted for when each has sent a heartbeat, or when every lease that an
@@ -146,7 +137,7 @@
         if self.reconciled {
             let after_ms = (self.now - self.started_at) / 1000;
             info!(after_ms, "all machines of earlier leaders reconciled");
-            self.round_requested = true;
+            self.rounds.request();
             self.note_all_accounted_for();
         }
     }
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -96,10 +96,10 @@
     ];
     let machines = vec![machine("m-000001", false), machine("m-000002", true)];
     let load = Command::Load { jobs, records: vec![("40-1".into(), machines)] };
-    core.step(SECOND, vec![Command::Types(vec![machine_type()]), load]);
+    drop(core.step(SECOND, vec![Command::Types(vec![machine_type()]), load]));
     let mut views = vec![page(&core, &PageStart::default())];
     for second in 2..22 {
-        core.step(second * SECOND, vec![report("m-000001", second)]);
+        drop(core.step(second * SECOND, vec![report("m-000001", second)]));
         if [2, 21].contains(&second) {
             views.push(page(&core, &PageStart::default()));
         }
