--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -3,43 +3,59 @@
 use super::*;
 use crate::limits::SECOND;
 
-const REPORT: u64 = 3 * SECOND;
+const HEARTBEAT_INTERVAL: u64 = 3 * SECOND;
 const SHARD_LEASE: u64 = 22 * SECOND;
-/// When the trouble begins.
-const FROM: u64 = 100 * SECOND;
+/// When the outage begins.
+const OUTAGE_START: u64 = 100 * SECOND;
 const ZONES: [&str; 2] = ["a", "b"];
+/// Longer than any case lasts.
+const FOR_GOOD: u64 = 1_000 * SECOND;
+const CLUSTER_SIZES: [usize; 4] = [20, 120, 1_900, 6_000];
 
-/// What befalls a machine: silent for so long from `FROM` on.
-type Trouble = fn(usize, usize) -> u64;
+/// How long a machine is silent from `OUTAGE_START` on, by its index and the number of machines.
+type Outage = fn(usize, usize) -> u64;
 
-/// Machines that heartbeat evenly over the interval, a third by each of three routes, and the trouble that some
-/// have. Returns which are given up, and how long after its beginning the first is.
-fn play(machines: usize, trouble: Trouble, lost_route: Option<usize>, time: u64) -> (usize, u64) {
-    let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
-    let timeouts = DetectionTimeouts {
-        heartbeat_interval: REPORT,
+fn timeouts() -> DetectionTimeouts {
+    DetectionTimeouts {
+        heartbeat_interval: HEARTBEAT_INTERVAL,
         silence: limits::silence_timeout(3.0),
         shard_lease: SHARD_LEASE,
         started_at: SECOND,
-    };
+    }
+}
+
+/// When the last heartbeat of the machine `index` arrived, which is silent for `outage` from `OUTAGE_START` on.
+fn last_heartbeat_at(index: usize, outage: u64, now: u64) -> u64 {
+    let phase = index as u64 * 7_919 % 1_000 * HEARTBEAT_INTERVAL / 1_000;
+    let heartbeat = |at: u64| at.saturating_sub(phase) / HEARTBEAT_INTERVAL * HEARTBEAT_INTERVAL + phase;
+    let until = OUTAGE_START + outage;
+    if now < OUTAGE_START || outage == 0 {
+        heartbeat(now)
+    } else if now < until {
+        heartbeat(OUTAGE_START)
+    } else {
+        // Back, all at once, as after a partition.
+        heartbeat(now).max(until)
+    }
+}
+
+/// What was declared dead in a case.
+struct DeclaredDead {
+    machines: usize,
+    /// How long after the beginning of the outage the first was, in microseconds.
+    first_after: u64,
+}
+
+/// Plays a case: machines whose heartbeats are spread evenly over the interval, a third by each of three routes, and
+/// the outage that some have.
+fn play(machines: usize, outage: Outage, lost_route: Option<usize>, time: u64) -> DeclaredDead {
+    let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
+    let timeouts = timeouts();
     let mut detector = FailureDetector::default();
     let mut declared_dead: BTreeSet<usize> = BTreeSet::new();
-    let mut first = u64::MAX;
-    for step in 0..(FROM / 2 + time) / limits::LEASE_EXPIRY_INTERVAL {
-        let now = FROM / 2 + step * limits::LEASE_EXPIRY_INTERVAL;
-        let heard = |i: usize| {
-            let phase = i as u64 * 7_919 % 1_000 * REPORT / 1_000;
-            let heartbeat = |at: u64| at.saturating_sub(phase) / REPORT * REPORT + phase;
-            let until = FROM + trouble(i, machines);
-            if now < FROM || trouble(i, machines) == 0 {
-                heartbeat(now)
-            } else if now < until {
-                heartbeat(FROM)
-            } else {
-                // Back, all at once, as after a cut.
-                heartbeat(now).max(until)
-            }
-        };
+    let mut first_after = u64::MAX;
+    for step in 0..(OUTAGE_START / 2 + time) / limits::LEASE_EXPIRY_INTERVAL {
+        let now = OUTAGE_START / 2 + step * limits::LEASE_EXPIRY_INTERVAL;
         let observed: Vec<ObservedMachine> = (0..machines)
             .filter(|i| !declared_dead.contains(i))
             .map(|i| ObservedMachine {
@@ -47,31 +63,26 @@
                 zone: ZONES[i % 2],
                 route: [None, Some(1), Some(2)][i % 3],
                 previous_route: None,
-                last_heartbeat_at: heard(i),
+                last_heartbeat_at: last_heartbeat_at(i, outage(i, machines), now),
                 unresponsive: false,
                 expected: false,
                 lost: false,
             })
             .collect();
-        let lost = lost_route.filter(|_| now >= FROM).into_iter().collect();
+        let lost = lost_route.filter(|_| now >= OUTAGE_START).into_iter().collect();
         detector.observe(now, &timeouts, &observed, &lost);
         for name in detector.declared_dead(now, &timeouts, &observed) {
-            first = first.min(now - FROM);
+            first_after = first_after.min(now - OUTAGE_START);
             declared_dead.extend(name[2..].parse::<usize>());
         }
     }
-    (declared_dead.len(), first)
+    DeclaredDead { machines: declared_dead.len(), first_after }
 }
 
-/// A zone stayed unreachable for ever once the list had said that all its machines had failed.
+/// A zone stayed unreachable for ever once the cloud's list had said that all its machines had failed.
 #[test]
-fn a_zone_without_machines_is_not_dark() {
-    let timeouts = DetectionTimeouts {
-        heartbeat_interval: REPORT,
-        silence: limits::silence_timeout(3.0),
-        shard_lease: SHARD_LEASE,
-        started_at: SECOND,
-    };
+fn unreachable_zone_is_reachable_again_when_its_last_machine_is_gone() {
+    let timeouts = timeouts();
     let machine = |name, lost| ObservedMachine {
         name,
         zone: "a",
@@ -84,73 +95,104 @@
     };
     let mut detector = FailureDetector::default();
     let all = ["x", "y", "z"].map(|name| machine(name, false));
-    detector.observe(FROM, &timeouts, &all, &BTreeSet::new());
+    detector.observe(OUTAGE_START, &timeouts, &all, &BTreeSet::new());
     assert!(detector.zone_unreachable("a"));
-    // Their leases are over, and still nobody hears them: the cut goes on.
+    // Their leases have expired, and no heartbeat arrives: the partition goes on.
     let all = ["x", "y", "z"].map(|name| machine(name, true));
-    detector.observe(FROM + 60 * SECOND, &timeouts, &all, &BTreeSet::new());
+    detector.observe(OUTAGE_START + 60 * SECOND, &timeouts, &all, &BTreeSet::new());
     assert!(detector.zone_unreachable("a"));
-    detector.observe(FROM + 61 * SECOND, &timeouts, &[], &BTreeSet::new());
+    detector.observe(OUTAGE_START + 61 * SECOND, &timeouts, &[], &BTreeSet::new());
     assert!(!detector.zone_unreachable("a"));
 }
 
-#[test]
-fn silence_is_told_apart_at_every_size() {
-    const LONG: u64 = 1_000 * SECOND;
-    let at_once = limits::silence_timeout(3.0) + SECOND;
-    let never = u64::MAX;
-    let half = |n: usize| n / 2;
-    type Size = fn(usize) -> usize;
-    // What happens, to whom and for how long, a way that is lost, how many are to be given up, how soon.
-    let cases: [(&str, Trouble, Option<usize>, Size, u64); 10] = [
-        ("nothing", |_, _| 0, None, |_| 0, never),
-        ("a machine dies", |i, _| if i == 5 { LONG } else { 0 }, None, |_| 1, at_once),
-        ("a tenth dies", |i, _| if i % 10 == 4 { LONG } else { 0 }, None, |n| n / 10, at_once),
-        (
+/// An outage and what is to be declared dead in it.
+struct Case {
+    name: &'static str,
+    outage: Outage,
+    lost_route: Option<usize>,
+    /// How many machines, by the number of all.
+    expected: fn(usize) -> usize,
+    /// How long after the beginning of the outage the first at the latest, in microseconds.
+    within: u64,
+}
+
+impl Case {
+    /// Single failures: each machine is declared dead as soon as it is silent.
+    fn failures(name: &'static str, outage: Outage, expected: fn(usize) -> usize) -> Self {
+        let within = limits::silence_timeout(3.0) + SECOND;
+        Case { name, outage, lost_route: None, expected, within }
+    }
+
+    /// Nothing, or silence with a common cause: no machine is declared dead.
+    fn none_dead(name: &'static str, outage: Outage) -> Self {
+        Case { name, outage, lost_route: None, expected: |_| 0, within: u64::MAX }
+    }
+}
+
+fn cases() -> [Case; 10] {
+    [
+        Case::none_dead("no outage", |_, _| 0),
+        Case::failures("a machine fails", |i, _| if i == 5 { FOR_GOOD } else { 0 }, |_| 1),
+        Case::failures("a tenth fails", |i, _| if i % 10 == 4 { FOR_GOOD } else { 0 }, |n| n / 10),
+        Case::failures(
             "a tenth hangs past its lease",
             |i, _| if i % 10 == 4 { 25 * SECOND } else { 0 },
-            None,
             |n| n / 10,
-            at_once,
         ),
-        // A third of those that heartbeat one way: chance on a small fleet.
-        (
-            "a ninth dies, all of one route",
-            |i, _| if i % 9 == 1 { LONG } else { 0 },
-            None,
+        // A third of those that use one route: chance in a small cluster.
+        Case::failures(
+            "a ninth fails, all of one route",
+            |i, _| if i % 9 == 1 { FOR_GOOD } else { 0 },
             |n| (n + 7) / 9,
-            at_once,
-        ),
-        ("a third of each zone at once", |i, _| if i % 6 < 2 { LONG } else { 0 }, None, |_| 0, never),
-        ("a zone is cut off", |i, _| if i % 2 == 1 { 45 * SECOND } else { 0 }, None, |_| 0, never),
-        ("a zone for good", |i, _| if i % 2 == 1 { LONG } else { 0 }, None, |_| 0, never),
-        ("all are silent", |_, _| 45 * SECOND, None, |_| 0, never),
-        // Its leaseholder answers by itself; the machines come another way when its lease has ended.
-        (
-            "a leaseholder is out of touch",
-            |i, _| if i % 3 == 1 { 25 * SECOND } else { 0 },
-            Some(1),
-            |_| 0,
-            never,
         ),
-    ];
-    for machines in [20, 120, 1_900, 6_000] {
-        for (what, trouble, lost, expected, soon) in &cases {
-            let (declared_dead, first) = play(machines, *trouble, *lost, 90 * SECOND);
+        Case::none_dead("a third of each zone at once", |i, _| if i % 6 < 2 { FOR_GOOD } else { 0 }),
+        Case::none_dead("a zone is partitioned", |i, _| if i % 2 == 1 { 45 * SECOND } else { 0 }),
+        Case::none_dead("a zone for good", |i, _| if i % 2 == 1 { FOR_GOOD } else { 0 }),
+        Case::none_dead("all are silent", |_, _| 45 * SECOND),
+        // Its leaseholder responds by itself; the machines come another way when its lease has ended.
+        Case {
+            lost_route: Some(1),
+            ..Case::none_dead(
+                "a leaseholder is out of touch",
+                |i, _| {
+                    if i % 3 == 1 {
+                        25 * SECOND
+                    } else {
+                        0
+                    }
+                },
+            )
+        },
+    ]
+}
+
+#[test]
+fn only_failures_without_a_common_cause_are_declared_dead_at_every_size() {
+    for machines in CLUSTER_SIZES {
+        for Case { name, outage, lost_route, expected, within } in cases() {
+            let dead = play(machines, outage, lost_route, 90 * SECOND);
             let expected = expected(machines);
-            assert_eq!(declared_dead, expected, "{what}, {machines} machines");
-            assert!(expected == 0 || first <= *soon, "{what}, {machines} machines: after {first}");
+            let first = dead.first_after;
+            assert_eq!(dead.machines, expected, "{name}, {machines} machines");
+            assert!(expected == 0 || first <= within, "{name}, {machines} machines: after {first}");
         }
-        // A zone comes back without some of its machines: those are dead, the others only needed time.
-        let cut = |i: usize, n: usize| match i % 2 {
-            1 if i > n - n / 10 => LONG,
-            1 => 45 * SECOND,
-            _ => 0,
-        };
-        let (declared_dead, first) = play(machines, cut, None, 90 * SECOND);
-        let dead = (0..machines).filter(|i| cut(*i, machines) == LONG).count();
-        assert!(dead < half(machines) / 2);
-        assert_eq!(declared_dead, dead, "a cut, {machines} machines");
+    }
+}
+
+/// The others only needed time.
+#[test]
+fn machines_missing_after_a_zone_partition_are_declared_dead_at_every_size() {
+    let partition = |i: usize, n: usize| match i % 2 {
+        1 if i > n - n / 10 => FOR_GOOD,
+        1 => 45 * SECOND,
+        _ => 0,
+    };
+    for machines in CLUSTER_SIZES {
+        let dead = play(machines, partition, None, 90 * SECOND);
+        let expected = (0..machines).filter(|i| partition(*i, machines) == FOR_GOOD).count();
+        let first = dead.first_after;
+        assert!(expected < machines / 2 / 2);
+        assert_eq!(dead.machines, expected, "a partition, {machines} machines");
         assert!(first >= 44 * SECOND + limits::FAILOVER_GRACE_PERIOD, "{machines} machines: after {first}");
     }
 }
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -11,11 +11,16 @@
 //!    waits for the next round of decisions, since that may have a start for the machine.
 //! 4. `heartbeat_responses` makes the response.
 //!
-//! An arrival is recorded in two places. `HeartbeatTracker::last_at` is when the machine last showed that it is alive;
-//! `Machine::last_renewal` is the last response that may have renewed its lease, and it is also recorded for
-//! heartbeats whose list is not taken in. Both hold back lease expiry, which counts from the later of them.
+//! An arrival is recorded in two places, and lease expiry counts from the later of them:
+//! - `Machine::last_renewal` guards the lease. It is recorded for every response that may renew the lease, also where the
+//!   task list is not taken in (the first heartbeat of a machine to this leader, and overtaken ones).
+//! - `HeartbeatTracker::last_at` is for failure detection: when the machine last showed that it is alive. Wherever it is
+//!   recorded, the renewal is recorded in the same step, so for lease expiry it is a second guard of the same lease.
 
-use super::model::{Heartbeat, HeartbeatSource, Machine, MachineState, StoredMachine, TerminationProof};
+use super::model::{
+    Heartbeat, HeartbeatNumber, HeartbeatSource, Machine, MachineState, ReportedTask, StoredMachine,
+    TerminationProof,
+};
 use super::{Effect, HeartbeatOutcome, PendingHeartbeat, Scheduler};
 use crate::limits;
 use std::collections::BTreeSet;
@@ -48,7 +53,7 @@
 
 impl Scheduler {
     /// The machine of this name, made known if it is new.
-    pub fn machine(&mut self, stored: &StoredMachine) -> &mut Machine {
+    pub(super) fn machine(&mut self, stored: &StoredMachine) -> &mut Machine {
         let machine_type = self.types.get(&stored.machine_type);
         let capacity = machine_type.map(|known| known.capacity).unwrap_or_default();
         let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |known| known.boot_s) * limits::BOOT_TIMEOUT_FACTOR;
@@ -145,34 +150,39 @@
         machine.address = heartbeat.address;
         machine.lifecycle.recall_at = heartbeat.notice_s.map(|seconds| now + limits::micros(seconds));
         machine.reconciled |= heartbeat.token == token;
-        if !machine.reconciled {
+        if machine.reconciled {
+            if source == HeartbeatSource::Periodic {
+                machine.record_alive(now);
+            }
+            self.apply_exact_task_list(&heartbeat.machine, heartbeat.tasks, number, source);
+        } else if was_known && !machine.recorded {
             // This is the machine's first heartbeat to this leader, or a copy of one made for an earlier leader, which
             // may be of any age. Its list proves nothing: taken in, it would make tasks seem to be in two places. Nor
             // does it prove that the machine exists. The next heartbeat states our token. A machine that was not known
             // before may be long gone, so it is not recorded yet.
-            if was_known && !machine.recorded {
-                self.record(&heartbeat.machine);
-            }
-            return HeartbeatOutcome::Changed;
-        }
-        if source == HeartbeatSource::Periodic {
-            machine.record_alive(now);
-        }
-        let listed = self.apply_task_list(&heartbeat.machine, &heartbeat.tasks);
-        self.remove_unlisted(&heartbeat.machine, &listed, number, source);
-        if heartbeat.notice_s.is_some() {
-            self.stop_before_recall(&heartbeat.machine);
-        }
-        let machine = &self.machines[&heartbeat.machine];
-        if !machine.recorded || machine.image_cache.changed {
             self.record(&heartbeat.machine);
         }
-        if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
-            machine.heartbeats.reported_tasks = heartbeat.tasks;
-        }
         HeartbeatOutcome::Changed
     }
 
+    /// Takes in the task list of a worker that knows this leader, and what follows from it.
+    fn apply_exact_task_list(
+        &mut self,
+        name: &str,
+        tasks: Vec<ReportedTask>,
+        number: HeartbeatNumber,
+        source: HeartbeatSource,
+    ) {
+        let listed = self.apply_task_list(name, &tasks);
+        self.remove_unlisted(name, &listed, number, source);
+        self.stop_before_recall(name);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        machine.heartbeats.reported_tasks = tasks;
+        if !machine.recorded || machine.image_cache.changed {
+            self.record(name);
+        }
+    }
+
     /// If the heartbeat begins a new agent epoch of its worker, everything of earlier ones has ended with their lease.
     fn end_earlier_agent_epochs(&mut self, heartbeat: &Heartbeat) {
         let agent_epoch = heartbeat.agent_epoch;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -4,13 +4,13 @@
 //! monotonic clock, which passes them in. The controller calls [`Scheduler::step`] with what has happened and carries
 //! out the [`Effect`]s. `heartbeats` tells the way of a heartbeat through these modules.
 
-pub mod autoscaler;
+mod autoscaler;
 pub mod cold_start;
-pub mod consolidation;
+mod consolidation;
 pub mod drains;
-pub mod elastic;
-pub mod failure_detection;
-pub mod gang;
+mod elastic;
+mod failure_detection;
+mod gang;
 mod headroom;
 mod heartbeat_responses;
 mod heartbeats;
@@ -22,13 +22,13 @@
 mod peer_nodes;
 mod placements;
 mod quarantine;
-pub mod quota;
+mod quota;
 mod reachability;
 mod recall;
-pub mod records;
+mod records;
 mod rounds;
-pub mod scaling_plan;
-pub mod scoring;
+mod scaling_plan;
+mod scoring;
 mod stale_heartbeats;
 mod task_exit;
 mod task_lists;
--- a/src/scheduler/model/heartbeat.rs
+++ b/src/scheduler/model/heartbeat.rs
@@ -82,19 +82,19 @@
 
 impl HeartbeatTracker {
     /// Records a periodic heartbeat of the current agent epoch, which arrived at `now` (microseconds).
-    pub(in super::super) fn record_unchanged(&mut self, sequence: u64, now: u64) {
+    pub(in crate::scheduler) fn record_unchanged(&mut self, sequence: u64, now: u64) {
         self.newest.sequence = sequence;
         self.record_overtaken(sequence, now);
     }
 
     /// Records a periodic heartbeat that a direct response has overtaken: its list is older than ours.
-    pub(in super::super) fn record_overtaken(&mut self, sequence: u64, now: u64) {
+    pub(in crate::scheduler) fn record_overtaken(&mut self, sequence: u64, now: u64) {
         self.last_periodic_sequence = sequence;
         self.last_at = now;
     }
 
     /// Records the number of a heartbeat that is newer than all before it.
-    pub(in super::super) fn record_newest(&mut self, number: HeartbeatNumber, source: HeartbeatSource) {
+    pub(in crate::scheduler) fn record_newest(&mut self, number: HeartbeatNumber, source: HeartbeatSource) {
         if number.agent_epoch != self.newest.agent_epoch {
             self.last_periodic_sequence = 0;
         }
--- a/src/scheduler/model/job.rs
+++ b/src/scheduler/model/job.rs
@@ -110,7 +110,7 @@
 
 impl Progress {
     /// Records that these tasks have succeeded at `now` (microseconds). Without effect if all of them had before.
-    pub(in super::super) fn record_succeeded(&mut self, tasks: Range<u32>, now: u64) {
+    pub(in crate::scheduler) fn record_succeeded(&mut self, tasks: Range<u32>, now: u64) {
         let before = self.succeeded.len();
         self.succeeded.extend(tasks.clone());
         if self.succeeded.len() > before {
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -96,7 +96,7 @@
 
 impl Lifecycle {
     /// Whether the machine is on its way out, for whatever reason.
-    pub(in super::super) fn is_leaving(&self) -> bool {
+    pub(in crate::scheduler) fn is_leaving(&self) -> bool {
         self.draining || self.deleting || self.recall_at.is_some()
     }
 }
@@ -147,7 +147,7 @@
 
 impl Machine {
     /// A machine of which nothing is known but what is stored. `now` and `boot_deadline` are in microseconds.
-    pub(in super::super) fn new(
+    pub(in crate::scheduler) fn new(
         stored: &StoredMachine,
         capacity: Resources,
         now: u64,
--- a/src/scheduler/model/route.rs
+++ b/src/scheduler/model/route.rs
@@ -24,7 +24,7 @@
 
 impl Route {
     /// Records that a heartbeat came by this route at `now` (microseconds). Returns whether the route is a new one.
-    pub(in super::super) fn record(&mut self, via: Option<usize>, now: u64) -> bool {
+    pub(in crate::scheduler) fn record(&mut self, via: Option<usize>, now: u64) -> bool {
         let changed = self.via != via;
         if changed {
             self.previous = Some(PreviousRoute { via: self.via, left_at: now });
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -157,3 +157,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "overview_tests.rs"]
+mod tests;
--- a/src/scheduler/peer_nodes.rs
+++ b/src/scheduler/peer_nodes.rs
@@ -72,3 +72,7 @@
         recent.map(|(node, _)| *node).collect()
     }
 }
+
+#[cfg(test)]
+#[path = "peer_nodes_tests.rs"]
+mod tests;
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -42,3 +42,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "reachability_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/scheduler/reachability_tests.rs
@@ -0,0 +1,88 @@
+//! Which heartbeats acknowledge the response before them.
+
+use super::super::model::{ExitReason, JobId, ReportedTask, TaskId};
+use super::*;
+
+const TOKEN: u64 = 40;
+const TASK: TaskId = TaskId { job_id: JobId(1), task: 0 };
+
+fn heartbeat(agent_epoch: u64, token: u64, status: Option<TaskStatus>) -> Heartbeat {
+    Heartbeat {
+        machine: "m-000001".into(),
+        address: String::new(),
+        machine_type: "large".into(),
+        zone: "a".into(),
+        spot: false,
+        agent_epoch,
+        sequence: 1,
+        token,
+        notice_s: None,
+        tasks: status.into_iter().map(|status| ReportedTask { id: TASK, attempt: 3, status }).collect(),
+    }
+}
+
+/// Heartbeats without acknowledgement after a response with this command and then a heartbeat that lists this.
+fn unacknowledged_after(command: TaskCommand, status: Option<TaskStatus>) -> u32 {
+    let mut commands = CommandTracker { unacknowledged: vec![command], ..CommandTracker::default() };
+    commands.assess_reachability(1, &heartbeat(1, TOKEN, status), TOKEN);
+    assert!(commands.unacknowledged.is_empty(), "each response is judged once");
+    commands.unacknowledged_heartbeats
+}
+
+#[test]
+fn start_is_acknowledged_when_the_task_is_listed() {
+    let start = TaskCommand::Start { id: TASK, attempt: 3 };
+    assert_eq!(unacknowledged_after(start.clone(), Some(TaskStatus::Fetching)), 0);
+    assert_eq!(unacknowledged_after(start.clone(), Some(TaskStatus::Exited(ExitReason::Busy))), 0);
+    assert_eq!(unacknowledged_after(start, None), 1);
+}
+
+#[test]
+fn stop_is_acknowledged_when_the_task_does_not_run() {
+    let stop = TaskCommand::Stop { id: TASK, attempt: 3, grace_s: 0.0 };
+    assert_eq!(unacknowledged_after(stop.clone(), None), 0);
+    assert_eq!(unacknowledged_after(stop.clone(), Some(TaskStatus::Saving)), 0);
+    assert_eq!(unacknowledged_after(stop.clone(), Some(TaskStatus::Running)), 1);
+    assert_eq!(unacknowledged_after(stop, Some(TaskStatus::Fetching)), 1);
+}
+
+#[test]
+fn forget_is_acknowledged_when_the_task_is_not_listed() {
+    let forget = TaskCommand::Forget { id: TASK, attempt: 3 };
+    assert_eq!(unacknowledged_after(forget.clone(), None), 0);
+    assert_eq!(unacknowledged_after(forget, Some(TaskStatus::Exited(ExitReason::Done))), 1);
+}
+
+#[test]
+fn other_attempt_of_the_task_acknowledges_no_start() {
+    let start = TaskCommand::Start { id: TASK, attempt: 4 };
+    assert_eq!(unacknowledged_after(start, Some(TaskStatus::Running)), 1);
+}
+
+#[test]
+fn first_response_is_acknowledged_by_the_fencing_token() {
+    let mut commands = CommandTracker { token_unacknowledged: true, ..CommandTracker::default() };
+    commands.assess_reachability(1, &heartbeat(1, TOKEN - 1, None), TOKEN);
+    assert_eq!(commands.unacknowledged_heartbeats, 1);
+    commands.token_unacknowledged = true;
+    commands.assess_reachability(1, &heartbeat(1, TOKEN, None), TOKEN);
+    assert_eq!(commands.unacknowledged_heartbeats, 0);
+}
+
+#[test]
+fn heartbeat_after_an_empty_response_proves_nothing() {
+    let mut commands = CommandTracker { unacknowledged_heartbeats: 2, ..CommandTracker::default() };
+    commands.assess_reachability(1, &heartbeat(1, TOKEN, None), TOKEN);
+    assert_eq!(commands.unacknowledged_heartbeats, 2);
+}
+
+#[test]
+fn new_agent_epoch_despite_commands_counts_as_unacknowledged() {
+    let start = TaskCommand::Start { id: TASK, attempt: 3 };
+    for (agent_epoch, expected) in [(0, 0), (1, 1)] {
+        let mut commands =
+            CommandTracker { unacknowledged: vec![start.clone()], ..CommandTracker::default() };
+        commands.assess_reachability(agent_epoch, &heartbeat(2, TOKEN, None), TOKEN);
+        assert_eq!(commands.unacknowledged_heartbeats, expected, "after epoch {agent_epoch}");
+    }
+}
--- a/src/scheduler/recall.rs
+++ b/src/scheduler/recall.rs
@@ -5,7 +5,7 @@
 use crate::limits;
 
 impl Scheduler {
-    /// Stops the tasks on a machine that the cloud is about to recall: services at once, tasks that save checkpoints
+    /// Stops tasks on a machine if the cloud has given notice of recalling it: services at once, tasks that save checkpoints
     /// when the time left is just enough to save. All others may still finish.
     pub(super) fn stop_before_recall(&mut self, name: &str) {
         let Some(machine) = self.machines.get(name) else { return };
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -52,3 +52,7 @@
         self.next_at = now + pause.max(idle_interval);
     }
 }
+
+#[cfg(test)]
+#[path = "rounds_tests.rs"]
+mod tests;
