--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -6,7 +6,7 @@
 //! where another bound holds the leader back.
 //!
 //! The scheduler owns a [`LastRenewal`] for each machine, [`crate::lease::shard::Shard`] the
-//! [`UnacknowledgedRenewals`], and the controller's event loop the [`RenewalCounts`].
+//! `UnacknowledgedRenewals`, and the controller's event loop the [`RenewalCounts`].
 
 use serde::Serialize;
 use std::collections::BTreeMap;
