--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -1,55 +1,109 @@
-//! What the next leader must find in the state service: which machines may hold tasks, and which tasks
-//! are finished. Writes are scarce, so machines share records, and what is to be written waits here until
-//! the leader's budget has room for it: ended jobs first, then machines that may get no task before they
-//! are recorded, then finished tasks, then the rest.
+//! What the next leader must find in the state service: which machines may hold tasks, and which tasks are finished.
+//!
+//! Writes are scarce, so several machines share a record, and what is to be written waits here until the leader's write
+//! budget allows it: ended jobs first, then machines that may get no task before they are recorded, then finished tasks,
+//! then the rest. This module owns which machine is in which record and what is due; the controller makes the writes
+//! and reports their outcome.
 
-use super::model::*;
+use super::model::{Job, JobId, Kind, Machine};
 use super::{Effect, Scheduler, StoredMachine, WriteOutcome};
 use crate::limits;
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Writes of a finished job besides its chunks of finished tasks: its final state and its live record.
+const FINAL_WRITES: f64 = 2.0;
+/// Bytes that an image name takes in a record besides its own: quotes and a comma.
+const IMAGE_OVERHEAD_BYTES: usize = 3;
+
 /// How urgently a record is to be written again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Need {
-    Nothing,
-    /// Images only make placing after a takeover better.
+enum Urgency {
+    /// It is written as it stands.
+    Written,
+    /// Images only improve placements after a failover.
     Images,
-    /// A machine that is gone costs the next leader a deletion before inherited work starts.
-    Gone,
-    /// A machine in it gets no task before.
-    New,
+    /// A deleted machine costs the next leader a deletion before inherited work starts.
+    DeletedMachine,
+    /// A new machine gets no task before its record is written.
+    NewMachine,
 }
 
+/// A record of several machines.
 #[derive(Debug)]
-struct Group {
-    members: BTreeSet<String>,
-    need: Need,
-    since: u64,
-    /// The members of a write under way.
-    writing: Option<BTreeSet<String>>,
-    /// Records that took members over from this one: until they are written, this one stays as it is.
-    after: Vec<String>,
+struct Record {
+    machines: BTreeSet<String>,
+    urgency: Urgency,
+    /// Since when it is to be written, in microseconds.
+    due_since: u64,
+    /// The machines of a write under way.
+    in_flight: Option<BTreeSet<String>>,
+    /// Records that took machines over from this one. It is written only after they are.
+    write_after: Vec<String>,
+}
+
+impl Record {
+    fn new(machines: BTreeSet<String>, urgency: Urgency, due_since: u64) -> Self {
+        Record { machines, urgency, due_since, in_flight: None, write_after: Vec::new() }
+    }
+
+    fn request_write(&mut self, urgency: Urgency, now: u64) {
+        if self.urgency == Urgency::Written {
+            self.due_since = now;
+        }
+        self.urgency = self.urgency.max(urgency);
+    }
+
+    /// Whether no machine in it waits to be recorded.
+    fn has_no_new_machine(&self) -> bool {
+        self.urgency < Urgency::NewMachine && self.in_flight.is_none()
+    }
 }
 
+/// The records of machines, by the name that their keys end with.
 #[derive(Debug, Default)]
 pub struct Records {
-    groups: BTreeMap<String, Group>,
-    of: BTreeMap<String, String>,
-    made: u64,
+    records: BTreeMap<String, Record>,
+    /// The record that each machine is in.
+    key_of_machine: BTreeMap<String, String>,
+    keys_made: u64,
 }
 
 impl Records {
-    /// A key that no record has, `besides` included.
-    fn new_key(&mut self, token: u64, besides: &str) -> String {
+    /// A key that no record has, and that is not `reserved`.
+    fn new_key(&mut self, token: u64, reserved: &str) -> String {
         loop {
-            self.made += 1;
-            let key = format!("{token}-{}", self.made);
-            if key != besides && !self.groups.contains_key(&key) {
+            self.keys_made += 1;
+            let key = format!("{token}-{}", self.keys_made);
+            if key != reserved && !self.records.contains_key(&key) {
                 return key;
             }
         }
     }
+
+    /// The record that the machine is in, else the last one with room, else a new key.
+    fn key_for(&mut self, machine: &str, max_machines: usize, token: u64) -> String {
+        if let Some(key) = self.key_of_machine.get(machine) {
+            return key.clone();
+        }
+        let with_room = self.records.iter().rev().find(|(_, record)| record.machines.len() < max_machines);
+        match with_room {
+            Some((key, _)) => key.clone(),
+            None => self.new_key(token, ""),
+        }
+    }
+
+    /// Records that are to be written at this urgency, after `delay` microseconds.
+    fn due(&self, urgency: Urgency, delay: u64, now: u64) -> Vec<String> {
+        let is_written = |key: &String| self.records.get(key).is_none_or(Record::has_no_new_machine);
+        let is_due = |record: &Record| {
+            record.urgency >= urgency
+                && record.in_flight.is_none()
+                && now >= record.due_since + delay
+                && record.write_after.iter().all(is_written)
+        };
+        self.records.iter().filter(|(_, record)| is_due(record)).map(|(key, _)| key.clone()).collect()
+    }
 }
 
 /// The leader's share of the state service's puts and deletes. `now` is in microseconds.
@@ -62,80 +116,82 @@
     /// The machine is to be recorded, or its images changed.
     pub fn record(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let need = if machine.recorded { Need::Images } else { Need::New };
+        let urgency = if machine.recorded { Urgency::Images } else { Urgency::NewMachine };
         machine.image_cache.changed = false;
-        let most = self.config.record_machines;
-        let records = &mut self.records;
-        let key = records.of.get(name).cloned().unwrap_or_else(|| {
-            let open = records.groups.iter().rev().find(|(_, g)| g.members.len() < most);
-            open.map(|(key, _)| key.clone()).unwrap_or_else(|| records.new_key(self.config.token, ""))
-        });
-        records.of.insert(name.to_string(), key.clone());
         let now = self.now;
-        let group = records.groups.entry(key).or_insert_with(|| Group {
-            members: BTreeSet::new(),
-            need: Need::Nothing,
-            since: now,
-            writing: None,
-            after: Vec::new(),
-        });
-        let joins = group.members.insert(name.to_string());
-        // One that waits to be written, or is being written, need not ask again.
-        if joins || need == Need::Images {
-            group.ask(need, now);
+        let records = &mut self.records;
+        let key = records.key_for(name, self.config.record_machines, self.config.token);
+        records.key_of_machine.insert(name.to_string(), key.clone());
+        let record =
+            records.records.entry(key).or_insert_with(|| Record::new(BTreeSet::new(), Urgency::Written, now));
+        let is_added = record.machines.insert(name.to_string());
+        // A machine whose first write is due or under way needs no second one.
+        if is_added || urgency == Urgency::Images {
+            record.request_write(urgency, now);
         }
     }
 
-    /// A record as the last leader left it. One that is larger than the state service may soon take (an earlier
-    /// version made it, or other settings) could not be written again: the rest of it moves to new records, and
-    /// only when those are written is the old one written without it, so that no machine is ever in none.
+    /// Loads a record as the last leader left it.
+    ///
+    /// A record that is larger than the state service may soon accept (an earlier version made it, or other settings)
+    /// could not be written again. Its excess moves to new records, and only when those are written is the old one
+    /// written without it, so that every machine is in a record at all times.
     pub fn load_record(&mut self, key: String, machines: Vec<StoredMachine>) {
-        let now = self.now;
-        let mut rest: Vec<String> = machines.iter().map(|m| m.name.clone()).collect();
-        rest.sort();
+        let mut remaining: Vec<String> = machines.iter().map(|machine| machine.name.clone()).collect();
+        remaining.sort();
         for stored in machines {
-            let machine = self.machine(&stored);
-            machine.recorded = true;
-            machine.inherited = true;
-            machine.image_cache.images.clone_from(&stored.images);
-            for image in stored.images {
-                self.machines_by_image.entry(image).or_default().insert(stored.name.clone());
-            }
+            self.load_recorded_machine(stored);
+        }
+        let now = self.now;
+        let max_machines = self.config.record_machines.max(1);
+        let mut new_keys = Vec::new();
+        while remaining.len() > max_machines {
+            let excess = remaining.split_off(remaining.len() - max_machines).into_iter().collect();
+            let new_key = self.records.new_key(self.config.token, &key);
+            self.insert_record(new_key.clone(), Record::new(excess, Urgency::NewMachine, now));
+            new_keys.push(new_key);
         }
-        let most = self.config.record_machines.max(1);
-        let mut keys = Vec::new();
-        while rest.len() > most {
-            let members: BTreeSet<String> = rest.split_off(rest.len() - most).into_iter().collect();
-            let new = self.records.new_key(self.config.token, &key);
-            self.records.of.extend(members.iter().map(|name| (name.clone(), new.clone())));
-            let group = Group { members, need: Need::New, since: now, writing: None, after: Vec::new() };
-            self.records.groups.insert(new.clone(), group);
-            keys.push(new);
+        let urgency = if new_keys.is_empty() { Urgency::Written } else { Urgency::DeletedMachine };
+        let mut record = Record::new(remaining.into_iter().collect(), urgency, now);
+        record.write_after = new_keys;
+        self.insert_record(key, record);
+    }
+
+    fn load_recorded_machine(&mut self, stored: StoredMachine) {
+        let machine = self.machine(&stored);
+        machine.recorded = true;
+        machine.inherited = true;
+        machine.image_cache.images.clone_from(&stored.images);
+        for image in stored.images {
+            self.machines_by_image.entry(image).or_default().insert(stored.name.clone());
         }
-        let need = if keys.is_empty() { Need::Nothing } else { Need::Gone };
-        self.records.of.extend(rest.iter().map(|name| (name.clone(), key.clone())));
-        let members = rest.into_iter().collect();
-        self.records.groups.insert(key, Group { members, need, since: now, writing: None, after: keys });
     }
 
-    /// The machine is gone.
+    fn insert_record(&mut self, key: String, record: Record) {
+        let entries = record.machines.iter().map(|name| (name.clone(), key.clone()));
+        self.records.key_of_machine.extend(entries);
+        self.records.records.insert(key, record);
+    }
+
+    /// The machine is deleted: its record is to be written without it.
     pub fn unrecord(&mut self, name: &str) {
-        let Some(key) = self.records.of.remove(name) else { return };
-        if let Some(group) = self.records.groups.get_mut(&key) {
-            group.members.remove(name);
-            group.ask(Need::Gone, self.now);
+        let Some(key) = self.records.key_of_machine.remove(name) else { return };
+        if let Some(record) = self.records.records.get_mut(&key) {
+            record.machines.remove(name);
+            record.request_write(Urgency::DeletedMachine, self.now);
         }
     }
 
+    /// The outcome of the write of a record.
     pub fn recorded(&mut self, key: &str, outcome: WriteOutcome) {
-        let Some(group) = self.records.groups.get_mut(key) else { return };
-        let Some(written) = group.writing.take() else { return };
+        let Some(record) = self.records.records.get_mut(key) else { return };
+        let Some(written) = record.in_flight.take() else { return };
         if outcome != WriteOutcome::Done {
-            group.ask(Need::New, self.now);
+            record.request_write(Urgency::NewMachine, self.now);
             return;
         }
-        if group.members.is_empty() && group.need == Need::Nothing {
-            self.records.groups.remove(key);
+        if record.machines.is_empty() && record.urgency == Urgency::Written {
+            self.records.records.remove(key);
         }
         for name in written {
             if let Some(machine) = self.machines.get_mut(&name) {
@@ -144,49 +200,44 @@
         }
     }
 
-    /// Writes what is due, the most urgent first, as far as the budget goes.
+    /// Writes what is due, the most urgent first, as far as the write budget goes.
     pub fn write_due(&mut self) {
         self.writes.refill(self.now);
-        if !self.finish_jobs() || !self.write_records(Need::New, 0) || !self.commit_done() {
+        if !self.finish_jobs() || !self.write_records(Urgency::NewMachine, 0) || !self.write_finished_tasks()
+        {
             return;
         }
-        if self.write_records(Need::Gone, limits::DELETED_MACHINE_RECORD_DELAY) {
-            self.write_records(Need::Images, limits::IMAGE_RECORD_DELAY);
+        if self.write_records(Urgency::DeletedMachine, limits::DELETED_MACHINE_RECORD_DELAY) {
+            self.write_records(Urgency::Images, limits::IMAGE_RECORD_DELAY);
         }
     }
 
-    /// Returns whether all that needed it was written, and so whether less urgent things may follow.
-    fn write_records(&mut self, need: Need, wait: u64) -> bool {
-        let now = self.now;
-        let groups = &self.records.groups;
-        let written =
-            |key: &String| groups.get(key).is_none_or(|g| g.need < Need::New && g.writing.is_none());
-        let due = |g: &Group| {
-            g.need >= need && g.writing.is_none() && now >= g.since + wait && g.after.iter().all(written)
-        };
-        let due: Vec<String> = groups.iter().filter(|(_, g)| due(g)).map(|(key, _)| key.clone()).collect();
-        for key in due {
+    /// Writes the records that are due at this urgency. Returns whether the budget sufficed: only then may less urgent
+    /// writes follow.
+    fn write_records(&mut self, urgency: Urgency, delay: u64) -> bool {
+        for key in self.records.due(urgency, delay, self.now) {
             if !self.writes.take_allowing_debt(1.0) {
                 return false;
             }
-            let Some(group) = self.records.groups.get_mut(&key) else { continue };
-            group.need = Need::Nothing;
-            group.after.clear();
-            group.writing = Some(group.members.clone());
-            let machines = group.members.iter().filter_map(|name| self.machines.get(name));
+            let Some(record) = self.records.records.get_mut(&key) else { continue };
+            record.urgency = Urgency::Written;
+            record.write_after.clear();
+            record.in_flight = Some(record.machines.clone());
+            let machines = record.machines.iter().filter_map(|name| self.machines.get(name));
             let machines = machines.map(stored_machine).collect();
             self.effects.push(Effect::Record { key, machines });
         }
         true
     }
 
-    /// Jobs whose last task is finished go over in one transaction each.
+    /// Moves jobs whose last task is finished to their final state, in one transaction each. Returns whether the budget
+    /// sufficed.
     fn finish_jobs(&mut self) -> bool {
-        let ready = self.jobs.values().filter(|j| j.ready_to_finish()).map(|j| j.spec.job_id);
+        let ready = self.jobs.values().filter(|job| job.ready_to_finish()).map(|job| job.spec.job_id);
         for job_id in ready.collect::<Vec<_>>() {
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
-            let chunks = job.chunks();
-            if !self.writes.take_allowing_debt(2.0 + chunks.len() as f64) {
+            let chunks = job.recorded_chunks();
+            if !self.writes.take_allowing_debt(FINAL_WRITES + chunks.len() as f64) {
                 return false;
             }
             job.progress.write_in_flight = true;
@@ -196,21 +247,16 @@
         true
     }
 
-    /// Finished tasks of jobs that go on, some time after the first of them: a result is kept on its
-    /// worker until then, and the tasks that end meanwhile are written with it.
-    fn commit_done(&mut self) -> bool {
+    /// Writes finished tasks of jobs that go on, some time after the first of them: until then their results stay on
+    /// their workers, and tasks that finish meanwhile are written with them. Returns whether the budget sufficed.
+    fn write_finished_tasks(&mut self) -> bool {
         let now = self.now;
-        let ready = |j: &&Job| {
-            let waits =
-                j.progress.unrecorded_since.is_some_and(|since| now >= since + limits::FINISHED_TASKS_DELAY);
-            waits
-                && !j.progress.write_in_flight
-                && !j.terminated
-                && !j.progress.unrecorded.is_empty()
-                && j.unfinished() > 0
-        };
-        let mut ready: Vec<_> =
-            self.jobs.values().filter(ready).map(|j| (j.progress.unrecorded_since, j.spec.job_id)).collect();
+        let mut ready: Vec<(Option<u64>, JobId)> = self
+            .jobs
+            .values()
+            .filter(|job| job.has_finished_tasks_due(now))
+            .map(|job| (job.progress.unrecorded_since, job.spec.job_id))
+            .collect();
         ready.sort_unstable();
         for (_, job_id) in ready {
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
@@ -218,39 +264,31 @@
                 return false;
             }
             job.progress.write_in_flight = true;
-            let (version, tasks, all_done) =
-                (job.version, job.progress.unrecorded.clone(), job.progress.succeeded.clone());
-            self.effects.push(Effect::CommitDone { job_id, version, tasks, all_done });
+            let (tasks, all_done) = (job.progress.unrecorded.clone(), job.progress.succeeded.clone());
+            self.effects.push(Effect::CommitDone { job_id, version: job.version, tasks, all_done });
         }
         true
     }
 
+    /// The outcome of the write of finished tasks.
     pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: WriteOutcome) {
-        let now = self.now;
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
-        job.progress.write_in_flight = false;
+        let progress = &mut job.progress;
+        progress.write_in_flight = false;
         if outcome == WriteOutcome::Done {
-            job.progress.recorded_chunks.extend(tasks.iter().map(|t| t / limits::FINISHED_TASKS_CHUNK));
-            job.progress.unrecorded.retain(|t| !tasks.contains(t));
-            job.progress.unrecorded_since = (!job.progress.unrecorded.is_empty()).then_some(now);
+            progress.recorded_chunks.extend(tasks.iter().map(|task| task / limits::FINISHED_TASKS_CHUNK));
+            progress.unrecorded.retain(|task| !tasks.contains(task));
+            progress.unrecorded_since = (!progress.unrecorded.is_empty()).then_some(self.now);
         }
     }
 }
 
-impl Group {
-    fn ask(&mut self, need: Need, now: u64) {
-        if self.need == Need::Nothing {
-            self.since = now;
-        }
-        self.need = self.need.max(need);
-    }
-}
-
+/// A machine's entry in its record, with as many image names as fit.
 fn stored_machine(machine: &Machine) -> StoredMachine {
-    let mut room = limits::RECORD_IMAGE_BYTES;
+    let mut available_bytes = limits::RECORD_IMAGE_BYTES;
     let images = machine.image_cache.images.iter().take_while(|image| {
-        room = room.saturating_sub(image.len() + 3);
-        room > 0
+        available_bytes = available_bytes.saturating_sub(image.len() + IMAGE_OVERHEAD_BYTES);
+        available_bytes > 0
     });
     StoredMachine {
         name: machine.name.clone(),
@@ -270,8 +308,18 @@
             && !self.terminated
     }
 
-    /// The keys of finished tasks that may have been written.
-    fn chunks(&self) -> Vec<u32> {
+    /// Whether the job goes on and has finished tasks that are to be written now.
+    fn has_finished_tasks_due(&self, now: u64) -> bool {
+        let progress = &self.progress;
+        progress.unrecorded_since.is_some_and(|since| now >= since + limits::FINISHED_TASKS_DELAY)
+            && !progress.write_in_flight
+            && !self.terminated
+            && !progress.unrecorded.is_empty()
+            && self.unfinished() > 0
+    }
+
+    /// The chunks of finished tasks that may have been written.
+    fn recorded_chunks(&self) -> Vec<u32> {
         self.progress.recorded_chunks.iter().copied().collect()
     }
 }
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -1,18 +1,19 @@
-//! A token bucket: paces requests or writes so that they stay within a rate per second.
+//! A token bucket: paces requests, writes or starts of tasks so that they stay within a rate per second.
 //!
 //! Owned by the part that spends from it: the state service's client for users' requests, the scheduler for the
-//! leader's own records. The caller passes the time, so the bucket itself reads no clock.
+//! leader's own records and for the starts of a cold start. The caller passes the time, so the bucket itself reads no clock.
 
 use crate::limits;
 
-/// Tokens that refill at a constant rate up to a capacity. One token is one request or one write.
-#[derive(Debug)]
+/// Tokens that refill at a constant rate up to a capacity. One token is one request, one write or one start of a task.
+/// The default is an empty bucket that never refills.
+#[derive(Debug, Default)]
 pub struct TokenBucket {
     /// Tokens per second.
     rate: f64,
     /// Tokens that it holds at most.
     capacity: f64,
-    /// Tokens that it holds. Negative after [`TokenBucket::take_allowing_debt`] took more than the capacity.
+    /// Tokens that it holds. Negative while there is a debt, see [`TokenBucket::take_allowing_debt`].
     available: f64,
     /// Time of the last refill, in microseconds.
     refilled_at: u64,
@@ -24,6 +25,16 @@
         TokenBucket { rate, capacity, available: capacity, refilled_at: now }
     }
 
+    /// An empty bucket. Arguments as for [`TokenBucket::new`].
+    pub fn empty(rate: f64, capacity: f64, now: u64) -> Self {
+        TokenBucket { rate, capacity, available: 0.0, refilled_at: now }
+    }
+
+    /// Tokens that it holds as of the last refill.
+    pub fn available(&self) -> f64 {
+        self.available
+    }
+
     /// Adds the tokens for the time since the last refill. `now` is in microseconds.
     pub fn refill(&mut self, now: u64) {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / limits::SECOND as f64;
@@ -46,12 +57,22 @@
     /// excess becomes a debt that later refills pay. Without this a write larger than the capacity would never be made.
     #[must_use]
     pub fn take_allowing_debt(&mut self, count: f64) -> bool {
-        let granted = self.available >= count.min(self.capacity);
+        let granted = self.may_take_allowing_debt(count);
         if granted {
             self.available -= count;
         }
         granted
     }
+
+    /// Whether [`TokenBucket::take_allowing_debt`] would grant `count` tokens.
+    pub fn may_take_allowing_debt(&self, count: f64) -> bool {
+        self.available >= count.min(self.capacity)
+    }
+
+    /// Takes `count` tokens, if need be as a debt.
+    pub fn spend(&mut self, count: f64) {
+        self.available -= count;
+    }
 }
 
 #[cfg(test)]
--- a/src/token_bucket_tests.rs
+++ b/src/token_bucket_tests.rs
@@ -53,3 +53,16 @@
     assert!(bucket.refill_and_take(10 * SECOND, 4.0));
     assert!(!bucket.refill_and_take(9 * SECOND, 0.5));
 }
+
+#[test]
+fn an_empty_bucket_fills_at_its_rate_and_spending_may_leave_a_debt() {
+    let mut bucket = TokenBucket::empty(2.0, 4.0, 0);
+    assert!(!bucket.may_take_allowing_debt(1.0));
+    bucket.refill(2 * SECOND);
+    assert_eq!(bucket.available(), 4.0);
+    assert!(bucket.may_take_allowing_debt(6.0));
+    bucket.spend(6.0);
+    assert_eq!(bucket.available(), -2.0);
+    bucket.refill(10 * SECOND);
+    assert_eq!(bucket.available(), 4.0);
+}
