--- a/src/leadership/tests/mod.rs
+++ b/src/leadership/tests/mod.rs
@@ -8,7 +8,7 @@
 //! - `lease_ledger`: the leader's account of workers' leases;
 //! - `invariants`: what must hold after every step;
 //! - `faults`: random faults;
-//! - `election_scenarios`, `cancellation_scenarios`, `single_node`: the tests.
+//! - `election_scenarios`, `cancellation_scenarios`, `single_node`, `parts`: the tests.
 
 mod cancellation_scenarios;
 mod cluster;
@@ -18,6 +18,7 @@
 mod key_value_store;
 mod lease_ledger;
 mod network;
+mod parts;
 mod single_node;
 mod workers;
 
--- a/src/leadership/tests/network.rs
+++ b/src/leadership/tests/network.rs
@@ -1,7 +1,7 @@
 //! The network between the nodes and the key-value store: carries out actions, and delivers what is under way late,
 //! twice or not at all.
 
-use super::cluster::{Cluster, Suspension};
+use super::cluster::Cluster;
 use super::key_value_store::Request;
 use super::lease_ledger::LeaseLedger;
 use super::MS;
@@ -132,13 +132,17 @@
                 break;
             }
             let delivery = entry.remove();
-            match (&delivery, self.suspension) {
+            let receiver = match &delivery {
+                Delivery::Message { to: node, .. } | Delivery::StoreResponse { node, .. } => Some(*node),
+                Delivery::Attestation { .. }
+                | Delivery::StoreRequest { .. }
+                | Delivery::LiveJobs { .. }
+                | Delivery::CancellationCommitted { .. } => None,
+            };
+            match self.suspension.filter(|suspension| Some(suspension.node) == receiver) {
                 // What arrives while a node stands still is there when it goes on.
-                (
-                    Delivery::Message { to: node, .. } | Delivery::StoreResponse { node, .. },
-                    Some(Suspension { node: suspended, until }),
-                ) if *node == suspended => self.send(until - self.now, delivery),
-                _ => self.deliver(delivery),
+                Some(suspension) => self.send(suspension.until - self.now, delivery),
+                None => self.deliver(delivery),
             }
         }
     }
--- /dev/null
+++ b/src/leadership/tests/parts.rs
@@ -0,0 +1,156 @@
+//! The parts of leadership by themselves: commitments, peers and the observation of the lock.
+
+use super::{NAMES, NODES};
+use crate::leadership::commitments::Commitments;
+use crate::leadership::lock_observation::LockObservation;
+use crate::leadership::peers::Peers;
+use crate::leadership::Status;
+use crate::limits::{self, lengthened, shortened, SECOND};
+use crate::protocol::records::Epoch;
+
+const START: u64 = 1 << 45;
+/// After the restart grace.
+const NOW: u64 = START + 10 * SECOND;
+const LOCAL: usize = 0;
+
+fn commitments() -> Commitments {
+    Commitments::new(LOCAL, START)
+}
+
+fn peers() -> Peers {
+    Peers::new(NAMES.map(String::from).to_vec(), LOCAL)
+}
+
+fn epoch(token: u64) -> Epoch {
+    Epoch { token, node: NAMES[1].into(), incarnation: 7 }
+}
+
+#[test]
+fn a_restarted_node_gives_no_grant_or_vote_while_earlier_ones_may_run() {
+    let commitments = commitments();
+    let grace_ends = START + lengthened(limits::GRANT_DURATION);
+    assert!(!commitments.permit(grace_ends - 1, 1));
+    assert!(!commitments.own_vote_counts(grace_ends - 1));
+    assert!(commitments.permit(grace_ends, 1));
+    assert!(commitments.own_vote_counts(grace_ends));
+}
+
+#[test]
+fn a_grant_or_vote_excludes_other_nodes_until_it_runs_out() {
+    for give in [Commitments::give_grant, Commitments::give_vote] {
+        let mut commitments = commitments();
+        give(&mut commitments, NOW, 1);
+        let ends = NOW + lengthened(limits::GRANT_DURATION);
+        assert!(commitments.permit(ends - 1, 1), "the same node may get another one");
+        assert!(!commitments.permit(ends - 1, 2));
+        assert!(commitments.exclude(ends - 1, LOCAL));
+        assert!(commitments.permit(ends, 2));
+    }
+}
+
+#[test]
+fn a_withdrawn_own_vote_or_released_grant_excludes_no_node() {
+    let mut commitments = commitments();
+    commitments.give_vote(NOW, LOCAL);
+    assert!(commitments.own_vote(NOW).is_some() && !commitments.permit(NOW, 1));
+    commitments.withdraw_own_vote();
+    commitments.give_grant(NOW, 1);
+    commitments.withdraw_grant_to(2);
+    assert!(!commitments.permit(NOW, 2), "the grant is for another node");
+    commitments.withdraw_grant_to(1);
+    assert!(commitments.permit(NOW, 2));
+}
+
+#[test]
+fn a_new_leader_is_bound_by_what_it_gave_to_others_but_not_by_its_own_vote() {
+    let mut own_vote_only = commitments();
+    own_vote_only.give_vote(NOW, LOCAL);
+    own_vote_only.bind_leader();
+    assert!(own_vote_only.own_vote_counts(NOW));
+    let mut granted = commitments();
+    granted.give_grant(NOW, 1);
+    granted.bind_leader();
+    let ends = NOW + lengthened(limits::GRANT_DURATION);
+    assert!(!granted.own_vote_counts(ends - 1));
+    assert!(granted.own_vote_counts(ends));
+}
+
+#[test]
+fn a_majority_lasts_until_the_last_grant_that_it_needs_runs_out() {
+    let mut peers = peers();
+    assert_eq!(peers.granted_until(true), 0);
+    peers.record_grant(1, NOW);
+    peers.record_grant(2, NOW + SECOND);
+    // Older than the one recorded.
+    peers.record_grant(2, NOW - SECOND);
+    assert_eq!(peers.granted_until(true), NOW + SECOND + shortened(limits::GRANT_DURATION));
+    assert_eq!(peers.granted_until(false), NOW + shortened(limits::GRANT_DURATION));
+    assert_eq!(peers.voted_until(false), 0, "grants are no votes");
+    assert_eq!(peers.without_grant(NOW + limits::GRANT_DURATION).collect::<Vec<_>>(), [1]);
+    peers.clear_grants();
+    assert_eq!(peers.granted_until(true), 0);
+}
+
+#[test]
+fn a_single_node_is_its_own_majority() {
+    let alone = Peers::new(vec![NAMES[LOCAL].into()], LOCAL);
+    assert!(alone.is_empty());
+    assert_eq!(alone.granted_until(true), u64::MAX);
+    assert_eq!(alone.granted_until(false), 0);
+}
+
+#[test]
+fn a_peer_is_in_contact_until_the_timeout_after_its_last_message() {
+    let mut peers = peers();
+    assert_eq!(peers.first_alive(NOW), None);
+    let status = Status { state_age: SECOND, workers: 2, ..Status::default() };
+    peers.observe_message(NOW, 2, status);
+    let ends = NOW + limits::PEER_TIMEOUT;
+    assert_eq!(peers.first_alive(ends - 1), Some(2));
+    assert_eq!(peers.reached_by_most_workers(ends - 1), Some(2));
+    assert_eq!(peers.first_reaching_store(ends - 1, SECOND + 1), Some(2));
+    assert_eq!(peers.first_reaching_store(ends - 1, SECOND), None);
+    assert_eq!(peers.first_alive(ends), None);
+    assert!(!peers.is_peer(LOCAL) && !peers.is_peer(NODES));
+}
+
+#[test]
+fn a_lock_is_known_free_only_after_a_recent_reading() {
+    let mut lock = LockObservation::new(START);
+    assert!(lock.is_probe_due(START) && !lock.is_known_free(START));
+    lock.start_probe(START, SECOND);
+    assert!(!lock.is_probe_due(START + SECOND), "the probe is under way");
+    lock.end_probe();
+    lock.record_probe(NOW, None, false);
+    assert!(lock.is_known_free(NOW + limits::PROBE_INTERVAL - 1));
+    assert!(!lock.is_known_free(NOW + limits::PROBE_INTERVAL));
+    lock.record_probe(NOW, None, true);
+    assert!(!lock.is_known_free(NOW));
+}
+
+#[test]
+fn the_time_of_a_free_lock_starts_anew_with_another_epoch_or_a_lost_store() {
+    let mut lock = LockObservation::new(START);
+    let free_since = |lock: &LockObservation| lock.free().map(|free| (free.epoch_version, free.since));
+    lock.record_probe(NOW, Some((epoch(3), 11)), false);
+    lock.record_probe(NOW + SECOND, Some((epoch(3), 11)), false);
+    assert_eq!(free_since(&lock), Some((11, NOW)));
+    lock.record_probe(NOW + 2 * SECOND, Some((epoch(4), 12)), false);
+    assert_eq!(free_since(&lock), Some((12, NOW + 2 * SECOND)));
+    lock.forget_free();
+    assert_eq!(free_since(&lock), None);
+    lock.record_probe(NOW + 3 * SECOND, Some((epoch(4), 12)), true);
+    assert_eq!(free_since(&lock), None);
+    assert_eq!((lock.epoch_token(), lock.epoch_version()), (4, 12));
+}
+
+#[test]
+fn a_reading_with_an_earlier_epoch_record_is_recognized() {
+    let mut lock = LockObservation::new(START);
+    assert!(!lock.is_newer_than(None));
+    lock.record_own_epoch(epoch(5), 20);
+    assert!(lock.is_newer_than(None));
+    assert!(lock.is_newer_than(Some(&(epoch(4), 19))));
+    assert!(!lock.is_newer_than(Some(&(epoch(5), 20))));
+    assert!(!lock.is_newer_than(Some(&(epoch(6), 21))));
+}
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -83,7 +83,7 @@
     fn new(token: u64, task_commands: Vec<TaskCommand>) -> Self {
         let stopped = task_commands.into_iter().filter_map(|command| match command {
             TaskCommand::Stop { id, .. } => Some(id.job_id),
-            _ => None,
+            TaskCommand::Start { .. } | TaskCommand::Forget { .. } => None,
         });
         WorkerResponse { token, stopped: stopped.collect() }
     }
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -1,7 +1,11 @@
 //! Tests of `cancellation_log`: two logs that exchange attestations.
 
-use super::*;
-use crate::scheduler::model::TaskId;
+use super::{
+    AppliedAttestation, Attestation, CancellationBounds, CancellationLog, ConfirmOutcome, StoreAccess,
+};
+use crate::limits;
+use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
+use crate::scheduler::TaskCommand;
 
 const SECOND: u64 = limits::SECOND;
 const NOW: u64 = 1 << 45;
--- a/src/lease/shard_tests.rs
+++ b/src/lease/shard_tests.rs
@@ -1,8 +1,8 @@
 //! Tests of `shard`: one leaseholder, its workers and its leader's acknowledgements.
 
-use super::*;
+use super::{Shard, ShardResponse};
 use crate::limits::SECOND;
-use crate::scheduler::model::{JobId, TaskId, TaskStatus};
+use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 
 const LEASE: u64 = 20 * SECOND;
 
