--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,11 +1,11 @@
 //! Heartbeats of workers, from their arrival to the task list.
 //!
-//! The way of a heartbeat through the scheduler:
+//! The path of a heartbeat through the scheduler:
 //! 1. `Scheduler::apply` in `mod.rs` hands it to [`Scheduler::handle_heartbeat`], or, if it is the response to a direct
 //!    command, straight to [`Scheduler::apply_heartbeat`].
 //! 2. `apply_heartbeat` finds out what it is (a [`HeartbeatOutcome`]). An unchanged one is recorded and ends here. A
 //!    late one goes to `stale_heartbeats`. A new one goes on: `reachability` checks that the machine receives its
-//!    commands, `task_lists` squares the task list with the placements, `task_exit` and `placements` follow from that,
+//!    commands, `task_lists` reconciles the task list with the placements, `task_exit` and `placements` follow from that,
 //!    and `recall` stops tasks whose machine the cloud takes away.
 //! 3. `handle_heartbeat` records the lease renewal, before any response is made. The response to a changed heartbeat
 //!    waits for the next round of decisions, since that may have a start for the machine.
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -62,7 +62,7 @@
     pub machine: StoredMachine,
     /// Whether the cloud says that it has failed.
     pub failed: bool,
-    /// Time since its rental, in seconds.
+    /// Time since its rental as of the moment that the list describes, in seconds.
     pub age_s: f64,
 }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure: no I/O, no clock, no globals; the random numbers are seeded. Times are in microseconds of the controller's
 //! monotonic clock, which passes them in. The controller calls [`Scheduler::step`] with what has happened and carries
-//! out the [`Effect`]s. `heartbeats` tells the way of a heartbeat through these modules.
+//! out the [`Effect`]s. `heartbeats` describes the path of a heartbeat through these modules.
 
 mod autoscaler;
 pub mod cold_start;
--- a/src/scheduler/model/job.rs
+++ b/src/scheduler/model/job.rs
@@ -19,13 +19,13 @@
 /// Importance of a job. Lowest first, so that a larger value is the more important one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Yields to all others.
+    /// After everything else.
     Low,
-    /// The default.
+    /// The ordinary class.
     Normal,
-    /// Preempts normal and low jobs.
+    /// Before normal jobs.
     High,
-    /// May also preempt jobs inside their rescale gap, and below their minimum width.
+    /// Before everything else. May also preempt jobs inside their rescale gap, and below their minimum width.
     Critical,
 }
 
@@ -34,7 +34,7 @@
 pub struct JobSpec {
     /// The job's id.
     pub job_id: JobId,
-    /// What sort of work it is, in the words of its owner; shown and logged only.
+    /// The class of jobs that it belongs to, for the overview and the usage log.
     pub class: String,
     /// The team whose quota it counts against.
     pub team: String,
@@ -62,7 +62,7 @@
     pub spot: bool,
     /// Its owner's estimate of the run time of a task, in seconds.
     pub estimate_s: f64,
-    /// Interval between checkpoints in seconds; 0: it saves none.
+    /// Seconds of progress between two checkpoints; 0: it saves none.
     pub checkpoint_s: f64,
     /// How long a task needs to save a checkpoint when it is stopped, in seconds.
     pub save_s: f64,
@@ -251,7 +251,7 @@
         }
     }
 
-    /// The width below which it is not preempted.
+    /// The least width that it can do with. It is not preempted below that, except by critical jobs.
     pub fn minimum(&self) -> u32 {
         match self.spec.kind {
             Kind::Array => 1.min(self.unfinished()),
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -15,9 +15,9 @@
     pub capacity: Resources,
     /// Price per hour as an ordinary machine.
     pub price: f64,
-    /// Price per hour as a spot machine. None: not offered as one.
+    /// Present price per hour as a spot machine. None: not offered as one.
     pub spot_price: Option<f64>,
-    /// Usual time from rental to the first heartbeat, in seconds.
+    /// Nominal boot time in seconds.
     pub boot_s: f64,
     /// Rate at which images are fetched, in GB per second; 0: not known.
     pub fetch_gb_per_s: f64,
--- a/src/scheduler/model/mod.rs
+++ b/src/scheduler/model/mod.rs
@@ -26,3 +26,6 @@
 pub use route::{PreviousRoute, Route};
 pub use task::{ExitReason, Placement, StopRequest, TaskStatus};
 pub use termination_proof::{PreviousPlacement, TerminationProof};
+
+#[cfg(test)]
+mod tests;
--- a/src/scheduler/model/task.rs
+++ b/src/scheduler/model/task.rs
@@ -8,13 +8,13 @@
 pub enum ExitReason {
     /// It succeeded.
     Done,
-    /// It ended before it had succeeded: on request, or because its gang broke.
+    /// It ended early without a failure: on request, or because other members of its gang were gone or never came.
     Stopped,
     /// It failed.
     Error,
     /// The worker had no resources for it.
     NoRoom,
-    /// The worker held another attempt of it.
+    /// The worker refused it because something there is in use.
     Busy,
     /// The worker did not know the task.
     Unknown,
--- /dev/null
+++ b/src/scheduler/model/tests.rs
@@ -0,0 +1,187 @@
+//! What follows from the data alone.
+
+use super::*;
+use crate::lease::renewal::LastRenewal;
+use crate::limits::{self, SECOND};
+use std::collections::BTreeSet;
+
+fn task(job_id: u64, task: u32) -> TaskId {
+    TaskId { job_id: JobId(job_id), task }
+}
+
+fn placement(image: &str, status: TaskStatus) -> Placement {
+    Placement {
+        attempt: 1,
+        resource_request: Resources::needed(1.0, 0.0, 1.0),
+        start_sent_in: None,
+        confirmed: true,
+        status,
+        running_since: None,
+        image: image.into(),
+        placed_at: 0,
+        stopping: None,
+    }
+}
+
+fn machine() -> Machine {
+    let stored = StoredMachine {
+        name: "m-000001".into(),
+        machine_type: "large".into(),
+        zone: "a".into(),
+        spot: false,
+        address: "address".into(),
+        images: BTreeSet::new(),
+    };
+    Machine::new(&stored, Resources::offered(4.0, 0.0, 16.0), SECOND, 60 * SECOND)
+}
+
+#[test]
+fn heartbeats_are_ordered_by_agent_epoch_first() {
+    let number = |agent_epoch, sequence| HeartbeatNumber { agent_epoch, sequence };
+    assert!(number(1, 9) < number(2, 1));
+    assert!(number(2, 1) < number(2, 2));
+}
+
+#[test]
+fn attempts_are_ordered_by_task_first() {
+    let attempt = |id, attempt| TaskAttempt { task: id, attempt };
+    assert!(attempt(task(1, 0), 9) < attempt(task(1, 1), 1));
+    assert!(attempt(task(1, 1), 9) < attempt(task(2, 0), 1));
+    assert!(attempt(task(1, 1), 1) < attempt(task(1, 1), 2));
+}
+
+#[test]
+fn direct_response_raises_the_newest_number_alone() {
+    let mut heartbeats = HeartbeatTracker::default();
+    let number = |sequence| HeartbeatNumber { agent_epoch: 1, sequence };
+    heartbeats.record_newest(number(4), HeartbeatSource::Periodic);
+    heartbeats.record_newest(number(6), HeartbeatSource::DirectResponse);
+    assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 4));
+    // The periodic heartbeat that was overtaken.
+    heartbeats.record_overtaken(5, SECOND);
+    assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 5));
+    assert_eq!(heartbeats.last_at, SECOND);
+}
+
+#[test]
+fn new_agent_epoch_begins_without_periodic_heartbeats() {
+    let mut heartbeats = HeartbeatTracker::default();
+    let number = |agent_epoch, sequence| HeartbeatNumber { agent_epoch, sequence };
+    heartbeats.record_newest(number(1, 4), HeartbeatSource::Periodic);
+    heartbeats.record_newest(number(2, 1), HeartbeatSource::DirectResponse);
+    assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(2, 1), 0));
+}
+
+#[test]
+fn route_remembers_the_one_before_when_it_changes() {
+    let mut route = Route::default();
+    assert!(!route.record(None, SECOND));
+    assert_eq!(route.previous, None);
+    assert!(route.record(Some(2), 2 * SECOND));
+    assert!(!route.record(Some(2), 3 * SECOND));
+    assert_eq!(route.via, Some(2));
+    assert_eq!(route.previous, Some(PreviousRoute { via: None, left_at: 2 * SECOND }));
+}
+
+#[test]
+fn stop_is_overdue_after_its_grace_period_and_the_timeout() {
+    let stop = StopRequest { requested_at: SECOND, grace_s: 2.0 };
+    let overdue = 3 * SECOND + limits::STOP_TIMEOUT;
+    assert!(!stop.is_overdue(overdue - 1));
+    assert!(stop.is_overdue(overdue));
+}
+
+#[test]
+fn resources_of_a_stopping_task_are_available_soon_until_the_stop_is_overdue() {
+    let mut machine = machine();
+    let mut stopping = placement("image", TaskStatus::Running);
+    stopping.stopping = Some(StopRequest { requested_at: SECOND, grace_s: 2.0 });
+    machine.tasks.insert(task(1, 0), stopping);
+    machine.tasks.insert(task(1, 1), placement("image", TaskStatus::Running));
+    assert_eq!(machine.available(), Resources::offered(2.0, 0.0, 14.0));
+    let overdue = 3 * SECOND + limits::STOP_TIMEOUT;
+    assert_eq!(machine.available_soon(overdue - 1), Resources::offered(3.0, 0.0, 15.0));
+    assert_eq!(machine.available_soon(overdue), machine.available());
+}
+
+#[test]
+fn image_waits_for_each_other_image_that_is_fetched() {
+    let mut machine = machine();
+    machine.image_cache.images.insert("cached".into());
+    machine.tasks.insert(task(1, 0), placement("one", TaskStatus::Fetching));
+    machine.tasks.insert(task(1, 1), placement("one", TaskStatus::Fetching));
+    machine.tasks.insert(task(2, 0), placement("two", TaskStatus::Running));
+    assert_eq!(machine.image_fetches("cached"), 0);
+    assert_eq!(machine.image_fetches("one"), 1);
+    assert_eq!(machine.image_fetches("three"), 2);
+}
+
+#[test]
+fn machine_is_settled_only_while_nothing_is_under_way() {
+    let mut settled = machine();
+    (settled.state, settled.reconciled, settled.recorded) = (MachineState::Ready, true, true);
+    settled.tasks.insert(task(1, 0), placement("image", TaskStatus::Running));
+    assert!(settled.is_settled());
+    assert_eq!(settled.last_renewal, LastRenewal::default());
+    let disturb: [fn(&mut Machine); 7] = [
+        |machine| machine.state = MachineState::Lost,
+        |machine| machine.reconciled = false,
+        |machine| machine.recorded = false,
+        |machine| machine.lifecycle.recall_at = Some(SECOND),
+        |machine| machine.commands.unacknowledged.push(TaskCommand::Forget { id: task(1, 0), attempt: 1 }),
+        |machine| {
+            machine.reported.orphaned.insert(TaskAttempt { task: task(9, 0), attempt: 1 });
+        },
+        |machine| machine.tasks.values_mut().for_each(|placement| placement.confirmed = false),
+    ];
+    for (case, disturb) in disturb.iter().enumerate() {
+        let mut machine = settled.clone();
+        disturb(&mut machine);
+        assert!(!machine.is_settled(), "case {case}");
+    }
+}
+
+#[test]
+fn succeeded_tasks_are_recorded_once() {
+    let mut progress = Progress { pending: BTreeSet::from([0, 1, 2]), ..Progress::default() };
+    progress.record_succeeded(1..2, SECOND);
+    assert_eq!((&progress.pending, progress.unrecorded_since), (&BTreeSet::from([0, 2]), Some(SECOND)));
+    // Written meanwhile: a second report of the same task must not have it written again.
+    progress.unrecorded.clear();
+    progress.unrecorded_since = None;
+    progress.record_succeeded(1..2, 2 * SECOND);
+    assert!(progress.unrecorded.is_empty());
+    assert_eq!(progress.unrecorded_since, None);
+    progress.record_succeeded(0..3, 3 * SECOND);
+    assert!(progress.pending.is_empty());
+    assert_eq!(progress.unrecorded, BTreeSet::from([0, 1, 2]));
+}
+
+#[test]
+fn task_is_provably_nowhere_only_until_its_start_is_sent_or_listed() {
+    let mut reserved = placement("image", TaskStatus::Fetching);
+    reserved.confirmed = false;
+    assert!(reserved.is_unsent());
+    let sent = HeartbeatNumber { agent_epoch: 1, sequence: 1 };
+    assert!(!Placement { start_sent_in: Some(sent), ..reserved.clone() }.is_unsent());
+    assert!(!Placement { confirmed: true, ..reserved }.is_unsent());
+}
+
+#[test]
+fn termination_proofs_keep_their_texts() {
+    let heartbeat = HeartbeatNumber { agent_epoch: 3, sequence: 7 };
+    let expired =
+        |via| TerminationProof::LeaseExpired { last_renewal: SECOND, via, at: 13 * SECOND + 500_000 };
+    let texts = [
+        (TerminationProof::NeverSent, "start never left"),
+        (TerminationProof::Exited, "exit reported"),
+        (TerminationProof::NotListed { heartbeat }, "not listed in heartbeat 3/7"),
+        (TerminationProof::NewAgentEpoch { agent_epoch: 4 }, "agent epoch 4 began"),
+        (expired(None), "lease ended 12.500 s after the last answer"),
+        (expired(Some(2)), "lease ended 12.500 s after the last answer by way of node 2"),
+        (TerminationProof::Deleted, "deleted by the cloud"),
+    ];
+    for (proof, text) in texts {
+        assert_eq!(proof.to_string(), text);
+    }
+}
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -42,7 +42,7 @@
 pub struct JobLine {
     /// Its id.
     pub job: String,
-    /// What sort of work it is, in the words of its owner.
+    /// The class of jobs that it belongs to.
     pub class: String,
     /// Its team.
     pub team: String,
--- a/src/scheduler/task_lists.rs
+++ b/src/scheduler/task_lists.rs
@@ -1,4 +1,4 @@
-//! Task lists of heartbeats, squared with the placements.
+//! Task lists of heartbeats, reconciled with the placements.
 //!
 //! Called by `heartbeats` with the list of each newest heartbeat, and by `cold_start` with the last list again when a
 //! job has become known. It owns `Machine::reported` and the confirmation of placements.
