--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,10 @@
 //! dockpier, an elastic cluster scheduler.
 //!
-//! `scheduler` owns every decision and does no I/O; `leadership` says who may act; the other modules
-//! stand around them and speak to users, workers, the cloud, the state service and the peers.
+//! [`scheduler`] makes every decision and does no I/O; [`leadership`] and [`lease`] say who may act and until when, without
+//! I/O either. [`controller`] is the event loop that feeds them and carries out what they decide; the other modules speak
+//! to users, workers, the cloud, the key-value store and the other controllers. `ARCHITECTURE.md` has the whole picture.
+
+#![deny(missing_docs)]
 
 pub mod api;
 pub mod cli;
