--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -1,7 +1,6 @@
 //! Requests of a cold start: reads jobs that heartbeats name and the scheduler does not know, and writes the report.
 
-use super::effects::write_outcome;
-use super::job_watch::stored_job;
+use super::job_loading::stored_job;
 use super::Controller;
 use crate::limits;
 use crate::protocol::state_service::Record;
@@ -32,12 +31,10 @@
 
     /// Stores the report, under the version that is known of it.
     pub(super) fn write_cold_start(&self, report: ColdStartReport) {
-        let (store, versions, leads) = self.record_writer();
+        let writer = self.record_writer();
         self.spawn_scheduler_request(async move {
             let changes = write_change(keys::COLD_START_REPORT, report).into_iter().collect();
-            Command::ColdStartWritten(
-                write_outcome(versions.commit(&store, vec![leads], changes).await).await,
-            )
+            Command::ColdStartWritten(writer.write(changes).await)
         });
     }
 }
--- a/src/controller/drain_records.rs
+++ b/src/controller/drain_records.rs
@@ -1,7 +1,6 @@
 //! The leader's drains in the state service: requests of operators are followed, and the scheduler's records written.
 
-use super::effects::write_outcome;
-use super::job_watch::pause;
+use super::record_writer::wait_before_retry;
 use super::Controller;
 use crate::drains::records;
 use crate::limits;
@@ -15,10 +14,10 @@
 impl Controller {
     /// Stores a record of a drain, under the version that is known of it.
     pub(super) fn write_drain(&self, key: DrainKey, value: DrainValue) {
-        let (store, versions, leads) = self.record_writer();
+        let writer = self.record_writer();
         self.spawn_scheduler_request(async move {
             let changes = write_change(&records::key_of(&key), value).into_iter().collect();
-            let outcome = write_outcome(versions.commit(&store, vec![leads], changes).await).await;
+            let outcome = writer.write(changes).await;
             Command::DrainWritten { key, outcome }
         });
     }
@@ -39,7 +38,7 @@
             }
             Err(error) => {
                 warn!(%error, "cannot read drains");
-                pause().await;
+                wait_before_retry().await;
                 continue;
             }
         }
@@ -61,7 +60,7 @@
             Ok(None) => return revision,
             Err(error) => {
                 debug!(%error, "following drains");
-                pause().await;
+                wait_before_retry().await;
             }
         }
     }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -2,26 +2,21 @@
 //! cloud. The outcome comes back as a command to the scheduler.
 
 use super::cloud_driver::{AuthorityGate, CloudRequest};
-use super::finished_tasks::finished_tasks_changes;
+use super::finished_tasks::{finished_tasks_write, FinishedTasksWrite};
 use super::job_watch::sweep;
+use super::record_writer::write_outcome;
 use super::Controller;
-use crate::limits;
 use crate::node_events::Event;
 use crate::peer::Payload;
 use crate::protocol::records::{FinalRecord, MachineRecord};
-use crate::protocol::state_service::Comparison;
 use crate::protocol::users::JobStatus;
 use crate::protocol::workers::{DirectCommands, WorkerCommand};
 use crate::scheduler::model::JobId;
 use crate::scheduler::{Command, Effect, StoredMachine, TaskCommand, WriteOutcome};
-use crate::storage::key_value_store::{
-    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore,
-};
+use crate::storage::key_value_store::{compare_version, remove_change, write_change};
 use crate::storage::keys;
-use crate::storage::record_versions::RecordVersions;
 use crate::worker;
 use std::collections::BTreeSet;
-use std::time::Duration;
 use tracing::{debug, info};
 
 /// Puts and deletes of a job's last transaction besides its finished tasks: its final state, its live record.
@@ -77,11 +72,6 @@
         }
     }
 
-    /// The condition of every transaction of a leader: no other has written its epoch since.
-    pub(super) fn epoch_comparison(&self) -> Comparison {
-        compare_version(keys::LEADER_EPOCH, self.term.epoch_version)
-    }
-
     /// Sends stop commands to a worker's address, without waiting for its next heartbeat.
     fn send_direct(&self, machine: &str, address: String, agent_epoch: u64, task_commands: &[TaskCommand]) {
         let Some(token) = self.leadership.authority(self.clock.now()) else { return };
@@ -114,11 +104,12 @@
         all_done: BTreeSet<u32>,
     ) {
         let max_changes = self.settings.deployment.state.txn_ops;
-        let (store, versions, leads) = self.record_writer();
+        let writer = self.record_writer();
         self.spawn_scheduler_request(async move {
-            let (tasks, changes) = finished_tasks_changes(job_id, tasks, &all_done, max_changes);
-            let conditions = vec![leads, compare_version(&keys::live_job(job_id), version)];
-            let outcome = write_outcome(versions.commit(&store, conditions, changes).await).await;
+            let FinishedTasksWrite { tasks, changes } =
+                finished_tasks_write(job_id, tasks, &all_done, max_changes);
+            let is_live = compare_version(&keys::live_job(job_id), version);
+            let outcome = writer.write_if(vec![is_live], changes).await;
             Command::Committed { job_id, tasks, outcome }
         });
     }
@@ -149,26 +140,20 @@
 
     /// Writes a machine record, or removes one without machines.
     fn write_machine_record(&self, key: String, machines: Vec<StoredMachine>) {
-        let (store, versions, leads) = self.record_writer();
+        let writer = self.record_writer();
         self.spawn_scheduler_request(async move {
             let path = keys::machine_record(&key);
             let records: Vec<MachineRecord> = machines.into_iter().map(MachineRecord::from).collect();
-            let change = if records.is_empty() {
+            let changes = if records.is_empty() {
                 vec![remove_change(&path)]
             } else {
                 write_change(&path, records).into_iter().collect()
             };
-            let outcome = write_outcome(versions.commit(&store, vec![leads], change).await).await;
+            let outcome = writer.write(changes).await;
             Command::Recorded { key, outcome }
         });
     }
 
-    /// What a task that writes the leader's records needs: the client, the records' versions, and the condition that
-    /// this node still leads.
-    pub(super) fn record_writer(&self) -> (KeyValueStore, RecordVersions, Comparison) {
-        (self.clients.store.clone(), self.term.record_versions.clone(), self.epoch_comparison())
-    }
-
     pub(super) fn authority_gate(&self) -> AuthorityGate {
         AuthorityGate { clock: self.clock, until: self.authority_until.clone() }
     }
@@ -180,18 +165,3 @@
         }
     }
 }
-
-/// The outcome of a transaction for the scheduler. A failure is reported after a random delay: the scheduler retries
-/// at once, and must neither load a service in trouble nor end an outage with a stampede.
-pub(super) async fn write_outcome(outcome: CommitOutcome) -> WriteOutcome {
-    if !matches!(outcome, CommitOutcome::Committed { .. }) {
-        let shortest = limits::STORE_RETRY_DELAY_MS;
-        let delay_ms = shortest + rand::random_range(0..=shortest);
-        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-    }
-    match outcome {
-        CommitOutcome::Committed { .. } => WriteOutcome::Done,
-        CommitOutcome::Conflict | CommitOutcome::Refused => WriteOutcome::Refused,
-        CommitOutcome::Unknown => WriteOutcome::Unknown,
-    }
-}
--- a/src/controller/finished_tasks.rs
+++ b/src/controller/finished_tasks.rs
@@ -8,14 +8,21 @@
 use crate::storage::keys;
 use std::collections::BTreeSet;
 
-/// The changes that record `tasks`, at most `max_changes`, and the tasks that these cover. A chunk is written as a
+/// One write of finished tasks.
+pub(super) struct FinishedTasksWrite {
+    /// The tasks that it records.
+    pub(super) tasks: BTreeSet<u32>,
+    pub(super) changes: Vec<Change>,
+}
+
+/// The write that records `tasks`, or as many of them as `max_changes` cover. A chunk is written as a
 /// complete value, so `all_done` gives the tasks of the job that were recorded before as well.
-pub(super) fn finished_tasks_changes(
+pub(super) fn finished_tasks_write(
     job_id: JobId,
     tasks: BTreeSet<u32>,
     all_done: &BTreeSet<u32>,
     max_changes: usize,
-) -> (BTreeSet<u32>, Vec<Change>) {
+) -> FinishedTasksWrite {
     let chunks: BTreeSet<u32> = tasks.iter().map(|task| task / limits::FINISHED_TASKS_CHUNK).collect();
     let chunks: BTreeSet<u32> = chunks.into_iter().take(max_changes).collect();
     let covered =
@@ -27,10 +34,11 @@
             let bits = encode_bits(
                 all_done.range(first..first + limits::FINISHED_TASKS_CHUNK).map(|task| task - first),
             );
+            // Text always has a JSON form.
             write_change(&keys::finished_tasks(job_id, *chunk), bits).ok()
         })
         .collect();
-    (covered, changes)
+    FinishedTasksWrite { tasks: covered, changes }
 }
 
 /// Task numbers as hexadecimal digits, four tasks each, the lowest first.
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -1,107 +1,23 @@
 //! Reads the state service for a leader: jobs, finished tasks and machine records when its leadership begins, and from
 //! then on the jobs that users submit and cancel. Owned by one leadership, which aborts it when it ends.
 
-use super::finished_tasks::decode_bits;
+use super::job_loading::{load, stored_job, Loaded};
+use super::record_writer::wait_before_retry;
 use crate::drains;
-use crate::http::wall_ms;
 use crate::limits;
 use crate::node_events::Event;
-use crate::protocol::records::{LiveRecord, MachineRecord};
 use crate::protocol::state_service::{ChangeEvent, Record};
 use crate::scheduler::model::JobId;
-use crate::scheduler::{Command, StoredJob, StoredMachine};
+use crate::scheduler::Command;
 use crate::settings::Team;
 use crate::storage::key_value_store::{compare_version, remove_change, KeyValueStore, StoreError};
 use crate::storage::keys;
 use crate::storage::record_versions::RecordVersions;
-use std::collections::{BTreeSet, HashMap};
+use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tracing::{debug, info, warn};
 
-/// Parses a live record; `None`, with a warning, if it can't be read.
-pub(super) fn stored_job(record: &Record) -> Option<StoredJob> {
-    let live: Result<LiveRecord, _> = serde_json::from_value(record.value.clone());
-    let checked = live
-        .map_err(|error| error.to_string())
-        .and_then(|record| Ok((record.submission.check()?, record.accepted_ms)));
-    match checked {
-        Ok((spec, accepted_ms)) => {
-            let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
-            let age = age_ms.min(limits::MAX_JOB_AGE_MS) * 1_000;
-            Some(StoredJob { spec, version: record.version, age, succeeded: BTreeSet::new() })
-        }
-        Err(error) => {
-            warn!(key = record.key, error, "unreadable job record: skipped");
-            None
-        }
-    }
-}
-
-/// Everything that a new leader reads.
-struct Loaded {
-    jobs: Vec<StoredJob>,
-    /// Machine records by their name, without the prefix of their keys.
-    records: Vec<(String, Vec<StoredMachine>)>,
-    /// Keys of finished tasks whose job is not live any more.
-    orphans: Vec<String>,
-    /// Changes after this revision are still to be followed.
-    revision: u64,
-}
-
-async fn load(store: &KeyValueStore, versions: &RecordVersions) -> Result<Loaded, StoreError> {
-    // The live jobs first: what finishes during the other reads is then followed from their revision.
-    let (live, revision) = store.list(keys::LIVE_JOBS).await?;
-    let (finished, _) = store.list(keys::FINISHED_TASKS).await?;
-    let (fleet, _) = store.list(keys::MACHINE_RECORDS).await?;
-    finished.iter().chain(&fleet).for_each(|record| versions.note(&record.key, record.version));
-    let mut jobs: HashMap<JobId, StoredJob> =
-        live.iter().filter_map(stored_job).map(|job| (job.spec.job_id, job)).collect();
-    let orphans = add_finished_tasks(&mut jobs, finished);
-    let records = fleet.into_iter().filter_map(stored_machines).collect();
-    Ok(Loaded { jobs: jobs.into_values().collect(), records, orphans, revision })
-}
-
-/// Adds finished tasks to their jobs; returns the keys of those whose job is not live.
-fn add_finished_tasks(jobs: &mut HashMap<JobId, StoredJob>, records: Vec<Record>) -> Vec<String> {
-    let mut orphans = Vec::new();
-    for record in records {
-        let mut parts = record.key.split('/').skip(1);
-        let job_id = parts.next().and_then(JobId::parse);
-        let chunk = parts.next().and_then(|chunk| chunk.parse::<u32>().ok());
-        let Some(job) = job_id.and_then(|job_id| jobs.get_mut(&job_id)) else {
-            orphans.push(record.key);
-            continue;
-        };
-        let (Some(chunk), Some(bits)) = (chunk, record.value.as_str()) else {
-            warn!(key = record.key, "unreadable record of finished tasks: skipped");
-            continue;
-        };
-        let first = chunk.saturating_mul(limits::FINISHED_TASKS_CHUNK);
-        let tasks = job.spec.tasks;
-        job.succeeded.extend(decode_bits(bits).map(|task| task + first).filter(|task| *task < tasks));
-    }
-    orphans
-}
-
-/// Parses a machine record; `None`, with a warning, if it can't be read.
-fn stored_machines(record: Record) -> Option<(String, Vec<StoredMachine>)> {
-    let name = record.key.strip_prefix(keys::MACHINE_RECORDS)?.to_string();
-    match serde_json::from_value::<Vec<MachineRecord>>(record.value) {
-        Ok(machines) => Some((name, machines.into_iter().map(StoredMachine::from).collect())),
-        Err(error) => {
-            warn!(key = record.key, %error, "unreadable machine record: skipped");
-            None
-        }
-    }
-}
-
-/// Waits before a failed request to the state service is repeated, for a random time against stampedes.
-pub(super) async fn pause() {
-    let shortest = limits::STORE_RETRY_DELAY_MS;
-    tokio::time::sleep(Duration::from_millis(rand::random_range(shortest..=2 * shortest))).await;
-}
-
 /// What [`follow_jobs`] needs of its leadership.
 pub(super) struct JobWatch {
     pub(super) store: KeyValueStore,
@@ -130,11 +46,11 @@
             }
             Ok(None) => match follower.read_again().await {
                 Some(read) => revision = read,
-                None => pause().await,
+                None => wait_before_retry().await,
             },
             Err(error) => {
                 debug!(%error, "following jobs");
-                pause().await;
+                wait_before_retry().await;
             }
         }
     }
@@ -160,7 +76,7 @@
         loop {
             if let Err(error) = self.load_drains(versions, drain_teams).await {
                 warn!(%error, "cannot load drains yet");
-                pause().await;
+                wait_before_retry().await;
                 continue;
             }
             match load(&self.store, versions).await {
@@ -175,7 +91,7 @@
                 }
                 Err(error) => {
                     warn!(%error, "cannot load yet");
-                    pause().await;
+                    wait_before_retry().await;
                 }
             }
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -12,9 +12,11 @@
 mod health;
 mod heartbeat_routing;
 mod ignored_frames;
+mod job_loading;
 mod job_watch;
 mod leadership_actions;
 mod peer_links;
+mod record_writer;
 mod startup;
 
 pub use startup::{run, ServeError};
--- a/tests/pinned_state/store_requests.rs
+++ b/tests/pinned_state/store_requests.rs
@@ -5,10 +5,10 @@
 use crate::node_api::store;
 use dockpier::protocol::records::Epoch;
 use dockpier::storage::key_value_store::{
-    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore, LockCondition, LockState,
-    StoredEpoch, Takeover,
+    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore,
 };
 use dockpier::storage::keys;
+use dockpier::storage::leader_lock::{LockCondition, LockState, StoredEpoch, Takeover};
 use dockpier::storage::record_versions::RecordVersions;
 
 const LOCK_VALUE: &str = r#"{"path":"leader/lock","value":{"token":41},"entry":9,"permit":5}"#;
--- a/tests/pinned_wire/state_requests.rs
+++ b/tests/pinned_wire/state_requests.rs
@@ -8,10 +8,10 @@
 use dockpier::protocol::state_service::{Change, ChangeLog, Record};
 use dockpier::settings::StateLimits;
 use dockpier::storage::key_value_store::{
-    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore, LockCondition, LockState,
-    StoreError, StoredEpoch, Takeover,
+    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore, StoreError,
 };
 use dockpier::storage::keys;
+use dockpier::storage::leader_lock::{LockCondition, LockState, StoredEpoch, Takeover};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
