--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -3,21 +3,22 @@
 
 #![deny(missing_docs)]
 
+mod cloud;
 mod history;
+mod layout;
 mod store;
 mod worker;
 
 pub use history::{Disruption, History};
+pub use layout::{job, Layout, MACHINE_TYPE};
 pub use store::Store;
 pub use worker::{Worker, WorkerTask};
 
 use dockpier::limits::{self, SECOND};
-use dockpier::scheduler::model::*;
-use dockpier::scheduler::{
-    Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
-};
-use dockpier::settings::{Operator, Team, Workers};
+use dockpier::scheduler::model::{JobId, JobSpec, MachineType, Resources};
+use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, WriteOutcome};
 use dockpier_drain::request::{DesiredState, DrainRequest, StoredRequest};
+use layout::config;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Resolution of the fleet's time, in microseconds.
@@ -33,52 +34,6 @@
 /// How often the cloud's list is read.
 const LIST_EVERY: u64 = 4 * SECOND;
 
-/// What a fleet is made of.
-#[derive(Debug, Clone)]
-pub struct Layout {
-    /// Its zones.
-    pub zones: Vec<String>,
-    /// Machines of each zone at the start.
-    pub machines: usize,
-    /// Machines that the cloud has in each zone.
-    pub capacity: usize,
-    /// Slots of a machine: processor cores, GPUs and GB alike.
-    pub slots: f64,
-    /// Teams.
-    pub teams: Vec<Team>,
-    /// The operators' settings.
-    pub operator: Operator,
-    /// Interval between heartbeats, in seconds.
-    pub report_s: f64,
-    /// Time that a machine takes to boot, in seconds.
-    pub boot_s: f64,
-    /// Changes a second that the state service takes.
-    pub write_rps: f64,
-    /// Bytes of a value of the state service.
-    pub value_most: usize,
-}
-
-impl Default for Layout {
-    fn default() -> Self {
-        Layout {
-            zones: vec!["a".into(), "b".into()],
-            machines: 4,
-            capacity: 64,
-            slots: 4.0,
-            teams: vec![Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
-            // Machines without work are kept: here they are there to be looked at.
-            operator: Operator { idle_s: 36_000.0, reserve_services: 0, ..Operator::default() },
-            report_s: 1.0,
-            boot_s: 5.0,
-            write_rps: 200.0,
-            value_most: 4_096,
-        }
-    }
-}
-
-/// The type of every machine.
-pub const MACHINE_TYPE: &str = "m";
-
 /// A leader with everything around it.
 pub struct Fleet {
     /// The leader.
@@ -386,59 +341,6 @@
         }
     }
 
-    fn rent(
-        &mut self,
-        name: &str,
-        zone: &str,
-        spot: bool,
-        count: u32,
-    ) -> (Option<Vec<String>>, WriteOutcome) {
-        if let Some(machines) = self.rentals.get(name) {
-            return (Some(machines.clone()), WriteOutcome::Done);
-        }
-        let here = self.workers.values().filter(|worker| worker.zone == zone).count();
-        let free = self.layout.capacity.saturating_sub(here).min(count as usize);
-        if free == 0 || spot {
-            return (None, WriteOutcome::Refused);
-        }
-        let boots = limits::micros(self.layout.boot_s);
-        let names: Vec<String> = (0..free).map(|_| self.make_machine(zone, boots)).collect();
-        self.rentals.insert(name.to_string(), names.clone());
-        (Some(names), WriteOutcome::Done)
-    }
-
-    fn make_machine(&mut self, zone: &str, boots: u64) -> String {
-        self.made += 1;
-        let name = machine_name(self.made as u64);
-        let interval = limits::micros(self.layout.report_s);
-        let spread = interval * (self.made as u64 % 10) / 10;
-        let mut up_at = self.now + boots;
-        if boots > 0 && self.never_boot > 0 {
-            self.never_boot -= 1;
-            up_at = u64::MAX;
-        }
-        let first = up_at.saturating_add(spread);
-        let worker = Worker::new(self.made as u64, &name, zone, up_at, first, self.layout.slots);
-        self.workers.insert(name.clone(), worker);
-        name
-    }
-
-    fn list(&self) -> Vec<ListedMachine> {
-        let listed = self.workers.values().map(|worker| ListedMachine {
-            machine: StoredMachine {
-                name: worker.name.clone(),
-                machine_type: MACHINE_TYPE.into(),
-                zone: worker.zone.clone(),
-                spot: false,
-                address: String::new(),
-                images: BTreeSet::new(),
-            },
-            failed: worker.dead,
-            age_s: 1_000.0,
-        });
-        listed.collect()
-    }
-
     /// A leader begins with what the state service holds.
     fn load(&mut self) {
         let slots = self.layout.slots;
@@ -466,52 +368,3 @@
 fn machine_name(number: u64) -> String {
     format!("m-{number:06}")
 }
-
-fn config(layout: &Layout) -> Config {
-    Config {
-        token: 1,
-        operator: layout.operator.clone(),
-        workers: Workers {
-            report_s: layout.report_s,
-            lease_s: 10.0 + 2.0 * layout.report_s,
-            cancel_s: 60.0,
-            gang_wait_s: 30.0,
-            gang_peer_s: 6.0,
-        },
-        teams: layout.teams.clone(),
-        zones: layout.zones.clone(),
-        list_lag_s: 3.0,
-        round_steps: limits::MAX_ROUND_STEPS,
-        cpu_share: 1.0,
-        write_rps: layout.write_rps,
-        record_machines: limits::record_machines(layout.value_most as f64 / 1_024.0),
-        value_most: layout.value_most,
-        rentals_at_once: 10,
-        shard_lease: 0,
-    }
-}
-
-/// A job of tasks that take a slot each.
-pub fn job(id: u64, team: &str, kind: Kind, tasks: u32) -> JobSpec {
-    let service = kind == Kind::Service;
-    JobSpec {
-        job_id: JobId(id),
-        class: "c".into(),
-        team: team.into(),
-        kind,
-        priority: if service { Priority::Critical } else { Priority::Normal },
-        tasks,
-        resource_request: Resources::needed(1.0, 1.0, 1.0),
-        image: format!("image-{id}"),
-        image_gb: 1.0,
-        types: None,
-        zone: None,
-        one_zone: kind == Kind::Gang,
-        spread: service,
-        spot: false,
-        estimate_s: if service { 0.0 } else { 60.0 },
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
-    }
-}
