--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -77,8 +77,8 @@
     }
     loop {
         let Some(catalog) = cloud.catalog().await else {
-            let pause = rand::random_range(CATALOG_RETRY_DELAY_MS);
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            let delay_ms = rand::random_range(CATALOG_RETRY_DELAY_MS);
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             continue;
         };
         if events.send(publish(&catalog)).await.is_err() {
--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -36,7 +36,7 @@
 
 /// Where the reply to a heartbeat goes.
 pub(super) enum ReplyTo {
-    /// To the worker, with the stop commands that the reply must not leave without.
+    /// To the worker, with stop commands that must be in the reply, whatever the scheduler adds.
     Worker(oneshot::Sender<HeartbeatReply>, Vec<TaskCommand>),
     /// To the leaseholder that relayed it: its node, and its number of the request.
     Leaseholder(usize, u64),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -43,7 +43,7 @@
 use tokio::sync::{mpsc, oneshot, Semaphore};
 use tokio::task::JoinSet;
 
-/// How long the controller waits for events before it does what is due without them.
+/// Longest time between two batches: timers are checked at least this often.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The one owner of this process's state.
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -323,3 +323,7 @@
         self.progress.recorded_chunks.iter().copied().collect()
     }
 }
+
+#[cfg(test)]
+#[path = "records_tests.rs"]
+mod tests;
