--- a/crates/dockpier-simulation/examples/transcript/effects.rs
+++ b/crates/dockpier-simulation/examples/transcript/effects.rs
@@ -5,19 +5,19 @@
 use dockpier::scheduler::cold_start::{ColdStartReport, Phase};
 use dockpier::scheduler::{Effect, TaskCommand};
 
-/// Writes an effect, and after it one line for each of its orders.
+/// Writes an effect, and after it one line for each of its commands.
 pub fn write(out: &mut Transcript, at: u64, effect: &Effect) {
     out.write(at, line(effect));
-    if let Effect::HeartbeatResponse { task_commands: orders, .. }
-    | Effect::DirectCommands { task_commands: orders, .. } = effect
+    if let Effect::HeartbeatResponse { task_commands: commands, .. }
+    | Effect::DirectCommands { task_commands: commands, .. } = effect
     {
-        write_orders(out, at, orders);
+        write_orders(out, at, commands);
     }
 }
 
 /// Writes one line for each order.
-pub fn write_orders(out: &mut Transcript, at: u64, orders: &[TaskCommand]) {
-    orders.iter().for_each(|o| out.write(at, order(o)));
+pub fn write_orders(out: &mut Transcript, at: u64, commands: &[TaskCommand]) {
+    commands.iter().for_each(|o| out.write(at, order(o)));
 }
 
 fn order(order: &TaskCommand) -> Line {
@@ -31,22 +31,22 @@
 
 fn line(effect: &Effect) -> Line {
     match effect {
-        Effect::HeartbeatResponse { reply, renewal, task_commands: orders, cacheable: keep } => {
+        Effect::HeartbeatResponse { reply, renewal, task_commands: commands, cacheable: keep } => {
             Line::new("answer")
                 .with("reply", reply)
                 .with("renewal", words::renewal(renewal.as_ref()))
                 .with("keep", keep)
-                .with("orders", orders.len())
+                .with("orders", commands.len())
         }
         Effect::RequestWake { node, machine } => {
             Line::new("wake").with("node", node).with("machine", machine)
         }
-        Effect::DirectCommands { machine, address, agent_epoch: session, task_commands: orders } => {
+        Effect::DirectCommands { machine, address, agent_epoch: session, task_commands: commands } => {
             Line::new("direct")
                 .with("machine", machine)
                 .with("address", address)
                 .with("session", session)
-                .with("orders", orders.len())
+                .with("orders", commands.len())
         }
         Effect::CommitDone { job_id, version, tasks, all_done } => Line::new("commit-done")
             .with("job", job_id.0)
--- a/crates/dockpier-simulation/examples/transcript/key_value_store.rs
+++ b/crates/dockpier-simulation/examples/transcript/key_value_store.rs
@@ -13,7 +13,7 @@
 pub struct Request {
     /// The node's name.
     pub name: &'static str,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: u64,
     /// When the request left.
     pub sent: u64,
--- a/crates/dockpier-simulation/examples/transcript/lessees.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -1,5 +1,5 @@
-//! Part one, second driver: the core as a leader with two lessees. Workers report to any of three controllers; the
-//! lessees are real blocks, which pass reports on (`Checkin` with `via`) and tell whom they answered (`Heard`).
+//! Part one, second driver: the core as a leader with two leaseholders. Workers report to any of three controllers; the
+//! leaseholders are real shards, which pass reports on (`Checkin` with `via`) and tell whom they answered (`Heard`).
 
 mod events;
 
@@ -27,12 +27,12 @@
 /// The type of machines with twice the slots.
 const LARGE: &str = "l";
 const MACHINES_MOST: usize = 16;
-/// Where the leader runs; the others are lessees.
+/// Where the leader runs; the others are leaseholders.
 const LEADER: usize = 0;
 
 /// A controller that is not the leader.
 struct Leaseholder {
-    block: Shard,
+    shard: Shard,
     /// It and the leader don't reach each other until then.
     cut_until: u64,
 }
@@ -43,11 +43,11 @@
     rng: SmallRng,
     out: &'a mut Transcript,
     now: u64,
-    lessees: Vec<Leaseholder>,
+    leaseholders: Vec<Leaseholder>,
     workers: BTreeMap<String, Worker>,
     jobs: BTreeMap<JobId, StoredJob>,
     records: BTreeMap<String, Vec<StoredMachine>>,
-    /// Reports that wait for the leader's answer, with the lessee that passed them on.
+    /// Reports that wait for the leader's answer, with the leaseholder that passed them on.
     waiting: BTreeMap<u64, (Option<usize>, Heartbeat)>,
     /// The newest report, and how it came.
     newest: Option<(Option<usize>, Heartbeat)>,
@@ -58,16 +58,16 @@
     listed_at: u64,
 }
 
-/// Plays the leader's and the lessees' day of a seed.
+/// Plays the leader's and the leaseholders' day of a seed.
 pub fn play(seed: u64, out: &mut Transcript) {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x1e55_ee55);
     let config = config(&mut rng);
     let now = SECOND;
-    let lessee = |incarnation| Leaseholder { block: Shard::new(6, incarnation), cut_until: 0 };
+    let leaseholder = |incarnation| Leaseholder { shard: Shard::new(6, incarnation), cut_until: 0 };
     let mut day = Day {
         core: Scheduler::new(config.clone(), now),
         config,
-        lessees: vec![lessee(rng.random()), lessee(rng.random())],
+        leaseholders: vec![leaseholder(rng.random()), leaseholder(rng.random())],
         rng,
         out,
         now,
@@ -157,7 +157,7 @@
         let mut batch: Vec<Command> = due.into_iter().map(|(_, command)| command).collect();
         let names: Vec<String> = self.workers.keys().cloned().collect();
         batch.extend(names.iter().filter_map(|name| self.report(name)));
-        batch.extend((0..self.lessees.len()).filter_map(|lessee| self.heartbeat(lessee)));
+        batch.extend((0..self.leaseholders.len()).filter_map(|leaseholder| self.heartbeat(leaseholder)));
         if now >= self.listed_at + 4 * SECOND {
             self.listed_at = now;
             batch.push(Command::Listed(self.list()));
@@ -174,7 +174,7 @@
         self.workers.values_mut().for_each(|worker| worker.work(self.now, LEASE, runs));
     }
 
-    /// A worker's report: answered by its lessee, or a command for the leader.
+    /// A worker's report: answered by its leaseholder, or a command for the leader.
     fn report(&mut self, name: &str) -> Option<Command> {
         let now = self.now;
         let worker = self.workers.get_mut(name).filter(|worker| worker.reports(now))?;
@@ -183,10 +183,10 @@
         if worker.node == LEADER {
             return Some(self.checkin(None, report));
         }
-        let (node, Leaseholder { block, cut_until }) = (worker.node, &mut self.lessees[worker.node - 1]);
+        let (node, Leaseholder { shard, cut_until }) = (worker.node, &mut self.leaseholders[worker.node - 1]);
         let cut = now < *cut_until;
         let line = Line::new("block").with("node", node).with("machine", name);
-        match block.respond(now, &report, !cut) {
+        match shard.respond(now, &report, !cut) {
             ShardResponse::Renewed(token, renewal) => {
                 worker.answered(now, token, &[]);
                 let renewal = words::renewal(Some(&renewal));
@@ -217,14 +217,14 @@
         Command::Heartbeat { reply: self.replies, heartbeat: report, via }
     }
 
-    /// A lessee's heartbeat; it or its confirmation may be lost.
-    fn heartbeat(&mut self, lessee: usize) -> Option<Command> {
+    /// A leaseholder's heartbeat; it or its confirmation may be lost.
+    fn heartbeat(&mut self, leaseholder: usize) -> Option<Command> {
         let now = self.now;
         let (lost, unconfirmed) = (self.rng.random_bool(0.08), self.rng.random_bool(0.08));
-        let Leaseholder { block, cut_until } = &mut self.lessees[lessee];
-        let heartbeat = block.next_heartbeat(now)?;
+        let Leaseholder { shard, cut_until } = &mut self.leaseholders[leaseholder];
+        let heartbeat = shard.next_heartbeat(now)?;
         let line = Line::new("block-heartbeat")
-            .with("node", lessee + 1)
+            .with("node", leaseholder + 1)
             .with("whole", heartbeat.complete)
             .with("fresh", heartbeat.first_of_incarnation)
             .list("machines", &heartbeat.machines);
@@ -233,13 +233,13 @@
             return None;
         }
         if !unconfirmed {
-            block.acknowledge(heartbeat.id, SHARD_LEASE);
+            shard.acknowledge(heartbeat.id, SHARD_LEASE);
         }
         // What it covers lies some way back.
         let covers = heartbeat.complete.then(|| now.saturating_sub(2 * STEP));
         let (machines, fresh) = (heartbeat.machines, heartbeat.first_of_incarnation);
         Some(Command::ShardHeartbeat {
-            node: lessee + 1,
+            node: leaseholder + 1,
             machines,
             covers_until: covers,
             first_of_incarnation: fresh,
@@ -276,19 +276,21 @@
         // Without an answer it is carried out all the same.
         let carried_out = outcome != WriteOutcome::Refused;
         match effect {
-            Effect::HeartbeatResponse { reply, renewal, task_commands: orders, cacheable: keep } => {
+            Effect::HeartbeatResponse { reply, renewal, task_commands: commands, cacheable: keep } => {
                 let Some((via, report)) = self.waiting.remove(&reply) else { return };
                 if let Some(worker) = self.workers.get_mut(&report.machine).filter(|_| renewal.is_some()) {
-                    worker.answered(now, token, &orders);
+                    worker.answered(now, token, &commands);
                 }
                 if let Some(via) = via {
-                    self.lessees[via - 1].block.record_relayed_response(now, report, token, keep);
+                    self.leaseholders[via - 1].shard.record_relayed_response(now, report, token, keep);
                 }
             }
-            Effect::RequestWake { node, machine } => self.lessees[node - 1].block.request_wake(&[machine]),
-            Effect::DirectCommands { machine, agent_epoch: session, task_commands: orders, .. } => {
+            Effect::RequestWake { node, machine } => {
+                self.leaseholders[node - 1].shard.request_wake(&[machine])
+            }
+            Effect::DirectCommands { machine, agent_epoch: session, task_commands: commands, .. } => {
                 let Some(worker) = self.workers.get_mut(&machine) else { return };
-                if worker.take_direct(now, session, &orders) {
+                if worker.take_direct(now, session, &commands) {
                     let report = worker.report(now);
                     self.answer_later(Command::DirectCommandAnswered(report));
                 }
--- a/crates/dockpier-simulation/examples/transcript/lessees/events.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
@@ -1,4 +1,4 @@
-//! What happens to the leader, its lessees and their workers, drawn by the seed.
+//! What happens to the leader, its leaseholders and their workers, drawn by the seed.
 
 use super::{Day, SLOTS};
 use crate::draw;
@@ -15,7 +15,7 @@
     /// Something happens.
     pub(super) fn event(&mut self) {
         let until = self.now + self.rng.random_range(SECOND..20 * SECOND);
-        let lessee = self.rng.random_range(0..self.lessees.len());
+        let leaseholder = self.rng.random_range(0..self.leaseholders.len());
         match self.rng.random_range(0..18) {
             0..=4 => self.submit(),
             5 | 6 => self.cancel(),
@@ -23,15 +23,17 @@
             9 => self.with_worker("worker-silent", |worker| worker.silent_until = until),
             10 => self.with_worker("worker-notice", |worker| worker.notice(until)),
             11 | 12 => {
-                self.out
-                    .write(self.now, Line::new("lessee-cut").with("node", lessee + 1).with("until", until));
-                self.lessees[lessee].cut_until = until;
-                self.core.out_of_touch(self.now, std::iter::once(lessee + 1));
+                self.out.write(
+                    self.now,
+                    Line::new("lessee-cut").with("node", leaseholder + 1).with("until", until),
+                );
+                self.leaseholders[leaseholder].cut_until = until;
+                self.core.out_of_touch(self.now, std::iter::once(leaseholder + 1));
             }
             13 => {
-                self.out.write(self.now, Line::new("lessee-restarts").with("node", lessee + 1));
-                self.lessees[lessee].block = Shard::new(6, self.rng.random());
-                self.lessees[lessee].block.follow(self.config.token);
+                self.out.write(self.now, Line::new("lessee-restarts").with("node", leaseholder + 1));
+                self.leaseholders[leaseholder].shard = Shard::new(6, self.rng.random());
+                self.leaseholders[leaseholder].shard.follow(self.config.token);
             }
             14 => self.core.record_kept_alive_until(self.now),
             15 => self.report_twice(),
@@ -109,7 +111,7 @@
             let command = self.checkin(via, report);
             self.decide(vec![command]);
         }
-        self.lessees.iter_mut().for_each(|lessee| lessee.block.follow(self.config.token));
+        self.leaseholders.iter_mut().for_each(|leaseholder| leaseholder.shard.follow(self.config.token));
         self.load();
     }
 }
--- a/crates/dockpier-simulation/examples/transcript/main.rs
+++ b/crates/dockpier-simulation/examples/transcript/main.rs
@@ -9,7 +9,7 @@
 mod effects;
 mod election_lines;
 mod key_value_store;
-mod lessees;
+mod leaseholders;
 mod network;
 mod output;
 mod words;
@@ -87,7 +87,7 @@
     out.write(0, part("fleet"));
     day::play(seed, &mut out);
     out.write(0, part("lessees"));
-    lessees::play(seed, &mut out);
+    leaseholders::play(seed, &mut out);
     out.write(0, part("leadership"));
     network::play(seed, &mut out);
     out
--- a/crates/dockpier-simulation/examples/transcript/network.rs
+++ b/crates/dockpier-simulation/examples/transcript/network.rs
@@ -1,4 +1,4 @@
-//! Part two: leadership, blocks and cancellations of three controllers in a simulated network, with drifting clocks,
+//! Part two: leadership, shards and cancellations of three controllers in a simulated network, with drifting clocks,
 //! messages that are held, repeated and lost, crashes with loss of memory, cuts, and outages of the state service.
 
 mod clients;
@@ -30,19 +30,19 @@
 
 /// What is under way.
 enum Wire {
-    Message { from: usize, to: usize, life: u64, status: Status, message: Message },
-    Attestation { from: usize, to: usize, life: u64, attestation: Attestation },
-    ToStore { node: usize, life: u64, action: Action, sent: u64 },
-    FromStore { node: usize, life: u64, answer: StoreResponse },
-    Live { node: usize, life: u64, sent: u64, live: Vec<JobId> },
-    Cancelled { node: usize, life: u64, job_id: JobId },
+    Message { from: usize, to: usize, incarnation: u64, status: Status, message: Message },
+    Attestation { from: usize, to: usize, incarnation: u64, attestation: Attestation },
+    ToStore { node: usize, incarnation: u64, action: Action, sent: u64 },
+    FromStore { node: usize, incarnation: u64, answer: StoreResponse },
+    Live { node: usize, incarnation: u64, sent: u64, live: Vec<JobId> },
+    Cancelled { node: usize, incarnation: u64, job_id: JobId },
 }
 
 struct Node {
     leadership: Leadership,
-    block: Shard,
-    /// The life of its process.
-    life: u64,
+    shard: Shard,
+    /// The incarnation of its process.
+    incarnation: u64,
     /// Its clock: base + true time * rate.
     base: u64,
     rate: f64,
@@ -109,12 +109,12 @@
         let base = self.rng.random_range(1 << 32..1 << 36);
         let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
         let now = base + (self.now as f64 * rate) as u64;
-        let life = self.rng.random();
+        let incarnation = self.rng.random();
         let seed = self.rng.random();
         Node {
-            leadership: Leadership::new(names, me, life, now, BOUNDS, seed),
-            block: Shard::new(8, life),
-            life,
+            leadership: Leadership::new(names, me, incarnation, now, BOUNDS, seed),
+            shard: Shard::new(8, incarnation),
+            incarnation,
             base,
             rate,
             down_until: None,
@@ -148,7 +148,7 @@
             self.tick(node);
         }
         self.run_jobs();
-        self.run_lessees();
+        self.run_leaseholders();
         self.run_workers();
         if self.now % ASKED_EVERY == 0 {
             self.ask();
@@ -215,22 +215,26 @@
     fn act(&mut self, node: usize, actions: Vec<Action>) {
         for action in actions {
             self.out.write(self.now, election_lines::action(node, &action));
-            let life = self.nodes[node].life;
+            let incarnation = self.nodes[node].incarnation;
             match action {
                 Action::Send(to, message) => {
                     let status = self.status(node);
-                    let wire = || Wire::Message { from: node, to, life, status, message };
+                    let wire = || Wire::Message { from: node, to, incarnation, status, message };
                     self.send_to_peer(node, to, wire);
                 }
                 Action::Attest(to, attestation) => {
-                    let wire =
-                        || Wire::Attestation { from: node, to, life, attestation: attestation.clone() };
+                    let wire = || Wire::Attestation {
+                        from: node,
+                        to,
+                        incarnation,
+                        attestation: attestation.clone(),
+                    };
                     self.send_to_peer(node, to, wire);
                 }
                 Action::Elected { token, .. } => self.nodes[node].led = token,
                 Action::Deposed { keep_until } => {
                     let token = self.nodes[node].led;
-                    self.nodes[node].block.retain_after_leadership(token, keep_until);
+                    self.nodes[node].shard.retain_after_leadership(token, keep_until);
                 }
                 action => self.ask_store(node, action),
             }
@@ -238,14 +242,14 @@
     }
 
     fn ask_store(&mut self, node: usize, action: Action) {
-        let (life, sent, delay) = (self.nodes[node].life, self.local(node), self.delay());
+        let (incarnation, sent, delay) = (self.nodes[node].incarnation, self.local(node), self.delay());
         let served = self.is_served(node);
         if !served && !matches!(action, Action::TakeOver { .. }) {
-            return self.send(delay, Wire::FromStore { node, life, answer: StoreResponse::Failed });
+            return self.send(delay, Wire::FromStore { node, incarnation, answer: StoreResponse::Failed });
         }
         // A transaction that is held back is carried out late.
         let held = if served { 0 } else { self.rng.random_range(0..20 * SECOND) };
-        self.send(delay + held, Wire::ToStore { node, life, action, sent });
+        self.send(delay + held, Wire::ToStore { node, incarnation, action, sent });
     }
 
     fn deliver(&mut self, wire: Wire) {
@@ -256,33 +260,37 @@
                 // What arrives meanwhile is there when it goes on.
                 self.send(STEP, wire);
             }
-            Wire::Message { from, to, life, status, message } if self.is_up(to) => {
+            Wire::Message { from, to, incarnation, status, message } if self.is_up(to) => {
                 let now = self.local(to);
-                let actions = self.nodes[to].leadership.handle_message(now, from, life, status, message);
+                let actions =
+                    self.nodes[to].leadership.handle_message(now, from, incarnation, status, message);
                 self.act(to, actions);
             }
-            Wire::Attestation { from, to, life, attestation } if self.is_up(to) => {
+            Wire::Attestation { from, to, incarnation, attestation } if self.is_up(to) => {
                 let now = self.local(to);
-                let outcome = self.nodes[to].leadership.handle_attestation(now, from, life, &attestation);
+                let outcome =
+                    self.nodes[to].leadership.handle_attestation(now, from, incarnation, &attestation);
                 self.note_over("attested-over", to, outcome.terminated);
                 self.act(to, outcome.actions);
             }
-            Wire::ToStore { node, life, action, sent } => {
-                let request = Request { name: NAMES[node], incarnation: life, sent };
+            Wire::ToStore { node, incarnation, action, sent } => {
+                let request = Request { name: NAMES[node], incarnation, sent };
                 let answer = self.store.carry_out(self.now, action, request);
                 let delay = self.delay();
-                self.send(delay, Wire::FromStore { node, life, answer });
+                self.send(delay, Wire::FromStore { node, incarnation, answer });
             }
-            Wire::FromStore { node, life, answer } if self.is_up(node) && self.nodes[node].life == life => {
+            Wire::FromStore { node, incarnation, answer }
+                if self.is_up(node) && self.nodes[node].incarnation == incarnation =>
+            {
                 self.take_answer(node, answer);
             }
-            Wire::Live { node, life, sent, live }
-                if self.is_served(node) && self.nodes[node].life == life =>
+            Wire::Live { node, incarnation, sent, live }
+                if self.is_served(node) && self.nodes[node].incarnation == incarnation =>
             {
                 self.take_live(node, sent, &live);
             }
-            Wire::Cancelled { node, life, job_id }
-                if self.is_served(node) && self.nodes[node].life == life =>
+            Wire::Cancelled { node, incarnation, job_id }
+                if self.is_served(node) && self.nodes[node].incarnation == incarnation =>
             {
                 self.confirm(node, job_id);
             }
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -1,4 +1,4 @@
-//! Users, lessees and workers around the three controllers: jobs are submitted and cancelled, blocks answer reports
+//! Users, leaseholders and workers around the three controllers: jobs are submitted and cancelled, shards answer reports
 //! and tell the leader of it.
 
 use super::{Wire, World, NODES};
@@ -71,11 +71,11 @@
     /// Jobs come and are cancelled, and every node reads which are live.
     pub(super) fn run_jobs(&mut self) {
         for node in (0..NODES).filter(|node| self.is_served(*node)).collect::<Vec<_>>() {
-            let (now, life) = (self.local(node), self.nodes[node].life);
+            let (now, incarnation) = (self.local(node), self.nodes[node].incarnation);
             if now >= self.nodes[node].live_due {
                 self.nodes[node].live_due = now + SECOND;
                 let (delay, live) = (2 * self.delay(), self.store.live.iter().copied().collect());
-                self.send(delay, Wire::Live { node, life, sent: now, live });
+                self.send(delay, Wire::Live { node, incarnation, sent: now, live });
             }
             if self.rng.random_ratio(1, 300) {
                 self.submit_or_cancel(node);
@@ -92,8 +92,8 @@
             return;
         }
         if let Some(job_id) = self.store.live.pop_first() {
-            let (life, delay) = (self.nodes[node].life, self.delay());
-            self.send(delay, Wire::Cancelled { node, life, job_id });
+            let (incarnation, delay) = (self.nodes[node].incarnation, self.delay());
+            self.send(delay, Wire::Cancelled { node, incarnation, job_id });
         }
     }
 
@@ -106,21 +106,21 @@
 
     /// A user is to be told that the job is cancelled, and asks again where it may not be told yet.
     pub(super) fn confirm(&mut self, node: usize, job_id: JobId) {
-        let (now, life) = (self.local(node), self.nodes[node].life);
+        let (now, incarnation) = (self.local(node), self.nodes[node].incarnation);
         let outcome = self.nodes[node].leadership.confirm_cancellation(now, job_id);
         let (news, may, actions) = (outcome.is_new, outcome.is_permitted, outcome.actions);
         let line = Line::new("confirm").with("node", node).with("job", job_id.0);
         self.note(line.with("news", news).with("may", may));
         self.act(node, actions);
         if !may {
-            self.send(SECOND, Wire::Cancelled { node, life, job_id });
+            self.send(SECOND, Wire::Cancelled { node, incarnation, job_id });
         }
     }
 
-    // ---- lessees ----
+    // ---- leaseholders ----
 
-    /// Lessees tell the leader whom they answered; heartbeats and confirmations may be lost.
-    pub(super) fn run_lessees(&mut self) {
+    /// Leaseholders tell the leader whom they answered; heartbeats and confirmations may be lost.
+    pub(super) fn run_leaseholders(&mut self) {
         for node in (0..NODES).filter(|node| self.is_up(*node)).collect::<Vec<_>>() {
             let now = self.local(node);
             let Some(FollowedLeader { node: leader, token, .. }) =
@@ -128,8 +128,8 @@
             else {
                 continue;
             };
-            self.nodes[node].block.follow(token);
-            let Some(heartbeat) = self.nodes[node].block.next_heartbeat(now) else { continue };
+            self.nodes[node].shard.follow(token);
+            let Some(heartbeat) = self.nodes[node].shard.next_heartbeat(now) else { continue };
             let line = Line::new("network-block-heartbeat").with("node", node).with("id", heartbeat.id);
             let line = line.with("whole", heartbeat.complete).with("fresh", heartbeat.first_of_incarnation);
             self.note(line.list("machines", &heartbeat.machines));
@@ -138,7 +138,7 @@
                 continue;
             }
             let lease = self.nodes[leader].leadership.shard_lease(self.local(leader));
-            let own = self.nodes[node].block.acknowledge(heartbeat.id, lease);
+            let own = self.nodes[node].shard.acknowledge(heartbeat.id, lease);
             self.note(Line::new("block-confirmed").with("node", node).with("lease", lease).with("own", own));
         }
     }
@@ -187,14 +187,14 @@
         let line = line.with("token", report.token).with("stops", known);
         let leadership = &self.nodes[node].leadership;
         if let Some(token) = leadership.authority(now) {
-            let orders = leadership.cancellations.with_stop_commands(Vec::new(), &report);
-            return self.answered(line.with("by", "leader"), token, orders);
+            let commands = leadership.cancellations.with_stop_commands(Vec::new(), &report);
+            return self.answered(line.with("by", "leader"), token, commands);
         }
         if let Some((token, stops)) = leadership.keep_alive_token(now).zip(keeps.clone()) {
             return self.answered(line.with("by", "lease-keeper"), token, stops);
         }
         let followed = leadership.followed_leader(now);
-        let answer = self.nodes[node].block.respond(now, &report, followed.is_some());
+        let answer = self.nodes[node].shard.respond(now, &report, followed.is_some());
         match (answer, keeps) {
             (ShardResponse::Renewed(token, renewal), Some(stops)) => {
                 let line = line.with("by", "block").with("renewal", words::renewal(Some(&renewal)));
@@ -210,11 +210,11 @@
         &mut self,
         line: Line,
         token: u64,
-        orders: Vec<TaskCommand>,
+        commands: Vec<TaskCommand>,
     ) -> Option<(u64, BTreeSet<JobId>)> {
         self.note(line.with("answer", token));
-        effects::write_orders(self.out, self.now, &orders);
-        let stopped = orders.iter().filter_map(|order| match order {
+        effects::write_orders(self.out, self.now, &commands);
+        let stopped = commands.iter().filter_map(|order| match order {
             TaskCommand::Stop { id, .. } => Some(id.job_id),
             _ => None,
         });
@@ -234,15 +234,15 @@
             self.note(line.with("by", "nobody"));
             return None;
         };
-        let orders = self.nodes[leader].leadership.cancellations.with_stop_commands(Vec::new(), &report);
+        let commands = self.nodes[leader].leadership.cancellations.with_stop_commands(Vec::new(), &report);
         let wakes = self.rng.random_bool(0.1);
         let machine = report.machine.clone();
-        let block = &mut self.nodes[node].block;
-        block.record_relayed_response(now, report, token, orders.is_empty());
+        let shard = &mut self.nodes[node].shard;
+        shard.record_relayed_response(now, report, token, commands.is_empty());
         if wakes {
-            block.request_wake(&[machine]);
+            shard.request_wake(&[machine]);
         }
-        self.answered(line.with("by", "relay"), token, orders)
+        self.answered(line.with("by", "relay"), token, commands)
     }
 
     /// What a node that may keep workers alive by itself tells one to stop.
--- a/crates/dockpier-simulation/examples/transcript/worker.rs
+++ b/crates/dockpier-simulation/examples/transcript/worker.rs
@@ -34,7 +34,7 @@
     pub node: usize,
     /// When its next report is due.
     pub report_due: u64,
-    /// It neither reports nor takes orders until then.
+    /// It neither reports nor takes commands until then.
     pub silent_until: u64,
     /// The highest token that it has been answered with.
     pub token: u64,
@@ -126,19 +126,19 @@
     }
 
     /// A report was answered.
-    pub fn answered(&mut self, now: u64, token: u64, orders: &[TaskCommand]) {
+    pub fn answered(&mut self, now: u64, token: u64, commands: &[TaskCommand]) {
         if now < self.silent_until || token < self.token {
             return;
         }
         (self.token, self.answered_at) = (token, now);
-        orders.iter().for_each(|order| self.take(now, order));
+        commands.iter().for_each(|order| self.take(now, order));
     }
 
     /// Orders came straight from the leader. Returns whether it takes them.
-    pub fn take_direct(&mut self, now: u64, session: u64, orders: &[TaskCommand]) -> bool {
+    pub fn take_direct(&mut self, now: u64, session: u64, commands: &[TaskCommand]) -> bool {
         let takes = now >= self.silent_until && session == self.session;
         if takes {
-            orders.iter().for_each(|order| self.take(now, order));
+            commands.iter().for_each(|order| self.take(now, order));
         }
         takes
     }
