--- a/src/scheduler/autoscaler.rs
+++ b/src/scheduler/autoscaler.rs
@@ -73,10 +73,7 @@
         for machine in
             self.machines.values_mut().filter(|m| m.state == MachineState::Ready && !m.lifecycle.deleting)
         {
-            if !machine.tasks.is_empty()
-                || !machine.reported.orphaned.is_empty()
-                || !machine.reported.unverified.is_empty()
-            {
+            if !machine.tasks.is_empty() || machine.reported.has_unknown() {
                 machine.lifecycle.idle_since = now;
                 continue;
             }
--- a/src/scheduler/drains/disruption.rs
+++ b/src/scheduler/drains/disruption.rs
@@ -150,9 +150,6 @@
 impl Machine {
     /// Nothing is on it, and nothing of it has to be taken over first.
     pub(super) fn is_empty(&self) -> bool {
-        self.tasks.is_empty()
-            && self.reported.orphaned.is_empty()
-            && self.reported.unverified.is_empty()
-            && self.reported.exited.is_empty()
+        self.tasks.is_empty() && !self.reported.has_unknown() && self.reported.exited.is_empty()
     }
 }
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -93,7 +93,7 @@
     /// to wait until all had reported kept every team of a fleet without work behind one machine that had died.
     fn may_hold_unknown_tasks(&self, machine: &Machine) -> bool {
         let unreconciled = !self.reconciled && machine.inherited && !machine.reconciled;
-        unreconciled || !machine.reported.orphaned.is_empty() || !machine.reported.unverified.is_empty()
+        unreconciled || machine.reported.has_unknown()
     }
 
     /// How many more tasks of the job its team's limit allows.
