--- /dev/null
+++ b/tests/scheduler_rules/effects.rs
@@ -0,0 +1,164 @@
+//! Effects of the scheduler, carried out on the workers, the state service and the cloud. Outcomes arrive later.
+
+use super::messages::{Awaited, ANSWER_PATIENCE};
+use super::settings::{LEASE_S, STEP};
+use super::worker::Worker;
+use super::world::World;
+use dockpier::limits::{self, SECOND};
+use dockpier::scheduler::cold_start::JobReading;
+use dockpier::scheduler::{Command, Effect, StoredJob, WriteOutcome};
+use rand::Rng;
+use std::collections::{BTreeMap, BTreeSet};
+
+impl World {
+    pub(super) fn carry_out(&mut self, effect: Effect) {
+        let soon = self.now + self.rng.random_range(1..3) * STEP;
+        match effect {
+            Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: keep } => {
+                if let Some((node, heartbeat)) = self.passed_on.remove(&reply) {
+                    let leaseholder = &mut self.leaseholders[node];
+                    if self.now < leaseholder.cut_until {
+                        return;
+                    }
+                    if renewal.is_some() {
+                        leaseholder.shard.record_relayed_response(self.now, heartbeat, self.token, keep);
+                    }
+                }
+                // Nobody waits for the answer to a copy.
+                let Some(Awaited { machine: name, agent_epoch, sent }) = self.replies.remove(&reply) else {
+                    return;
+                };
+                // Some answers are lost on their way.
+                if self.rng.random_bool(0.05) {
+                    return;
+                }
+                let (now, token) = (self.now, self.token);
+                let Some(worker) = self.workers.get_mut(&name) else { return };
+                if renewal.is_none() {
+                    // Sent elsewhere, a second later.
+                    worker.waits_until = now + SECOND;
+                    return;
+                }
+                let late = worker.agent_epoch != agent_epoch || now >= sent + ANSWER_PATIENCE;
+                if worker.token > token || worker.dead || now < worker.deaf_until || late {
+                    return;
+                }
+                worker.waits_until = 0;
+                worker.token = token;
+                worker.lease_until = worker.lease_until.max(sent + limits::micros(LEASE_S));
+                self.task_commands(&name, &task_commands);
+            }
+            Effect::DirectCommands { machine, agent_epoch, task_commands, .. } => {
+                let Some(worker) = self.workers.get(&machine) else { return };
+                if worker.dead || self.now < worker.deaf_until {
+                    return;
+                }
+                // Some are held up on their way; a cut and a hang hold them until they end.
+                let held = self.rng.random_bool(0.3);
+                let delay = if held { self.rng.random_range(2..16) * SECOND } else { 0 };
+                let at = (self.now + delay).max(worker.cut_until).max(worker.up_at);
+                self.held_orders.push((at, machine, self.token, agent_epoch, task_commands));
+                self.deliver_held_orders();
+            }
+            Effect::CommitDone { job_id, version, tasks, .. } => {
+                let outcome = match self.live.get_mut(&job_id) {
+                    Some((at, done)) if *at == version => {
+                        done.extend(tasks.iter().copied());
+                        WriteOutcome::Done
+                    }
+                    _ => WriteOutcome::Refused,
+                };
+                self.later.push((soon, Command::Committed { job_id, tasks, outcome }));
+            }
+            Effect::Finish { job_id, .. } => {
+                let mut outcome = WriteOutcome::Refused;
+                if self.live.remove(&job_id).is_some() {
+                    let done = self.completed.get(&job_id).map_or(0, BTreeSet::len);
+                    assert_eq!(done as u32, self.specs[&job_id].tasks, "not_done: {job_id} is called done");
+                    self.over.insert(job_id);
+                    self.finished += 1;
+                    outcome = WriteOutcome::Done;
+                }
+                self.later.push((soon, Command::Finished { job_id, outcome }));
+            }
+            Effect::Record { key, machines } => {
+                let steps = self.rng.random_range(self.deployment.write_steps.clone());
+                self.writes.push((self.now + steps * STEP, key, machines));
+            }
+            Effect::ReadJob { job_id } => {
+                let stored = self.live.get(&job_id).map(|(version, done)| StoredJob {
+                    spec: self.specs[&job_id].clone(),
+                    version: *version,
+                    age: 0,
+                    succeeded: done.clone(),
+                });
+                let reading = stored.map_or(JobReading::Absent, |job| JobReading::Live(Box::new(job)));
+                self.later.push((soon, Command::JobRead { job_id, sent: self.now, reading }));
+            }
+            effect @ (Effect::WriteDrain { .. } | Effect::WriteColdStart(_)) => {
+                let answer = self.drains.carry_out(effect);
+                self.later.extend(answer.map(|command| (soon, command)));
+            }
+            Effect::Rent { request, name: Some(name), .. } if self.rentals.contains_key(&name) => {
+                let machines = self.rentals.get(&name).cloned();
+                self.later.push((soon, Command::Rented { request, machines, outcome: WriteOutcome::Done }));
+            }
+            Effect::Rent { request, name: rental, zone, spot, count, .. } => {
+                let left = self
+                    .deployment
+                    .machines
+                    .saturating_sub(self.workers.values().filter(|w| !w.dead).count());
+                let count = count.min(left as u32);
+                let mut names = Vec::new();
+                for _ in 0..count {
+                    self.machines_made += 1;
+                    let name = format!("m-{:06}", self.machines_made);
+                    let boot_s = self.rng.random_range(self.deployment.boot_s.clone());
+                    let up_at = self.now + boot_s * SECOND;
+                    let worker = Worker {
+                        spot,
+                        zone: zone.clone(),
+                        up_at,
+                        dead: false,
+                        cut_until: 0,
+                        deaf_until: 0,
+                        mute_until: 0,
+                        sick_until: 0,
+                        leader_cut_until: 0,
+                        via: [None, Some(0), Some(1)][self.machines_made as usize % 3],
+                        agent_epoch: 1,
+                        sequence: 0,
+                        token: 0,
+                        lease_until: up_at + limits::micros(LEASE_S),
+                        next_report: up_at,
+                        waits_until: 0,
+                        tasks: BTreeMap::new(),
+                        gone: BTreeSet::new(),
+                    };
+                    self.workers.insert(name.clone(), worker);
+                    names.push(name);
+                }
+                let outcome = if names.is_empty() { WriteOutcome::Refused } else { WriteOutcome::Done };
+                if let Some(rental) = rental.filter(|_| outcome == WriteOutcome::Done) {
+                    self.rentals.insert(rental, names.clone());
+                }
+                self.later.push((soon, Command::Rented { request, machines: Some(names), outcome }));
+            }
+            Effect::Delete(machines) if self.now < self.cloud_down_until => {
+                self.later.push((soon, Command::Deleted { machines, outcome: WriteOutcome::Unknown }));
+            }
+            Effect::Delete(machines) => {
+                machines.iter().for_each(|name| {
+                    self.workers.remove(name);
+                });
+                self.later.push((soon, Command::Deleted { machines, outcome: WriteOutcome::Done }));
+            }
+            Effect::RequestWake { node, machine } => {
+                if self.now >= self.leaseholders[node].cut_until {
+                    self.leaseholders[node].shard.request_wake(&[machine]);
+                }
+            }
+            Effect::Deposed(_) => panic!("nobody else leads"),
+        }
+    }
+}
