--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! The HTTP endpoints of users, workers and operators. No decisions here: users' requests are decided by transactions on
 //! the key-value store, heartbeats by the controller's event loop.
 //!
-//! [`submissions`] is what users ask, [`heartbeats`] what workers send, [`operations`] what operators ask;
-//! [`final_states`] remembers jobs that have ended; [`refusal`] is every error with its status and text.
+//! `submissions` is what users ask, `heartbeats` what workers send, `operations` what operators ask;
+//! `final_states` remembers jobs that have ended; `refusal` is every error with its status and text.
 
 mod final_states;
 mod heartbeats;
