--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -126,6 +126,17 @@
         Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
     }
 
+    /// Waits until every node answers its health with 200: a process that has just been started may not listen yet.
+    async fn wait_until_healthy(&self) {
+        let begun = Instant::now();
+        for node in 0..self.nodes.len() {
+            while !matches!(self.ask(node, "GET", "/healthz", String::new()).await, Some((200, _))) {
+                assert!(begun.elapsed() < Duration::from_secs(90), "node {node} is not healthy");
+                tokio::time::sleep(Duration::from_millis(100)).await;
+            }
+        }
+    }
+
     /// Asks one node after the other until one answers with something else than "later".
     async fn insist(&self, method: &str, path: &str, body: &str) -> (u16, Value) {
         let begun = Instant::now();
@@ -329,6 +340,7 @@
         }
         assert!(!state.lock().unwrap().keys.contains_key("live/job-000077"));
         // A repeated submission of a job that is not over gets its state.
+        user.wait_until_healthy().await;
         for node in 0..3 {
             let (status, body) = user.ask(node, "POST", "/submissions", good.to_string()).await.unwrap();
             assert_eq!((status, &body["status"]), (200, &json!("pending")), "on {node}");
