--- a/crates/dockpier-simulation/src/store.rs
+++ b/crates/dockpier-simulation/src/store.rs
@@ -25,7 +25,7 @@
     pub unreadable_ledgers: Vec<String>,
     /// Parts of each drain's machines.
     pub progress: BTreeMap<DrainId, BTreeMap<usize, Chunk>>,
-    /// The heartbeat of the last cold start.
+    /// The report of the last cold start.
     pub cold_start: Option<ColdStartReport>,
     /// Jobs whose record can't be read.
     pub unreadable: BTreeSet<JobId>,
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -1,4 +1,4 @@
-//! The leader's part of `/overview` as its core makes it: words for priorities, phases and reasons to wait, and pages.
+//! The leader's part of `/overview` as its scheduler makes it: words for priorities, phases and reasons to wait, and pages.
 
 use crate::golden;
 use crate::node_api::machine_type;
--- a/tests/scheduler_rules/leaseholders.rs
+++ b/tests/scheduler_rules/leaseholders.rs
@@ -15,7 +15,7 @@
 pub(super) const LEASEHOLDERS: usize = 2;
 
 impl World {
-    /// Lessees follow the leader and tell it whom they answered, while they hear one another.
+    /// Leaseholders follow the leader and tell it whom they answered, while they hear one another.
     pub(super) fn run_leaseholders(&mut self, batch: &mut Vec<Command>) {
         let (now, token) = (self.now, self.token);
         for (node, leaseholder) in self.leaseholders.iter_mut().enumerate() {
