--- a/tests/loopback/draining.rs
+++ b/tests/loopback/draining.rs
@@ -3,7 +3,7 @@
 
 use crate::late_writes::leader;
 use crate::standins::{self, CloudState, Seen};
-use crate::{on_runtime, start_in_zones, submission, User};
+use crate::{on_runtime, processes, start_in_zones, submission, User};
 use dockpier::drains::records;
 use dockpier::settings::Team;
 use dockpier::storage::key_value_store::{write_change, CommitOutcome};
@@ -24,12 +24,8 @@
 /// Runs the client; its exit code, what it printed, and what it complained of.
 fn client(nodes: &[SocketAddr], arguments: &[&str]) -> (i32, String, String) {
     let nodes = nodes.iter().flat_map(|node| ["--node".to_string(), node.to_string()]);
-    let output = Command::new(env!("CARGO_BIN_EXE_dockpier"))
-        .args(arguments)
-        .args(nodes)
-        .args(["--patience", "20"])
-        .output()
-        .unwrap();
+    let mut command = Command::new(env!("CARGO_BIN_EXE_dockpier"));
+    let output = processes::run(command.args(arguments).args(nodes).args(["--patience", "20"]));
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (output.status.code().unwrap(), text(output.stdout), text(output.stderr))
 }
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -5,6 +5,8 @@
 mod cold_start;
 mod draining;
 mod late_writes;
+#[path = "../common/processes.rs"]
+mod processes;
 mod standins;
 
 use serde_json::{json, Value};
@@ -23,15 +25,9 @@
 impl Node {
     fn start(config: PathBuf, operator: Option<PathBuf>) -> Node {
         let operator_file = operator.iter().flat_map(|file| ["--operator".as_ref(), file.as_os_str()]);
-        let process = Command::new(env!("CARGO_BIN_EXE_dockpier"))
-            .arg("serve")
-            .args(operator_file)
-            .arg("--config")
-            .arg(&config)
-            .env("LOG_LEVEL", "error")
-            .stdin(Stdio::null())
-            .spawn()
-            .unwrap();
+        let mut command = Command::new(env!("CARGO_BIN_EXE_dockpier"));
+        command.arg("serve").args(operator_file).arg("--config").arg(&config);
+        let process = processes::spawn(command.env("LOG_LEVEL", "error").stdin(Stdio::null()));
         Node { process, config, operator }
     }
 
@@ -58,8 +54,7 @@
 fn free_addresses<const N: usize>() -> [SocketAddr; N] {
     static CLUSTERS: AtomicU8 = AtomicU8::new(2);
     let host = std::net::Ipv4Addr::new(127, 0, 57, CLUSTERS.fetch_add(1, Ordering::Relaxed));
-    let held = [(); N].map(|_| std::net::TcpListener::bind((host, 0)).unwrap());
-    held.map(|l| l.local_addr().unwrap())
+    processes::free_addresses(host)
 }
 
 /// Three controllers in one zone, and what is around them.
@@ -373,7 +368,7 @@
     std::fs::write(&config, r#"{"node_name":"a","site":"z","public_addr":"nowhere"}"#).unwrap();
     std::fs::write(&operator, "((idle-s 3)\n (nonsense 1))").unwrap();
     let run = |arguments: &[&str]| {
-        let output = Command::new(env!("CARGO_BIN_EXE_dockpier")).args(arguments).output().unwrap();
+        let output = processes::run(Command::new(env!("CARGO_BIN_EXE_dockpier")).args(arguments));
         (output.status.success(), String::from_utf8(output.stderr).unwrap())
     };
     let config = config.to_str().unwrap();
--- a/tests/pinned_state/client_commands.rs
+++ b/tests/pinned_state/client_commands.rs
@@ -7,6 +7,7 @@
     summary, waits,
 };
 use crate::golden::{self, masked};
+use crate::processes;
 use crate::program::run;
 use dockpier::drains::view::{DrainList, DrainView, TeamList, TeamView};
 use dockpier::scheduler::cold_start::Phase;
@@ -16,6 +17,7 @@
 use dockpier_drain::request::{DesiredState, DrainRequest, StoredRequest, Target};
 use dockpier_drain::status::{DrainState, Summary};
 use serde::Serialize;
+use std::net::Ipv4Addr;
 
 fn json(view: &impl Serialize) -> String {
     serde_json::to_string(view).unwrap()
@@ -230,9 +232,8 @@
 
 /// The node is not there: its address was free a moment ago, on a loopback host that no other test uses.
 fn told_by_nobody() -> String {
-    let free = std::net::TcpListener::bind("127.0.58.2:0").unwrap();
-    let address = free.local_addr().unwrap().to_string();
-    drop(free);
+    let [address] = processes::free_addresses(Ipv4Addr::new(127, 0, 58, 2));
+    let address = address.to_string();
     let told = run(&["drain", "pause", "rack-4", "--patience", "1", "--node", &address]);
     masked(&told, &[(&address, "<nobody>")])
 }
--- a/tests/pinned_state/main.rs
+++ b/tests/pinned_state/main.rs
@@ -14,6 +14,8 @@
 mod job_records;
 mod leader_views;
 mod node_api;
+#[path = "../common/processes.rs"]
+mod processes;
 mod program;
 mod recorder;
 mod settings_files;
--- a/tests/pinned_state/transactions.rs
+++ b/tests/pinned_state/transactions.rs
@@ -3,12 +3,13 @@
 //! the stored records leave to be done.
 
 use crate::golden::{self, masked};
+use crate::processes;
 use crate::program::folder;
 use crate::recorder::Recorder;
 use crate::standins;
 use crate::workers::Workers;
 use serde_json::{json, Value};
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
@@ -38,7 +39,7 @@
         std::fs::write(&operator, OPERATOR).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_dockpier"));
         command.arg("serve").arg("--operator").arg(operator).arg("--config").arg(config);
-        Controller(command.env("LOG_LEVEL", "error").stdin(Stdio::null()).spawn().unwrap())
+        Controller(processes::spawn(command.env("LOG_LEVEL", "error").stdin(Stdio::null())))
     }
 }
 
@@ -51,8 +52,7 @@
 
 /// Free addresses on a loopback host that no other test uses.
 fn free_addresses() -> [SocketAddr; 2] {
-    let held = [(); 2].map(|_| std::net::TcpListener::bind("127.0.58.1:0").unwrap());
-    held.map(|listener| listener.local_addr().unwrap())
+    processes::free_addresses(Ipv4Addr::new(127, 0, 58, 1))
 }
 
 fn submission(job_id: &str, rig: &str, tasks: u32) -> Value {
--- a/tests/pinned_wire/main.rs
+++ b/tests/pinned_wire/main.rs
@@ -10,6 +10,8 @@
 mod http_refusals;
 mod http_submissions;
 mod operators_file;
+#[path = "../common/processes.rs"]
+mod processes;
 mod program;
 mod reports;
 mod settings_file;
--- a/tests/pinned_wire/program.rs
+++ b/tests/pinned_wire/program.rs
@@ -5,7 +5,7 @@
 use crate::submissions::SUBMISSION;
 use crate::transcript::{object, replaced, with, Transcript};
 use crate::wire::{ask, nobody, try_ask, Message, StandIn};
-use crate::{on_runtime, standins};
+use crate::{on_runtime, processes, standins};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -52,7 +52,7 @@
         folder.write("operators.scm", text);
         command.args(["--operator", "operators.scm"]);
     }
-    let output = command.output().unwrap();
+    let output = processes::run(&mut command);
     let text = |bytes| String::from_utf8(bytes).unwrap();
     let (said, complained) = (text(output.stdout), text(output.stderr));
     format!("exit {:?}\nout {said:?}\nerr {complained:?}", output.status.code())
@@ -98,7 +98,7 @@
     folder.write("site.json", &settings.to_string());
     let mut command = Command::new(env!("CARGO_BIN_EXE_dockpier"));
     command.current_dir(&folder.0).args(["serve", "--config", "site.json"]).env("LOG_LEVEL", "error");
-    Node(command.stdin(Stdio::null()).spawn().unwrap(), folder)
+    Node(processes::spawn(command.stdin(Stdio::null())), folder)
 }
 
 /// Asks until the answer is of the kind that stays.
--- a/tests/pinned_wire/wire.rs
+++ b/tests/pinned_wire/wire.rs
@@ -1,6 +1,7 @@
 //! HTTP as bytes: a client that shows whole answers, and a stand-in that shows whole requests. Lines of the head that
 //! change from run to run (`date`, `host`) keep their names only.
 
+use crate::processes;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
@@ -138,7 +139,8 @@
     let part = |number: u32| 100 + (number % 100) as u8;
     let host = std::net::Ipv4Addr::new(127, part(process / 100), part(process), host);
     let addresses = std::iter::repeat_with(|| {
-        std::net::TcpListener::bind((host, 0)).and_then(|listener| listener.local_addr()).unwrap()
+        let [address] = processes::free_addresses(host);
+        address
     });
     addresses.into_iter().find(|address| address.port() >= 10_000).unwrap()
 }
