--- /dev/null
+++ b/tests/scale/fleet.rs
@@ -0,0 +1,244 @@
+//! A fleet of workers around one scheduler, as large as the largest deployments: workers carry out the commands that
+//! they are sent, writes to the key-value store succeed at once, and both are counted.
+
+use crate::common;
+use dockpier::limits::SECOND;
+use dockpier::scheduler::model::{
+    ExitReason, Heartbeat, JobId, JobSpec, Kind, MachineType, Priority, ReportedTask, Resources, TaskId,
+    TaskStatus,
+};
+use dockpier::scheduler::{
+    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
+};
+use dockpier::settings::{Operator, Workers};
+use std::collections::{BTreeMap, BTreeSet};
+
+pub const MACHINES: usize = 1_900;
+pub const SLOTS: i64 = 4;
+
+pub fn spec(job_id: u64, kind: Kind, priority: Priority, tasks: u32) -> JobSpec {
+    JobSpec {
+        image: format!("i{}", job_id % 7),
+        image_gb: 1.0,
+        spread: kind == Kind::Service,
+        ..common::spec(job_id, kind, priority, tasks)
+    }
+}
+
+/// A fleet whose workers carry out what they are told, unless they are deaf.
+pub struct Fleet {
+    pub scheduler: Scheduler,
+    pub now: u64,
+    pub sequence: u64,
+    /// The token that workers have seen.
+    pub token: u64,
+    pub machines: usize,
+    pub running: BTreeMap<String, BTreeMap<TaskId, u64>>,
+    pub deaf: BTreeSet<String>,
+    pub done: BTreeSet<JobId>,
+    pub deleted: BTreeSet<String>,
+    pub rented: u32,
+    /// The cloud has machines, which are up never.
+    pub rents: bool,
+    /// Puts and deletes in the state service: for machines, and for finished tasks and jobs.
+    pub machine_writes: usize,
+    pub job_writes: usize,
+    /// Tasks never get past their fetch.
+    pub fetching: bool,
+    /// The leaseholder that all reports come through.
+    pub via: Option<usize>,
+}
+
+pub fn name(i: usize) -> String {
+    format!("m-{i:06}")
+}
+
+pub fn machine_type(config: &Config) -> MachineType {
+    MachineType {
+        name: "m".into(),
+        capacity: Resources::offered(SLOTS as f64, SLOTS as f64, SLOTS as f64),
+        price: 1.0,
+        spot_price: None,
+        boot_s: 60.0,
+        fetch_gb_per_s: 1.0,
+        zones: config.zones.clone(),
+    }
+}
+
+/// A machine as an earlier leader recorded it.
+pub fn recorded(i: usize) -> StoredMachine {
+    StoredMachine {
+        name: name(i),
+        machine_type: "m".into(),
+        zone: ["a", "b"][i % 2].into(),
+        spot: false,
+        address: String::new(),
+        images: BTreeSet::new(),
+    }
+}
+
+impl Fleet {
+    pub fn new(machines: usize) -> Fleet {
+        Fleet::with_writes(machines, common::config().write_rps)
+    }
+
+    /// With so many changes a second that the state service takes.
+    pub fn with_writes(machines: usize, write_rps: f64) -> Fleet {
+        let config = Config {
+            write_rps,
+            // Machines without work are kept: here they are there to be looked at.
+            operator: Operator { idle_s: 3_600.0, ..Operator::default() },
+            workers: Workers {
+                report_s: 4.0,
+                lease_s: 20.0,
+                cancel_s: 45.0,
+                gang_wait_s: 30.0,
+                gang_peer_s: 6.0,
+            },
+            cpu_share: 0.2,
+            record_machines: 12,
+            ..common::config()
+        };
+        let machine_type = machine_type(&config);
+        let mut fleet = Fleet {
+            scheduler: Scheduler::new(config, SECOND),
+            now: SECOND,
+            sequence: 0,
+            token: 1,
+            machines,
+            running: BTreeMap::new(),
+            deaf: BTreeSet::new(),
+            done: BTreeSet::new(),
+            deleted: BTreeSet::new(),
+            rented: 0,
+            rents: false,
+            machine_writes: 0,
+            job_writes: 0,
+            fetching: false,
+            via: None,
+        };
+        fleet.step(vec![Command::Types(vec![machine_type]), Command::Load { jobs: vec![], records: vec![] }]);
+        (0..3).for_each(|_| fleet.heartbeat());
+        fleet
+    }
+
+    pub fn step(&mut self, batch: Vec<Command>) {
+        let effects = self.scheduler.step(self.now, batch);
+        let mut more = Vec::new();
+        for effect in effects {
+            match effect {
+                Effect::Record { key, .. } => {
+                    self.machine_writes += 1;
+                    more.push(Command::Recorded { key, outcome: WriteOutcome::Done });
+                }
+                Effect::Delete(machines) => {
+                    self.deleted.extend(machines.iter().cloned());
+                    more.push(Command::Deleted { machines, outcome: WriteOutcome::Done });
+                }
+                Effect::Rent { request, count, .. } => {
+                    let names = (0..count).map(|i| format!("r-{:06}", self.rented + i)).collect();
+                    self.rented += count;
+                    let (machines, outcome) = match self.rents {
+                        true => (Some(names), WriteOutcome::Done),
+                        false => (None, WriteOutcome::Refused),
+                    };
+                    more.push(Command::Rented { request, machines, outcome });
+                }
+                Effect::CommitDone { job_id, tasks, .. } => {
+                    self.job_writes += 1;
+                    more.push(Command::Committed { job_id, tasks, outcome: WriteOutcome::Done });
+                }
+                Effect::Finish { job_id, chunks, .. } => {
+                    self.job_writes += 2 + chunks.len();
+                    more.push(Command::Finished { job_id, outcome: WriteOutcome::Done });
+                }
+                Effect::HeartbeatResponse { reply, task_commands, .. } => {
+                    self.carry_out(&name(reply as usize), task_commands)
+                }
+                _ => {}
+            }
+        }
+        if !more.is_empty() {
+            self.step(more);
+        }
+    }
+
+    fn carry_out(&mut self, machine: &str, task_commands: Vec<TaskCommand>) {
+        if self.deaf.contains(machine) {
+            return;
+        }
+        let running = self.running.entry(machine.into()).or_default();
+        for command in task_commands {
+            match command {
+                TaskCommand::Start { id, attempt } => {
+                    running.insert(id, attempt);
+                }
+                TaskCommand::Stop { id, .. } | TaskCommand::Forget { id, .. } => {
+                    running.remove(&id);
+                }
+            }
+        }
+    }
+
+    /// All machines report within four seconds, in batches as they come.
+    pub fn heartbeat(&mut self) {
+        self.sequence += 1;
+        let batches = 40;
+        for batch in 0..batches {
+            self.now += 4 * SECOND / batches as u64;
+            let heartbeats = (batch..self.machines).step_by(batches);
+            let commands =
+                heartbeats.filter(|i| !self.deleted.contains(&name(*i))).map(|i| self.heartbeat_request(i));
+            let commands = commands.collect();
+            self.step(commands);
+        }
+    }
+
+    fn heartbeat_request(&self, i: usize) -> Command {
+        let machine = name(i);
+        let tasks = self.running.get(&machine).into_iter().flatten();
+        let status = if self.fetching { TaskStatus::Fetching } else { TaskStatus::Running };
+        let status = |id: &TaskId| match self.done.contains(&id.job_id) {
+            true => TaskStatus::Exited(ExitReason::Done),
+            false => status,
+        };
+        let heartbeat =
+            |(id, attempt): (&TaskId, &u64)| ReportedTask { id: *id, attempt: *attempt, status: status(id) };
+        let tasks = tasks.map(heartbeat).collect();
+        let heartbeat = Heartbeat {
+            machine,
+            address: String::new(),
+            machine_type: "m".into(),
+            zone: ["a", "b"][i % 2].into(),
+            spot: false,
+            agent_epoch: 1,
+            sequence: self.sequence,
+            // The first heartbeat of all states no token yet.
+            token: if self.sequence > 1 { self.token } else { 0 },
+            notice_s: None,
+            tasks,
+        };
+        Command::Heartbeat { reply: i as u64, heartbeat, via: self.via }
+    }
+
+    pub fn submit(&mut self, spec: JobSpec) {
+        let version = spec.job_id.0;
+        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, succeeded: BTreeSet::new() })]);
+    }
+
+    /// All that runs of the job ends by itself, and is reported so.
+    pub fn complete(&mut self, job_id: u64) {
+        self.done.insert(JobId(job_id));
+    }
+
+    pub fn finish(&mut self, job_id: u64) {
+        for running in self.running.values_mut() {
+            running.retain(|id, _| id.job_id != JobId(job_id));
+        }
+        self.step(vec![Command::JobRemoved(JobId(job_id))]);
+    }
+
+    pub fn width(&self, job_id: u64) -> usize {
+        self.running.values().flat_map(|t| t.keys()).filter(|id| id.job_id == JobId(job_id)).count()
+    }
+}
