--- /dev/null
+++ b/tests/loopback/standins/workers.rs
@@ -0,0 +1,108 @@
+//! Workers: one for every rented machine, which sends heartbeats to the nodes and carries out the commands of the answers.
+
+use super::cloud::{Cloud, Seen};
+use serde_json::{json, Value};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+/// What a worker has: task -> (attempt, status, cause, when it ends).
+type Tasks = BTreeMap<String, (u64, &'static str, Option<&'static str>, Instant)>;
+
+/// Plays a worker for every machine that the cloud has rented out, until the test ends. How long a task runs goes by
+/// its job's number: below 500 a fifth of a second, below 900 six seconds, from there on until it is stopped.
+pub async fn workers(cloud: Cloud, nodes: Vec<SocketAddr>) {
+    let mut known: BTreeSet<String> = Default::default();
+    loop {
+        let machines: Vec<(String, Value)> =
+            cloud.lock().unwrap().machines.iter().map(|(n, m)| (n.clone(), m.clone())).collect();
+        for (name, machine) in machines {
+            if known.insert(name.clone()) {
+                tokio::spawn(worker(cloud.clone(), nodes.clone(), name, machine));
+            }
+        }
+        tokio::time::sleep(Duration::from_millis(50)).await;
+    }
+}
+
+/// Notes in the workers' own records that a task began or ended.
+fn note(cloud: &Cloud, machine: &Value, task: &str, begins: bool) {
+    let text = |field: &str| machine[field].as_str().unwrap().to_string();
+    let seen =
+        Seen { at: Instant::now(), machine: text("uid"), zone: text("quay"), task: task.to_string(), begins };
+    let mut cloud = cloud.lock().unwrap();
+    // One that is gone does nothing more.
+    if cloud.machines.contains_key(&seen.machine) {
+        cloud.seen.push(seen);
+    }
+}
+
+async fn worker(cloud: Cloud, nodes: Vec<SocketAddr>, name: String, machine: Value) {
+    let client = reqwest::Client::builder().no_proxy().build().unwrap();
+    let (mut tasks, mut tally, mut helm, mut at) = (Tasks::new(), 0u64, 0u64, 0usize);
+    while cloud.lock().unwrap().machines.contains_key(&name) {
+        if cloud.lock().unwrap().hanging.contains(&name) {
+            tokio::time::sleep(Duration::from_millis(50)).await;
+            continue;
+        }
+        for (load, task) in tasks.iter_mut().filter(|(_, t)| t.1 == "running" && t.3 <= Instant::now()) {
+            (task.1, task.2) = ("exited", Some("done"));
+            note(&cloud, &machine, load, false);
+        }
+        tally += 1;
+        let loads: Vec<Value> = tasks
+            .iter()
+            .map(|(load, t)| json!({"load": load, "launch": t.0, "status": t.1, "cause": t.2}))
+            .collect();
+        let heartbeat = json!({"vessel": name, "address": "127.0.0.1:9", "hull": "m4", "quay": machine["quay"],
+            "driftwood": machine["driftwood"], "watch": 1, "tally": tally, "helm": helm, "recall_s": null,
+            "loads": loads});
+        let url = format!("http://{}/checkin", nodes[at % nodes.len()]);
+        let answer =
+            client.post(url).body(heartbeat.to_string()).timeout(Duration::from_secs(4)).send().await;
+        let body: Option<Value> = match answer {
+            Ok(answer) if answer.status() == 200 => {
+                serde_json::from_slice(&answer.bytes().await.unwrap_or_default()).ok()
+            }
+            _ => None,
+        };
+        match body.filter(|b| b["helm"].as_u64().is_some_and(|h| h >= helm)) {
+            Some(body) => {
+                helm = body["helm"].as_u64().unwrap();
+                for command in body["signals"].as_array().unwrap() {
+                    signal(&cloud, &machine, &mut tasks, command);
+                }
+            }
+            None => at += 1,
+        }
+        tokio::time::sleep(Duration::from_millis(100)).await;
+    }
+    // The machine is gone with everything on it.
+    cloud.lock().unwrap().end_all(&name);
+}
+
+fn signal(cloud: &Cloud, machine: &Value, tasks: &mut Tasks, signal: &Value) {
+    let load = signal["load"].as_str().unwrap().to_string();
+    let launch = signal["launch"].as_u64().unwrap();
+    let job: u32 = load.get(4..10).and_then(|number| number.parse().ok()).unwrap();
+    let runs_ms = match job {
+        0..500 => 200,
+        500..900 => 6_000,
+        _ => 3_600_000,
+    };
+    match signal["signal"].as_str().unwrap() {
+        "run" => {
+            tasks.entry(load.clone()).or_insert_with(|| {
+                note(cloud, machine, &load, true);
+                (launch, "running", None, Instant::now() + Duration::from_millis(runs_ms))
+            });
+        }
+        "stop" => {
+            if let Some(task) = tasks.get_mut(&load).filter(|t| t.0 == launch && t.1 != "exited") {
+                (task.1, task.2) = ("exited", Some("halted"));
+                note(cloud, machine, &load, false);
+            }
+        }
+        _ => tasks.retain(|l, t| *l != load || t.0 != launch || t.1 != "exited"),
+    }
+}
--- a/tests/pinned_state/main.rs
+++ b/tests/pinned_state/main.rs
@@ -19,8 +19,8 @@
 mod program;
 mod recorder;
 mod settings_files;
-#[path = "../loopback/standins.rs"]
-#[allow(dead_code, reason = "shared with the loopback tests, which use all of it")]
+#[path = "../loopback/standins/mod.rs"]
+#[allow(dead_code, unused_imports, reason = "shared with the loopback tests, which use all of it")]
 mod standins;
 mod store_requests;
 mod transactions;
--- a/tests/pinned_wire/main.rs
+++ b/tests/pinned_wire/main.rs
@@ -16,8 +16,8 @@
 mod reports;
 mod settings_file;
 mod spell;
-#[path = "../loopback/standins.rs"]
-#[allow(dead_code)]
+#[path = "../loopback/standins/mod.rs"]
+#[allow(dead_code, unused_imports)]
 mod standins;
 mod state_requests;
 mod submissions;
