--- a/crates/dockpier-cold-start-report/src/measure.rs
+++ b/crates/dockpier-cold-start-report/src/measure.rs
@@ -2,6 +2,7 @@
 
 use dockpier::scheduler::model::{JobSpec, Kind};
 use dockpier::settings::{ColdStartSettings, Operator};
+use dockpier::time::as_seconds;
 use dockpier_simulation::{job, Fleet, Layout};
 
 /// Controllers are away for less, and for more, than a worker's lease.
@@ -78,7 +79,7 @@
     fleet.lose_all_controllers(away_s);
     let lost = all - fleet.history.running_tasks();
     let begun = fleet.now();
-    let seconds = |fleet: &Fleet| (fleet.now() - begun) as f64 / dockpier::limits::SECOND as f64;
+    let seconds = |fleet: &Fleet| as_seconds(fleet.now().since(begun));
     let (mut reconciled_s, mut services_s, mut whole_s) = (f64::NAN, f64::NAN, f64::NAN);
     let (mut peak, mut last) = (0, before);
     while seconds(&fleet) < LONGEST_S && whole_s.is_nan() {
--- a/crates/dockpier-drain-report/src/measure.rs
+++ b/crates/dockpier-drain-report/src/measure.rs
@@ -2,6 +2,7 @@
 
 use dockpier::scheduler::model::Kind;
 use dockpier::settings::{Draining, Operator};
+use dockpier::time::{as_seconds, Timestamp};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
 use dockpier_drain::request::{DrainId, DrainRequest, Target};
 use dockpier_drain::status::DrainState;
@@ -158,11 +159,11 @@
     run
 }
 
-fn seconds(fleet: &Fleet, from: u64) -> f64 {
-    (fleet.now() - from) as f64 / dockpier::limits::SECOND as f64
+fn seconds(fleet: &Fleet, from: Timestamp) -> f64 {
+    as_seconds(fleet.now().since(from))
 }
 
-fn in_steps(fleet: &mut Fleet, from: u64, run: &mut Run) {
+fn in_steps(fleet: &mut Fleet, from: Timestamp, run: &mut Run) {
     let Ok(id) = DrainId::try_from("all".to_string()) else { return };
     fleet.drain(DrainRequest {
         id,
@@ -183,7 +184,7 @@
 }
 
 /// One machine, or all, are given back with what is on them; the scheduler finds new ones by itself.
-fn by_hand(fleet: &mut Fleet, old: &[String], way: Way, from: u64, run: &mut Run) {
+fn by_hand(fleet: &mut Fleet, old: &[String], way: Way, from: Timestamp, run: &mut Run) {
     let together = if way == Way::OneByOne { 1 } else { old.len() };
     let all = fleet.history.running_now();
     for (done, machines) in old.chunks(together).enumerate() {
--- a/crates/dockpier-simulation/examples/transcript/day.rs
+++ b/crates/dockpier-simulation/examples/transcript/day.rs
@@ -61,14 +61,14 @@
 
     fn write_effects(&mut self) {
         for (at, effect) in self.fleet.take_recorded() {
-            effects::write(self.out, at, &effect);
+            effects::write(self.out, at.as_micros(), &effect);
         }
     }
 
     /// Writes that something is done to the fleet.
     fn note(&mut self, line: Line) {
         self.write_effects();
-        self.out.write(self.fleet.now(), line);
+        self.out.write(self.fleet.now().as_micros(), line);
     }
 
     fn event(&mut self) {
--- a/crates/dockpier-simulation/examples/transcript/election_lines.rs
+++ b/crates/dockpier-simulation/examples/transcript/election_lines.rs
@@ -4,6 +4,8 @@
 use dockpier::leadership::{Action, Leadership, Message};
 use dockpier::lease::cancellation_log::Attestation;
 use dockpier::scheduler::model::JobId;
+use dockpier::time::{whole_micros, Timestamp};
+use std::time::Duration;
 
 /// So many of the newest jobs are asked about.
 const JOBS_ASKED: u64 = 10;
@@ -41,7 +43,7 @@
 fn attestation(line: Line, attestation: &Attestation) -> Line {
     line.with("life", attestation.for_incarnation)
         .with("echo", attestation.echo)
-        .with("age", attestation.incarnation_age)
+        .with("age", whole_micros(attestation.incarnation_age))
         .with("quiet", attestation.confirmations_suspended)
         .with("held", attestation.acknowledged)
         .with("last", attestation.last)
@@ -49,8 +51,10 @@
 }
 
 /// What a node answers to the public queries at this moment of its clock.
-pub fn queries(node: usize, now: u64, leadership: &Leadership) -> Line {
+pub fn queries(node: usize, now: Timestamp, leadership: &Leadership) -> Line {
     let followed = leadership.followed_leader(now);
+    let age = Duration::from_secs(9);
+    let reported_age = |to| whole_micros(leadership.reported_state_age(now, to, age));
     Line::new("queries")
         .with("node", node)
         .with("leads", leadership.is_leader())
@@ -58,7 +62,7 @@
         .with("acts_until", leadership.authority_until(now))
         .optional("acts_with", leadership.authority(now))
         .optional("lease_keeper", leadership.keep_alive_token(now))
-        .with("block_lease", leadership.shard_lease(now))
+        .with("block_lease", whole_micros(leadership.shard_lease(now)))
         .with("autonomous_until", leadership.autonomous_until(now))
         .optional("leader_name", leadership.leader_name(now))
         .list(
@@ -68,11 +72,11 @@
         .list("out_of_touch", leadership.unreachable_peers(now))
         .with("peer_has_state", leadership.peer_has_state(now))
         .with("hears_a_peer", leadership.has_live_peer(now))
-        .list("told_state_age", (0..3).map(|to| leadership.reported_state_age(now, to, 9_000_000)))
+        .list("told_state_age", (0..3).map(reported_age))
 }
 
 /// What a node knows of cancellations at this moment of its clock; `last_job` is the newest job.
-pub fn cancellations(node: usize, now: u64, leadership: &Leadership, last_job: u64) -> Line {
+pub fn cancellations(node: usize, now: Timestamp, leadership: &Leadership, last_job: u64) -> Line {
     let log = &leadership.cancellations;
     let jobs = last_job.saturating_sub(JOBS_ASKED)..=last_job;
     Line::new("cancellations")
--- a/crates/dockpier-simulation/examples/transcript/key_value_store.rs
+++ b/crates/dockpier-simulation/examples/transcript/key_value_store.rs
@@ -1,13 +1,13 @@
 //! A stand-in for the state service, as far as leadership uses it: epoch, lock, leases and live jobs.
 
 use dockpier::leadership::{Action, StoreResponse};
-use dockpier::limits;
 use dockpier::protocol::records::Epoch;
 use dockpier::scheduler::model::JobId;
+use dockpier::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a lease of the lock runs without renewal.
-const LOCK_LEASE: u64 = limits::LOCK_LEASE_MS * 1_000;
+const LOCK_LEASE: u64 = 3 * crate::SECOND;
 
 /// Who asks, and when the request left on its clock.
 pub struct Request {
@@ -16,7 +16,7 @@
     /// The incarnation of its process.
     pub incarnation: u64,
     /// When the request left.
-    pub sent: u64,
+    pub sent: Timestamp,
 }
 
 /// The store.
--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -5,19 +5,22 @@
 
 use crate::output::{Line, Transcript};
 use crate::worker::Worker;
+use crate::SECOND;
 use crate::{draw, effects, words};
 use dockpier::lease::shard::{Shard, ShardResponse};
-use dockpier::limits::{self, SECOND};
+use dockpier::limits;
 use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::model::{Heartbeat, JobId, Kind, MachineType, Resources, TaskId};
 use dockpier::scheduler::{
     Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
 };
 use dockpier::settings::{Operator, Team, Workers};
+use dockpier::time::{from_seconds, whole_micros, Timestamp};
 use dockpier_simulation::MACHINE_TYPE;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 const STEP: u64 = SECOND / 10;
 const LASTS: u64 = 100 * SECOND;
@@ -65,7 +68,7 @@
     let now = SECOND;
     let leaseholder = |incarnation| Leaseholder { shard: Shard::new(6, incarnation), cut_until: 0 };
     let mut day = Day {
-        core: Scheduler::new(config.clone(), now),
+        core: Scheduler::new(config.clone(), Timestamp::from_micros(now)),
         config,
         leaseholders: vec![leaseholder(rng.random()), leaseholder(rng.random())],
         rng,
@@ -109,7 +112,7 @@
         record_machines: 8,
         value_most: 4_096,
         rentals_at_once: 4,
-        shard_lease: SHARD_LEASE,
+        shard_lease: Duration::from_micros(SHARD_LEASE),
     }
 }
 
@@ -168,7 +171,9 @@
     fn work(&mut self) {
         let jobs = &self.jobs;
         let runs = |id: TaskId| match jobs.get(&id.job_id) {
-            Some(job) if job.spec.kind != Kind::Service => limits::micros(job.spec.estimate_s / 3.0),
+            Some(job) if job.spec.kind != Kind::Service => {
+                whole_micros(from_seconds(job.spec.estimate_s / 3.0))
+            }
             _ => u64::MAX,
         };
         self.workers.values_mut().for_each(|worker| worker.work(self.now, LEASE, runs));
@@ -178,7 +183,7 @@
     fn report(&mut self, name: &str) -> Option<Command> {
         let now = self.now;
         let worker = self.workers.get_mut(name).filter(|worker| worker.reports(now))?;
-        worker.report_due = now + limits::micros(self.config.workers.report_s);
+        worker.report_due = now + whole_micros(from_seconds(self.config.workers.report_s));
         let report = worker.report(now);
         if worker.node == LEADER {
             return Some(self.checkin(None, report));
@@ -186,7 +191,7 @@
         let (node, Leaseholder { shard, cut_until }) = (worker.node, &mut self.leaseholders[worker.node - 1]);
         let cut = now < *cut_until;
         let line = Line::new("block").with("node", node).with("machine", name);
-        match shard.respond(now, &report, !cut) {
+        match shard.respond(Timestamp::from_micros(now), &report, !cut) {
             ShardResponse::Renewed(token, renewal) => {
                 worker.answered(now, token, &[]);
                 let renewal = words::renewal(Some(&renewal));
@@ -222,7 +227,7 @@
         let now = self.now;
         let (lost, unconfirmed) = (self.rng.random_bool(0.08), self.rng.random_bool(0.08));
         let Leaseholder { shard, cut_until } = &mut self.leaseholders[leaseholder];
-        let heartbeat = shard.next_heartbeat(now)?;
+        let heartbeat = shard.next_heartbeat(Timestamp::from_micros(now))?;
         let line = Line::new("block-heartbeat")
             .with("node", leaseholder + 1)
             .with("whole", heartbeat.complete)
@@ -233,10 +238,10 @@
             return None;
         }
         if !unconfirmed {
-            shard.acknowledge(heartbeat.id, SHARD_LEASE);
+            shard.acknowledge(heartbeat.id, Duration::from_micros(SHARD_LEASE));
         }
         // What it covers lies some way back.
-        let covers = heartbeat.complete.then(|| now.saturating_sub(2 * STEP));
+        let covers = heartbeat.complete.then(|| Timestamp::from_micros(now.saturating_sub(2 * STEP)));
         let (machines, fresh) = (heartbeat.machines, heartbeat.first_of_incarnation);
         Some(Command::ShardHeartbeat {
             node: leaseholder + 1,
@@ -259,7 +264,7 @@
     }
 
     fn decide(&mut self, batch: Vec<Command>) {
-        let effects = self.core.step(self.now, batch);
+        let effects = self.core.step(Timestamp::from_micros(self.now), batch);
         for effect in &effects {
             effects::write(self.out, self.now, effect);
         }
@@ -282,7 +287,12 @@
                     worker.answered(now, token, &commands);
                 }
                 if let Some(via) = via {
-                    self.leaseholders[via - 1].shard.record_relayed_response(now, report, token, keep);
+                    self.leaseholders[via - 1].shard.record_relayed_response(
+                        Timestamp::from_micros(now),
+                        report,
+                        token,
+                        keep,
+                    );
                 }
             }
             Effect::RequestWake { node, machine } => {
@@ -319,7 +329,11 @@
                 self.answer_later(Command::Deleted { machines, outcome });
             }
             Effect::ReadJob { job_id } => {
-                let command = Command::JobRead { job_id, sent: now, reading: JobReading::Absent };
+                let command = Command::JobRead {
+                    job_id,
+                    sent: Timestamp::from_micros(now),
+                    reading: JobReading::Absent,
+                };
                 self.answer_later(command);
             }
             Effect::WriteDrain { .. } | Effect::WriteColdStart(_) | Effect::Deposed(_) => {}
--- a/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
@@ -4,12 +4,14 @@
 use crate::draw;
 use crate::output::Line;
 use crate::worker::Worker;
+use crate::SECOND;
 use dockpier::lease::shard::Shard;
-use dockpier::limits::SECOND;
 use dockpier::scheduler::model::JobId;
 use dockpier::scheduler::{Command, Scheduler, StoredJob};
+use dockpier::time::Timestamp;
 use rand::Rng;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 impl Day<'_> {
     /// Something happens.
@@ -28,14 +30,14 @@
                     Line::new("lessee-cut").with("node", leaseholder + 1).with("until", until),
                 );
                 self.leaseholders[leaseholder].cut_until = until;
-                self.core.out_of_touch(self.now, std::iter::once(leaseholder + 1));
+                self.core.out_of_touch(Timestamp::from_micros(self.now), std::iter::once(leaseholder + 1));
             }
             13 => {
                 self.out.write(self.now, Line::new("lessee-restarts").with("node", leaseholder + 1));
                 self.leaseholders[leaseholder].shard = Shard::new(6, self.rng.random());
                 self.leaseholders[leaseholder].shard.follow(self.config.token);
             }
-            14 => self.core.record_kept_alive_until(self.now),
+            14 => self.core.record_kept_alive_until(Timestamp::from_micros(self.now)),
             15 => self.report_twice(),
             16 => self.report_higher_token(),
             _ => self.change_leader(),
@@ -48,7 +50,8 @@
         }
         self.submitted += 1;
         let spec = draw::spec(&mut self.rng, self.submitted, &self.config.zones, SLOTS);
-        let stored = StoredJob { version: spec.job_id.0, spec, age: 0, succeeded: BTreeSet::new() };
+        let stored =
+            StoredJob { version: spec.job_id.0, spec, age: Duration::ZERO, succeeded: BTreeSet::new() };
         self.out.write(self.now, Line::new("submit").with("job", stored.spec.job_id.0));
         self.jobs.insert(stored.spec.job_id, stored.clone());
         self.decide(vec![Command::JobAdded(stored)]);
@@ -103,7 +106,7 @@
     fn change_leader(&mut self) {
         self.config.token += 1;
         self.out.write(self.now, Line::new("change-leader").with("token", self.config.token));
-        self.core = Scheduler::new(self.config.clone(), self.now);
+        self.core = Scheduler::new(self.config.clone(), Timestamp::from_micros(self.now));
         self.waiting.clear();
         self.later.clear();
         if let Some((via, report)) = self.newest.take() {
--- a/crates/dockpier-simulation/examples/transcript/main.rs
+++ b/crates/dockpier-simulation/examples/transcript/main.rs
@@ -1,7 +1,7 @@
 //! Plays randomly drawn days through the real decision and control code and writes every effect as a line of text, so
 //! that a change which is to leave decisions as they are can be held against the output from before it.
 //!
-//! `cargo run --release -p dockpier-virtual-fleet --example transcript -- --seeds 200 > transcript.txt`
+//! `cargo run --release -p dockpier-simulation --example transcript -- --seeds 200 > transcript.txt`
 
 mod day;
 mod drain_records;
@@ -19,6 +19,8 @@
 use std::io::Write;
 use std::process::ExitCode;
 
+/// Microseconds in a second. The days count their time in microseconds, and draw it so.
+const SECOND: u64 = 1_000_000;
 /// Seeds that are played at the same time; their lines come in the order of the seeds all the same.
 const AT_ONCE: usize = 4;
 
--- a/crates/dockpier-simulation/examples/transcript/network.rs
+++ b/crates/dockpier-simulation/examples/transcript/network.rs
@@ -7,15 +7,17 @@
 use crate::election_lines;
 use crate::key_value_store::{KeyValueStore, Request};
 use crate::output::{Line, Transcript};
+use crate::SECOND;
 use clients::Worker;
 use dockpier::leadership::{Action, Leadership, Message, Status, StoreResponse};
 use dockpier::lease::cancellation_log::{Attestation, CancellationBounds};
 use dockpier::lease::shard::Shard;
-use dockpier::limits::SECOND;
 use dockpier::scheduler::model::JobId;
+use dockpier::time::Timestamp;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 const MS: u64 = 1_000;
 const STEP: u64 = 10 * MS;
@@ -24,7 +26,7 @@
 const LASTS: u64 = 45 * SECOND;
 /// How long workers may be kept alive without hearing of cancellations, and how long those are remembered.
 const BOUNDS: CancellationBounds =
-    CancellationBounds { longest_autonomy: 10 * SECOND, retention: 50 * SECOND };
+    CancellationBounds { longest_autonomy: Duration::from_secs(10), retention: Duration::from_secs(50) };
 /// How often the public queries are asked.
 const ASKED_EVERY: u64 = SECOND;
 
@@ -32,9 +34,9 @@
 enum Wire {
     Message { from: usize, to: usize, incarnation: u64, status: Status, message: Message },
     Attestation { from: usize, to: usize, incarnation: u64, attestation: Attestation },
-    ToStore { node: usize, incarnation: u64, action: Action, sent: u64 },
+    ToStore { node: usize, incarnation: u64, action: Action, sent: Timestamp },
     FromStore { node: usize, incarnation: u64, answer: StoreResponse },
-    Live { node: usize, incarnation: u64, sent: u64, live: Vec<JobId> },
+    Live { node: usize, incarnation: u64, sent: Timestamp, live: Vec<JobId> },
     Cancelled { node: usize, incarnation: u64, job_id: JobId },
 }
 
@@ -47,8 +49,8 @@
     base: u64,
     rate: f64,
     down_until: Option<u64>,
-    state_answered: u64,
-    live_due: u64,
+    state_answered: Timestamp,
+    live_due: Timestamp,
     /// The token that it last led with.
     led: u64,
     /// An earlier version, which attests nothing.
@@ -112,22 +114,24 @@
         let incarnation = self.rng.random();
         let seed = self.rng.random();
         Node {
-            leadership: Leadership::new(names, me, incarnation, now, BOUNDS, seed),
+            leadership: Leadership::new(names, me, incarnation, Timestamp::from_micros(now), BOUNDS, seed),
             shard: Shard::new(8, incarnation),
             incarnation,
             base,
             rate,
             down_until: None,
-            state_answered: 0,
-            live_due: 0,
+            state_answered: Timestamp::ZERO,
+            live_due: Timestamp::ZERO,
             led: 0,
             old,
         }
     }
 
     /// The clock of a node.
-    fn local(&self, node: usize) -> u64 {
-        self.nodes[node].base + (self.now as f64 * self.nodes[node].rate) as u64
+    /// The node's own clock.
+    fn local(&self, node: usize) -> Timestamp {
+        let micros = self.nodes[node].base + (self.now as f64 * self.nodes[node].rate) as u64;
+        Timestamp::from_micros(micros)
     }
 
     fn note(&mut self, line: Line) {
@@ -170,7 +174,7 @@
 
     fn status(&self, node: usize) -> Status {
         let reached = self.unreached.is_none_or(|(unreached, _)| unreached != node);
-        let state_age = self.local(node).saturating_sub(self.nodes[node].state_answered);
+        let state_age = self.local(node).since(self.nodes[node].state_answered);
         let workers = if reached { 3 } else { 0 };
         Status { state_age, workers, machines: 3, attests: !self.nodes[node].old }
     }
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -3,14 +3,17 @@
 
 use super::{Wire, World, NODES};
 use crate::output::Line;
+use crate::SECOND;
 use crate::{effects, words};
 use dockpier::leadership::FollowedLeader;
 use dockpier::lease::shard::ShardResponse;
-use dockpier::limits::{self, SECOND};
+use dockpier::limits;
 use dockpier::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
+use dockpier::time::{whole_micros, Timestamp};
 use rand::Rng;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 /// The lease of a worker.
 const LEASE: u64 = 10 * SECOND;
@@ -73,7 +76,7 @@
         for node in (0..NODES).filter(|node| self.is_served(*node)).collect::<Vec<_>>() {
             let (now, incarnation) = (self.local(node), self.nodes[node].incarnation);
             if now >= self.nodes[node].live_due {
-                self.nodes[node].live_due = now + SECOND;
+                self.nodes[node].live_due = now + Duration::from_micros(SECOND);
                 let (delay, live) = (2 * self.delay(), self.store.live.iter().copied().collect());
                 self.send(delay, Wire::Live { node, incarnation, sent: now, live });
             }
@@ -97,7 +100,7 @@
         }
     }
 
-    pub(super) fn take_live(&mut self, node: usize, sent: u64, live: &[JobId]) {
+    pub(super) fn take_live(&mut self, node: usize, sent: Timestamp, live: &[JobId]) {
         let now = self.local(node);
         let over = self.nodes[node].leadership.cancellations.apply_live_jobs(now, sent, true, live, &[]);
         self.nodes[node].state_answered = now;
@@ -139,7 +142,12 @@
             }
             let lease = self.nodes[leader].leadership.shard_lease(self.local(leader));
             let own = self.nodes[node].shard.acknowledge(heartbeat.id, lease);
-            self.note(Line::new("block-confirmed").with("node", node).with("lease", lease).with("own", own));
+            self.note(
+                Line::new("block-confirmed")
+                    .with("node", node)
+                    .with("lease", whole_micros(lease))
+                    .with("own", own),
+            );
         }
     }
 
--- a/crates/dockpier-simulation/examples/transcript/network/troubles.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/troubles.rs
@@ -2,7 +2,7 @@
 
 use super::{World, MS, NODES};
 use crate::output::Line;
-use dockpier::limits::SECOND;
+use crate::SECOND;
 use rand::Rng;
 
 impl World<'_> {
--- a/crates/dockpier-simulation/examples/transcript/worker.rs
+++ b/crates/dockpier-simulation/examples/transcript/worker.rs
@@ -1,6 +1,6 @@
 //! A worker that reports to one of several controllers: its tasks, its session and its lease.
 
-use dockpier::limits::SECOND;
+use crate::SECOND;
 use dockpier::scheduler::model::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
 use std::collections::BTreeMap;
--- a/crates/dockpier-simulation/src/cloud.rs
+++ b/crates/dockpier-simulation/src/cloud.rs
@@ -2,9 +2,10 @@
 
 use crate::layout::MACHINE_TYPE;
 use crate::{machine_name, Fleet, Worker};
-use dockpier::limits;
 use dockpier::scheduler::{ListedMachine, StoredMachine, WriteOutcome};
+use dockpier::time::{from_seconds, whole_micros, Timestamp};
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 impl Fleet {
     /// Rents up to `count` machines; the same name again rents nothing more.
@@ -23,24 +24,24 @@
         if free == 0 || spot {
             return (None, WriteOutcome::Refused);
         }
-        let boots = limits::micros(self.layout.boot_s);
+        let boots = from_seconds(self.layout.boot_s);
         let names: Vec<String> = (0..free).map(|_| self.make_machine(zone, boots)).collect();
         self.rentals.insert(name.to_string(), names.clone());
         (Some(names), WriteOutcome::Done)
     }
 
     /// A machine that is up after `boots` microseconds.
-    pub(crate) fn make_machine(&mut self, zone: &str, boots: u64) -> String {
+    pub(crate) fn make_machine(&mut self, zone: &str, boots: Duration) -> String {
         self.made += 1;
         let name = machine_name(self.made as u64);
-        let interval = limits::micros(self.layout.report_s);
-        let spread = interval * (self.made as u64 % 10) / 10;
+        let interval = from_seconds(self.layout.report_s);
+        let spread = Duration::from_micros(whole_micros(interval) * (self.made as u64 % 10) / 10);
         let mut up_at = self.now + boots;
-        if boots > 0 && self.never_boot > 0 {
+        if !boots.is_zero() && self.never_boot > 0 {
             self.never_boot -= 1;
-            up_at = u64::MAX;
+            up_at = Timestamp::MAX;
         }
-        let first = up_at.saturating_add(spread);
+        let first = up_at + spread;
         let worker = Worker::new(self.made as u64, &name, zone, up_at, first, self.layout.slots);
         self.workers.insert(name.clone(), worker);
         name
--- a/crates/dockpier-simulation/src/history.rs
+++ b/crates/dockpier-simulation/src/history.rs
@@ -1,10 +1,11 @@
 //! What happened on the workers, by their own records.
 
 use crate::worker::Worker;
-use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::Scheduler;
+use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// Time for which a replica that had served did not serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -12,9 +13,9 @@
     /// The replica.
     pub task: TaskId,
     /// From when.
-    pub from: u64,
+    pub from: Timestamp,
     /// Until when; `None`: it still does not.
-    pub until: Option<u64>,
+    pub until: Option<Timestamp>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -45,13 +46,13 @@
     /// The fewest replicas that each service had running in each zone, once it had all.
     pub fewest: BTreeMap<(JobId, String), usize>,
     jobs: BTreeMap<JobId, JobFacts>,
-    since: BTreeMap<TaskId, u64>,
+    since: BTreeMap<TaskId, Timestamp>,
     saved: BTreeSet<TaskId>,
     complete: BTreeSet<JobId>,
 }
 
 impl History {
-    pub(crate) fn started(&mut self, now: u64, id: TaskId, machine: &str) {
+    pub(crate) fn started(&mut self, now: Timestamp, id: TaskId, machine: &str) {
         let on = self.running.entry(id).or_default();
         on.insert(machine.to_string());
         if on.len() > 1 {
@@ -80,7 +81,7 @@
     }
 
     /// A task ended without finishing.
-    pub(crate) fn ended(&mut self, now: u64, id: TaskId, machine: &str) {
+    pub(crate) fn ended(&mut self, now: Timestamp, id: TaskId, machine: &str) {
         if !self.leave(id, machine) {
             return;
         }
@@ -88,12 +89,12 @@
         if facts.service {
             self.disruptions.push(Disruption { task: id, from: now, until: None });
         } else if !self.saved.remove(&id) {
-            let ran = now.saturating_sub(self.since.get(&id).copied().unwrap_or(now));
-            self.lost_work.push((id, ran as f64 / SECOND as f64));
+            let ran = now.since(self.since.get(&id).copied().unwrap_or(now));
+            self.lost_work.push((id, as_seconds(ran)));
         }
     }
 
-    pub(crate) fn lose_machine(&mut self, now: u64, worker: &mut Worker) {
+    pub(crate) fn lose_machine(&mut self, now: Timestamp, worker: &mut Worker) {
         let tasks = std::mem::take(&mut worker.tasks);
         tasks.keys().for_each(|id| self.ended(now, *id, &worker.name));
     }
@@ -110,16 +111,16 @@
     }
 
     /// When a task that begins now is through.
-    pub(crate) fn runs_until(&self, now: u64, id: TaskId) -> u64 {
+    pub(crate) fn runs_until(&self, now: Timestamp, id: TaskId) -> Timestamp {
         match self.jobs.get(&id.job_id) {
-            Some(facts) if !facts.service => now + limits::micros(facts.runs_s),
-            _ => u64::MAX,
+            Some(facts) if !facts.service => now + from_seconds(facts.runs_s),
+            _ => Timestamp::MAX,
         }
     }
 
     pub(crate) fn observe<'a>(
         &mut self,
-        now: u64,
+        now: Timestamp,
         scheduler: &Scheduler,
         workers: impl Iterator<Item = &'a Worker>,
     ) {
@@ -171,17 +172,21 @@
     }
 
     /// Seconds for which replicas of these jobs did not serve, within the last `window_s`.
-    pub fn replica_s(&self, now: u64, window_s: f64, of: impl Fn(JobId) -> bool) -> f64 {
-        let begins = now.saturating_sub(limits::micros(window_s));
+    pub fn replica_s(&self, now: Timestamp, window_s: f64, of: impl Fn(JobId) -> bool) -> f64 {
+        let begins = now - from_seconds(window_s);
         let own = self.disruptions.iter().filter(|d| of(d.task.job_id));
-        let lasted = own.map(|d| d.until.unwrap_or(now).min(now).saturating_sub(d.from.max(begins)));
-        lasted.sum::<u64>() as f64 / SECOND as f64
+        let lasted = own.map(|d| d.until.unwrap_or(now).min(now).since(d.from.max(begins)));
+        as_seconds(lasted.sum())
     }
 
     /// The most replicas of these jobs that did not serve at the same time.
-    pub fn most_at_once(&self, now: u64, of: impl Fn(JobId) -> bool) -> usize {
+    pub fn most_at_once(&self, now: Timestamp, of: impl Fn(JobId) -> bool) -> usize {
         let own: Vec<&Disruption> = self.disruptions.iter().filter(|d| of(d.task.job_id)).collect();
-        let down = |at: u64| own.iter().filter(|d| d.from <= at && d.until.unwrap_or(now + 1) > at).count();
+        let down = |at: Timestamp| {
+            own.iter()
+                .filter(|d| d.from <= at && d.until.unwrap_or(now + Duration::from_micros(1)) > at)
+                .count()
+        };
         own.iter().map(|d| down(d.from)).max().unwrap_or(0)
     }
 }
--- a/crates/dockpier-simulation/src/layout.rs
+++ b/crates/dockpier-simulation/src/layout.rs
@@ -4,6 +4,7 @@
 use dockpier::scheduler::model::{JobId, JobSpec, Kind, Priority, Resources};
 use dockpier::scheduler::Config;
 use dockpier::settings::{Operator, Team, Workers};
+use std::time::Duration;
 
 /// What a fleet is made of.
 #[derive(Debug, Clone)]
@@ -71,7 +72,7 @@
         record_machines: limits::record_machines(layout.value_most as f64 / 1_024.0),
         value_most: layout.value_most,
         rentals_at_once: 10,
-        shard_lease: 0,
+        shard_lease: Duration::ZERO,
     }
 }
 
--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -14,25 +14,26 @@
 pub use store::Store;
 pub use worker::{Worker, WorkerTask};
 
-use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::{JobId, JobSpec, MachineType, Resources};
 use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, WriteOutcome};
+use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use dockpier_drain::request::{DesiredState, DrainRequest, StoredRequest};
 use layout::config;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// Resolution of the fleet's time, in microseconds.
-const TICK: u64 = SECOND / 10;
+const TICK: Duration = Duration::from_millis(100);
 /// The time of day at which a fleet begins, in milliseconds.
 pub const DAY_BEGINS: u64 = 1_700_000_000_000;
 /// From the end of a leader to the first step of the next.
-const ELECTION: u64 = 3 * SECOND;
+const ELECTION: Duration = Duration::from_secs(3);
 /// How long the state service and the cloud take to answer.
-const ANSWERS_AFTER: u64 = SECOND / 10;
+const ANSWERS_AFTER: Duration = Duration::from_millis(100);
 /// From so many machines on the workers' state is looked at once a second.
 const LARGE: usize = 1_000;
 /// How often the cloud's list is read.
-const LIST_EVERY: u64 = 4 * SECOND;
+const LIST_EVERY: Duration = Duration::from_secs(4);
 
 /// A leader with everything around it.
 pub struct Fleet {
@@ -45,17 +46,17 @@
     /// Effects of the scheduler that tests may look at: the last step's.
     pub last_effects: Vec<Effect>,
     /// Every effect of the scheduler with its time, in a fleet that keeps them.
-    recorded: Option<Vec<(u64, Effect)>>,
+    recorded: Option<Vec<(Timestamp, Effect)>>,
     layout: Layout,
     config: Config,
-    now: u64,
+    now: Timestamp,
     workers: BTreeMap<String, Worker>,
     /// Rentals by name: the same name again rents nothing more.
     rentals: BTreeMap<String, Vec<String>>,
     made: usize,
     /// Commands that reach the scheduler later.
-    later: Vec<(u64, Command)>,
-    list_due: u64,
+    later: Vec<(Timestamp, Command)>,
+    list_due: Timestamp,
     /// Machines that never come up.
     pub never_boot: usize,
 }
@@ -72,13 +73,13 @@
     }
 
     /// Effects since they were last taken, with the time of their step, in a fleet that keeps them.
-    pub fn take_recorded(&mut self) -> Vec<(u64, Effect)> {
+    pub fn take_recorded(&mut self) -> Vec<(Timestamp, Effect)> {
         self.recorded.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    fn begin(layout: Layout, recorded: Option<Vec<(u64, Effect)>>) -> Self {
+    fn begin(layout: Layout, recorded: Option<Vec<(Timestamp, Effect)>>) -> Self {
         let config = config(&layout);
-        let now = SECOND;
+        let now = Timestamp::from_secs(1);
         let mut fleet = Fleet {
             scheduler: Scheduler::new(config.clone(), now),
             store: Store::default(),
@@ -91,13 +92,13 @@
             rentals: BTreeMap::new(),
             made: 0,
             later: Vec::new(),
-            list_due: 0,
+            list_due: Timestamp::ZERO,
             never_boot: 0,
             layout,
         };
         for zone in fleet.layout.zones.clone() {
             for _ in 0..fleet.layout.machines {
-                fleet.make_machine(&zone, 0);
+                fleet.make_machine(&zone, Duration::ZERO);
             }
         }
         fleet.load();
@@ -106,13 +107,13 @@
     }
 
     /// The steady clock in microseconds.
-    pub fn now(&self) -> u64 {
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
     /// The time of day in milliseconds.
     pub fn day_ms(&self) -> u64 {
-        DAY_BEGINS + self.now / 1_000
+        DAY_BEGINS + self.now.as_micros() / 1_000
     }
 
     /// Names of machines that are there, with their workers.
@@ -132,7 +133,8 @@
 
     /// A user submits a job.
     pub fn submit(&mut self, spec: JobSpec) {
-        let stored = StoredJob { version: spec.job_id.0, spec, age: 0, succeeded: BTreeSet::new() };
+        let stored =
+            StoredJob { version: spec.job_id.0, spec, age: Duration::ZERO, succeeded: BTreeSet::new() };
         self.store.jobs.insert(stored.spec.job_id, stored.clone());
         self.step(vec![Command::JobAdded(stored)]);
     }
@@ -166,7 +168,7 @@
 
     /// Time passes.
     pub fn run(&mut self, seconds: f64) {
-        let until = self.now + limits::micros(seconds);
+        let until = self.now + from_seconds(seconds);
         while self.now < until {
             self.tick();
         }
@@ -174,7 +176,7 @@
 
     /// Time passes until something holds; returns whether it came to that.
     pub fn run_until(&mut self, most_s: f64, mut holds: impl FnMut(&Fleet) -> bool) -> bool {
-        let until = self.now + limits::micros(most_s);
+        let until = self.now + from_seconds(most_s);
         while self.now < until {
             if holds(self) {
                 return true;
@@ -186,13 +188,13 @@
 
     /// The leader ends and another one takes over.
     pub fn change_leader(&mut self) {
-        self.lose_all_controllers(ELECTION as f64 / SECOND as f64);
+        self.lose_all_controllers(as_seconds(ELECTION));
     }
 
     /// Every controller ends, and nobody answers for so long.
     pub fn lose_all_controllers(&mut self, seconds: f64) {
         self.later.clear();
-        let until = self.now + limits::micros(seconds);
+        let until = self.now + from_seconds(seconds);
         while self.now < until {
             self.now += TICK;
             self.work();
@@ -213,7 +215,7 @@
 
     /// A machine hangs: its tasks stand still, it neither reports nor takes commands.
     pub fn hang_machine(&mut self, name: &str, seconds: f64) {
-        let until = self.now + limits::micros(seconds);
+        let until = self.now + from_seconds(seconds);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.hangs_until = until;
         }
@@ -221,7 +223,7 @@
 
     /// The cloud announces that it takes a machine.
     pub fn announce_loss(&mut self, name: &str, seconds: f64) {
-        let at = self.now + limits::micros(seconds);
+        let at = self.now + from_seconds(seconds);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.taken_at = Some(at);
         }
@@ -243,7 +245,7 @@
         }
         self.step(batch);
         // A look at every task: in a large fleet once a second.
-        if self.workers.len() < LARGE || now % SECOND == 0 {
+        if self.workers.len() < LARGE || now.as_micros() % 1_000_000 == 0 {
             self.history.observe(now, &self.scheduler, self.workers.values());
         }
     }
@@ -251,7 +253,7 @@
     /// Workers do what they do by themselves.
     fn work(&mut self) {
         let now = self.now;
-        let lease = limits::micros(self.config.workers.lease_s);
+        let lease = from_seconds(self.config.workers.lease_s);
         let taken: Vec<String> = self
             .workers
             .iter()
@@ -269,7 +271,7 @@
 
     fn heartbeats(&mut self) -> Vec<Command> {
         let now = self.now;
-        let interval = limits::micros(self.layout.report_s);
+        let interval = from_seconds(self.layout.report_s);
         let due = self.workers.values_mut().filter(|worker| worker.is_heartbeat_due(now));
         due.map(|worker| {
             worker.next_report = now + interval;
@@ -279,7 +281,7 @@
     }
 
     fn step(&mut self, batch: Vec<Command>) {
-        self.scheduler.time_of_day(self.now, DAY_BEGINS + self.now / 1_000);
+        self.scheduler.time_of_day(self.now, DAY_BEGINS + self.now.as_micros() / 1_000);
         let effects = self.scheduler.step(self.now, batch);
         if let Some(recorded) = &mut self.recorded {
             recorded.extend(effects.iter().map(|effect| (self.now, effect.clone())));
--- a/crates/dockpier-simulation/src/worker.rs
+++ b/crates/dockpier-simulation/src/worker.rs
@@ -1,10 +1,11 @@
 //! A worker: carries out what it is told, and keeps to its lease.
 
 use crate::history::History;
-use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::TaskCommand;
+use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// Rate at which workers fetch images.
 pub const FETCH_GB_PER_S: f64 = 0.5;
@@ -19,7 +20,7 @@
     /// How far it is.
     pub status: TaskStatus,
     /// When it goes on to the next state by itself.
-    until: u64,
+    until: Timestamp,
 }
 
 /// A machine with its worker.
@@ -39,18 +40,25 @@
     pub slots: f64,
     /// It has ended with everything on it.
     pub dead: bool,
-    pub(crate) hangs_until: u64,
-    pub(crate) taken_at: Option<u64>,
-    pub(crate) next_report: u64,
-    up_at: u64,
+    pub(crate) hangs_until: Timestamp,
+    pub(crate) taken_at: Option<Timestamp>,
+    pub(crate) next_report: Timestamp,
+    up_at: Timestamp,
     sequence: u64,
     token: u64,
-    answered_at: u64,
+    answered_at: Timestamp,
     images: BTreeSet<u64>,
 }
 
 impl Worker {
-    pub(crate) fn new(number: u64, name: &str, zone: &str, up_at: u64, first: u64, slots: f64) -> Self {
+    pub(crate) fn new(
+        number: u64,
+        name: &str,
+        zone: &str,
+        up_at: Timestamp,
+        first: Timestamp,
+        slots: f64,
+    ) -> Self {
         Worker {
             number,
             name: name.into(),
@@ -59,7 +67,7 @@
             tasks: BTreeMap::new(),
             slots,
             dead: false,
-            hangs_until: 0,
+            hangs_until: Timestamp::ZERO,
             taken_at: None,
             next_report: first,
             up_at,
@@ -71,20 +79,20 @@
     }
 
     /// Whether the worker is up and does what it should.
-    pub fn is_well(&self, now: u64) -> bool {
+    pub fn is_well(&self, now: Timestamp) -> bool {
         !self.dead && now >= self.up_at && now >= self.hangs_until
     }
 
     /// Whether it has come up at all.
-    pub fn is_up(&self, now: u64) -> bool {
+    pub fn is_up(&self, now: Timestamp) -> bool {
         now >= self.up_at
     }
 
-    pub(crate) fn is_heartbeat_due(&self, now: u64) -> bool {
+    pub(crate) fn is_heartbeat_due(&self, now: Timestamp) -> bool {
         self.is_well(now) && now >= self.next_report
     }
 
-    pub(crate) fn heartbeat(&mut self, now: u64) -> Heartbeat {
+    pub(crate) fn heartbeat(&mut self, now: Timestamp) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter();
         let tasks = tasks.map(|(id, t)| ReportedTask { id: *id, attempt: t.attempt, status: t.status });
@@ -97,13 +105,13 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             token: self.token,
-            notice_s: self.taken_at.map(|at| at.saturating_sub(now) as f64 / SECOND as f64),
+            notice_s: self.taken_at.map(|at| as_seconds(at.since(now))),
             tasks: tasks.collect(),
         }
     }
 
     /// What happens as time passes.
-    pub(crate) fn work(&mut self, now: u64, lease: u64, history: &mut History) {
+    pub(crate) fn work(&mut self, now: Timestamp, lease: Duration, history: &mut History) {
         if !self.is_well(now) {
             return;
         }
@@ -122,11 +130,11 @@
                     history.started(now, *id, name);
                 }
                 TaskStatus::Running => {
-                    (task.status, task.until) = (TaskStatus::Exited(ExitReason::Done), u64::MAX);
+                    (task.status, task.until) = (TaskStatus::Exited(ExitReason::Done), Timestamp::MAX);
                     history.finished(*id, name);
                 }
                 TaskStatus::Saving => {
-                    (task.status, task.until) = (TaskStatus::Exited(ExitReason::Stopped), u64::MAX);
+                    (task.status, task.until) = (TaskStatus::Exited(ExitReason::Stopped), Timestamp::MAX);
                     history.ended(now, *id, name);
                 }
                 TaskStatus::Exited(_) => {}
@@ -136,7 +144,7 @@
 
     pub(crate) fn answered(
         &mut self,
-        now: u64,
+        now: Timestamp,
         token: u64,
         task_commands: &[TaskCommand],
         history: &mut History,
@@ -150,14 +158,19 @@
     }
 
     /// Direct commands carry stops.
-    pub(crate) fn take_direct(&mut self, now: u64, task_commands: &[TaskCommand], history: &mut History) {
+    pub(crate) fn take_direct(
+        &mut self,
+        now: Timestamp,
+        task_commands: &[TaskCommand],
+        history: &mut History,
+    ) {
         if self.is_well(now) {
             let stops = task_commands.iter().filter(|command| matches!(command, TaskCommand::Stop { .. }));
             stops.for_each(|command| self.take(now, command, history));
         }
     }
 
-    fn take(&mut self, now: u64, command: &TaskCommand, history: &mut History) {
+    fn take(&mut self, now: Timestamp, command: &TaskCommand, history: &mut History) {
         match command {
             TaskCommand::Start { id, attempt } => {
                 let fetch = match self.images.contains(&id.job_id.0) {
@@ -165,7 +178,7 @@
                     false => IMAGE_GB / FETCH_GB_PER_S,
                 };
                 history.record_start_command(*id, *attempt);
-                let until = now + limits::micros(fetch);
+                let until = now + from_seconds(fetch);
                 let task = WorkerTask { attempt: *attempt, status: TaskStatus::Fetching, until };
                 self.tasks.entry(*id).or_insert(task);
             }
@@ -176,11 +189,11 @@
                 match task.status {
                     TaskStatus::Running if *grace_s > 0.0 => {
                         history.saved(*id);
-                        let until = now + limits::micros(*grace_s / 2.0);
+                        let until = now + from_seconds(*grace_s / 2.0);
                         (task.status, task.until) = (TaskStatus::Saving, until);
                     }
                     TaskStatus::Running | TaskStatus::Fetching => {
-                        (task.status, task.until) = (TaskStatus::Exited(ExitReason::Stopped), u64::MAX);
+                        (task.status, task.until) = (TaskStatus::Exited(ExitReason::Stopped), Timestamp::MAX);
                         history.ended(now, *id, &self.name);
                     }
                     TaskStatus::Saving | TaskStatus::Exited(_) => {}
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -10,9 +10,9 @@
 use crate::settings::CloudLimits;
 use crate::storage::key_value_store::{compare_version, write_change, CommitOutcome, KeyValueStore};
 use crate::storage::keys;
+use crate::time::AtomicTimestamp;
 use std::collections::VecDeque;
 use std::ops::Range;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -23,21 +23,21 @@
 /// Bounds of the seconds between two machine lists.
 const MIN_LIST_INTERVAL_S: f64 = 4.0;
 const MAX_LIST_INTERVAL_S: f64 = 30.0;
-/// Milliseconds between two attempts to read the catalog.
-const CATALOG_RETRY_DELAY_MS: Range<u64> = 1_500..3_000;
+/// Time between two attempts to read the catalog.
+const CATALOG_RETRY_DELAY: Range<Duration> = Duration::from_millis(1_500)..Duration::from_secs(3);
 
 /// Whether this node may still act as the leader. Checked right before a request is sent: a process may be paused for
 /// half a minute anywhere, and be deposed meanwhile.
 #[derive(Clone)]
 pub(super) struct AuthorityGate {
     pub(super) clock: Clock,
-    /// Microseconds; updated by the controller after each batch of events.
-    pub(super) until: Arc<AtomicU64>,
+    /// Updated by the controller after each batch of events.
+    pub(super) until: Arc<AtomicTimestamp>,
 }
 
 impl AuthorityGate {
     pub(super) fn is_open(&self) -> bool {
-        self.clock.now() < self.until.load(Ordering::Relaxed)
+        self.clock.now() < self.until.load()
     }
 }
 
@@ -77,8 +77,7 @@
     }
     loop {
         let Some(catalog) = cloud.catalog().await else {
-            let delay_ms = rand::random_range(CATALOG_RETRY_DELAY_MS);
-            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+            tokio::time::sleep(rand::random_range(CATALOG_RETRY_DELAY)).await;
             continue;
         };
         if events.send(publish(&catalog)).await.is_err() {
--- a/src/controller/drain_records.rs
+++ b/src/controller/drain_records.rs
@@ -49,7 +49,7 @@
 /// Returns once a request may have changed, with the revision up to which there was no other change.
 async fn wait_for_change(store: &KeyValueStore, mut revision: u64) -> u64 {
     loop {
-        match store.follow(records::REQUESTS, revision, limits::STORE_WATCH_MS).await {
+        match store.follow(records::REQUESTS, revision, limits::STORE_WATCH_TIMEOUT).await {
             Ok(Some(log)) => {
                 revision = revision.max(log.revision);
                 if !log.events.is_empty() {
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -12,15 +12,17 @@
 use crate::scheduler::overview::PageStart;
 use crate::scheduler::Scheduler;
 use crate::settings::Deployment;
+use crate::time::Timestamp;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::sync::watch;
 use tracing::info;
 
-/// Microseconds between two summaries of the leader.
-const SUMMARY_INTERVAL: u64 = limits::SECOND;
-/// Microseconds between two `usage` lines of the leader.
-const USAGE_LOG_INTERVAL: u64 = 10 * limits::SECOND;
+/// Time between two summaries of the leader.
+const SUMMARY_INTERVAL: Duration = limits::SECOND;
+/// Time between two `usage` lines of the leader.
+const USAGE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What the controller publishes, and when next.
 pub(super) struct Publication {
@@ -28,10 +30,8 @@
     summary: watch::Sender<Summary>,
     /// Read by this node's API.
     health: Arc<Health>,
-    /// Microseconds.
-    next_summary_at: u64,
-    /// Microseconds.
-    next_usage_log_at: u64,
+    next_summary_at: Timestamp,
+    next_usage_log_at: Timestamp,
     limit_warnings: LimitWarnings,
 }
 
@@ -40,8 +40,8 @@
         Publication {
             summary,
             health,
-            next_summary_at: 0,
-            next_usage_log_at: 0,
+            next_summary_at: Timestamp::ZERO,
+            next_usage_log_at: Timestamp::ZERO,
             limit_warnings: LimitWarnings::default(),
         }
     }
@@ -53,7 +53,7 @@
     }
 
     /// Publishes the leader's counts here and to all peers, if they are due.
-    pub(super) fn publish_summary(&mut self, now: u64, scheduler: &Scheduler, peers: &PeerLinks) {
+    pub(super) fn publish_summary(&mut self, now: Timestamp, scheduler: &Scheduler, peers: &PeerLinks) {
         if now < self.next_summary_at {
             return;
         }
@@ -68,7 +68,13 @@
     }
 
     /// Logs the use of the fleet, and limits that are small for it, if that is due.
-    pub(super) fn log_usage(&mut self, now: u64, token: u64, scheduler: &Scheduler, deployment: &Deployment) {
+    pub(super) fn log_usage(
+        &mut self,
+        now: Timestamp,
+        token: u64,
+        scheduler: &Scheduler,
+        deployment: &Deployment,
+    ) {
         if now < self.next_usage_log_at {
             return;
         }
@@ -80,14 +86,14 @@
 
 impl Controller {
     /// What this node reports to its peers. Forgets heartbeats that are older than the window.
-    pub(super) fn status(&mut self, now: u64) -> Status {
+    pub(super) fn status(&mut self, now: Timestamp) -> Status {
         let window = limits::reach_window(self.config.workers.report_s);
         let recent = &mut self.routing.recent_heartbeats;
-        while recent.front().is_some_and(|at| at + window < now) {
+        while recent.front().is_some_and(|at| *at + window < now) {
             recent.pop_front();
         }
         Status {
-            state_age: now.saturating_sub(self.clients.store.last_response_at()),
+            state_age: now.since(self.clients.store.last_response_at()),
             workers: recent.len() as u32,
             machines: self.scheduler.as_ref().map_or(0, Scheduler::machines_up),
             attests: true,
@@ -95,9 +101,8 @@
     }
 
     /// Judges whether users are served better here than elsewhere.
-    pub(super) fn update_health(&mut self, now: u64) {
-        let store_lost =
-            now.saturating_sub(self.clients.store.last_response_at()) >= limits::STORE_LOST_TIMEOUT;
+    pub(super) fn update_health(&mut self, now: Timestamp) {
+        let store_lost = now.since(self.clients.store.last_response_at()) >= limits::STORE_LOST_TIMEOUT;
         // In an outage of the state service for all nodes, no other node serves users better. A node that
         // receives nothing from any peer is more likely the only one that is cut off.
         let outage_shared = self.leadership.has_live_peer(now) && !self.leadership.peer_has_state(now);
@@ -110,7 +115,7 @@
     }
 
     /// The overview for operators.
-    pub(super) fn view(&self, now: u64, start: &PageStart) -> NodeView {
+    pub(super) fn view(&self, now: Timestamp, start: &PageStart) -> NodeView {
         let node = self.settings.node_name.clone();
         let leader = match self.leadership.is_leader() {
             true => Some(node.clone()),
--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -15,7 +15,9 @@
 use crate::protocol::workers::{HeartbeatRequest, HeartbeatResponse};
 use crate::scheduler::model::Heartbeat;
 use crate::scheduler::{Command, TaskCommand};
+use crate::time::{whole_millis, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
 
@@ -30,8 +32,8 @@
     /// The workers whose leases this node renews while another node leads.
     pub(super) shard: Shard,
     pub(super) renewal_counts: RenewalCounts,
-    /// When workers sent heartbeats lately, in microseconds.
-    pub(super) recent_heartbeats: VecDeque<u64>,
+    /// When workers sent heartbeats lately.
+    pub(super) recent_heartbeats: VecDeque<Timestamp>,
 }
 
 /// Where the reply to a heartbeat goes.
@@ -46,8 +48,7 @@
 struct RelayedHeartbeat {
     reply: oneshot::Sender<HeartbeatReply>,
     heartbeat: Heartbeat,
-    /// Microseconds.
-    sent_at: u64,
+    sent_at: Timestamp,
 }
 
 impl HeartbeatRouting {
@@ -93,7 +94,7 @@
 
 /// Whether a frame echoes a recent stamp of this leader. Stamps of other leaders lie outside the window: each clock
 /// starts at a random point.
-fn is_recent_stamp(now: u64, stamp: u64) -> bool {
+fn is_recent_stamp(now: Timestamp, stamp: Timestamp) -> bool {
     stamp <= now && now < stamp + limits::RELAY_MAX_AGE
 }
 
@@ -102,7 +103,7 @@
     /// Routes a worker's heartbeat; what is for the scheduler goes to `commands`.
     pub(super) fn route_heartbeat(
         &mut self,
-        now: u64,
+        now: Timestamp,
         request: HeartbeatRequest,
         to: oneshot::Sender<HeartbeatReply>,
         commands: &mut Vec<Command>,
@@ -130,7 +131,7 @@
     }
 
     /// Whether this node may act as the leader now.
-    fn leads(&self, now: u64) -> bool {
+    fn leads(&self, now: Timestamp) -> bool {
         self.scheduler.is_some() && self.leadership.authority(now).is_some()
     }
 
@@ -138,7 +139,11 @@
     /// that has not loaded the jobs, or in keep-alive mode. Such a leader knows no more than a node in keep-alive mode:
     /// leases are renewed, and tasks only stopped if they are cancelled.
     /// `authority`: the token of this node's leadership, if it may act.
-    fn renewal_without_scheduler(&self, now: u64, authority: Option<u64>) -> Option<(u64, LeaseRenewal)> {
+    fn renewal_without_scheduler(
+        &self,
+        now: Timestamp,
+        authority: Option<u64>,
+    ) -> Option<(u64, LeaseRenewal)> {
         let loading = self.scheduler.as_ref().is_some_and(|scheduler| !scheduler.loaded);
         if let Some(token) = authority.filter(|_| loading) {
             return Some((token, LeaseRenewal::before_load()));
@@ -149,7 +154,7 @@
 
     fn respond_without_scheduler(
         &mut self,
-        now: u64,
+        now: Timestamp,
         heartbeat: &Heartbeat,
         token: u64,
         renewal: LeaseRenewal,
@@ -163,7 +168,7 @@
 
     /// The stop commands that a renewal by this node alone must carry; `None`: this node knows too little of
     /// cancellations to renew the lease.
-    fn keep_alive_stops(&self, now: u64, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
+    fn keep_alive_stops(&self, now: Timestamp, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let cancellations = &self.leadership.cancellations;
         if now + limits::AUTHORITY_MARGIN >= cancellations.keep_alive_until() {
             return None;
@@ -172,7 +177,12 @@
     }
 
     /// A heartbeat at a node that does not lead: answered as the leaseholder, relayed, or redirected.
-    fn relay_or_redirect(&mut self, now: u64, heartbeat: Heartbeat, to: oneshot::Sender<HeartbeatReply>) {
+    fn relay_or_redirect(
+        &mut self,
+        now: Timestamp,
+        heartbeat: Heartbeat,
+        to: oneshot::Sender<HeartbeatReply>,
+    ) {
         let followed = self.leadership.followed_leader(now);
         if let Some(leader) = &followed {
             self.routing.shard.follow(leader.token);
@@ -202,7 +212,7 @@
     /// The reply of this node as a leaseholder; `None`: it may not answer by itself.
     fn respond_as_leaseholder(
         &mut self,
-        now: u64,
+        now: Timestamp,
         heartbeat: &Heartbeat,
         has_leader: bool,
     ) -> Option<HeartbeatReply> {
@@ -270,10 +280,10 @@
     /// As the leader: a leaseholder relays a heartbeat.
     pub(super) fn handle_relayed_heartbeat(
         &mut self,
-        now: u64,
+        now: Timestamp,
         from: usize,
         id: u64,
-        stamp: u64,
+        stamp: Timestamp,
         heartbeat: Heartbeat,
         commands: &mut Vec<Command>,
     ) {
@@ -289,7 +299,7 @@
     }
 
     /// A node in keep-alive mode renews leases whichever way heartbeats arrive; any other refuses.
-    fn respond_to_stale_relay(&mut self, now: u64, from: usize, id: u64, heartbeat: &Heartbeat) {
+    fn respond_to_stale_relay(&mut self, now: Timestamp, from: usize, id: u64, heartbeat: &Heartbeat) {
         let keep_alive = self.leadership.keep_alive_token(now).zip(self.keep_alive_stops(now, heartbeat));
         match keep_alive {
             Some((token, task_commands)) => {
@@ -304,10 +314,10 @@
     /// As the leader: a leaseholder names the machines whose leases it renewed. `command` holds them.
     pub(super) fn handle_shard_heartbeat(
         &mut self,
-        now: u64,
+        now: Timestamp,
         from: usize,
         id: u64,
-        stamp: u64,
+        stamp: Timestamp,
         command: Command,
         commands: &mut Vec<Command>,
     ) {
@@ -316,14 +326,14 @@
         }
         self.routing.recent_heartbeats.push_back(now);
         commands.push(command);
-        let lease_ms = (self.leadership.shard_lease(now) / 1_000) as u32;
+        let lease_ms = whole_millis(self.leadership.shard_lease(now)) as u32;
         self.peers.send(from, Payload::ShardHeartbeatAck { id, lease_ms });
     }
 
     /// As a leaseholder: the leader's response to a heartbeat that this node relayed.
     pub(super) fn handle_relayed_response(
         &mut self,
-        now: u64,
+        now: Timestamp,
         from: usize,
         id: u64,
         token: Option<u64>,
@@ -347,14 +357,14 @@
 
     /// As a leaseholder: the leader acknowledges a shard heartbeat, which extends the shard lease.
     pub(super) fn handle_shard_heartbeat_ack(&mut self, from: usize, id: u64, lease_ms: u32) {
-        let lease = (u64::from(lease_ms) * 1_000).min(self.config.shard_lease);
+        let lease = Duration::from_millis(u64::from(lease_ms)).min(self.config.shard_lease);
         if !self.routing.shard.acknowledge(id, lease) {
             self.peers.count_ignored(from, IgnoredFrame::Unsolicited);
         }
     }
 
     /// As a leaseholder: sends the shard heartbeat that is due, and answers relayed heartbeats that timed out.
-    pub(super) fn maintain_shard(&mut self, now: u64) {
+    pub(super) fn maintain_shard(&mut self, now: Timestamp) {
         self.send_shard_heartbeat(now);
         while let Some(entry) = self.routing.relayed.first_entry() {
             if now < entry.get().sent_at + limits::RELAY_TIMEOUT {
@@ -367,7 +377,7 @@
         }
     }
 
-    fn send_shard_heartbeat(&mut self, now: u64) {
+    fn send_shard_heartbeat(&mut self, now: Timestamp) {
         let Some(leader) = self.leadership.followed_leader(now) else { return };
         self.routing.shard.follow(leader.token);
         let Some(heartbeat) = self.routing.shard.next_heartbeat(now) else { return };
--- a/src/controller/job_loading.rs
+++ b/src/controller/job_loading.rs
@@ -11,6 +11,7 @@
 use crate::storage::keys;
 use crate::storage::record_versions::RecordVersions;
 use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
 use tracing::warn;
 
 /// Parses a live record; `None`, with a warning, if it can't be read.
@@ -22,7 +23,7 @@
     match checked {
         Ok((spec, accepted_ms)) => {
             let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
-            let age = age_ms.min(limits::MAX_JOB_AGE_MS) * 1_000;
+            let age = Duration::from_millis(age_ms).min(limits::MAX_JOB_AGE);
             Some(StoredJob { spec, version: record.version, age, succeeded: BTreeSet::new() })
         }
         Err(error) => {
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -14,7 +14,6 @@
 use crate::storage::keys;
 use crate::storage::record_versions::RecordVersions;
 use std::collections::BTreeSet;
-use std::time::Duration;
 use tokio::sync::mpsc;
 use tracing::{debug, info, warn};
 
@@ -37,7 +36,7 @@
     let mut follower = Follower { store, events, token, known: BTreeSet::new() };
     let mut revision = follower.load(epoch_version, &record_versions, drain_teams.as_deref()).await;
     loop {
-        match follower.store.follow(keys::LIVE_JOBS, revision, limits::STORE_WATCH_MS).await {
+        match follower.store.follow(keys::LIVE_JOBS, revision, limits::STORE_WATCH_TIMEOUT).await {
             Ok(Some(log)) => {
                 revision = revision.max(log.revision);
                 for event in log.events {
@@ -147,6 +146,6 @@
         let leads = compare_version(keys::LEADER_EPOCH, epoch_version);
         // What is not removed is found again by the next leader.
         let _ = store.commit(vec![leads], vec![remove_change(&key)]).await;
-        tokio::time::sleep(Duration::from_millis(limits::STORE_RETRY_DELAY_MS)).await;
+        tokio::time::sleep(limits::STORE_RETRY_DELAY).await;
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -19,6 +19,7 @@
 mod record_writer;
 mod startup;
 
+use crate::time::{AtomicTimestamp, Timestamp};
 pub use startup::{run, ServeError};
 
 use crate::cloud::Cloud;
@@ -37,7 +38,6 @@
 use health::Publication;
 use heartbeat_routing::HeartbeatRouting;
 use peer_links::PeerLinks;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, Semaphore};
@@ -63,9 +63,9 @@
     /// `None` while this node does not lead.
     scheduler: Option<Scheduler>,
     term: LeadershipTerm,
-    /// Until when rentals, deletions and direct commands may be sent, in microseconds. Read by the tasks that send
+    /// Until when rentals, deletions and direct commands may be sent. Read by the tasks that send
     /// them.
-    authority_until: Arc<AtomicU64>,
+    authority_until: Arc<AtomicTimestamp>,
     routing: HeartbeatRouting,
     publication: Publication,
     /// Cancellations that other members must acknowledge before they are confirmed to users.
@@ -138,7 +138,7 @@
         let status = self.status(now);
         let actions = self.leadership.tick(now, status);
         self.apply_actions(actions);
-        self.authority_until.store(self.leadership.authority_until(now), Ordering::Relaxed);
+        self.authority_until.store(self.leadership.authority_until(now));
         self.update_health(now);
         self.answer_pending_confirmations(now);
         let Batch { mut commands, heartbeats } = batch;
@@ -149,7 +149,7 @@
         self.maintain_shard(now);
     }
 
-    fn handle_event(&mut self, now: u64, event: Event, batch: &mut Batch) {
+    fn handle_event(&mut self, now: Timestamp, event: Event, batch: &mut Batch) {
         match event {
             Event::Heartbeat(request, reply) => batch.heartbeats.push(WaitingHeartbeat { request, reply }),
             Event::Overview(start, reply) => {
@@ -182,7 +182,7 @@
 
     fn handle_cancellation(
         &mut self,
-        now: u64,
+        now: Timestamp,
         job_id: JobId,
         reply: oneshot::Sender<bool>,
         batch: &mut Batch,
@@ -196,7 +196,7 @@
         self.pending_confirmations.push(PendingConfirmation { job_id, reply });
     }
 
-    fn handle_frame(&mut self, now: u64, received: Received, batch: &mut Batch) {
+    fn handle_frame(&mut self, now: Timestamp, received: Received, batch: &mut Batch) {
         let Received { from, incarnation, payload } = received;
         let commands = &mut batch.commands;
         match payload {
@@ -247,7 +247,7 @@
     }
 
     /// Confirms cancellations to users as soon as that is safe; forgets those whose user has given up.
-    fn answer_pending_confirmations(&mut self, now: u64) {
+    fn answer_pending_confirmations(&mut self, now: Timestamp) {
         for pending in std::mem::take(&mut self.pending_confirmations) {
             let outcome = self.leadership.cancellations.confirm(now, pending.job_id);
             if outcome.is_permitted {
@@ -259,7 +259,7 @@
         }
     }
 
-    fn run_scheduler(&mut self, now: u64, commands: Vec<Command>) {
+    fn run_scheduler(&mut self, now: Timestamp, commands: Vec<Command>) {
         let Some(scheduler) = &mut self.scheduler else { return };
         scheduler.record_kept_alive_until(self.leadership.autonomous_until(now));
         scheduler.out_of_touch(now, self.leadership.unreachable_peers(now));
--- a/src/controller/record_writer.rs
+++ b/src/controller/record_writer.rs
@@ -7,7 +7,6 @@
 use crate::storage::key_value_store::{compare_version, CommitOutcome, KeyValueStore};
 use crate::storage::keys;
 use crate::storage::record_versions::RecordVersions;
-use std::time::Duration;
 
 /// Writes records for one leadership; handed to the task that makes the write.
 pub(super) struct RecordWriter {
@@ -63,6 +62,6 @@
 
 /// Waits for a random time, so that a service in trouble is not overloaded and an outage does not end with a stampede.
 pub(super) async fn wait_before_retry() {
-    let shortest = limits::STORE_RETRY_DELAY_MS;
-    tokio::time::sleep(Duration::from_millis(rand::random_range(shortest..=2 * shortest))).await;
+    let shortest = limits::STORE_RETRY_DELAY;
+    tokio::time::sleep(rand::random_range(shortest..=2 * shortest)).await;
 }
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -16,7 +16,9 @@
 use crate::scheduler::Config;
 use crate::settings::{Operator, Settings};
 use crate::storage::key_value_store::KeyValueStore;
+use crate::time::Timestamp;
 use std::sync::Arc;
+use std::time::Duration;
 use thiserror::Error;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Semaphore};
@@ -194,8 +196,7 @@
     Ok(())
 }
 
-/// `now` is in microseconds.
-fn leadership(settings: &Settings, sender: Sender, now: u64) -> Leadership {
+fn leadership(settings: &Settings, sender: Sender, now: Timestamp) -> Leadership {
     let workers = &settings.deployment.workers;
     let longest_autonomy = limits::longest_autonomy(workers.cancel_s, workers.lease_s);
     let retention = limits::cancellation_retention(workers.cancel_s);
@@ -211,7 +212,7 @@
     let workers = &deployment.workers;
     // A node without peers has no leaseholders.
     let shard_lease = match settings.members.len() {
-        0 => 0,
+        0 => Duration::ZERO,
         _ => limits::longest_autonomy(workers.cancel_s, workers.lease_s),
     };
     Config {
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,6 +1,7 @@
 //! The HTTP client that the state service, the cloud and the workers share.
 
 use crate::limits;
+use crate::time::Timestamp;
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
@@ -71,7 +72,7 @@
     }
 }
 
-/// This process's steady clock, in microseconds. It starts at a random point, so that a time echoed
+/// This process's steady clock. It starts at a random point, so that a time echoed
 /// by a peer to an earlier incarnation of this node can't be taken for one of ours.
 #[derive(Clone, Copy)]
 pub struct Clock {
@@ -85,9 +86,9 @@
         Clock { begun: Instant::now(), base: rand::random_range((1 << 40)..(1 << 50)) }
     }
 
-    /// Microseconds of this process's steady clock.
-    pub fn now(&self) -> u64 {
-        self.base + self.begun.elapsed().as_micros() as u64
+    /// The present instant of this process's steady clock.
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.base) + self.begun.elapsed()
     }
 }
 
--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -3,61 +3,63 @@
 use super::role::Role;
 use super::Leadership;
 use crate::limits;
+use crate::time::Timestamp;
+use std::time::Duration;
 
 impl Leadership {
     /// Until when a majority grants this node leadership, its own vote included if it counts; not later than one grant
     /// from now.
-    fn granted_until(&self, now: u64) -> u64 {
+    fn granted_until(&self, now: Timestamp) -> Timestamp {
         let own_vote_counts = self.commitments.own_vote_counts(now);
         self.peers.granted_until(own_vote_counts).min(now + limits::GRANT_DURATION)
     }
 
     /// The fencing token that this node may act with at this moment.
-    pub fn authority(&self, now: u64) -> Option<u64> {
+    pub fn authority(&self, now: Timestamp) -> Option<u64> {
         let term = self.role.term()?;
         (now < self.authority_until(now)).then_some(term.token)
     }
 
-    /// Until when what this node sends as the leader may leave, as far as is known now; 0: it does not lead.
-    pub fn authority_until(&self, now: u64) -> u64 {
-        let Some(term) = self.role.term() else { return 0 };
+    /// Until when what this node sends as the leader may leave, as far as is known now; zero: it does not lead.
+    pub fn authority_until(&self, now: Timestamp) -> Timestamp {
+        let Some(term) = self.role.term() else { return Timestamp::ZERO };
         let by_peers = self.granted_until(now).min(self.peer_authority_until(term.lease_until));
-        by_peers.max(term.lease_until).saturating_sub(limits::AUTHORITY_MARGIN)
+        by_peers.max(term.lease_until) - limits::AUTHORITY_MARGIN
     }
 
     /// The fencing token under which this node may keep workers alive, without commands.
-    pub fn keep_alive_token(&self, now: u64) -> Option<u64> {
+    pub fn keep_alive_token(&self, now: Timestamp) -> Option<u64> {
         let Role::KeepAlive { token } = self.role else { return None };
         (now + limits::AUTHORITY_MARGIN < self.keep_alive_until(now)).then_some(token)
     }
 
     /// Until when a node in keep-alive mode may keep workers alive. Cancellations may not arrive there: a zone that is
     /// cut off with a majority in it would keep the tasks of a cancelled job alive for as long as it is cut off.
-    fn keep_alive_until(&self, now: u64) -> u64 {
+    fn keep_alive_until(&self, now: Timestamp) -> Timestamp {
         let by_peers = self.granted_until(now).max(self.votes_until(now));
         by_peers.min(self.cancellations.keep_alive_until())
     }
 
     /// Until when a leader may act by its peers alone. What it read from the key-value store counts no longer than its
     /// lock lease does: a peer takes over by the time for which it has seen the lock free.
-    fn peer_authority_until(&self, lease_until: u64) -> u64 {
-        let lease_confirmed_at = lease_until.saturating_sub(limits::LOCK_LEASE_MS * 1_000);
+    fn peer_authority_until(&self, lease_until: Timestamp) -> Timestamp {
+        let lease_confirmed_at = lease_until - limits::LOCK_LEASE;
         let store_known_until = self.cancellations.store_freshness().min(lease_confirmed_at);
         let known_until = store_known_until.max(self.cancellations.member_freshness());
         self.cancellations.keep_alive_limit(known_until)
     }
 
-    /// How long, in microseconds, a leaseholder may respond itself after this leader received its shard heartbeat.
-    pub fn shard_lease(&self, now: u64) -> u64 {
+    /// How long a leaseholder may respond itself after this leader received its shard heartbeat.
+    pub fn shard_lease(&self, now: Timestamp) -> Duration {
         if !self.is_leader() {
-            return 0;
+            return Duration::ZERO;
         }
-        self.cancellations.keep_alive_until().saturating_sub(now).min(self.longest_autonomy)
+        self.cancellations.keep_alive_until().since(now).min(self.longest_autonomy)
     }
 
     /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader: `now` while the
     /// leader has no grants of a majority, otherwise the time at which it got them back.
-    pub fn autonomous_until(&self, now: u64) -> u64 {
+    pub fn autonomous_until(&self, now: Timestamp) -> Timestamp {
         let has_majority = self.peers.granted_until(self.commitments.own_vote_counts(now)) > now;
         if has_majority {
             self.autonomous_until
@@ -66,15 +68,15 @@
         }
     }
 
-    /// The age of this node's access to the key-value store, in microseconds, as it is reported to a peer. Once all
+    /// The age of this node's access to the key-value store, as it is reported to a peer. Once all
     /// members have lost the store, an earlier version concludes that no cancellation is in effect without it. It is
     /// told of the loss only where that conclusion is right.
-    pub fn reported_state_age(&self, now: u64, to: usize, state_age: u64) -> u64 {
+    pub fn reported_state_age(&self, now: Timestamp, to: usize, state_age: Duration) -> Duration {
         let peer_attests = self.peers.get(to).status().attests;
         if peer_attests || self.cancellations.proves_no_recent_cancellation(now) {
             state_age
         } else {
-            state_age.min(limits::STORE_LOST_TIMEOUT - 1)
+            state_age.min(limits::STORE_LOST_TIMEOUT - Duration::from_micros(1))
         }
     }
 }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -3,18 +3,20 @@
 use super::role::{Role, TakeoverProof};
 use super::{Action, Leadership, Message};
 use crate::limits::{self, lengthened};
+use crate::time::{whole_micros, Timestamp};
 use rand::Rng;
+use std::time::Duration;
 use tracing::{debug, info};
 
 impl Leadership {
     /// Reads epoch and lock, and again after `interval`.
-    pub(super) fn probe(&mut self, now: u64, interval: u64, actions: &mut Vec<Action>) {
+    pub(super) fn probe(&mut self, now: Timestamp, interval: Duration, actions: &mut Vec<Action>) {
         self.lock.start_probe(now, interval);
         actions.push(Action::Probe);
     }
 
     /// What a node does that does not lead, as time passes.
-    pub(super) fn follow(&mut self, now: u64, actions: &mut Vec<Action>) {
+    pub(super) fn follow(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let has_leader = self.followed.is_some_and(|leader| leader.holds_back_campaigns(now));
         if self.lock.is_probe_due(now) {
             let interval =
@@ -41,27 +43,27 @@
     }
 
     /// A node in keep-alive mode goes on until its bound, or until a leader can be elected.
-    fn should_stay_in_keep_alive(&self, now: u64) -> bool {
+    fn should_stay_in_keep_alive(&self, now: Timestamp) -> bool {
         self.keep_alive_token(now).is_some() && !self.lock.is_known_free(now) && !self.peer_has_state(now)
     }
 
     /// Whether there is something to campaign for, and no grant or vote for another node forbids it.
-    fn may_campaign(&self, now: u64) -> bool {
+    fn may_campaign(&self, now: Timestamp) -> bool {
         (self.lock.is_known_free(now) || self.may_enter_keep_alive(now))
             && !self.commitments.exclude(now, self.peers.local_node())
     }
 
     /// Whether the key-value store is lost to all nodes in contact, and keep-alive mode would last for a grant's time.
-    fn may_enter_keep_alive(&self, now: u64) -> bool {
+    fn may_enter_keep_alive(&self, now: Timestamp) -> bool {
         self.is_store_lost()
             && self.highest_token > 0
             && !self.peer_has_state(now)
             && now + limits::GRANT_DURATION < self.cancellations.keep_alive_until()
     }
 
-    fn campaign(&mut self, now: u64, actions: &mut Vec<Action>) {
-        let random_delay = self.rng.random_range(0..limits::CAMPAIGN_INTERVAL);
-        self.next_campaign_at = now + limits::CAMPAIGN_INTERVAL + random_delay;
+    fn campaign(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let random_delay = self.rng.random_range(0..whole_micros(limits::CAMPAIGN_INTERVAL));
+        self.next_campaign_at = now + limits::CAMPAIGN_INTERVAL + Duration::from_micros(random_delay);
         if !self.commitments.in_restart_grace(now) {
             self.commitments.give_vote(now, self.peers.local_node());
         }
@@ -79,8 +81,8 @@
     /// When the holder of a lock that has been free since `unlocked` can no longer act by its peers alone. It acts by
     /// what it read before the lock ended, or by the attestations of all members, ours among them. Added to both are
     /// the time for which an earlier version trusts a peer's status, and the duration of a grant.
-    fn former_leader_authority_until(&self, unlocked: u64) -> u64 {
-        let attested = self.attested_until + limits::LOCK_LEASE_MS * 1_000;
+    fn former_leader_authority_until(&self, unlocked: Timestamp) -> Timestamp {
+        let attested = self.attested_until + limits::LOCK_LEASE;
         unlocked.max(attested)
             + lengthened(self.longest_autonomy)
             + limits::PEER_TIMEOUT
@@ -93,7 +95,7 @@
     }
 
     /// Until when a majority votes for this node. Its own vote counts only while it binds this node too.
-    pub(super) fn votes_until(&self, now: u64) -> u64 {
+    pub(super) fn votes_until(&self, now: Timestamp) -> Timestamp {
         match self.commitments.own_vote(now) {
             Some(own_vote) => self.peers.voted_until(true).min(own_vote.until),
             None => self.peers.voted_until(false),
@@ -102,7 +104,7 @@
 
     /// Uses the votes of a majority, once they are there: to take over, or without the key-value store to keep workers
     /// alive.
-    pub(super) fn try_takeover(&mut self, now: u64, actions: &mut Vec<Action>) {
+    pub(super) fn try_takeover(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.campaigning || !self.role.is_follower() {
             return;
         }
@@ -118,7 +120,7 @@
 
     /// Without the key-value store nobody can see that both proofs of a former leader have ended. But a leader that acts
     /// by its lock lease alone counts no worker lease as expired meanwhile.
-    fn enter_keep_alive(&mut self, now: u64) {
+    fn enter_keep_alive(&mut self, now: Timestamp) {
         info!(token = self.highest_token, "keep-alive mode started: no leader and no key-value store");
         self.campaigning = false;
         self.role = Role::KeepAlive { token: self.highest_token };
--- a/src/leadership/followed_leader.rs
+++ b/src/leadership/followed_leader.rs
@@ -1,8 +1,9 @@
 //! The leader that this node follows.
 
 use crate::limits;
+use crate::time::Timestamp;
 
-/// The leader whose heartbeat arrived last. Times are microseconds.
+/// The leader whose heartbeat arrived last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowedLeader {
     /// Its node number.
@@ -11,21 +12,21 @@
     pub token: u64,
     /// The send time of its last heartbeat, on its clock. A leaseholder's frames echo it, so that the leader can tell
     /// how old they are.
-    pub heartbeat_stamp: u64,
+    pub heartbeat_stamp: Timestamp,
     /// When its last heartbeat arrived, on the local clock.
-    pub(super) last_heartbeat_at: u64,
+    pub(super) last_heartbeat_at: Timestamp,
     /// It has reported, under this token, that workers reach it.
     pub(super) reached_by_workers: bool,
 }
 
 impl FollowedLeader {
     /// Whether its last heartbeat is recent enough for this node to send workers or frames to it.
-    pub(super) fn is_in_contact(&self, now: u64) -> bool {
+    pub(super) fn is_in_contact(&self, now: Timestamp) -> bool {
         now < self.last_heartbeat_at + limits::PEER_TIMEOUT
     }
 
     /// Whether its last heartbeat is recent enough for this node not to look for another leader.
-    pub(super) fn holds_back_campaigns(&self, now: u64) -> bool {
+    pub(super) fn holds_back_campaigns(&self, now: Timestamp) -> bool {
         now < self.last_heartbeat_at + limits::GRANT_DURATION
     }
 }
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -3,6 +3,7 @@
 use super::role::{Role, Term};
 use super::{Action, Leadership, Message};
 use crate::limits::{self, shortened};
+use crate::time::Timestamp;
 use tracing::{info, warn};
 
 /// Whether workers reach this leader.
@@ -10,8 +11,8 @@
 pub(super) struct WorkerReachability {
     /// A worker has sent this leader a heartbeat since it was elected.
     reached: bool,
-    /// Since when (microseconds) no worker reaches it, although workers reach a peer or no peer is in contact at all.
-    unreached_since: Option<u64>,
+    /// Since when no worker reaches it, although workers reach a peer or no peer is in contact at all.
+    unreached_since: Option<Timestamp>,
 }
 
 impl WorkerReachability {
@@ -28,7 +29,7 @@
 impl Leadership {
     /// A leader that no worker reaches is of no use to them, whatever else it reaches: it hands over, or steps down if
     /// no peer is in contact.
-    pub(super) fn check_reachability(&mut self, term: Term, now: u64, actions: &mut Vec<Action>) {
+    pub(super) fn check_reachability(&mut self, term: Term, now: Timestamp, actions: &mut Vec<Action>) {
         let first_alive = self.peers.first_alive(now);
         let isolated = !self.peers.is_empty() && first_alive.is_none();
         // When several machines fall silent at once, this node is cut off, not they. A peer should be ready before they
@@ -61,14 +62,20 @@
     }
 
     /// Steps down in favour of a peer.
-    pub(super) fn hand_over(&mut self, token: u64, successor: usize, now: u64, actions: &mut Vec<Action>) {
+    pub(super) fn hand_over(
+        &mut self,
+        token: u64,
+        successor: usize,
+        now: Timestamp,
+        actions: &mut Vec<Action>,
+    ) {
         self.broadcast(Message::Release { token, successor }, actions);
         self.step_down(now, actions);
         self.next_campaign_at = now + limits::STEP_DOWN_BACKOFF;
     }
 
     /// Becomes a follower. A former leader may keep its workers alive for a while, as any leaseholder.
-    pub(super) fn step_down(&mut self, now: u64, actions: &mut Vec<Action>) {
+    pub(super) fn step_down(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if let Some(term) = self.role.term().copied() {
             actions.extend(term.lease.map(|lease| Action::Release { lease }));
             actions.push(Action::Deposed { keep_until: self.keep_alive_after_term(term, now) });
@@ -81,7 +88,7 @@
     }
 
     /// Counted from the last time at which the leader surely had authority: the process may have been suspended since.
-    fn keep_alive_after_term(&self, term: Term, now: u64) -> u64 {
+    fn keep_alive_after_term(&self, term: Term, now: Timestamp) -> Timestamp {
         let granted_until = self.peers.granted_until(self.commitments.own_vote_counts(now));
         let acted_until = granted_until.max(term.lease_until).min(now);
         (acted_until + shortened(self.longest_autonomy)).min(self.cancellations.keep_alive_until())
@@ -89,7 +96,7 @@
 
     /// A worker, a peer or the epoch record has shown a fencing token. A leader with a lower one steps down.
     #[must_use = "the actions are to be carried out"]
-    pub fn observe_token(&mut self, token: u64, now: u64) -> Vec<Action> {
+    pub fn observe_token(&mut self, token: u64, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
         self.highest_token = self.highest_token.max(token);
         if self.role.term().is_some_and(|term| term.token < token) {
--- a/src/leadership/interface.rs
+++ b/src/leadership/interface.rs
@@ -1,15 +1,17 @@
 //! What goes into leadership and what comes out: messages of the peers, responses of the key-value store, and actions
-//! that the controller's event loop carries out. Times are microseconds.
+//! that the controller's event loop carries out.
 
 use crate::lease::cancellation_log::Attestation;
 use crate::protocol::records::Epoch;
 use crate::scheduler::model::JobId;
+use crate::time::Timestamp;
+use std::time::Duration;
 
 /// What a node reports of itself to its peers in every message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Status {
-    /// Microseconds since the key-value store last answered this node.
-    pub state_age: u64,
+    /// Time since the key-value store last answered this node.
+    pub state_age: Duration,
     /// Workers that sent a heartbeat to this node lately.
     pub workers: u32,
     /// Machines that a leader counts as ready; not sent to peers.
@@ -23,27 +25,27 @@
 pub enum Message {
     /// Sent by every node to all others. Asks for a grant if the sender leads or is in keep-alive mode.
     Heartbeat {
-        /// Fencing token of a leader or of a node in keep-alive mode; 0: of neither.
+        /// Fencing token of a leader or of a node in keep-alive mode; zero: of neither.
         token: u64,
         /// Send time on the sender's clock.
-        sent: u64,
+        sent: Timestamp,
     },
     /// A grant in answer to a heartbeat with a token.
     Grant {
         /// The token of the heartbeat.
         token: u64,
         /// The send time of the heartbeat, on the receiver's clock.
-        echo: u64,
+        echo: Timestamp,
     },
     /// A candidate asks for a vote.
     VoteRequest {
         /// Send time on the sender's clock.
-        sent: u64,
+        sent: Timestamp,
     },
     /// A vote in answer to a request.
     Vote {
         /// The send time of the request, on the receiver's clock.
-        echo: u64,
+        echo: Timestamp,
     },
     /// The leader steps down and names its successor.
     Release {
@@ -68,7 +70,7 @@
     TakeOver {
         /// Fencing token of the new epoch.
         token: u64,
-        /// Version of the present epoch record; 0: there is none.
+        /// Version of the present epoch record; zero: there is none.
         version: u64,
         /// Take the lock although it is held.
         ignore_lock: bool,
@@ -93,7 +95,7 @@
     /// This node no longer leads. Like any leaseholder it may keep its workers alive for a while.
     Deposed {
         /// Until then, on its own clock.
-        keep_until: u64,
+        keep_until: Timestamp,
     },
 }
 
@@ -114,7 +116,7 @@
         /// Version of the epoch record.
         version: u64,
         /// When the lease was requested, on the local clock.
-        lease_sent: u64,
+        lease_sent: Timestamp,
     },
     /// The answer to [`Action::TakeOver`]: refused, or no answer.
     TakeoverFailed {
@@ -126,7 +128,7 @@
         /// Id of the lease.
         lease: u64,
         /// When the request was sent, on the local clock.
-        sent: u64,
+        sent: Timestamp,
         /// Whether the lease still runs.
         alive: bool,
     },
--- a/src/leadership/lock_observation.rs
+++ b/src/leadership/lock_observation.rs
@@ -1,9 +1,11 @@
 //! Epoch and lock as this node last read them from the key-value store, and when it reads them next.
 //!
-//! Owned by [`super::Leadership`]. Times are microseconds on the local clock.
+//! Owned by [`super::Leadership`].
 
 use crate::limits;
 use crate::protocol::records::Epoch;
+use crate::time::Timestamp;
+use std::time::Duration;
 
 /// The epoch record with its version.
 #[derive(Debug)]
@@ -15,10 +17,10 @@
 /// A lock that was seen free, without losing the key-value store since.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FreeLock {
-    /// Version of the epoch record meanwhile; 0: there is none.
+    /// Version of the epoch record meanwhile; zero: there is none.
     pub(super) epoch_version: u64,
     /// Since when it was seen free.
-    pub(super) since: u64,
+    pub(super) since: Timestamp,
 }
 
 /// The last reading of epoch and lock.
@@ -27,15 +29,15 @@
     epoch: Option<EpochRecord>,
     locked: bool,
     /// When the answer to the last probe arrived; None: not in this incarnation.
-    probed_at: Option<u64>,
-    next_probe_at: u64,
+    probed_at: Option<Timestamp>,
+    next_probe_at: Timestamp,
     probe_in_flight: bool,
     free: Option<FreeLock>,
 }
 
 impl LockObservation {
     /// Nothing was read yet: the first probe is due at `now`.
-    pub(super) fn new(now: u64) -> Self {
+    pub(super) fn new(now: Timestamp) -> Self {
         LockObservation {
             epoch: None,
             locked: true,
@@ -50,12 +52,12 @@
         self.epoch.as_ref()
     }
 
-    /// Version of the epoch record; 0: there is none.
+    /// Version of the epoch record; zero: there is none.
     pub(super) fn epoch_version(&self) -> u64 {
         self.epoch.as_ref().map_or(0, |record| record.version)
     }
 
-    /// Fencing token of the epoch; 0: there is none.
+    /// Fencing token of the epoch; zero: there is none.
     pub(super) fn epoch_token(&self) -> u64 {
         self.epoch.as_ref().map_or(0, |record| record.epoch.token)
     }
@@ -66,7 +68,7 @@
 
     /// Whether a recent reading shows the lock free. A takeover transaction needs one: without it there is nothing to
     /// compare with.
-    pub(super) fn is_known_free(&self, now: u64) -> bool {
+    pub(super) fn is_known_free(&self, now: Timestamp) -> bool {
         self.probed_at.is_some_and(|at| now < at + limits::PROBE_INTERVAL) && !self.locked
     }
 
@@ -80,12 +82,12 @@
         self.free = None;
     }
 
-    pub(super) fn is_probe_due(&self, now: u64) -> bool {
+    pub(super) fn is_probe_due(&self, now: Timestamp) -> bool {
         now >= self.next_probe_at && !self.probe_in_flight
     }
 
     /// A probe is sent, and the next one is due after `interval`.
-    pub(super) fn start_probe(&mut self, now: u64, interval: u64) {
+    pub(super) fn start_probe(&mut self, now: Timestamp, interval: Duration) {
         self.probe_in_flight = true;
         self.next_probe_at = now + interval;
     }
@@ -96,7 +98,7 @@
     }
 
     /// The next probe is due now.
-    pub(super) fn probe_soon(&mut self, now: u64) {
+    pub(super) fn probe_soon(&mut self, now: Timestamp) {
         self.next_probe_at = now;
     }
 
@@ -110,7 +112,7 @@
     }
 
     /// Records the answer to a probe.
-    pub(super) fn record_probe(&mut self, now: u64, epoch: Option<(Epoch, u64)>, locked: bool) {
+    pub(super) fn record_probe(&mut self, now: Timestamp, epoch: Option<(Epoch, u64)>, locked: bool) {
         self.epoch = epoch.map(|(epoch, version)| EpochRecord { epoch, version });
         self.locked = locked;
         let epoch_version = self.epoch_version();
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -5,13 +5,15 @@
 use crate::lease::cancellation_log::{Attestation, StoreAccess};
 use crate::limits;
 use crate::scheduler::model::JobId;
+use crate::time::Timestamp;
+use std::time::Duration;
 
 impl Leadership {
     /// A member's attestation arrived, sent by the process with this incarnation. The member may need our
     /// acknowledgement to confirm a cancellation to a user, so the answer does not wait for the next heartbeat.
     pub fn handle_attestation(
         &mut self,
-        now: u64,
+        now: Timestamp,
         from: usize,
         incarnation: u64,
         attestation: &Attestation,
@@ -28,7 +30,7 @@
     }
 
     /// A cancellation is about to be confirmed to a user. The other members are informed at once.
-    pub fn confirm_cancellation(&mut self, now: u64, job_id: JobId) -> CancellationOutcome {
+    pub fn confirm_cancellation(&mut self, now: Timestamp, job_id: JobId) -> CancellationOutcome {
         let outcome = self.cancellations.confirm(now, job_id);
         let mut actions = Vec::new();
         if outcome.is_new || !outcome.is_permitted {
@@ -37,7 +39,7 @@
         CancellationOutcome { is_new: outcome.is_new, is_permitted: outcome.is_permitted, actions }
     }
 
-    fn attest(&mut self, now: u64, to: usize, actions: &mut Vec<Action>) {
+    fn attest(&mut self, now: Timestamp, to: usize, actions: &mut Vec<Action>) {
         let store_access = if self.status.state_age >= limits::CONFIRMATION_SUSPENSION_DELAY {
             StoreAccess::Lost
         } else {
@@ -47,7 +49,7 @@
         // It proves nothing beyond the heartbeat that it answers, except for the promise to suspend confirmations.
         let suspension = match store_access {
             StoreAccess::Lost => limits::CONFIRMATION_SUSPENSION,
-            StoreAccess::Available => 0,
+            StoreAccess::Available => Duration::ZERO,
         };
         let proven_until = self.peers.get(to).last_heartbeat_at() + suspension;
         self.attested_until = self.attested_until.max(proven_until);
@@ -58,7 +60,7 @@
     #[must_use = "the actions are to be carried out"]
     pub fn handle_message(
         &mut self,
-        now: u64,
+        now: Timestamp,
         from: usize,
         incarnation: u64,
         status: Status,
@@ -88,10 +90,10 @@
 
     fn handle_leader_heartbeat(
         &mut self,
-        now: u64,
+        now: Timestamp,
         from: usize,
         token: u64,
-        sent: u64,
+        sent: Timestamp,
         actions: &mut Vec<Action>,
     ) {
         if token < self.highest_token {
@@ -116,7 +118,13 @@
         }
     }
 
-    fn record_followed_leader(&mut self, now: u64, node: usize, token: u64, heartbeat_stamp: u64) {
+    fn record_followed_leader(
+        &mut self,
+        now: Timestamp,
+        node: usize,
+        token: u64,
+        heartbeat_stamp: Timestamp,
+    ) {
         let same_term = self.followed.filter(|leader| (leader.node, leader.token) == (node, token));
         let reached_before = same_term.is_some_and(|leader| leader.reached_by_workers);
         let reached_by_workers = reached_before || self.peers.get(node).status().workers > 0;
@@ -125,7 +133,7 @@
             Some(FollowedLeader { node, token, heartbeat_stamp, last_heartbeat_at, reached_by_workers });
     }
 
-    fn handle_grant(&mut self, now: u64, from: usize, token: u64, echo: u64) {
+    fn handle_grant(&mut self, now: Timestamp, from: usize, token: u64, echo: Timestamp) {
         // An echo from the future belongs to the clock of an earlier incarnation.
         if self.role.token_for_grants() == Some(token) && echo <= now {
             self.autonomous_until = self.autonomous_until(now);
@@ -133,7 +141,13 @@
         }
     }
 
-    fn handle_vote_request(&mut self, now: u64, from: usize, sent: u64, actions: &mut Vec<Action>) {
+    fn handle_vote_request(
+        &mut self,
+        now: Timestamp,
+        from: usize,
+        sent: Timestamp,
+        actions: &mut Vec<Action>,
+    ) {
         let has_precedence = from < self.peers.local_node();
         if self.commitments.voted_for_itself() && has_precedence && self.role.is_follower() {
             // Two candidates that vote only for themselves would block each other for the duration of a grant, again
@@ -148,7 +162,7 @@
         }
     }
 
-    fn handle_vote(&mut self, now: u64, from: usize, echo: u64, actions: &mut Vec<Action>) {
+    fn handle_vote(&mut self, now: Timestamp, from: usize, echo: Timestamp, actions: &mut Vec<Action>) {
         // An echo from the future belongs to the clock of an earlier incarnation.
         if echo <= now {
             self.peers.record_vote(from, echo);
@@ -156,7 +170,7 @@
         }
     }
 
-    fn handle_release(&mut self, now: u64, from: usize, token: u64, successor: usize) {
+    fn handle_release(&mut self, now: Timestamp, from: usize, token: u64, successor: usize) {
         if token >= self.highest_token {
             self.commitments.withdraw_grant_to(from);
         }
@@ -165,7 +179,8 @@
         }
         self.lock.probe_soon(now);
         // The other nodes give the successor a head start.
-        let delay = if successor == self.peers.local_node() { 0 } else { limits::GRANT_DURATION };
+        let delay =
+            if successor == self.peers.local_node() { Duration::ZERO } else { limits::GRANT_DURATION };
         self.next_campaign_at = now + delay;
     }
 }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -8,8 +8,8 @@
 //! it knows every cancellation (`cancellation_log`). The same bound holds for every node that keeps workers alive.
 //!
 //! [`Leadership`] owns all of this state, the cancellation log included. The controller's event loop is the only caller:
-//! it passes in ticks, messages and responses of the key-value store, and carries out the [`Action`]s. Times are
-//! microseconds on the local clock; nodes are numbered in the order of the settings.
+//! it passes in ticks, messages and responses of the key-value store, and carries out the [`Action`]s. Nodes
+//! are numbered in the order of the settings.
 
 mod authority;
 mod commitments;
@@ -28,6 +28,7 @@
 
 use crate::lease::cancellation_log::{CancellationBounds, CancellationLog};
 use crate::limits;
+use crate::time::Timestamp;
 use commitments::Commitments;
 use handover::WorkerReachability;
 use lock_observation::LockObservation;
@@ -35,6 +36,7 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use role::{Role, Term};
+use std::time::Duration;
 use tracing::{info, warn};
 
 /// One node's part in leadership.
@@ -52,10 +54,10 @@
     followed: Option<FollowedLeader>,
     /// Epoch and lock as last read.
     lock: LockObservation,
-    next_heartbeat_at: u64,
+    next_heartbeat_at: Timestamp,
     /// When a leader next renews its lock lease.
-    next_renewal_at: u64,
-    next_campaign_at: u64,
+    next_renewal_at: Timestamp,
+    next_campaign_at: Timestamp,
     /// Votes are being collected.
     campaigning: bool,
     /// This incarnation has not led yet, so the epoch of the previous one may be resumed.
@@ -66,13 +68,13 @@
     reachability: WorkerReachability,
     /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader, as far as is
     /// recorded; [`Leadership::autonomous_until`] completes it.
-    autonomous_until: u64,
+    autonomous_until: Timestamp,
     /// How long workers may be kept alive without news of cancellations.
-    longest_autonomy: u64,
+    longest_autonomy: Duration,
     /// Which cancellations are known here, and up to when all of them.
     pub cancellations: CancellationLog,
     /// Up to when others may take what this node attested as proof of what it confirmed.
-    attested_until: u64,
+    attested_until: Timestamp,
     rng: SmallRng,
 }
 
@@ -82,7 +84,7 @@
         node_names: Vec<String>,
         local_node: usize,
         incarnation: u64,
-        now: u64,
+        now: Timestamp,
         bounds: CancellationBounds,
         seed: u64,
     ) -> Self {
@@ -98,11 +100,11 @@
             followed: None,
             lock: LockObservation::new(now),
             next_heartbeat_at: now,
-            next_renewal_at: 0,
+            next_renewal_at: Timestamp::ZERO,
             next_campaign_at: now,
             campaigning: false,
             may_resume: true,
-            status: Status { state_age: u64::MAX, ..Status::default() },
+            status: Status { state_age: Duration::MAX, ..Status::default() },
             reachability: WorkerReachability::default(),
             autonomous_until: now,
             longest_autonomy: bounds.longest_autonomy,
@@ -117,36 +119,36 @@
 
     /// Name of the leader that a worker should report to. None while that leader reports that workers have stopped
     /// reaching it: they would wait for it in vain.
-    pub fn leader_name(&self, now: u64) -> Option<&str> {
+    pub fn leader_name(&self, now: Timestamp) -> Option<&str> {
         let leader = self.followed.filter(|leader| leader.is_in_contact(now))?;
         let lost_by_workers = leader.reached_by_workers && self.peers.get(leader.node).status().workers == 0;
         (!lost_by_workers).then(|| self.peers.name(leader.node))
     }
 
     /// The leader that this node follows and is in contact with.
-    pub fn followed_leader(&self, now: u64) -> Option<FollowedLeader> {
+    pub fn followed_leader(&self, now: Timestamp) -> Option<FollowedLeader> {
         self.followed.filter(|leader| leader.is_in_contact(now) && !self.is_leader())
     }
 
     /// Nodes that this leader is not in contact with both ways. Their grants echo its heartbeats, so a node whose
     /// messages arrive but that does not receive ours is among them.
-    pub fn unreachable_peers(&self, now: u64) -> impl Iterator<Item = usize> + '_ {
+    pub fn unreachable_peers(&self, now: Timestamp) -> impl Iterator<Item = usize> + '_ {
         self.peers.without_grant(now)
     }
 
     /// Whether some peer reaches the key-value store.
-    pub fn peer_has_state(&self, now: u64) -> bool {
+    pub fn peer_has_state(&self, now: Timestamp) -> bool {
         self.peers.first_reaching_store(now, limits::STORE_LOST_TIMEOUT).is_some()
     }
 
     /// Whether a peer is in contact, or there is none.
-    pub fn has_live_peer(&self, now: u64) -> bool {
+    pub fn has_live_peer(&self, now: Timestamp) -> bool {
         self.peers.is_empty() || self.peers.first_alive(now).is_some()
     }
 
     /// Time has passed. `status`: this node's own.
     #[must_use = "the actions are to be carried out"]
-    pub fn tick(&mut self, now: u64, status: Status) -> Vec<Action> {
+    pub fn tick(&mut self, now: Timestamp, status: Status) -> Vec<Action> {
         self.status = status;
         let mut actions = Vec::new();
         if self.is_leader() && self.authority(now).is_none() {
@@ -169,7 +171,7 @@
         actions.extend(self.peers.others().map(|node| Action::Send(node, message)));
     }
 
-    fn lead(&mut self, now: u64, term: Term, actions: &mut Vec<Action>) {
+    fn lead(&mut self, now: Timestamp, term: Term, actions: &mut Vec<Action>) {
         match term.lease {
             Some(lease) if now >= self.next_renewal_at => {
                 self.next_renewal_at = now + limits::LOCK_RENEWAL_INTERVAL;
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -1,10 +1,11 @@
 //! The other controllers, as this node knows them: their grants and votes for it, and what they last reported.
 //!
-//! Owned by [`super::Leadership`]. Nodes are numbered in the order of the settings. Times are microseconds on the local
-//! clock.
+//! Owned by [`super::Leadership`]. Nodes are numbered in the order of the settings.
 
 use super::Status;
 use crate::limits::{self, shortened};
+use crate::time::Timestamp;
+use std::time::Duration;
 
 /// All nodes of the cluster by number. The local node's own entry is unused.
 #[derive(Debug)]
@@ -17,30 +18,30 @@
 /// One other controller.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Peer {
-    /// Its grant to this node runs until then; 0: none.
-    grant_until: u64,
-    /// Its vote for this node runs until then; 0: none.
-    vote_until: u64,
-    /// When its last message arrived; 0: never.
-    last_message_at: u64,
-    /// When its last heartbeat arrived; 0: never.
-    last_heartbeat_at: u64,
+    /// Its grant to this node runs until then; zero: none.
+    grant_until: Timestamp,
+    /// Its vote for this node runs until then; zero: none.
+    vote_until: Timestamp,
+    /// When its last message arrived; zero: never.
+    last_message_at: Timestamp,
+    /// When its last heartbeat arrived; zero: never.
+    last_heartbeat_at: Timestamp,
     status: Status,
 }
 
 impl Peer {
     /// Whether it is in contact: a message of it has arrived lately.
-    pub(super) fn is_alive(&self, now: u64) -> bool {
-        now < self.last_message_at + limits::PEER_TIMEOUT && self.last_message_at > 0
+    pub(super) fn is_alive(&self, now: Timestamp) -> bool {
+        now < self.last_message_at + limits::PEER_TIMEOUT && self.last_message_at > Timestamp::ZERO
     }
 
     /// Whether it is in contact, and the key-value store answered it within this time.
-    pub(super) fn reaches_store_within(&self, now: u64, age: u64) -> bool {
+    pub(super) fn reaches_store_within(&self, now: Timestamp, age: Duration) -> bool {
         self.is_alive(now) && self.status.state_age < age
     }
 
-    /// When its last heartbeat arrived; 0: never.
-    pub(super) fn last_heartbeat_at(&self) -> u64 {
+    /// When its last heartbeat arrived; zero: never.
+    pub(super) fn last_heartbeat_at(&self) -> Timestamp {
         self.last_heartbeat_at
     }
 
@@ -83,7 +84,7 @@
     }
 
     /// The first other node in contact.
-    pub(super) fn first_alive(&self, now: u64) -> Option<usize> {
+    pub(super) fn first_alive(&self, now: Timestamp) -> Option<usize> {
         self.others().find(|node| self.peers[*node].is_alive(now))
     }
 
@@ -93,71 +94,73 @@
     }
 
     /// The other node in contact to which most workers send heartbeats.
-    pub(super) fn reached_by_most_workers(&self, now: u64) -> Option<usize> {
+    pub(super) fn reached_by_most_workers(&self, now: Timestamp) -> Option<usize> {
         self.others()
             .filter(|node| self.peers[*node].is_alive(now) && self.peers[*node].status.workers > 0)
             .max_by_key(|node| self.peers[*node].status.workers)
     }
 
     /// The first other node in contact that the key-value store answered within this time.
-    pub(super) fn first_reaching_store(&self, now: u64, age: u64) -> Option<usize> {
+    pub(super) fn first_reaching_store(&self, now: Timestamp, age: Duration) -> Option<usize> {
         self.others().find(|node| self.peers[*node].reaches_store_within(now, age))
     }
 
     /// The other nodes without a running grant to this node.
-    pub(super) fn without_grant(&self, now: u64) -> impl Iterator<Item = usize> + '_ {
+    pub(super) fn without_grant(&self, now: Timestamp) -> impl Iterator<Item = usize> + '_ {
         self.others().filter(move |node| self.peers[*node].grant_until <= now)
     }
 
     /// A message of the node arrived.
-    pub(super) fn observe_message(&mut self, now: u64, from: usize, status: Status) {
+    pub(super) fn observe_message(&mut self, now: Timestamp, from: usize, status: Status) {
         self.peers[from].last_message_at = now;
         self.peers[from].status = status;
     }
 
     /// A heartbeat of the node arrived.
-    pub(super) fn observe_heartbeat(&mut self, now: u64, from: usize) {
+    pub(super) fn observe_heartbeat(&mut self, now: Timestamp, from: usize) {
         self.peers[from].last_heartbeat_at = now;
     }
 
     /// The node's grant counts from when the heartbeat that it answers was sent.
-    pub(super) fn record_grant(&mut self, from: usize, heartbeat_sent: u64) {
+    pub(super) fn record_grant(&mut self, from: usize, heartbeat_sent: Timestamp) {
         let until = heartbeat_sent + shortened(limits::GRANT_DURATION);
         self.peers[from].grant_until = self.peers[from].grant_until.max(until);
     }
 
     /// The node's vote counts from when the request that it answers was sent.
-    pub(super) fn record_vote(&mut self, from: usize, request_sent: u64) {
+    pub(super) fn record_vote(&mut self, from: usize, request_sent: Timestamp) {
         let until = request_sent + shortened(limits::GRANT_DURATION);
         self.peers[from].vote_until = self.peers[from].vote_until.max(until);
     }
 
     pub(super) fn clear_grants(&mut self) {
-        self.peers.iter_mut().for_each(|peer| peer.grant_until = 0);
+        self.peers.iter_mut().for_each(|peer| peer.grant_until = Timestamp::ZERO);
     }
 
     pub(super) fn clear_grants_and_votes(&mut self) {
-        self.peers.iter_mut().for_each(|peer| (peer.grant_until, peer.vote_until) = (0, 0));
+        self.peers
+            .iter_mut()
+            .for_each(|peer| (peer.grant_until, peer.vote_until) = (Timestamp::ZERO, Timestamp::ZERO));
     }
 
     /// Until when a majority grants this node leadership, its own vote included if that counts.
-    pub(super) fn granted_until(&self, own_vote_counts: bool) -> u64 {
+    pub(super) fn granted_until(&self, own_vote_counts: bool) -> Timestamp {
         self.majority_until(own_vote_counts, |peer| peer.grant_until)
     }
 
     /// Until when a majority votes for this node, its own vote included if that counts.
-    pub(super) fn voted_until(&self, own_vote_counts: bool) -> u64 {
+    pub(super) fn voted_until(&self, own_vote_counts: bool) -> Timestamp {
         self.majority_until(own_vote_counts, |peer| peer.vote_until)
     }
 
-    fn majority_until(&self, own_vote_counts: bool, deadline: impl Fn(&Peer) -> u64) -> u64 {
+    fn majority_until(&self, own_vote_counts: bool, deadline: impl Fn(&Peer) -> Timestamp) -> Timestamp {
         let majority = self.names.len() / 2 + 1;
         let needed = majority - usize::from(own_vote_counts);
         if needed == 0 {
-            return u64::MAX;
+            return Timestamp::MAX;
         }
-        let mut deadlines: Vec<u64> = self.others().map(|node| deadline(&self.peers[node])).collect();
+        let mut deadlines: Vec<Timestamp> = self.others().map(|node| deadline(&self.peers[node])).collect();
         deadlines.sort_unstable_by(|a, b| b.cmp(a));
-        deadlines.get(needed - 1).copied().unwrap_or(0)
+        deadlines.get(needed - 1).copied().unwrap_or_default()
     }
 }
--- a/src/leadership/role.rs
+++ b/src/leadership/role.rs
@@ -1,5 +1,6 @@
 //! What a node is at present: follower, candidate that takes over, node in keep-alive mode, or leader.
 
+use crate::time::Timestamp;
 /// The role of this node.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Role {
@@ -21,10 +22,10 @@
     pub(super) token: u64,
     /// Id of the lock lease; None: it has ended.
     pub(super) lease: Option<u64>,
-    /// Until when the lock lease surely runs, in microseconds.
-    pub(super) lease_until: u64,
-    /// When the takeover was confirmed, in microseconds.
-    pub(super) elected_at: u64,
+    /// Until when the lock lease surely runs.
+    pub(super) lease_until: Timestamp,
+    /// When the takeover was confirmed.
+    pub(super) elected_at: Timestamp,
 }
 
 /// What shows that nobody else acts, besides the lock being free.
--- a/src/leadership/store_responses.rs
+++ b/src/leadership/store_responses.rs
@@ -4,6 +4,7 @@
 use super::{Action, Leadership, StoreResponse};
 use crate::limits::{self, shortened};
 use crate::protocol::records::Epoch;
+use crate::time::Timestamp;
 use tracing::info;
 
 /// A takeover transaction that was committed.
@@ -12,14 +13,14 @@
     lease: u64,
     /// Version of the epoch record.
     version: u64,
-    /// When the lease was requested, in microseconds.
-    lease_sent: u64,
+    /// When the lease was requested.
+    lease_sent: Timestamp,
 }
 
 impl Leadership {
     /// A request of an earlier action was answered or given up.
     #[must_use = "the actions are to be carried out"]
-    pub fn handle_store_response(&mut self, now: u64, response: StoreResponse) -> Vec<Action> {
+    pub fn handle_store_response(&mut self, now: Timestamp, response: StoreResponse) -> Vec<Action> {
         let mut actions = Vec::new();
         match response {
             StoreResponse::Probed { epoch, locked } => self.handle_probe(now, epoch, locked, &mut actions),
@@ -37,7 +38,7 @@
 
     fn handle_committed_takeover(
         &mut self,
-        now: u64,
+        now: Timestamp,
         takeover: CommittedTakeover,
         actions: &mut Vec<Action>,
     ) {
@@ -45,7 +46,7 @@
             actions.push(Action::Release { lease: takeover.lease });
             return;
         };
-        let lease_until = takeover.lease_sent + shortened(limits::LOCK_LEASE_MS * 1_000);
+        let lease_until = takeover.lease_sent + shortened(limits::LOCK_LEASE);
         // The response must have arrived while the votes still run.
         let proof_holds = match proof {
             TakeoverProof::Votes => self.votes_until(now) > now,
@@ -63,7 +64,7 @@
         actions.push(Action::Elected { token, version: takeover.version });
     }
 
-    fn begin_term(&mut self, now: u64, term: Term, epoch_version: u64) {
+    fn begin_term(&mut self, now: Timestamp, term: Term, epoch_version: u64) {
         let node = self.peers.local_name().to_string();
         let epoch = Epoch { token: term.token, node, incarnation: self.incarnation };
         self.lock.record_own_epoch(epoch, epoch_version);
@@ -79,7 +80,7 @@
         self.next_heartbeat_at = now;
     }
 
-    fn handle_failed_takeover(&mut self, now: u64, lease: Option<u64>, actions: &mut Vec<Action>) {
+    fn handle_failed_takeover(&mut self, now: Timestamp, lease: Option<u64>, actions: &mut Vec<Action>) {
         actions.extend(lease.map(|lease| Action::Release { lease }));
         if self.role.is_taking_over() {
             self.role = Role::Follower;
@@ -95,15 +96,15 @@
         }
     }
 
-    fn extend_lock_lease(&mut self, lease: u64, renewal_sent: u64) {
+    fn extend_lock_lease(&mut self, lease: u64, renewal_sent: Timestamp) {
         if let Some(term) = self.term_with_lease(lease) {
-            let until = renewal_sent + shortened(limits::LOCK_LEASE_MS * 1_000);
+            let until = renewal_sent + shortened(limits::LOCK_LEASE);
             term.lease_until = term.lease_until.max(until);
         }
     }
 
     /// Grants may carry the leader on, but the lock is open to other nodes.
-    fn end_lock_lease(&mut self, now: u64, lease: u64) {
+    fn end_lock_lease(&mut self, now: Timestamp, lease: u64) {
         if let Some(term) = self.term_with_lease(lease) {
             term.lease = None;
             self.lock.probe_soon(now);
@@ -112,7 +113,7 @@
 
     fn handle_probe(
         &mut self,
-        now: u64,
+        now: Timestamp,
         epoch: Option<(Epoch, u64)>,
         locked: bool,
         actions: &mut Vec<Action>,
--- a/src/leadership/tests/cancellation_scenarios.rs
+++ b/src/leadership/tests/cancellation_scenarios.rs
@@ -2,9 +2,9 @@
 //! cancelled job outlives the deadline. `check_expired_leases` and `check_cancelled_tasks_ended` check both.
 
 use super::cluster::Cluster;
+use super::random_duration;
 use super::{AUTONOMY, CANCELLATION_DEADLINE, MS, NODES};
 use crate::limits::{self, SECOND};
-use rand::Rng;
 
 /// Leaders, leaseholders and nodes in keep-alive mode together: whichever node renews a worker's lease, the leader knows
 /// how long that lease may last. No task of a job runs longer than `CANCELLATION_DEADLINE` after its cancellation was
@@ -15,7 +15,7 @@
     for seed in 200..540 {
         let mut cluster = Cluster::with_workers(seed, 200);
         for _ in 0..25 {
-            let time = cluster.rng.random_range(200 * MS..9 * SECOND);
+            let time = random_duration(&mut cluster.rng, 200 * MS..9 * SECOND);
             cluster.run(time);
             cluster.inject_random_fault();
         }
--- a/src/leadership/tests/cluster.rs
+++ b/src/leadership/tests/cluster.rs
@@ -4,16 +4,18 @@
 use super::lease_ledger::LeaseLedger;
 use super::network::Delivery;
 use super::workers::Worker;
-use super::{BOUNDS, MS, NAMES, NODES};
+use super::{BOUNDS, NAMES, NODES};
 use crate::leadership::{Leadership, Status};
 use crate::lease::shard::Shard;
 use crate::scheduler::model::JobId;
+use crate::time::Timestamp;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// How far one step advances true time.
-const STEP: u64 = 10 * MS;
+const STEP: Duration = Duration::from_millis(10);
 
 /// One controller.
 pub(super) struct Node {
@@ -26,13 +28,13 @@
     /// Local time is `clock_base` plus true time times `clock_rate`.
     clock_base: u64,
     clock_rate: f64,
-    pub(super) down_until: Option<u64>,
+    pub(super) down_until: Option<Timestamp>,
     /// When the key-value store last answered, on its clock.
-    pub(super) store_answered_at: u64,
+    pub(super) store_answered_at: Timestamp,
     /// When it next reads the live jobs, on its clock.
-    pub(super) next_job_read_at: u64,
+    pub(super) next_job_read_at: Timestamp,
     /// When it last read the live jobs, on its clock; 0: not yet. A leader has loaded its state once it has.
-    pub(super) jobs_read_at: u64,
+    pub(super) jobs_read_at: Timestamp,
     /// It runs an earlier version, which gives no attestations.
     pub(super) is_earlier_version: bool,
 }
@@ -42,24 +44,24 @@
     pub(super) inside: Vec<usize>,
     /// The key-value store is outside.
     pub(super) cuts_off_store: bool,
-    pub(super) until: u64,
+    pub(super) until: Timestamp,
 }
 
 /// A node that stands still while its clock runs on.
 #[derive(Clone, Copy)]
 pub(super) struct Suspension {
     pub(super) node: usize,
-    pub(super) until: u64,
+    pub(super) until: Timestamp,
 }
 
 pub(super) struct Cluster {
-    /// True time in microseconds.
-    pub(super) now: u64,
+    /// True time.
+    pub(super) now: Timestamp,
     pub(super) rng: SmallRng,
     pub(super) store: KeyValueStore,
     pub(super) nodes: Vec<Node>,
     /// What is under way, by arrival time and serial number.
-    pub(super) deliveries: BTreeMap<(u64, u64), Delivery>,
+    pub(super) deliveries: BTreeMap<(Timestamp, u64), Delivery>,
     pub(super) last_serial: u64,
 
     /// No node reaches the key-value store.
@@ -77,7 +79,7 @@
     /// A job is cancelled once in so many steps of a node; 0: never.
     pub(super) cancellation_period: u32,
     /// Cancellations that were confirmed to users, and when.
-    pub(super) confirmed: BTreeMap<JobId, u64>,
+    pub(super) confirmed: BTreeMap<JobId, Timestamp>,
 
     /// How often a leader counted a worker's lease as expired.
     pub(super) expired_leases: u64,
@@ -96,7 +98,7 @@
 impl Cluster {
     pub(super) fn new(seed: u64) -> Self {
         let mut cluster = Cluster {
-            now: 0,
+            now: Timestamp::ZERO,
             rng: SmallRng::seed_from_u64(seed),
             store: KeyValueStore::new(),
             nodes: Vec::new(),
@@ -130,7 +132,7 @@
         let names = NAMES.map(String::from).to_vec();
         let clock_base = self.rng.random_range(1 << 40..1 << 50);
         let clock_rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
-        let now = clock_base + (self.now as f64 * clock_rate) as u64;
+        let now = clock_time(clock_base, clock_rate, self.now);
         let incarnation = self.rng.random();
         let seed = self.rng.random();
         Node {
@@ -141,9 +143,9 @@
             clock_base,
             clock_rate,
             down_until: None,
-            store_answered_at: 0,
-            next_job_read_at: 0,
-            jobs_read_at: 0,
+            store_answered_at: Timestamp::ZERO,
+            next_job_read_at: Timestamp::ZERO,
+            jobs_read_at: Timestamp::ZERO,
             is_earlier_version: self.nodes.get(node).is_some_and(|node| node.is_earlier_version),
         }
     }
@@ -151,8 +153,9 @@
     // ---- what holds at present ----
 
     /// The present time on the node's clock.
-    pub(super) fn local_time(&self, node: usize) -> u64 {
-        self.nodes[node].clock_base + (self.now as f64 * self.nodes[node].clock_rate) as u64
+    pub(super) fn local_time(&self, node: usize) -> Timestamp {
+        let node = &self.nodes[node];
+        clock_time(node.clock_base, node.clock_rate, self.now)
     }
 
     /// Whether the two nodes are on different sides of a partition.
@@ -194,7 +197,7 @@
 
     /// What the node reports of itself.
     pub(super) fn status(&self, node: usize) -> Status {
-        let state_age = self.local_time(node).saturating_sub(self.nodes[node].store_answered_at);
+        let state_age = self.local_time(node).since(self.nodes[node].store_answered_at);
         let attests = !self.nodes[node].is_earlier_version;
         let leads = self.nodes[node].leadership.is_leader();
         if self.first_workers_at_peers {
@@ -211,13 +214,13 @@
 
     // ---- faults ----
 
-    /// The node loses its process and starts a new one after `back` microseconds.
-    pub(super) fn crash(&mut self, node: usize, back: u64) {
+    /// The node loses its process and starts a new one after `back`.
+    pub(super) fn crash(&mut self, node: usize, back: Duration) {
         self.nodes[node].down_until = Some(self.now + back);
     }
 
     /// Cuts off these nodes, and the key-value store with them or not.
-    pub(super) fn cut_off(&mut self, inside: Vec<usize>, cuts_off_store: bool, until: u64) {
+    pub(super) fn cut_off(&mut self, inside: Vec<usize>, cuts_off_store: bool, until: Timestamp) {
         self.partition = Some(Partition { inside, cuts_off_store, until });
     }
 
@@ -230,8 +233,8 @@
 
     // ---- time ----
 
-    pub(super) fn run(&mut self, time: u64) {
-        let until = self.now + time;
+    pub(super) fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.step();
         }
@@ -271,3 +274,8 @@
         self.apply_actions(node, actions);
     }
 }
+
+/// What a clock shows at this true time.
+fn clock_time(base: u64, rate: f64, now: Timestamp) -> Timestamp {
+    Timestamp::from_micros(base + (now.as_micros() as f64 * rate) as u64)
+}
--- a/src/leadership/tests/election_scenarios.rs
+++ b/src/leadership/tests/election_scenarios.rs
@@ -1,16 +1,16 @@
 //! Who leads after which fault.
 
 use super::cluster::{Cluster, Suspension};
+use super::random_duration;
 use super::{MS, NODES};
 use crate::limits::SECOND;
-use rand::Rng;
 
 #[test]
 fn under_random_faults_at_most_one_node_leads_and_one_leads_afterwards() {
     for seed in 0..60 {
         let mut cluster = Cluster::new(seed);
         for _ in 0..25 {
-            let time = cluster.rng.random_range(200 * MS..6 * SECOND);
+            let time = random_duration(&mut cluster.rng, 200 * MS..6 * SECOND);
             cluster.run(time);
             cluster.inject_random_fault();
         }
--- a/src/leadership/tests/faults.rs
+++ b/src/leadership/tests/faults.rs
@@ -1,6 +1,7 @@
 //! Random faults.
 
 use super::cluster::{Cluster, Suspension};
+use super::random_duration;
 use super::{MS, NODES};
 use crate::limits::SECOND;
 use rand::Rng;
@@ -9,8 +10,8 @@
     /// Begins or ends one of the faults that the requirements name, at random.
     pub(super) fn inject_random_fault(&mut self) {
         let node = self.rng.random_range(0..NODES);
-        let back = self.rng.random_range(50 * MS..4 * SECOND);
-        let until = self.now + self.rng.random_range(SECOND..40 * SECOND);
+        let back = random_duration(&mut self.rng, 50 * MS..4 * SECOND);
+        let until = self.now + random_duration(&mut self.rng, SECOND..40 * SECOND);
         let leader = self.leader().unwrap_or(node);
         match self.rng.random_range(0..11) {
             0 => self.crash(node, back),
--- a/src/leadership/tests/key_value_store.rs
+++ b/src/leadership/tests/key_value_store.rs
@@ -5,9 +5,11 @@
 use crate::limits;
 use crate::protocol::records::Epoch;
 use crate::scheduler::model::JobId;
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
-const LOCK_LEASE: u64 = limits::LOCK_LEASE_MS * 1_000;
+const LOCK_LEASE: Duration = limits::LOCK_LEASE;
 
 #[derive(Default)]
 pub(super) struct KeyValueStore {
@@ -17,7 +19,7 @@
     /// Lease that the lock is attached to.
     lock: Option<u64>,
     /// Lease id to the time at which the lease ends.
-    leases: BTreeMap<u64, u64>,
+    leases: BTreeMap<u64, Timestamp>,
     last_lease: u64,
     pub(super) live_jobs: BTreeSet<JobId>,
     pub(super) last_job: u64,
@@ -28,7 +30,7 @@
     pub(super) node: usize,
     pub(super) incarnation: u64,
     /// Send time on the node's clock.
-    pub(super) sent: u64,
+    pub(super) sent: Timestamp,
 }
 
 impl KeyValueStore {
@@ -37,7 +39,7 @@
     }
 
     /// Carries out what a node requests.
-    pub(super) fn apply(&mut self, now: u64, action: Action, request: Request) -> StoreResponse {
+    pub(super) fn apply(&mut self, now: Timestamp, action: Action, request: Request) -> StoreResponse {
         self.expire_leases(now);
         match action {
             Action::Probe => StoreResponse::Probed { epoch: self.epoch.clone(), locked: self.lock.is_some() },
@@ -65,7 +67,7 @@
         }
     }
 
-    fn take_over(&mut self, now: u64, token: u64, request: Request) -> StoreResponse {
+    fn take_over(&mut self, now: Timestamp, token: u64, request: Request) -> StoreResponse {
         self.revision += 1;
         self.last_lease += 1;
         let lease = self.last_lease;
@@ -76,7 +78,7 @@
         StoreResponse::TakeoverCommitted { lease, version: self.revision, lease_sent: request.sent }
     }
 
-    fn expire_leases(&mut self, now: u64) {
+    fn expire_leases(&mut self, now: Timestamp) {
         self.leases.retain(|_, until| *until > now);
         if self.lock.is_some_and(|lease| !self.leases.contains_key(&lease)) {
             self.lock = None;
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -3,23 +3,25 @@
 use super::AUTONOMY;
 use crate::lease::shard::ShardHeartbeat;
 use crate::limits::lengthened;
+use crate::time::Timestamp;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// A response that renewed a worker's lease.
 #[derive(Clone, Copy)]
 pub(super) struct Renewal {
     /// On the leader's clock.
-    pub(super) at_leader: u64,
+    pub(super) at_leader: Timestamp,
     /// In true time.
-    pub(super) at: u64,
+    pub(super) at: Timestamp,
 }
 
 /// What a leader knows of a leaseholder. Times on the leader's clock.
 #[derive(Default)]
 struct LeaseholderRecord {
     /// The leader knows every response that the leaseholder gave before then.
-    covered_until: u64,
-    last_heartbeat_at: u64,
+    covered_until: Timestamp,
+    last_heartbeat_at: Timestamp,
 }
 
 /// A leader's account of all workers' leases.
@@ -27,9 +29,9 @@
 pub(super) struct LeaseLedger {
     token: u64,
     /// In true time.
-    elected_at: u64,
+    elected_at: Timestamp,
     /// Leases of workers without a later renewal are counted from then, on the leader's clock.
-    floor: u64,
+    floor: Timestamp,
     /// By worker.
     renewals: BTreeMap<usize, Renewal>,
     /// By node.
@@ -37,7 +39,7 @@
 }
 
 impl LeaseLedger {
-    pub(super) fn new(token: u64, elected_at: u64, leader_time: u64) -> Self {
+    pub(super) fn new(token: u64, elected_at: Timestamp, leader_time: Timestamp) -> Self {
         let floor = leader_time + lengthened(AUTONOMY);
         LeaseLedger { token, elected_at, floor, ..LeaseLedger::default() }
     }
@@ -46,21 +48,21 @@
         self.token
     }
 
-    pub(super) fn leases_begin_no_earlier_than(&mut self, time: u64) {
+    pub(super) fn leases_begin_no_earlier_than(&mut self, time: Timestamp) {
         self.floor = self.floor.max(time);
     }
 
     /// Until when every leaseholder that may still renew leases is covered. `validity`: of a shard lease and the worker
     /// leases that it may have renewed.
-    pub(super) fn covered_until(&self, now: u64, validity: u64) -> u64 {
+    pub(super) fn covered_until(&self, now: Timestamp, validity: Duration) -> Timestamp {
         let records = self.leaseholders.values();
         let open = records.filter(|record| now < record.last_heartbeat_at + validity);
-        open.map(|record| record.covered_until).min().unwrap_or(u64::MAX)
+        open.map(|record| record.covered_until).min().unwrap_or(Timestamp::MAX)
     }
 
     /// The last time at which the worker's lease may have begun.
     pub(super) fn last_renewal(&self, worker: usize) -> Renewal {
-        let unknown = Renewal { at_leader: 0, at: self.elected_at };
+        let unknown = Renewal { at_leader: Timestamp::ZERO, at: self.elected_at };
         let renewal = self.renewals.get(&worker).copied().unwrap_or(unknown);
         Renewal { at_leader: renewal.at_leader.max(self.floor), at: renewal.at }
     }
@@ -74,7 +76,7 @@
         &mut self,
         node: usize,
         heartbeat: &ShardHeartbeat,
-        stamp: u64,
+        stamp: Timestamp,
         received: Renewal,
     ) {
         if heartbeat.first_of_incarnation {
--- a/src/leadership/tests/mod.rs
+++ b/src/leadership/tests/mod.rs
@@ -24,18 +24,31 @@
 
 use crate::lease::cancellation_log::CancellationBounds;
 use crate::limits::{self, SECOND};
+use crate::time::whole_micros;
+use rand::rngs::SmallRng;
+use rand::Rng;
+use std::ops::Range;
+use std::time::Duration;
 
-/// Microseconds in a millisecond.
-const MS: u64 = 1_000;
+/// One millisecond.
+const MS: Duration = Duration::from_millis(1);
 const NODES: usize = 3;
 const NAMES: [&str; NODES] = ["a", "b", "c"];
 /// How long workers may be kept alive without news of cancellations.
-const AUTONOMY: u64 = 10 * SECOND;
+const AUTONOMY: Duration = Duration::from_secs(10);
 /// The lease of a worker.
-const WORKER_LEASE: u64 = 10 * SECOND;
+const WORKER_LEASE: Duration = Duration::from_secs(10);
 /// The tasks of a cancelled job must be gone this long after the user was told: `limits::longest_autonomy` solved for
 /// `cancel_s`.
-const CANCELLATION_DEADLINE: u64 =
-    AUTONOMY + WORKER_LEASE + limits::LOCK_LEASE_MS * 1_000 + limits::LEASE_MARGIN + SECOND;
+const CANCELLATION_DEADLINE: Duration = AUTONOMY
+    .saturating_add(WORKER_LEASE)
+    .saturating_add(limits::LOCK_LEASE)
+    .saturating_add(limits::LEASE_MARGIN)
+    .saturating_add(SECOND);
 const BOUNDS: CancellationBounds =
-    CancellationBounds { longest_autonomy: AUTONOMY, retention: 2 * CANCELLATION_DEADLINE };
+    CancellationBounds { longest_autonomy: AUTONOMY, retention: CANCELLATION_DEADLINE.saturating_mul(2) };
+
+/// A random duration of whole microseconds.
+fn random_duration(rng: &mut SmallRng, range: Range<Duration>) -> Duration {
+    Duration::from_micros(rng.random_range(whole_micros(range.start)..whole_micros(range.end)))
+}
--- a/src/leadership/tests/network.rs
+++ b/src/leadership/tests/network.rs
@@ -4,13 +4,16 @@
 use super::cluster::Cluster;
 use super::key_value_store::Request;
 use super::lease_ledger::LeaseLedger;
+use super::random_duration;
 use super::MS;
 use crate::leadership::{Action, Message, Status, StoreResponse};
 use crate::lease::cancellation_log::Attestation;
 use crate::limits::SECOND;
 use crate::scheduler::model::JobId;
+use crate::time::Timestamp;
 use rand::Rng;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 /// What is under way.
 pub(super) enum Delivery {
@@ -30,7 +33,7 @@
         node: usize,
         process: u64,
         action: Action,
-        sent: u64,
+        sent: Timestamp,
     },
     StoreResponse {
         node: usize,
@@ -41,7 +44,7 @@
     LiveJobs {
         node: usize,
         process: u64,
-        sent: u64,
+        sent: Timestamp,
         live: BTreeSet<JobId>,
     },
     /// A job that the node's transaction cancelled. The node confirms it to the user when the response arrives.
@@ -53,23 +56,23 @@
 }
 
 impl Cluster {
-    pub(super) fn send(&mut self, delay: u64, delivery: Delivery) {
+    pub(super) fn send(&mut self, delay: Duration, delivery: Delivery) {
         self.last_serial += 1;
         self.deliveries.insert((self.now + delay, self.last_serial), delivery);
     }
 
-    pub(super) fn random_delay(&mut self) -> u64 {
+    pub(super) fn random_delay(&mut self) -> Duration {
         if self.rng.random_bool(0.02) {
-            return self.rng.random_range(100 * MS..900 * MS);
+            return random_duration(&mut self.rng, 100 * MS..900 * MS);
         }
-        self.rng.random_range(MS..12 * MS)
+        random_duration(&mut self.rng, MS..12 * MS)
     }
 
     /// What a partition holds back arrives after it, and some frames arrive twice.
     fn send_to_peer(&mut self, from: usize, to: usize, delivery: impl Fn() -> Delivery) {
         let held_back = match &self.partition {
-            Some(partition) if self.are_partitioned(from, to) => partition.until.saturating_sub(self.now),
-            Some(_) | None => 0,
+            Some(partition) if self.are_partitioned(from, to) => partition.until.since(self.now),
+            Some(_) | None => Duration::ZERO,
         };
         let copies = if self.rng.random_bool(0.05) { 2 } else { 1 };
         for _ in 0..copies {
@@ -96,7 +99,7 @@
                     self.elected_tokens.push(token);
                     self.nodes[node].ledger = LeaseLedger::new(token, self.now, self.local_time(node));
                     // It loads its state before it knows anything by its own reading.
-                    self.nodes[node].jobs_read_at = 0;
+                    self.nodes[node].jobs_read_at = Timestamp::ZERO;
                 }
                 Action::Deposed { keep_until } => {
                     let token = self.nodes[node].ledger.token();
@@ -119,7 +122,7 @@
         }
         if matches!(action, Action::TakeOver { .. }) {
             // A delayed transaction is applied late. No response arrives in time.
-            let held_back = self.rng.random_range(0..20 * SECOND);
+            let held_back = random_duration(&mut self.rng, Duration::ZERO..20 * SECOND);
             self.send(delay + held_back, Delivery::StoreRequest { node, process, action, sent });
         } else {
             self.send(delay, Delivery::StoreResponse { node, process, response: StoreResponse::Failed });
@@ -141,7 +144,7 @@
             };
             match self.suspension.filter(|suspension| Some(suspension.node) == receiver) {
                 // What arrives while a node stands still is there when it goes on.
-                Some(suspension) => self.send(suspension.until - self.now, delivery),
+                Some(suspension) => self.send(suspension.until.since(self.now), delivery),
                 None => self.deliver(delivery),
             }
         }
@@ -208,7 +211,7 @@
         self.apply_actions(node, actions);
     }
 
-    fn deliver_live_jobs(&mut self, node: usize, process: u64, sent: u64, live: BTreeSet<JobId>) {
+    fn deliver_live_jobs(&mut self, node: usize, process: u64, sent: Timestamp, live: BTreeSet<JobId>) {
         if self.nodes[node].process != process || !self.reaches_store(node) {
             return;
         }
--- a/src/leadership/tests/parts.rs
+++ b/src/leadership/tests/parts.rs
@@ -7,10 +7,12 @@
 use crate::leadership::Status;
 use crate::limits::{self, lengthened, shortened, SECOND};
 use crate::protocol::records::Epoch;
+use crate::time::Timestamp;
+use std::time::Duration;
 
-const START: u64 = 1 << 45;
+const START: Timestamp = Timestamp::from_micros(1 << 45);
 /// After the restart grace.
-const NOW: u64 = START + 10 * SECOND;
+const NOW: Timestamp = Timestamp::from_micros(START.as_micros() + 10_000_000);
 const LOCAL: usize = 0;
 
 fn commitments() -> Commitments {
@@ -29,8 +31,8 @@
 fn a_restarted_node_gives_no_grant_or_vote_while_earlier_ones_may_run() {
     let commitments = commitments();
     let grace_ends = START + lengthened(limits::GRANT_DURATION);
-    assert!(!commitments.permit(grace_ends - 1, 1));
-    assert!(!commitments.own_vote_counts(grace_ends - 1));
+    assert!(!commitments.permit(grace_ends - Duration::from_micros(1), 1));
+    assert!(!commitments.own_vote_counts(grace_ends - Duration::from_micros(1)));
     assert!(commitments.permit(grace_ends, 1));
     assert!(commitments.own_vote_counts(grace_ends));
 }
@@ -41,9 +43,9 @@
         let mut commitments = commitments();
         give(&mut commitments, NOW, 1);
         let ends = NOW + lengthened(limits::GRANT_DURATION);
-        assert!(commitments.permit(ends - 1, 1), "the same node may get another one");
-        assert!(!commitments.permit(ends - 1, 2));
-        assert!(commitments.exclude(ends - 1, LOCAL));
+        assert!(commitments.permit(ends - Duration::from_micros(1), 1), "the same node may get another one");
+        assert!(!commitments.permit(ends - Duration::from_micros(1), 2));
+        assert!(commitments.exclude(ends - Duration::from_micros(1), LOCAL));
         assert!(commitments.permit(ends, 2));
     }
 }
@@ -71,32 +73,32 @@
     granted.give_grant(NOW, 1);
     granted.bind_leader();
     let ends = NOW + lengthened(limits::GRANT_DURATION);
-    assert!(!granted.own_vote_counts(ends - 1));
+    assert!(!granted.own_vote_counts(ends - Duration::from_micros(1)));
     assert!(granted.own_vote_counts(ends));
 }
 
 #[test]
 fn a_majority_lasts_until_the_last_grant_that_it_needs_runs_out() {
     let mut peers = peers();
-    assert_eq!(peers.granted_until(true), 0);
+    assert_eq!(peers.granted_until(true), Timestamp::ZERO);
     peers.record_grant(1, NOW);
     peers.record_grant(2, NOW + SECOND);
     // Older than the one recorded.
     peers.record_grant(2, NOW - SECOND);
     assert_eq!(peers.granted_until(true), NOW + SECOND + shortened(limits::GRANT_DURATION));
     assert_eq!(peers.granted_until(false), NOW + shortened(limits::GRANT_DURATION));
-    assert_eq!(peers.voted_until(false), 0, "grants are no votes");
+    assert_eq!(peers.voted_until(false), Timestamp::ZERO, "grants are no votes");
     assert_eq!(peers.without_grant(NOW + limits::GRANT_DURATION).collect::<Vec<_>>(), [1]);
     peers.clear_grants();
-    assert_eq!(peers.granted_until(true), 0);
+    assert_eq!(peers.granted_until(true), Timestamp::ZERO);
 }
 
 #[test]
 fn a_single_node_is_its_own_majority() {
     let alone = Peers::new(vec![NAMES[LOCAL].into()], LOCAL);
     assert!(alone.is_empty());
-    assert_eq!(alone.granted_until(true), u64::MAX);
-    assert_eq!(alone.granted_until(false), 0);
+    assert_eq!(alone.granted_until(true), Timestamp::MAX);
+    assert_eq!(alone.granted_until(false), Timestamp::ZERO);
 }
 
 #[test]
@@ -106,10 +108,13 @@
     let status = Status { state_age: SECOND, workers: 2, ..Status::default() };
     peers.observe_message(NOW, 2, status);
     let ends = NOW + limits::PEER_TIMEOUT;
-    assert_eq!(peers.first_alive(ends - 1), Some(2));
-    assert_eq!(peers.reached_by_most_workers(ends - 1), Some(2));
-    assert_eq!(peers.first_reaching_store(ends - 1, SECOND + 1), Some(2));
-    assert_eq!(peers.first_reaching_store(ends - 1, SECOND), None);
+    assert_eq!(peers.first_alive(ends - Duration::from_micros(1)), Some(2));
+    assert_eq!(peers.reached_by_most_workers(ends - Duration::from_micros(1)), Some(2));
+    assert_eq!(
+        peers.first_reaching_store(ends - Duration::from_micros(1), SECOND + Duration::from_micros(1)),
+        Some(2)
+    );
+    assert_eq!(peers.first_reaching_store(ends - Duration::from_micros(1), SECOND), None);
     assert_eq!(peers.first_alive(ends), None);
     assert!(!peers.is_peer(LOCAL) && !peers.is_peer(NODES));
 }
@@ -122,7 +127,7 @@
     assert!(!lock.is_probe_due(START + SECOND), "the probe is under way");
     lock.end_probe();
     lock.record_probe(NOW, None, false);
-    assert!(lock.is_known_free(NOW + limits::PROBE_INTERVAL - 1));
+    assert!(lock.is_known_free(NOW + limits::PROBE_INTERVAL - Duration::from_micros(1)));
     assert!(!lock.is_known_free(NOW + limits::PROBE_INTERVAL));
     lock.record_probe(NOW, None, true);
     assert!(!lock.is_known_free(NOW));
--- a/src/leadership/tests/single_node.rs
+++ b/src/leadership/tests/single_node.rs
@@ -5,18 +5,27 @@
 use crate::lease::cancellation_log::CancellationBounds;
 use crate::limits::{self, lengthened, SECOND};
 use crate::protocol::records::Epoch;
+use crate::time::Timestamp;
+use std::time::Duration;
 
 #[test]
 fn a_vote_that_echoes_an_earlier_incarnation_is_ignored() {
     let names = NAMES.map(String::from).to_vec();
-    let now = 1 << 45;
-    let mut node =
-        Leadership::new(names, 0, 1, now, CancellationBounds { longest_autonomy: SECOND, retention: 0 }, 0);
+    let now = Timestamp::from_micros(1 << 45);
+    let mut node = Leadership::new(
+        names,
+        0,
+        1,
+        now,
+        CancellationBounds { longest_autonomy: SECOND, retention: Duration::ZERO },
+        0,
+    );
     // The echo of a clock that began elsewhere: later than ours, or long past.
-    for echo in [now + 9, now - 10 * SECOND] {
-        assert_eq!(node.handle_message(now + 1, 1, 7, Status::default(), Message::Vote { echo }), []);
+    let later = now + Duration::from_micros(1);
+    for echo in [now + Duration::from_micros(9), now - 10 * SECOND] {
+        assert_eq!(node.handle_message(later, 1, 7, Status::default(), Message::Vote { echo }), []);
     }
-    assert!(node.votes_until(now + 1) <= now + 1);
+    assert!(node.votes_until(later) <= later);
 }
 
 /// A node resumes its own epoch without votes. What it granted to a node in keep-alive mode a moment ago still binds it.
@@ -24,11 +33,17 @@
 #[test]
 fn a_resumed_leader_does_not_count_its_own_vote_while_its_grant_to_another_runs() {
     let names = NAMES.map(String::from).to_vec();
-    let started_at = 1 << 45;
+    let started_at = Timestamp::from_micros(1 << 45);
     let mut node = Leadership::new(names, 0, 2, started_at, BOUNDS, 0);
     let now = started_at + 2 * limits::GRANT_DURATION;
-    let granted = node.handle_message(now, 1, 7, Status::default(), Message::Heartbeat { token: 5, sent: 9 });
-    assert!(granted.contains(&Action::Send(1, Message::Grant { token: 5, echo: 9 })));
+    let granted = node.handle_message(
+        now,
+        1,
+        7,
+        Status::default(),
+        Message::Heartbeat { token: 5, sent: Timestamp::from_micros(9) },
+    );
+    assert!(granted.contains(&Action::Send(1, Message::Grant { token: 5, echo: Timestamp::from_micros(9) })));
     let epoch = Epoch { token: 5, node: "a".into(), incarnation: 1 };
     let probed = StoreResponse::Probed { epoch: Some((epoch, 3)), locked: true };
     assert!(matches!(
@@ -38,15 +53,15 @@
     let committed = StoreResponse::TakeoverCommitted { lease: 1, version: 4, lease_sent: now };
     assert_eq!(node.handle_store_response(now, committed), [Action::Elected { token: 6, version: 4 }]);
     let grant = Message::Grant { token: 6, echo: now };
-    assert_eq!(node.handle_message(now + 1, 2, 8, Status::default(), grant), []);
+    assert_eq!(node.handle_message(now + Duration::from_micros(1), 2, 8, Status::default(), grant), []);
     let soon = now + SECOND;
     assert_eq!(
         node.autonomous_until(soon),
         soon,
         "a node in keep-alive mode may keep workers alive beside it"
     );
-    let later = now + lengthened(limits::GRANT_DURATION) + 1;
+    let later = now + lengthened(limits::GRANT_DURATION) + Duration::from_micros(1);
     let grant = Message::Grant { token: 6, echo: later };
     assert_eq!(node.handle_message(later, 2, 8, Status::default(), grant), []);
-    assert!(node.autonomous_until(later + 1) <= later, "its own vote counts again");
+    assert!(node.autonomous_until(later + Duration::from_micros(1)) <= later, "its own vote counts again");
 }
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -3,11 +3,13 @@
 use super::cluster::Cluster;
 use super::lease_ledger::Renewal;
 use super::network::Delivery;
+use super::random_duration;
 use super::{CANCELLATION_DEADLINE, MS, NODES, WORKER_LEASE};
 use crate::leadership::FollowedLeader;
 use crate::limits::{self, SECOND};
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
+use crate::time::Timestamp;
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -19,11 +21,11 @@
     home: usize,
     pub(super) agent_epoch: u64,
     /// When this agent epoch began, in true time.
-    pub(super) agent_epoch_began_at: u64,
+    pub(super) agent_epoch_began_at: Timestamp,
     sequence: u64,
     token: u64,
-    pub(super) lease_until: u64,
-    next_report_at: u64,
+    pub(super) lease_until: Timestamp,
+    next_report_at: Timestamp,
     /// Jobs of which it has a task.
     tasks: BTreeSet<JobId>,
 }
@@ -35,17 +37,17 @@
             node,
             home: node,
             agent_epoch: 1,
-            agent_epoch_began_at: 0,
+            agent_epoch_began_at: Timestamp::ZERO,
             sequence: 0,
             token: 0,
-            lease_until: WORKER_LEASE,
-            next_report_at: 0,
+            lease_until: Timestamp::ZERO + WORKER_LEASE,
+            next_report_at: Timestamp::ZERO,
             tasks: BTreeSet::new(),
         }
     }
 
     /// Its lease ended, and all its tasks with it.
-    fn restart(&mut self, now: u64) {
+    fn restart(&mut self, now: Timestamp) {
         self.agent_epoch += 1;
         self.agent_epoch_began_at = now;
         self.lease_until = now + WORKER_LEASE;
@@ -196,7 +198,7 @@
         if self.now < self.workers[number].next_report_at {
             return;
         }
-        self.workers[number].next_report_at = self.now + self.rng.random_range(750 * MS..1_250 * MS);
+        self.workers[number].next_report_at = self.now + random_duration(&mut self.rng, 750 * MS..1_250 * MS);
         self.workers[number].sequence += 1;
         self.check_cancelled_tasks_ended(number);
         let Worker { node, home, .. } = self.workers[number];
@@ -222,7 +224,7 @@
         for (job_id, confirmed_at) in &self.confirmed {
             let runs = self.workers[number].tasks.contains(job_id);
             assert!(
-                !runs || self.now <= confirmed_at + CANCELLATION_DEADLINE,
+                !runs || self.now <= *confirmed_at + CANCELLATION_DEADLINE,
                 "worker {number} runs {job_id}, whose cancellation was confirmed at {confirmed_at}"
             );
         }
@@ -288,7 +290,7 @@
 
     /// Whether the node has read the jobs since its process or its term as leader began.
     fn has_loaded(&self, node: usize) -> bool {
-        self.cancellation_period == 0 || self.nodes[node].jobs_read_at > 0
+        self.cancellation_period == 0 || self.nodes[node].jobs_read_at > Timestamp::ZERO
     }
 
     /// The stop commands of a response that the node gives without the leader's job list, as
--- a/src/lease/cancellation_log.rs
+++ b/src/lease/cancellation_log.rs
@@ -15,23 +15,24 @@
 //!    attestation covers that time too, a restart within it included.
 //!
 //! [`crate::leadership::Leadership`] owns the log. The controller's event loop reads it for each response to a worker.
-//! Times are microseconds on the local clock.
 
 use super::cancellation_log_member::Member;
 use crate::limits::{self, shortened};
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskStatus};
 use crate::scheduler::TaskCommand;
+use crate::time::Timestamp;
 use std::collections::{HashMap, HashSet, VecDeque};
+use std::time::Duration;
 
 /// What a member attests of the cancellations that it confirmed, in answer to a heartbeat of the receiver's.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Attestation {
     /// The incarnation of the receiver that it is for.
     pub for_incarnation: u64,
-    /// The stamp of the heartbeat that it answers, in microseconds on the receiver's clock.
-    pub echo: u64,
-    /// How long the sender's incarnation has lasted, in microseconds.
-    pub incarnation_age: u64,
+    /// The stamp of the heartbeat that it answers, on the receiver's clock.
+    pub echo: Timestamp,
+    /// How long the sender's incarnation has lasted.
+    pub incarnation_age: Duration,
     /// For `limits::CONFIRMATION_SUSPENSION` the sender confirms nothing that the receiver has not acknowledged.
     pub confirmations_suspended: bool,
     /// The highest number of the receiver's own cancellations that the sender knows.
@@ -46,10 +47,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancellationBounds {
     /// How long workers may be kept alive beyond the moment up to which every cancellation is known, the lock lease
-    /// aside ([`limits::longest_autonomy`]); microseconds.
-    pub longest_autonomy: u64,
-    /// How long a cancellation is remembered ([`limits::cancellation_retention`]); microseconds.
-    pub retention: u64,
+    /// aside ([`limits::longest_autonomy`]).
+    pub longest_autonomy: Duration,
+    /// How long a cancellation is remembered ([`limits::cancellation_retention`]).
+    pub retention: Duration,
 }
 
 /// Whether this node has access to the key-value store, as its attestations state it.
@@ -86,8 +87,7 @@
 struct OwnConfirmation {
     /// Counts from one in each incarnation.
     number: u64,
-    /// Microseconds.
-    recorded_at: u64,
+    recorded_at: Timestamp,
     job_id: JobId,
 }
 
@@ -96,22 +96,22 @@
 pub struct CancellationLog {
     local_node: usize,
     incarnation: u64,
-    started_at: u64,
+    started_at: Timestamp,
     /// How long workers may be kept alive beyond what is known: the bound of the settings and the lock lease.
-    longest_autonomy: u64,
+    longest_autonomy: Duration,
     /// How long a cancellation is remembered. After `cancel_s` its tasks are gone and nothing depends on it.
-    retention: u64,
+    retention: Duration,
     /// By node number; the local node's entry is unused.
     members: Vec<Member>,
     /// The oldest first.
     own_confirmations: VecDeque<OwnConfirmation>,
-    /// The highest number among them; 0: none.
+    /// The highest number among them; zero: none.
     last_number: u64,
     /// Jobs that are over, from whatever source, and when this node learnt it.
-    terminated: HashMap<JobId, u64>,
+    terminated: HashMap<JobId, Timestamp>,
     live: HashSet<JobId>,
-    /// When the request was sent that `live` was last read by; 0: not in this incarnation.
-    store_read_at: u64,
+    /// When the request was sent that `live` was last read by; zero: not in this incarnation.
+    store_read_at: Timestamp,
 }
 
 impl CancellationLog {
@@ -120,21 +120,21 @@
         members: usize,
         local_node: usize,
         incarnation: u64,
-        now: u64,
+        now: Timestamp,
         bounds: CancellationBounds,
     ) -> Self {
         CancellationLog {
             local_node,
             incarnation,
             started_at: now,
-            longest_autonomy: bounds.longest_autonomy + limits::LOCK_LEASE_MS * 1_000,
+            longest_autonomy: bounds.longest_autonomy + limits::LOCK_LEASE,
             retention: bounds.retention,
             members: vec![Member::new(now); members],
             own_confirmations: VecDeque::new(),
             last_number: 0,
             terminated: HashMap::new(),
             live: HashSet::new(),
-            store_read_at: 0,
+            store_read_at: Timestamp::ZERO,
         }
     }
 
@@ -144,31 +144,31 @@
 
     // ---- what is known ----
 
-    /// Every cancellation confirmed before then is known here by the members' attestations; 0: nothing is known.
-    pub fn member_freshness(&self) -> u64 {
-        if self.store_read_at == 0 {
-            return 0;
+    /// Every cancellation confirmed before then is known here by the members' attestations; zero: nothing is known.
+    pub fn member_freshness(&self) -> Timestamp {
+        if self.store_read_at == Timestamp::ZERO {
+            return Timestamp::ZERO;
         }
         // Without other members no cancellation is unknown; half of the range leaves room for additions.
-        self.other_members().map(Member::known_until).min().unwrap_or(u64::MAX / 2)
+        self.other_members().map(Member::known_until).min().unwrap_or(Timestamp::from_micros(u64::MAX / 2))
     }
 
-    /// When the request was sent that the live jobs were last read by; 0: not in this incarnation.
-    pub fn store_freshness(&self) -> u64 {
+    /// When the request was sent that the live jobs were last read by; zero: not in this incarnation.
+    pub fn store_freshness(&self) -> Timestamp {
         self.store_read_at
     }
 
-    /// Until when workers may be kept alive by a node that knows every cancellation up to `known_until`; 0: not at all.
-    pub fn keep_alive_limit(&self, known_until: u64) -> u64 {
-        if known_until == 0 {
-            0
+    /// Until when workers may be kept alive by a node that knows every cancellation up to `known_until`; zero: not at all.
+    pub fn keep_alive_limit(&self, known_until: Timestamp) -> Timestamp {
+        if known_until == Timestamp::ZERO {
+            Timestamp::ZERO
         } else {
             known_until + shortened(self.longest_autonomy)
         }
     }
 
     /// Until when this node may keep workers alive.
-    pub fn keep_alive_until(&self) -> u64 {
+    pub fn keep_alive_until(&self) -> Timestamp {
         self.keep_alive_limit(self.store_freshness().max(self.member_freshness()))
     }
 
@@ -216,8 +216,8 @@
     /// to be over.
     pub fn apply_live_jobs(
         &mut self,
-        now: u64,
-        requested_at: u64,
+        now: Timestamp,
+        requested_at: Timestamp,
         complete: bool,
         added: &[JobId],
         removed: &[JobId],
@@ -239,7 +239,7 @@
         newly_terminated
     }
 
-    fn forget_old_cancellations(&mut self, now: u64) {
+    fn forget_old_cancellations(&mut self, now: Timestamp) {
         let retention = self.retention;
         self.terminated.retain(|_, learnt_at| now < *learnt_at + retention);
         while self.own_confirmations.front().is_some_and(|own| now >= own.recorded_at + retention) {
@@ -248,7 +248,7 @@
     }
 
     /// Returns whether this node did not know yet that the job is over.
-    fn record_terminated(&mut self, now: u64, job_id: JobId) -> bool {
+    fn record_terminated(&mut self, now: Timestamp, job_id: JobId) -> bool {
         self.live.remove(&job_id);
         self.terminated.insert(job_id, now).is_none()
     }
@@ -256,7 +256,7 @@
     // ---- what is confirmed and attested ----
 
     /// This node is about to confirm to a user that the job is cancelled.
-    pub fn confirm(&mut self, now: u64, job_id: JobId) -> ConfirmOutcome {
+    pub fn confirm(&mut self, now: Timestamp, job_id: JobId) -> ConfirmOutcome {
         let known = self.own_confirmations.iter().rev().find(|own| own.job_id == job_id);
         let known = known.map(|own| own.number);
         let number = known.unwrap_or_else(|| {
@@ -272,7 +272,7 @@
 
     /// A heartbeat of a member arrived, sent at `stamp` on its clock. `attests`: the member gives attestations and
     /// takes ours.
-    pub fn observe_heartbeat(&mut self, from: usize, incarnation: u64, attests: bool, stamp: u64) {
+    pub fn observe_heartbeat(&mut self, from: usize, incarnation: u64, attests: bool, stamp: Timestamp) {
         if let Some(member) = self.members.get_mut(from) {
             member.observe_heartbeat(incarnation, attests, stamp);
         }
@@ -281,7 +281,7 @@
     /// Our attestation for a member that takes it. While the store is lost it includes the promise to suspend
     /// confirmations.
     #[must_use = "a promise to suspend confirmations is recorded here, so the attestation should be sent"]
-    pub fn attest_to(&mut self, now: u64, to: usize, store_access: StoreAccess) -> Option<Attestation> {
+    pub fn attest_to(&mut self, now: Timestamp, to: usize, store_access: StoreAccess) -> Option<Attestation> {
         let member = self.members.get_mut(to)?;
         let suspended = store_access == StoreAccess::Lost;
         let attestation = member.attestation(suspended)?;
@@ -296,14 +296,14 @@
         if suspended {
             member.promise_suspension(now);
         }
-        let incarnation_age = now.saturating_sub(self.started_at);
+        let incarnation_age = now.since(self.started_at);
         Some(Attestation { incarnation_age, last: self.last_number, cancelled, ..attestation })
     }
 
     /// Applies what a member attests. `incarnation`: of the process that sent it.
     pub fn apply_attestation(
         &mut self,
-        now: u64,
+        now: Timestamp,
         from: usize,
         incarnation: u64,
         attestation: &Attestation,
@@ -327,10 +327,10 @@
 
     /// Whether a member of an earlier version may conclude from our missing access to the key-value store that no
     /// cancellation is in effect without it.
-    pub fn proves_no_recent_cancellation(&self, now: u64) -> bool {
+    pub fn proves_no_recent_cancellation(&self, now: Timestamp) -> bool {
         let is_recent = |own: &OwnConfirmation| now < own.recorded_at + self.retention;
         let has_recent = self.own_confirmations.back().is_some_and(is_recent);
-        !has_recent && (self.store_read_at > 0 || now >= self.started_at + self.retention)
+        !has_recent && (self.store_read_at > Timestamp::ZERO || now >= self.started_at + self.retention)
     }
 }
 
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -6,11 +6,14 @@
 use crate::limits;
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
+use crate::time::Timestamp;
+use std::time::Duration;
 
-const SECOND: u64 = limits::SECOND;
-const NOW: u64 = 1 << 45;
-const RETENTION: u64 = 80 * SECOND;
-const BOUNDS: CancellationBounds = CancellationBounds { longest_autonomy: 10 * SECOND, retention: RETENTION };
+const SECOND: Duration = limits::SECOND;
+const NOW: Timestamp = Timestamp::from_micros(1 << 45);
+const RETENTION: Duration = Duration::from_secs(80);
+const BOUNDS: CancellationBounds =
+    CancellationBounds { longest_autonomy: Duration::from_secs(10), retention: RETENTION };
 const NOTHING_APPLIED: AppliedAttestation = AppliedAttestation { terminated: Vec::new(), has_new: false };
 
 fn pair() -> (CancellationLog, CancellationLog) {
@@ -25,7 +28,7 @@
 /// Exchanges one heartbeat of `receiver` and the attestation of `sender` that answers it. Returns the jobs that turned
 /// out to be over.
 fn exchange(
-    now: u64,
+    now: Timestamp,
     sender: &mut CancellationLog,
     receiver: &mut CancellationLog,
     store_access: StoreAccess,
@@ -124,7 +127,7 @@
     b.observe_heartbeat(0, 70, true, NOW);
     let other = Attestation { for_incarnation: 73, ..attestation.clone() };
     assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &other), NOTHING_APPLIED);
-    let early = Attestation { echo: NOW - 1, ..attestation.clone() };
+    let early = Attestation { echo: NOW - Duration::from_micros(1), ..attestation.clone() };
     assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &early), NOTHING_APPLIED);
     assert_eq!(
         b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation),
@@ -143,7 +146,7 @@
     let mut a = CancellationLog::new(2, 0, 70, NOW, BOUNDS);
     b.observe_heartbeat(0, 70, true, NOW);
     exchange(NOW + 2 * SECOND, &mut a, &mut b, StoreAccess::Lost);
-    assert_eq!(b.keep_alive_until(), 0);
+    assert_eq!(b.keep_alive_until(), Timestamp::ZERO);
 }
 
 /// More cancellations than a frame holds are not attested: the other members' bound stands, so workers' leases expire
--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -8,6 +8,7 @@
 //! The scheduler owns a [`LastRenewal`] for each machine, [`crate::lease::shard::Shard`] the
 //! `UnacknowledgedRenewals`, and the controller's event loop the [`RenewalCounts`].
 
+use crate::time::Timestamp;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -64,24 +65,24 @@
 /// When the leader last recorded a response that may have renewed a machine's lease.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LastRenewal {
-    /// Microseconds on the leader's clock; 0: never.
-    at: u64,
+    /// On the leader's clock; zero: never.
+    at: Timestamp,
 }
 
 impl LastRenewal {
-    /// Records a response of the leader itself at `now` (microseconds).
-    pub fn record(&mut self, now: u64) -> LeaseRenewal {
+    /// Records a response of the leader itself at `now`.
+    pub fn record(&mut self, now: Timestamp) -> LeaseRenewal {
         self.at = self.at.max(now);
         LeaseRenewal::on(RenewalBasis::Leader)
     }
 
-    /// Records at `now` (microseconds) that a leaseholder has reported a response of its own.
-    pub fn record_by_leaseholder(&mut self, now: u64) {
+    /// Records at `now` that a leaseholder has reported a response of its own.
+    pub fn record_by_leaseholder(&mut self, now: Timestamp) {
         self.at = self.at.max(now);
     }
 
-    /// The last time at which a lease may have begun, in microseconds on the leader's clock; 0: never.
-    pub fn at(&self) -> u64 {
+    /// The last time at which a lease may have begun, on the leader's clock; zero: never.
+    pub fn at(&self) -> Timestamp {
         self.at
     }
 }
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -9,14 +9,15 @@
 //! off keeps running as a whole, whichever node its workers reported to before. The leader always knows until when a
 //! leaseholder may have kept a worker alive.
 //!
-//! The controller's heartbeat routing owns the [`Shard`] and is its only caller. Times are microseconds on the local
-//! clock.
+//! The controller's heartbeat routing owns the [`Shard`] and is its only caller.
 
 use crate::lease::renewal::{LeaseRenewal, UnacknowledgedRenewals};
 use crate::limits;
 use crate::peer::RequestIds;
 use crate::scheduler::model::{Heartbeat, ReportedTask};
+use crate::time::Timestamp;
 use std::collections::{HashMap, VecDeque};
+use std::time::Duration;
 
 /// The last heartbeat of a machine that the leader knows.
 struct CachedHeartbeat {
@@ -25,8 +26,8 @@
     tasks: Vec<ReportedTask>,
     /// The leader has a command for the machine: its next heartbeat is relayed even if it is unchanged.
     wake_requested: bool,
-    /// When the machine last got a response here, in microseconds.
-    responded_at: u64,
+    /// When the machine last got a response here.
+    responded_at: Timestamp,
 }
 
 impl CachedHeartbeat {
@@ -48,8 +49,8 @@
     NotTried,
     /// Redirected to the other nodes, which may be in contact with the leader.
     Redirected,
-    /// It came back at this time (microseconds): the other nodes have no contact with a leader either.
-    Returned(u64),
+    /// It came back at this time: the other nodes have no contact with a leader either.
+    Returned(Timestamp),
 }
 
 /// The leaseholder's periodic message to the leader, with the machines that it responded to.
@@ -89,8 +90,7 @@
 /// A shard heartbeat that the leader has not acknowledged.
 struct SentHeartbeat {
     id: u64,
-    /// Microseconds.
-    sent_at: u64,
+    sent_at: Timestamp,
     machines: Vec<String>,
 }
 
@@ -101,8 +101,8 @@
     max_cached: usize,
     /// Fencing token of the leader that this shard belongs to.
     token: u64,
-    /// The shard lease: until then (microseconds) this node may respond itself; 0: none was granted under this token.
-    lease_until: u64,
+    /// The shard lease: until then this node may respond itself; zero: none was granted under this token.
+    lease_until: Timestamp,
     /// By machine.
     cached: HashMap<String, CachedHeartbeat>,
     /// By machine.
@@ -112,8 +112,7 @@
     /// Shard heartbeats without acknowledgement, the oldest first.
     sent_heartbeats: VecDeque<SentHeartbeat>,
     heartbeat_ids: RequestIds,
-    /// Microseconds.
-    next_heartbeat_at: u64,
+    next_heartbeat_at: Timestamp,
 }
 
 impl Shard {
@@ -136,15 +135,15 @@
         }
     }
 
-    /// This node led under the token and no longer does: it may keep workers alive until then (microseconds).
-    pub fn retain_after_leadership(&mut self, token: u64, until: u64) {
+    /// This node led under the token and no longer does: it may keep workers alive until then.
+    pub fn retain_after_leadership(&mut self, token: u64, until: Timestamp) {
         self.follow(token);
         self.lease_until = until;
     }
 
     /// Decides on a heartbeat, and records the response if this node may give one without the leader. `has_leader`:
     /// whether this node is in contact with the leader.
-    pub fn respond(&mut self, now: u64, heartbeat: &Heartbeat, has_leader: bool) -> ShardResponse {
+    pub fn respond(&mut self, now: Timestamp, heartbeat: &Heartbeat, has_leader: bool) -> ShardResponse {
         // A worker that has seen a higher token drops ours. It would stay here while its lease runs out.
         if heartbeat.token != self.token || now + limits::AUTHORITY_MARGIN >= self.lease_until {
             return ShardResponse::NotResponsible;
@@ -168,7 +167,7 @@
     /// Without contact with a leader, a worker of this shard with changes tries the other nodes first: perhaps only
     /// this node has lost the leader. A worker that has just come from there is kept alive; every worker that is not
     /// cached counts as such.
-    fn redirects(&mut self, now: u64, heartbeat: &Heartbeat) -> bool {
+    fn redirects(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> bool {
         let is_cached = self.cached.contains_key(&heartbeat.machine);
         let initial = if is_cached { Redirection::NotTried } else { Redirection::Returned(now) };
         let redirection = self.redirections.entry(heartbeat.machine.clone()).or_insert(initial);
@@ -187,7 +186,13 @@
 
     /// The leader has responded to a heartbeat that was relayed. `cacheable`: later heartbeats that are unchanged need
     /// not be relayed.
-    pub fn record_relayed_response(&mut self, now: u64, heartbeat: Heartbeat, token: u64, cacheable: bool) {
+    pub fn record_relayed_response(
+        &mut self,
+        now: Timestamp,
+        heartbeat: Heartbeat,
+        token: u64,
+        cacheable: bool,
+    ) {
         if token != self.token {
             return;
         }
@@ -215,7 +220,7 @@
     /// with its connection, and the leader concludes from a complete one that no other machine got a response here
     /// before it.
     #[must_use = "the shard lease is extended only by a heartbeat that is sent"]
-    pub fn next_heartbeat(&mut self, now: u64) -> Option<ShardHeartbeat> {
+    pub fn next_heartbeat(&mut self, now: Timestamp) -> Option<ShardHeartbeat> {
         if now < self.next_heartbeat_at {
             return None;
         }
@@ -235,7 +240,12 @@
         if self.sent_heartbeats.len() > limits::MAX_UNACKNOWLEDGED_SHARD_HEARTBEATS {
             self.sent_heartbeats.pop_front();
         }
-        Some(ShardHeartbeat { id, complete, first_of_incarnation: self.lease_until == 0, machines })
+        Some(ShardHeartbeat {
+            id,
+            complete,
+            first_of_incarnation: self.lease_until == Timestamp::ZERO,
+            machines,
+        })
     }
 
     /// Names of unacknowledged machines, as many as fit into one frame.
@@ -248,9 +258,9 @@
         self.unacknowledged.names().take_while(fits).cloned().collect()
     }
 
-    /// The leader has acknowledged a shard heartbeat: the shard lease runs for `lease` microseconds from when it was
+    /// The leader has acknowledged a shard heartbeat: the shard lease runs for `lease` from when it was
     /// sent. Returns whether the heartbeat is one of this shard's.
-    pub fn acknowledge(&mut self, id: u64, lease: u64) -> bool {
+    pub fn acknowledge(&mut self, id: u64, lease: Duration) -> bool {
         let Some(at) = self.sent_heartbeats.iter().position(|sent| sent.id == id) else { return false };
         // Earlier ones are covered: a shard heartbeat repeats what was not acknowledged.
         let Some(acknowledged) = self.sent_heartbeats.drain(..=at).next_back() else { return false };
--- a/src/lease/shard_tests.rs
+++ b/src/lease/shard_tests.rs
@@ -3,8 +3,10 @@
 use super::{Shard, ShardResponse};
 use crate::limits::SECOND;
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
+use crate::time::Timestamp;
+use std::time::Duration;
 
-const LEASE: u64 = 20 * SECOND;
+const LEASE: Duration = Duration::from_secs(20);
 
 fn worker_heartbeat(sequence: u64, tasks: u32) -> Heartbeat {
     let task = |task| ReportedTask {
@@ -30,39 +32,49 @@
 fn shard() -> Shard {
     let mut shard = Shard::new(8, 1);
     shard.follow(4);
-    let heartbeat = shard.next_heartbeat(SECOND).unwrap();
-    assert_eq!(shard.respond(SECOND, &worker_heartbeat(1, 2), true), ShardResponse::NotResponsible);
+    let heartbeat = shard.next_heartbeat(Timestamp::from_secs(1)).unwrap();
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(1), &worker_heartbeat(1, 2), true),
+        ShardResponse::NotResponsible
+    );
     shard.acknowledge(heartbeat.id, LEASE);
-    assert_eq!(shard.respond(SECOND, &worker_heartbeat(1, 2), true), ShardResponse::NotResponsible);
-    shard.record_relayed_response(SECOND, worker_heartbeat(1, 2), 4, true);
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(1), &worker_heartbeat(1, 2), true),
+        ShardResponse::NotResponsible
+    );
+    shard.record_relayed_response(Timestamp::from_secs(1), worker_heartbeat(1, 2), 4, true);
     shard
 }
 
 #[test]
 fn only_unchanged_heartbeats_are_renewed_without_the_leader() {
     let mut shard = shard();
-    assert_eq!(shard.respond(2 * SECOND, &worker_heartbeat(2, 2), true).token(), Some(4));
+    assert_eq!(shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2, 2), true).token(), Some(4));
     assert_eq!(
-        shard.respond(3 * SECOND, &worker_heartbeat(3, 3), true),
+        shard.respond(Timestamp::from_secs(3), &worker_heartbeat(3, 3), true),
         ShardResponse::NotResponsible,
         "a new task"
     );
     assert_eq!(
-        shard.respond(3 * SECOND, &Heartbeat { notice_s: Some(9.0), ..worker_heartbeat(3, 2) }, true),
+        shard.respond(
+            Timestamp::from_secs(3),
+            &Heartbeat { notice_s: Some(9.0), ..worker_heartbeat(3, 2) },
+            true
+        ),
         ShardResponse::NotResponsible
     );
     assert_eq!(
-        shard.respond(3 * SECOND, &Heartbeat { agent_epoch: 2, ..worker_heartbeat(1, 2) }, true),
+        shard.respond(Timestamp::from_secs(3), &Heartbeat { agent_epoch: 2, ..worker_heartbeat(1, 2) }, true),
         ShardResponse::NotResponsible
     );
     // A worker that has seen a later leader's token would drop ours and stay here without a lease.
     assert_eq!(
-        shard.respond(3 * SECOND, &Heartbeat { token: 5, ..worker_heartbeat(3, 2) }, true),
+        shard.respond(Timestamp::from_secs(3), &Heartbeat { token: 5, ..worker_heartbeat(3, 2) }, true),
         ShardResponse::NotResponsible
     );
     shard.request_wake(&["m-1".into()]);
     assert_eq!(
-        shard.respond(3 * SECOND, &worker_heartbeat(3, 2), true),
+        shard.respond(Timestamp::from_secs(3), &worker_heartbeat(3, 2), true),
         ShardResponse::NotResponsible,
         "the leader has a command for it"
     );
@@ -71,16 +83,25 @@
 #[test]
 fn without_a_leader_workers_are_kept_alive_until_the_shard_lease_ends() {
     let mut shard = shard();
-    assert_eq!(shard.respond(3 * SECOND, &worker_heartbeat(2, 2), false).token(), Some(4));
+    assert_eq!(shard.respond(Timestamp::from_secs(3), &worker_heartbeat(2, 2), false).token(), Some(4));
     // With a change it tries the other nodes once: perhaps they are in contact with the leader.
-    assert_eq!(shard.respond(3 * SECOND, &worker_heartbeat(3, 3), false), ShardResponse::NotResponsible);
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(3), &worker_heartbeat(3, 3), false),
+        ShardResponse::NotResponsible
+    );
     // Behind a cut it waited for both of them, four seconds each, with a second's pause. Redirected again at
     // once, it would lose its lease.
-    assert_eq!(shard.respond(14 * SECOND, &worker_heartbeat(4, 3), false).token(), Some(4));
-    assert_eq!(shard.respond(17 * SECOND, &worker_heartbeat(5, 3), false).token(), Some(4));
+    assert_eq!(shard.respond(Timestamp::from_secs(14), &worker_heartbeat(4, 3), false).token(), Some(4));
+    assert_eq!(shard.respond(Timestamp::from_secs(17), &worker_heartbeat(5, 3), false).token(), Some(4));
     // What changed meanwhile is relayed as soon as there is a leader.
-    assert_eq!(shard.respond(18 * SECOND, &worker_heartbeat(6, 3), true), ShardResponse::NotResponsible);
-    assert_eq!(shard.respond(SECOND + LEASE, &worker_heartbeat(7, 2), false), ShardResponse::NotResponsible);
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(18), &worker_heartbeat(6, 3), true),
+        ShardResponse::NotResponsible
+    );
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(1) + LEASE, &worker_heartbeat(7, 2), false),
+        ShardResponse::NotResponsible
+    );
 }
 
 /// Two thirds of a cut zone's workers had reported to nodes outside it. They came to the one inside, which
@@ -90,27 +111,27 @@
     let mut shard = shard();
     let stranger = Heartbeat { machine: "m-2".into(), ..worker_heartbeat(9, 1) };
     assert_eq!(
-        shard.respond(2 * SECOND, &stranger, true),
+        shard.respond(Timestamp::from_secs(2), &stranger, true),
         ShardResponse::NotResponsible,
         "the leader decides while there is contact"
     );
-    assert_eq!(shard.respond(8 * SECOND, &stranger, false).token(), Some(4));
+    assert_eq!(shard.respond(Timestamp::from_secs(8), &stranger, false).token(), Some(4));
     // Its token must be ours: a worker with none, or an earlier one, has no tasks that this shard may keep alive.
     assert_eq!(
-        shard.respond(8 * SECOND, &Heartbeat { token: 3, ..stranger }, false),
+        shard.respond(Timestamp::from_secs(8), &Heartbeat { token: 3, ..stranger }, false),
         ShardResponse::NotResponsible
     );
-    assert_eq!(shard.next_heartbeat(9 * SECOND).unwrap().machines, ["m-2"]);
+    assert_eq!(shard.next_heartbeat(Timestamp::from_secs(9)).unwrap().machines, ["m-2"]);
 }
 
 #[test]
 fn a_shard_lease_counts_from_the_send_time_of_an_acknowledged_heartbeat() {
     let mut shard = shard();
-    assert!(shard.respond(3 * SECOND, &worker_heartbeat(2, 2), true).token().is_some());
-    let heartbeat = shard.next_heartbeat(4 * SECOND).unwrap();
+    assert!(shard.respond(Timestamp::from_secs(3), &worker_heartbeat(2, 2), true).token().is_some());
+    let heartbeat = shard.next_heartbeat(Timestamp::from_secs(4)).unwrap();
     assert!(heartbeat.complete);
     assert_eq!(heartbeat.machines, ["m-1"]);
-    let late = SECOND + LEASE;
+    let late = Timestamp::from_secs(1) + LEASE;
     assert_eq!(
         shard.respond(late, &worker_heartbeat(3, 2), true),
         ShardResponse::NotResponsible,
@@ -119,7 +140,7 @@
     shard.acknowledge(heartbeat.id, LEASE);
     assert_eq!(shard.respond(late, &worker_heartbeat(4, 2), true).token(), Some(4));
     assert_eq!(
-        shard.respond(4 * SECOND + LEASE, &worker_heartbeat(5, 2), true),
+        shard.respond(Timestamp::from_secs(4) + LEASE, &worker_heartbeat(5, 2), true),
         ShardResponse::NotResponsible
     );
 }
@@ -129,17 +150,17 @@
 #[test]
 fn a_shard_heartbeat_names_every_machine_since_the_last_acknowledged_one() {
     let mut shard = shard();
-    assert!(shard.respond(2 * SECOND, &worker_heartbeat(2, 2), true).token().is_some());
-    let lost = shard.next_heartbeat(3 * SECOND).unwrap();
-    let next = shard.next_heartbeat(5 * SECOND).unwrap();
+    assert!(shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2, 2), true).token().is_some());
+    let lost = shard.next_heartbeat(Timestamp::from_secs(3)).unwrap();
+    let next = shard.next_heartbeat(Timestamp::from_secs(5)).unwrap();
     assert_eq!((lost.machines, &next.machines), (vec!["m-1".to_string()], &vec!["m-1".to_string()]));
     // Renewed again after that heartbeat was sent: the acknowledgement does not cover it.
-    assert!(shard.respond(5 * SECOND, &worker_heartbeat(3, 2), true).token().is_some());
+    assert!(shard.respond(Timestamp::from_secs(5), &worker_heartbeat(3, 2), true).token().is_some());
     shard.acknowledge(next.id, LEASE);
-    let last = shard.next_heartbeat(7 * SECOND).unwrap();
+    let last = shard.next_heartbeat(Timestamp::from_secs(7)).unwrap();
     assert_eq!(last.machines, ["m-1"]);
     shard.acknowledge(last.id, LEASE);
-    assert!(shard.next_heartbeat(9 * SECOND).unwrap().machines.is_empty());
+    assert!(shard.next_heartbeat(Timestamp::from_secs(9)).unwrap().machines.is_empty());
 }
 
 #[test]
@@ -148,23 +169,35 @@
     shard.follow(5);
     let worker_heartbeat = |sequence| Heartbeat { token: 5, ..worker_heartbeat(sequence, 2) };
     assert_eq!(
-        shard.respond(2 * SECOND, &worker_heartbeat(2), false),
+        shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2), false),
         ShardResponse::NotResponsible,
         "its lease was the last leader's"
     );
-    let heartbeat = shard.next_heartbeat(2 * SECOND).unwrap();
+    let heartbeat = shard.next_heartbeat(Timestamp::from_secs(2)).unwrap();
     shard.acknowledge(heartbeat.id, LEASE);
-    assert_eq!(shard.respond(2 * SECOND, &worker_heartbeat(2), true), ShardResponse::NotResponsible);
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2), true),
+        ShardResponse::NotResponsible
+    );
     // A late response of the last leader leaves nothing to renew.
-    shard.record_relayed_response(2 * SECOND, worker_heartbeat(2), 4, true);
-    assert_eq!(shard.respond(2 * SECOND, &worker_heartbeat(3), true), ShardResponse::NotResponsible);
+    shard.record_relayed_response(Timestamp::from_secs(2), worker_heartbeat(2), 4, true);
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(2), &worker_heartbeat(3), true),
+        ShardResponse::NotResponsible
+    );
 }
 
 #[test]
 fn a_repeated_heartbeat_is_a_duplicate_and_renews_nothing() {
     let mut shard = shard();
-    assert_eq!(shard.respond(2 * SECOND, &worker_heartbeat(1, 2), true), ShardResponse::Duplicate);
-    assert!(shard.next_heartbeat(4 * SECOND).unwrap().machines.is_empty(), "the machine got no response");
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(2), &worker_heartbeat(1, 2), true),
+        ShardResponse::Duplicate
+    );
+    assert!(
+        shard.next_heartbeat(Timestamp::from_secs(4)).unwrap().machines.is_empty(),
+        "the machine got no response"
+    );
 }
 
 /// 6,000 machines with names of sixty bytes do not fit into one frame. The leader counts no lease of the shard as
@@ -172,17 +205,17 @@
 #[test]
 fn a_large_shard_with_long_names_is_named_completely_within_one_report_interval() {
     const MACHINES: usize = 6_000;
-    const REPORT_INTERVAL: u64 = 2_500_000;
+    const REPORT_INTERVAL: Duration = Duration::from_millis(2_500);
     let mut shard = Shard::new(2 * MACHINES, 1);
     shard.follow(4);
-    let first = shard.next_heartbeat(SECOND).unwrap();
+    let first = shard.next_heartbeat(Timestamp::from_secs(1)).unwrap();
     shard.acknowledge(first.id, 60 * SECOND);
     let name = |machine: usize| format!("machine-of-a-rather-long-name-in-a-zone-far-away-{machine:010}");
     let (mut named, mut complete_at) = (std::collections::BTreeSet::new(), Vec::new());
-    let mut now = SECOND;
+    let mut now = Timestamp::from_secs(1);
     for sequence in 1..=4 {
         for machine in 0..MACHINES {
-            now += REPORT_INTERVAL / MACHINES as u64;
+            now += REPORT_INTERVAL / MACHINES as u32;
             let worker = Heartbeat { machine: name(machine), ..worker_heartbeat(sequence, 1) };
             assert!(shard.respond(now, &worker, false).token().is_some(), "its lease runs");
             if let Some(heartbeat) = shard.next_heartbeat(now) {
@@ -195,7 +228,7 @@
         }
     }
     assert_eq!(named.len(), MACHINES);
-    let apart = complete_at.windows(2).map(|pair| pair[1] - pair[0]).max();
+    let apart = complete_at.windows(2).map(|pair| pair[1].since(pair[0])).max();
     assert!(apart.is_some_and(|apart| apart <= REPORT_INTERVAL), "complete at {complete_at:?}");
 }
 
@@ -205,12 +238,15 @@
 fn an_acknowledgement_for_an_earlier_incarnation_is_ignored() {
     let mut earlier = Shard::new(8, 1);
     earlier.follow(4);
-    let acknowledged = earlier.next_heartbeat(SECOND).unwrap().id;
+    let acknowledged = earlier.next_heartbeat(Timestamp::from_secs(1)).unwrap().id;
     let mut shard = Shard::new(8, 90_000);
     shard.follow(4);
-    let own = shard.next_heartbeat(2 * SECOND).unwrap().id;
+    let own = shard.next_heartbeat(Timestamp::from_secs(2)).unwrap().id;
     assert!(!shard.acknowledge(acknowledged, LEASE));
-    assert_eq!(shard.respond(3 * SECOND, &worker_heartbeat(1, 2), false), ShardResponse::NotResponsible);
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(3), &worker_heartbeat(1, 2), false),
+        ShardResponse::NotResponsible
+    );
     assert!(shard.acknowledge(own, LEASE), "its own still counts");
-    assert!(shard.respond(3 * SECOND, &worker_heartbeat(1, 2), false).token().is_some());
+    assert!(shard.respond(Timestamp::from_secs(3), &worker_heartbeat(1, 2), false).token().is_some());
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,5 +24,6 @@
 pub mod scheduler;
 pub mod settings;
 pub mod storage;
+pub mod time;
 mod token_bucket;
 pub mod worker;
--- a/src/limits/autoscaling.rs
+++ b/src/limits/autoscaling.rs
@@ -3,25 +3,25 @@
 use std::time::Duration;
 
 /// A new leader moves no replicas until it has seen this much calm.
-pub const REPLICA_MOVE_INITIAL_DELAY: u64 = 30_000_000;
+pub const REPLICA_MOVE_INITIAL_DELAY: Duration = Duration::from_secs(30);
 /// Between two moves of replicas, so that never many are down at once.
-pub const REPLICA_MOVE_INTERVAL: u64 = 4_000_000;
+pub const REPLICA_MOVE_INTERVAL: Duration = Duration::from_secs(4);
 /// Of so many replicas one is moved at a time (one at least): with some four seconds down for each, moving
 /// costs half a percent of the replica time while it lasts.
 pub const REPLICAS_PER_MOVE: usize = 200;
 /// Between two moves of one job's replicas, and between its start and the first.
-pub const JOB_REPLICA_MOVE_INTERVAL: u64 = 60_000_000;
+pub const JOB_REPLICA_MOVE_INTERVAL: Duration = Duration::from_secs(60);
 
 /// How often the fleet is weighed.
-pub const AUTOSCALER_INTERVAL: u64 = 1_000_000;
+pub const AUTOSCALER_INTERVAL: Duration = Duration::from_secs(1);
 /// A plan that its budget did not suffice for goes on after this.
-pub const AUTOSCALER_RESUME_DELAY: u64 = 100_000;
+pub const AUTOSCALER_RESUME_DELAY: Duration = Duration::from_millis(100);
 /// A boot that takes this many times the nominal time is given up (most take at most 1.5 times).
 pub const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
 /// First pause after a refused rental of one type, zone and kind; doubles up to the longest.
-pub const RENTAL_BACKOFF: u64 = 8_000_000;
-/// The longest pause after refused rentals, in microseconds.
-pub const MAX_RENTAL_BACKOFF: u64 = 60_000_000;
+pub const RENTAL_BACKOFF: Duration = Duration::from_secs(8);
+/// The longest pause after refused rentals.
+pub const MAX_RENTAL_BACKOFF: Duration = Duration::from_secs(60);
 /// `how_many` is at most 50, a deletion names at most 100 machines (PROTOCOL).
 pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// Machines that one deletion may name (PROTOCOL).
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,5 +1,5 @@
 //! Every constant of the service, with its unit and the reason for its value. What follows from the
-//! settings is a function of them. Times are microseconds of the steady clock unless the name says otherwise.
+//! settings is a function of them. Times are durations unless the name says otherwise.
 
 mod autoscaling;
 mod client;
@@ -25,10 +25,7 @@
 pub use shard::*;
 pub use transport::*;
 
-/// Microseconds in a second.
-pub const SECOND: u64 = 1_000_000;
+use std::time::Duration;
 
-/// Seconds, as the settings give them, in microseconds.
-pub fn micros(seconds: f64) -> u64 {
-    (seconds.max(0.0) * SECOND as f64) as u64
-}
+/// One second.
+pub const SECOND: Duration = Duration::from_secs(1);
--- a/src/limits/scheduling.rs
+++ b/src/limits/scheduling.rs
@@ -1,6 +1,8 @@
 //! Rounds of decisions, aging, backoff and gangs.
 
-use super::micros;
+use std::time::Duration;
+
+use crate::time::from_seconds;
 
 /// Decision steps of one round of decisions; the next round goes on where this one stopped.
 /// 4,000 decision steps take about 2 ms on a full core.
@@ -14,43 +16,43 @@
 /// Share of this process's processor time that rounds may take.
 pub const ROUND_CPU_SHARE: f64 = 0.3;
 /// Rounds are never further apart than this while there is news: heartbeats wait for them.
-pub const MAX_ROUND_PAUSE: u64 = 300_000;
+pub const MAX_ROUND_PAUSE: Duration = Duration::from_millis(300);
 
 /// The rest after a round of so many decision steps.
-pub fn round_pause(steps: usize, cpu_share: f64) -> u64 {
+pub fn round_pause(steps: usize, cpu_share: f64) -> Duration {
     let cost = steps as f64 * STEP_COST_US / (cpu_share.clamp(0.001, 1.0) * ROUND_CPU_SHARE);
-    (cost as u64).min(MAX_ROUND_PAUSE)
+    Duration::from_micros(cost as u64).min(MAX_ROUND_PAUSE)
 }
 
 /// How often leases are looked at: small against every lease and its margin.
-pub const LEASE_EXPIRY_INTERVAL: u64 = 250_000;
+pub const LEASE_EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 /// A job of which nothing has begun after the first time gains a class of priority in the second: from the
 /// lowest it passes the highest but critical within three minutes, so that with a boot and a fetch the
 /// widest jobs of a class begin within four (the users' rule), also behind a stream of narrow ones.
-pub const AGING_DELAY: u64 = 90_000_000;
-/// A waiting job gains a class of priority in this time, in microseconds.
-pub const AGING_INTERVAL: u64 = 30_000_000;
+pub const AGING_DELAY: Duration = Duration::from_secs(90);
+/// A waiting job gains a class of priority in this time.
+pub const AGING_INTERVAL: Duration = Duration::from_secs(30);
 /// A job ages by its size against the average, at most so many times faster or slower: owners' estimates are
 /// often wrong by half, and a job of a single task must not pass all others at once.
 pub const MAX_AGING_FACTOR: f64 = 10.0;
 /// A round without news runs this often, for gaps and ages that have run out.
-pub const IDLE_ROUND_INTERVAL: u64 = 500_000;
+pub const IDLE_ROUND_INTERVAL: Duration = Duration::from_millis(500);
 /// A job waits this long for machines that are fetching other images; then it shares their rate, so that a
 /// fetch that hangs keeps nobody out.
-pub const FETCH_TIMEOUT: u64 = 40_000_000;
+pub const FETCH_TIMEOUT: Duration = Duration::from_secs(40);
 /// Room of a stop that is not confirmed this long after its grace is not counted on any more.
-pub const STOP_TIMEOUT: u64 = 4_000_000;
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(4);
 /// Failures of so many jobs on one machine, none of them under suspicion itself, after which it is replaced.
 pub const MAX_MACHINE_FAILURES: usize = 2;
 /// A job of which nothing has finished is under suspicion once it has failed on so many machines: two faulty ones
 /// in a row are chance where one in thirty is faulty, three hardly.
 pub const SUSPECT_JOB_MACHINES: usize = 3;
 /// First pause of a job whose task failed; doubles up to the longest.
-pub const JOB_BACKOFF: u64 = 2_000_000;
-/// The longest pause of a job whose tasks fail, in microseconds.
-pub const MAX_JOB_BACKOFF: u64 = 60_000_000;
+pub const JOB_BACKOFF: Duration = Duration::from_secs(2);
+/// The longest pause of a job whose tasks fail.
+pub const MAX_JOB_BACKOFF: Duration = Duration::from_secs(60);
 /// A machine that refused a start for want of room is left alone this long.
-pub const NO_ROOM_BACKOFF: u64 = 3_000_000;
+pub const NO_ROOM_BACKOFF: Duration = Duration::from_secs(3);
 /// Where the settings do not say how long a gang's tasks wait for one another, and how soon they notice a loss:
 /// what the operators' files have at least and at most.
 pub const GANG_WAIT_S: f64 = 30.0;
@@ -59,8 +61,8 @@
 
 /// A gang that waits for some of its tasks and finds no room for them is stopped whole after this: within the
 /// time that its workers wait, a heartbeat and a fetch included, so that its places do not idle until then.
-pub fn gang_completion_timeout(gang_wait_s: f64) -> u64 {
-    micros(gang_wait_s / 3.0)
+pub fn gang_completion_timeout(gang_wait_s: f64) -> Duration {
+    from_seconds(gang_wait_s / 3.0)
 }
 
 /// On a spot notice, tasks that save are stopped when their saving time plus this is left.
@@ -74,5 +76,5 @@
 pub const SLOW_FACTOR: f64 = 2.0;
 /// Slow tasks in a row after which a machine is quarantined.
 pub const MAX_SLOW_TASKS: u32 = 2;
-/// How long a slow machine gets no arrays and gangs, in microseconds.
-pub const SLOW_MACHINE_QUARANTINE: u64 = 60_000_000;
+/// How long a slow machine gets no arrays and gangs.
+pub const SLOW_MACHINE_QUARANTINE: Duration = Duration::from_secs(60);
--- a/src/limits/transport.rs
+++ b/src/limits/transport.rs
@@ -8,7 +8,7 @@
 /// Tasks of a job (PROTOCOL).
 pub const MAX_JOB_TASKS: u32 = 100_000;
 /// The longest age of a job that is believed: a wrong clock must not make one outrank the rest for ever.
-pub const MAX_JOB_AGE_MS: u64 = 86_400_000;
+pub const MAX_JOB_AGE: Duration = Duration::from_secs(86_400);
 /// Length of names that users choose, so that a record fits `value_kb`.
 pub const MAX_NAME_BYTES: usize = 128;
 /// Allowed machine types named by one job, for the same reason.
@@ -58,9 +58,9 @@
 
 /// Names of machines that are gone are remembered this long: heartbeats that a cut held back, and copies of them,
 /// come minutes late.
-pub const DELETED_MACHINE_RETENTION: u64 = 3_600_000_000;
+pub const DELETED_MACHINE_RETENTION: Duration = Duration::from_secs(3_600);
 /// A leaseholder forgets a machine that it has not answered for this long: it is gone, or reports elsewhere.
-pub const CACHED_HEARTBEAT_TTL: u64 = 60_000_000;
+pub const CACHED_HEARTBEAT_TTL: Duration = Duration::from_secs(60);
 /// Frames written to a peer at once: some 100 KiB.
 pub const MAX_PEER_FRAMES_PER_WRITE: usize = 512;
 /// Commands taken in one batch.
@@ -74,11 +74,11 @@
 /// After a request that answers polls, the next polls gather this long: ten requests a second at most.
 pub const POLL_BATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// A watch: how long it waits, and how much longer we wait for it.
-pub const STORE_WATCH_MS: u64 = 4_000;
+pub const STORE_WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 /// How much longer than asked for a watch may take.
 pub const STORE_WATCH_MARGIN: Duration = Duration::from_millis(1_500);
 /// Pause after a failed state request, doubled at random, against stampedes after an outage.
-pub const STORE_RETRY_DELAY_MS: u64 = 250;
+pub const STORE_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Cloud requests may take their time; a request without an answer is repeated under its name.
 pub const CLOUD_TIMEOUT: Duration = Duration::from_secs(4);
 /// Direct commands to a worker's address.
--- a/src/node_events.rs
+++ b/src/node_events.rs
@@ -11,6 +11,7 @@
 use crate::scheduler::model::{JobId, MachineType};
 use crate::scheduler::overview::{Overview, PageStart};
 use crate::scheduler::Command;
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
@@ -64,8 +65,8 @@
 /// Changes of the set of live jobs, from one or more reads of the state service.
 #[derive(Debug, Default)]
 pub struct LiveJobsUpdate {
-    /// When the last of its requests was sent, in microseconds: the update is at least as new.
-    pub requested_at: u64,
+    /// When the last of its requests was sent: the update is at least as new.
+    pub requested_at: Timestamp,
     /// `added` names all live jobs.
     pub complete: bool,
     /// Jobs that are live, or were when they were read.
@@ -81,7 +82,7 @@
     pub node: String,
     /// The leader's name, if it is known.
     pub leader: Option<String>,
-    /// The fencing token of this node's leadership; 0: it does not lead.
+    /// The fencing token of this node's leadership; zero: it does not lead.
     pub token: u64,
     /// Lease renewals by this node, by their basis.
     #[serde(rename = "answers")]
--- a/src/peer/codec/heartbeat.rs
+++ b/src/peer/codec/heartbeat.rs
@@ -2,8 +2,9 @@
 
 use super::super::layout::{HeartbeatLine, TaskLine, MAX_BODY_LENGTH, NO_NOTICE};
 use super::{names, FrameError};
-use crate::limits;
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
+use crate::time::{as_seconds, from_seconds, whole_micros};
+use std::time::Duration;
 use zerocopy::{FromBytes, IntoBytes};
 
 /// The longest name that its length byte can tell.
@@ -54,7 +55,7 @@
 pub(super) fn write(heartbeat: &Heartbeat, body: &mut Vec<u8>) {
     let names = names_of(heartbeat);
     let lengths = names.map(|name| name.len().min(MAX_NAME) as u8);
-    let notice = heartbeat.notice_s.map_or(NO_NOTICE, limits::micros);
+    let notice = heartbeat.notice_s.map_or(NO_NOTICE, |seconds| whole_micros(from_seconds(seconds)));
     let line = HeartbeatLine {
         agent_epoch: heartbeat.agent_epoch.into(),
         sequence: heartbeat.sequence.into(),
@@ -113,7 +114,7 @@
         agent_epoch: line.agent_epoch.get(),
         sequence: line.sequence.get(),
         token: line.token.get(),
-        notice_s: (notice != NO_NOTICE).then_some(notice as f64 / limits::SECOND as f64),
+        notice_s: (notice != NO_NOTICE).then_some(as_seconds(Duration::from_micros(notice))),
         tasks,
     })
 }
--- a/src/peer/codec/mod.rs
+++ b/src/peer/codec/mod.rs
@@ -4,9 +4,11 @@
 mod names;
 mod task_command;
 
+use crate::time::{whole_micros, Timestamp};
 pub use heartbeat::fits_frame;
 #[cfg(test)]
 pub(super) use heartbeat::status_of;
+use std::time::Duration;
 
 use super::layout::{
     AttestationLine, Head, SummaryLine, TaskCommandLine, ATTESTATION, ATTESTS, GRANT, LEADER_HEARTBEAT,
@@ -57,7 +59,8 @@
             write_summary(jobs, body);
         }
         Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
-            (head.kind, head.stamp, head.state_age) = (RELAYED_HEARTBEAT, (*id).into(), (*stamp).into());
+            (head.kind, head.stamp, head.state_age) =
+                (RELAYED_HEARTBEAT, (*id).into(), stamp.as_micros().into());
             heartbeat::write(heartbeat, body);
         }
         Payload::RelayedResponse { id, token, cacheable, task_commands } => {
@@ -73,7 +76,8 @@
             names::write(machines, body);
         }
         Payload::ShardHeartbeat { id, stamp, complete, first_of_incarnation, machines } => {
-            (head.kind, head.stamp, head.state_age) = (SHARD_HEARTBEAT, (*id).into(), (*stamp).into());
+            (head.kind, head.stamp, head.state_age) =
+                (SHARD_HEARTBEAT, (*id).into(), stamp.as_micros().into());
             head.workers = u32::from(*complete).into();
             head.successor = u32::from(*first_of_incarnation).into();
             names::write(machines, body);
@@ -82,14 +86,14 @@
             (head.kind, head.stamp, head.workers) = (SHARD_HEARTBEAT_ACK, (*id).into(), (*lease_ms).into());
         }
         Payload::Attestation(attestation) => {
-            (head.kind, head.stamp) = (ATTESTATION, attestation.echo.into());
+            (head.kind, head.stamp) = (ATTESTATION, attestation.echo.as_micros().into());
             write_attestation(attestation, body);
         }
     }
 }
 
 fn write_leadership(status: Status, message: Message, head: &mut Head) {
-    head.state_age = status.state_age.into();
+    head.state_age = whole_micros(status.state_age).into();
     head.workers = status.workers.into();
     head.abilities = (if status.attests { ATTESTS } else { 0 }).into();
     let (kind, token, stamp) = match message {
@@ -99,12 +103,12 @@
         Message::Vote { echo } => (VOTE, 0, echo),
         Message::Release { token, successor } => {
             head.successor = (successor as u32).into();
-            (RELEASE, token, 0)
+            (RELEASE, token, Timestamp::ZERO)
         }
     };
     head.kind = kind;
     head.token = token.into();
-    head.stamp = stamp.into();
+    head.stamp = stamp.as_micros().into();
 }
 
 fn write_summary(jobs: &[(u64, u32, u32)], body: &mut Vec<u8>) {
@@ -117,7 +121,7 @@
 fn write_attestation(attestation: &Attestation, body: &mut Vec<u8>) {
     let line = AttestationLine {
         for_incarnation: attestation.for_incarnation.into(),
-        incarnation_age: attestation.incarnation_age.into(),
+        incarnation_age: whole_micros(attestation.incarnation_age).into(),
         acknowledged: attestation.acknowledged.into(),
         last: attestation.last.into(),
         confirmations_suspended: attestation.confirmations_suspended.into(),
@@ -159,7 +163,11 @@
 
 /// The payload of a head whose kind [`body_length`] knows.
 fn read_payload(head: &Head, body: &[u8]) -> Result<Payload, FrameError> {
-    let (token, stamp, time) = (head.token.get(), head.stamp.get(), head.state_age.get());
+    let token = head.token.get();
+    // The number or the instant, see `write_payload`.
+    let number = head.stamp.get();
+    let stamp = Timestamp::from_micros(number);
+    let echoed = Timestamp::from_micros(head.state_age.get());
     Ok(match head.kind {
         LEADER_HEARTBEAT => read_leadership(head, Message::Heartbeat { token, sent: stamp }),
         GRANT => read_leadership(head, Message::Grant { token, echo: stamp }),
@@ -170,12 +178,12 @@
         }
         SUMMARY => Payload::Summary(read_summary(body)?),
         RELAYED_HEARTBEAT => {
-            Payload::RelayedHeartbeat { id: stamp, stamp: time, heartbeat: heartbeat::read(body)? }
+            Payload::RelayedHeartbeat { id: number, stamp: echoed, heartbeat: heartbeat::read(body)? }
         }
         RELAYED_RESPONSE => {
             let lines = <[TaskCommandLine]>::ref_from_bytes(body).map_err(|_| FrameError::WrongLength)?;
             Payload::RelayedResponse {
-                id: stamp,
+                id: number,
                 token: (token > 0).then_some(token),
                 cacheable: head.workers.get() != 0,
                 task_commands: lines.iter().map(task_command::decode).collect::<Result<_, _>>()?,
@@ -183,20 +191,20 @@
         }
         WAKE_REQUEST => Payload::WakeRequest(names::read(body)?),
         SHARD_HEARTBEAT => Payload::ShardHeartbeat {
-            id: stamp,
-            stamp: time,
+            id: number,
+            stamp: echoed,
             complete: head.workers.get() != 0,
             first_of_incarnation: head.successor.get() != 0,
             machines: names::read(body)?,
         },
         ATTESTATION => Payload::Attestation(read_attestation(stamp, body)?),
-        _ => Payload::ShardHeartbeatAck { id: stamp, lease_ms: head.workers.get() },
+        _ => Payload::ShardHeartbeatAck { id: number, lease_ms: head.workers.get() },
     })
 }
 
 fn read_leadership(head: &Head, message: Message) -> Payload {
     let status = Status {
-        state_age: head.state_age.get(),
+        state_age: Duration::from_micros(head.state_age.get()),
         workers: head.workers.get(),
         machines: 0,
         attests: head.abilities.get() & ATTESTS != 0,
@@ -209,13 +217,13 @@
     Ok(lines.iter().map(|line| (line.job_id.get(), line.done.get(), line.running.get())).collect())
 }
 
-fn read_attestation(echo: u64, body: &[u8]) -> Result<Attestation, FrameError> {
+fn read_attestation(echo: Timestamp, body: &[u8]) -> Result<Attestation, FrameError> {
     let (line, rest) = AttestationLine::ref_from_prefix(body).map_err(|_| FrameError::AttestationTooShort)?;
     let cancelled = <[U64]>::ref_from_bytes(rest).map_err(|_| FrameError::WrongLength)?;
     Ok(Attestation {
         for_incarnation: line.for_incarnation.get(),
         echo,
-        incarnation_age: line.incarnation_age.get(),
+        incarnation_age: Duration::from_micros(line.incarnation_age.get()),
         confirmations_suspended: line.confirmations_suspended != 0,
         acknowledged: line.acknowledged.get(),
         last: line.last.get(),
