--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -6,6 +6,7 @@
 mod request_ids;
 mod transport;
 
+use crate::time::Timestamp;
 pub use codec::{decode, encode, fits_frame};
 pub use error::FrameError;
 pub use layout::MAX_SUMMARY_JOBS;
@@ -28,8 +29,8 @@
     RelayedHeartbeat {
         /// Number of the request.
         id: u64,
-        /// Send time of the leader's last heartbeat, on the leader's clock, in microseconds.
-        stamp: u64,
+        /// Send time of the leader's last heartbeat, on the leader's clock.
+        stamp: Timestamp,
         /// The worker's heartbeat.
         heartbeat: Heartbeat,
     },
@@ -50,8 +51,8 @@
     ShardHeartbeat {
         /// Number of the heartbeat.
         id: u64,
-        /// Send time of the leader's last heartbeat, on the leader's clock, in microseconds.
-        stamp: u64,
+        /// Send time of the leader's last heartbeat, on the leader's clock.
+        stamp: Timestamp,
         /// These are all that were answered since the last word that was confirmed.
         complete: bool,
         /// None was confirmed yet.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -4,16 +4,18 @@
 use super::layout::Head;
 use super::*;
 use crate::scheduler::model::{JobId, ReportedTask, TaskId};
+use crate::time::Timestamp;
+use std::time::Duration;
 
 #[test]
 fn frames_survive_the_trip_and_garbage_does_not() {
     let sender = Sender { node: 2, incarnation: 77 };
-    let status = Status { state_age: 5, workers: 9, machines: 0, attests: true };
+    let status = Status { state_age: Duration::from_micros(5), workers: 9, machines: 0, attests: true };
     for message in [
-        Message::Heartbeat { token: 4, sent: 11 },
-        Message::Grant { token: 4, echo: 11 },
-        Message::VoteRequest { sent: 3 },
-        Message::Vote { echo: 3 },
+        Message::Heartbeat { token: 4, sent: Timestamp::from_micros(11) },
+        Message::Grant { token: 4, echo: Timestamp::from_micros(11) },
+        Message::VoteRequest { sent: Timestamp::from_micros(3) },
+        Message::Vote { echo: Timestamp::from_micros(3) },
         Message::Release { token: 4, successor: 1 },
     ] {
         let bytes = encode(sender, 6, &Payload::Leadership(status, message));
@@ -50,12 +52,15 @@
         tasks: (0..9).map(|code| ReportedTask { id, attempt: 5, status: status_of(code).unwrap() }).collect(),
     };
     assert!(fits_frame(&heartbeat));
-    let bytes =
-        encode(sender, 1, &Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat: heartbeat.clone() });
-    let Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat: back } = decode(&bytes).unwrap().payload
-    else {
+    let bytes = encode(
+        sender,
+        1,
+        &Payload::RelayedHeartbeat { id: 9, stamp: Timestamp::from_micros(11), heartbeat: heartbeat.clone() },
+    );
+    let Payload::RelayedHeartbeat { id: 9, stamp, heartbeat: back } = decode(&bytes).unwrap().payload else {
         panic!()
     };
+    assert_eq!(stamp, Timestamp::from_micros(11));
     assert_eq!(format!("{back:?}"), format!("{heartbeat:?}"));
     let task_commands = vec![
         TaskCommand::Start { id, attempt: 6 },
@@ -77,7 +82,7 @@
     assert_eq!(back, task_commands);
     let heard = Payload::ShardHeartbeat {
         id: 3,
-        stamp: 4,
+        stamp: Timestamp::from_micros(4),
         complete: true,
         first_of_incarnation: false,
         machines: vec!["m-1".into(), "m-22".into()],
--- a/src/scheduler/autoscaler.rs
+++ b/src/scheduler/autoscaler.rs
@@ -4,37 +4,56 @@
 use super::scaling_plan::Plan;
 use super::{Effect, ListedMachine, Scheduler, WriteOutcome};
 use crate::limits;
+use crate::time::{from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 use tracing::{debug, info};
 
 /// One kind of machine that the cloud may have: type, zone, spot or not.
 pub type Offer = (String, String, bool);
 
+/// An offer that the cloud refused.
+#[derive(Debug, Clone, Copy)]
+struct RefusedRental {
+    /// When it may be asked for again.
+    until: Timestamp,
+    /// The backoff that led to `until`.
+    backoff: Duration,
+}
+
+impl RefusedRental {
+    /// An offer that was never refused. Half the first backoff, which the first refusal doubles.
+    const NEVER: RefusedRental = RefusedRental {
+        until: Timestamp::ZERO,
+        backoff: Duration::from_micros(limits::RENTAL_BACKOFF.as_micros() as u64 / 2),
+    };
+}
+
 /// State of the autoscaler: rentals under way, refused offers, deleted machines.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    due: u64,
+    due: Timestamp,
     /// Number of the last rental request.
     pub requests: u64,
     /// Requests without an answer yet, and how many machines each asks for.
     pub renting: BTreeMap<u64, (Offer, u32)>,
-    /// Offers refused: when to ask again, and the pause after that.
-    refused: BTreeMap<Offer, (u64, u64)>,
+    /// Offers that the cloud refused.
+    refused: BTreeMap<Offer, RefusedRental>,
     /// Machines with stops to send directly.
     pub direct: BTreeSet<String>,
     /// Listed machines that a later list no longer shows: since when.
-    missing: BTreeMap<String, u64>,
+    missing: BTreeMap<String, Timestamp>,
     /// When a replica was last moved.
-    pub moved: u64,
+    pub moved: Timestamp,
     /// Machines that are provably gone, and since when; names are never used again.
-    pub deleted: BTreeMap<String, u64>,
+    pub deleted: BTreeMap<String, Timestamp>,
     /// A plan that its budget did not suffice for; the next round goes on with it.
     pub plan: Option<Plan>,
 }
 
 impl Fleet {
     /// State of a leader that begins now.
-    pub fn new(now: u64) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Fleet { due: now, ..Fleet::default() }
     }
 }
@@ -62,7 +81,7 @@
 
     /// Whether the cloud refused this offer lately.
     pub fn refused(&self, offer: &Offer) -> bool {
-        self.fleet.refused.get(offer).is_some_and(|(until, _)| self.now < *until)
+        self.fleet.refused.get(offer).is_some_and(|refused| self.now < refused.until)
     }
 
     /// Scales in: deletes machines that have been idle for long enough, except those in `kept`.
@@ -83,7 +102,7 @@
             }
             let wait = if machine.spot { operator.idle_spot_s } else { operator.idle_s };
             let needed = kept.contains(&machine.name) || self.drains.is_kept(&machine.name);
-            let idle = now >= machine.lifecycle.idle_since + limits::micros(wait) && !needed;
+            let idle = now >= machine.lifecycle.idle_since + from_seconds(wait) && !needed;
             if idle || machine.lifecycle.draining {
                 back.push(machine.name.clone());
             }
@@ -159,18 +178,20 @@
         let Some((offer, count)) = self.fleet.renting.remove(&request) else { return };
         let names = machines.unwrap_or_default();
         if outcome == WriteOutcome::Refused || (names.len() as u32) < count {
-            let known = self.fleet.refused.get(&offer).copied();
-            let (until, pause) = known.unwrap_or((0, limits::RENTAL_BACKOFF / 2));
+            let known = self.fleet.refused.get(&offer).copied().unwrap_or(RefusedRental::NEVER);
             // Requests made together that are refused together are one refusal.
-            let pause = if self.now < until { pause } else { (pause * 2).min(limits::MAX_RENTAL_BACKOFF) };
+            let repeated = self.now < known.until;
+            let backoff =
+                if repeated { known.backoff } else { (known.backoff * 2).min(limits::MAX_RENTAL_BACKOFF) };
             debug!(
                 machine_type = offer.0,
                 zone = offer.1,
                 spot = offer.2,
-                pause_s = pause / limits::SECOND,
+                pause_s = backoff.as_secs(),
                 "refused"
             );
-            self.fleet.refused.insert(offer.clone(), (self.now + pause, pause));
+            let refused = RefusedRental { until: self.now + backoff, backoff };
+            self.fleet.refused.insert(offer.clone(), refused);
         } else {
             self.fleet.refused.remove(&offer);
         }
@@ -202,9 +223,9 @@
                 debug!(machine = listed.machine.name, "listed and not known: adopted");
                 let now = self.now;
                 let machine = self.machine(&listed.machine);
-                let age = limits::micros(listed.age_s);
+                let age = from_seconds(listed.age_s);
                 machine.lifecycle.boot_deadline =
-                    machine.lifecycle.boot_deadline.saturating_sub(age).max(now + 10 * limits::SECOND);
+                    (machine.lifecycle.boot_deadline - age).max(now + 10 * limits::SECOND);
             }
             if listed.failed {
                 failed.push(listed.machine.name);
@@ -225,7 +246,7 @@
             .collect();
         self.delete(vanished, "held by the last leader and not listed");
         // Silent and missing from the lists for several lags: taken by the cloud.
-        let lag = limits::micros(self.config.list_lag_s * 4.0) + 10 * limits::SECOND;
+        let lag = from_seconds(self.config.list_lag_s * 4.0) + 10 * limits::SECOND;
         let now = self.now;
         let mut gone = Vec::new();
         for machine in self.machines.values() {
--- a/src/scheduler/cold_start/evidence.rs
+++ b/src/scheduler/cold_start/evidence.rs
@@ -46,7 +46,7 @@
     }
     MachineFact::Heard {
         number: ReportNumber(machine.heartbeats.newest.agent_epoch, machine.heartbeats.newest.sequence),
-        at: machine.heartbeats.last_at,
+        at: machine.heartbeats.last_at.as_micros(),
         tasks: machine.heartbeats.reported_tasks.iter().map(reported).collect(),
     }
 }
--- a/src/scheduler/cold_start/mod.rs
+++ b/src/scheduler/cold_start/mod.rs
@@ -20,28 +20,29 @@
 use super::model::{Job, JobId, Kind, TaskId};
 use super::Scheduler;
 use crate::limits;
+use crate::time::Timestamp;
 use crate::token_bucket::TokenBucket;
 use dockpier_reconcile::{Counts, Verdict};
 use evidence::task_id;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// The state of the phase. Times are in microseconds.
+/// The state of the phase.
 #[derive(Debug, Default)]
 pub struct ColdStart {
     /// When the stored state was loaded; `None`: there is no phase.
-    started_at: Option<u64>,
+    started_at: Option<Timestamp>,
     /// When every inherited machine was accounted for.
-    reconciled_at: Option<u64>,
+    reconciled_at: Option<Timestamp>,
     /// When the last missing task had been started.
-    ended_at: Option<u64>,
-    next_check_at: u64,
+    ended_at: Option<Timestamp>,
+    next_check_at: Timestamp,
     /// Machines that earlier leaders may have started tasks on.
     inherited: BTreeSet<String>,
     /// Inherited machines that the cloud has confirmed as deleted.
     deleted: BTreeSet<String>,
     /// When unknown jobs were last read.
-    last_read_at: BTreeMap<JobId, u64>,
+    last_read_at: BTreeMap<JobId, Timestamp>,
     /// Jobs whose record can't be read.
     unreadable: BTreeSet<JobId>,
     /// Inherited tasks that were missing at reconciliation and have not been started.
--- a/src/scheduler/cold_start/report.rs
+++ b/src/scheduler/cold_start/report.rs
@@ -6,6 +6,7 @@
 use crate::scheduler::messages::Effect;
 use crate::scheduler::model::MachineState;
 use crate::scheduler::Scheduler;
+use crate::time::{whole_millis, Timestamp};
 use dockpier_reconcile::{Counts, MachineFact};
 use serde::{Deserialize, Serialize};
 
@@ -114,7 +115,7 @@
     fn cold_start_report(&self) -> ColdStartReport {
         let cold_start = &self.cold_start;
         let started_at = cold_start.started_at.unwrap_or(self.now);
-        let ms_after_start = |at: Option<u64>| at.map(|at| (at - started_at) / 1_000);
+        let ms_after_start = |at: Option<Timestamp>| at.map(|at| whole_millis(at.since(started_at)));
         let phase = Phase::of(cold_start);
         let unreported = self.unreported_machines();
         let gone = self.lost_inherited_machines();
@@ -163,8 +164,8 @@
         self.cold_start.inherited.iter().filter(is_lost).count()
     }
 
-    /// Milliseconds of the time of day at `at`, in microseconds of the steady clock.
-    fn time_of_day_ms(&self, at: u64) -> u64 {
-        (self.day_ms() + at / 1_000).saturating_sub(self.now / 1_000)
+    /// Milliseconds of the time of day at the instant `at`.
+    fn time_of_day_ms(&self, at: Timestamp) -> u64 {
+        (self.day_ms() + at.as_micros() / 1_000).saturating_sub(self.now.as_micros() / 1_000)
     }
 }
--- a/src/scheduler/cold_start/unknown_jobs.rs
+++ b/src/scheduler/cold_start/unknown_jobs.rs
@@ -5,6 +5,7 @@
 use crate::scheduler::messages::{Effect, StoredJob};
 use crate::scheduler::model::{JobId, Machine, ReportedTask, TaskAttempt};
 use crate::scheduler::Scheduler;
+use crate::time::{as_seconds, Timestamp};
 use std::collections::BTreeSet;
 use tracing::info;
 
@@ -38,8 +39,8 @@
         }
     }
 
-    /// A read of the store that was sent at `sent`, in microseconds.
-    pub(in crate::scheduler) fn job_read(&mut self, job_id: JobId, sent: u64, reading: JobReading) {
+    /// A read of the store that was sent at `sent`.
+    pub(in crate::scheduler) fn job_read(&mut self, job_id: JobId, sent: Timestamp, reading: JobReading) {
         match reading {
             JobReading::Failed => {}
             JobReading::Unreadable => {
@@ -71,7 +72,7 @@
     }
 
     /// The job had no record when the store was read after its tasks were reported: it has ended, and they are stopped.
-    fn stop_unverified_tasks(&mut self, job_id: JobId, sent: u64) {
+    fn stop_unverified_tasks(&mut self, job_id: JobId, sent: Timestamp) {
         let now = self.now;
         let mut stopped = Vec::new();
         for machine in self.machines.values_mut() {
@@ -84,7 +85,7 @@
                 .collect();
             for attempt in orphaned {
                 let reported_at = machine.reported.unverified.remove(&attempt).unwrap_or(now);
-                let seconds = (now - reported_at) as f64 / limits::SECOND as f64;
+                let seconds = as_seconds(now.since(reported_at));
                 info!(task = %attempt.task, machine = machine.name, seconds, "orphaned task stopped");
                 machine.reported.orphaned.insert(attempt);
                 stopped.push(machine.name.clone());
--- a/src/scheduler/drains/disruption.rs
+++ b/src/scheduler/drains/disruption.rs
@@ -4,7 +4,7 @@
 use super::super::model::{Job, Kind, Machine, Placement, TaskId, TaskStatus};
 use super::super::Scheduler;
 use super::OpenDisruption;
-use crate::limits;
+use crate::time::as_seconds;
 use dockpier_drain::budget::Cost;
 use std::collections::BTreeSet;
 
@@ -95,8 +95,8 @@
             return None;
         }
         if job.spec.kind == Kind::Service {
-            let silent = self.now.saturating_sub(machine.heartbeats.last_at.max(self.started_at));
-            return Some(Cost::replica(silent as f64 / limits::SECOND as f64));
+            let silent = self.now.since(machine.heartbeats.last_at.max(self.started_at));
+            return Some(Cost::replica(as_seconds(silent)));
         }
         let (ran_s, saved_every) = (self.ran_s(task), job.spec.checkpoint_s);
         Some(Cost::work(if saved_every > 0.0 { ran_s.min(saved_every) } else { ran_s }))
@@ -105,7 +105,7 @@
     /// For how long the task has run, as far as this leader knows.
     pub(super) fn ran_s(&self, task: &Placement) -> f64 {
         let since = task.running_since.unwrap_or(task.placed_at);
-        self.now.saturating_sub(since) as f64 / limits::SECOND as f64
+        as_seconds(self.now.since(since))
     }
 
     /// Disruptions end where the task runs again, is done, or is not wanted any more.
--- a/src/scheduler/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -18,6 +18,7 @@
 use super::model::TaskId;
 use super::Scheduler;
 use crate::limits;
+use crate::time::Timestamp;
 use dockpier_drain::budget::Budget;
 use dockpier_drain::ledger::{Allowance, DisruptionId, Ledger};
 use dockpier_drain::progress::{MachineDrainState, Progress};
@@ -53,14 +54,14 @@
     summary: Option<Summary>,
     summary_writing: PendingWrite,
     /// When the summary was last sent.
-    summary_at: u64,
+    summary_at: Timestamp,
     /// When this leader first saw it, and how many machines were done then: its pace.
-    seen: u64,
+    seen: Timestamp,
     done_then: usize,
     /// What kept its machines back in the last round.
     waits: Vec<Wait>,
     /// The cloud refused a replacement: not asked again before.
-    refused_until: u64,
+    refused_until: Timestamp,
 }
 
 impl Drain {
@@ -112,7 +113,7 @@
     ledger: Ledger,
     writing: PendingWrite,
     /// When it was last sent.
-    sent_at: u64,
+    sent_at: Timestamp,
     /// Stops that wait for the next write, and for the one under way.
     pending: Vec<PendingStop>,
     in_write: Vec<PendingStop>,
@@ -124,7 +125,7 @@
 #[derive(Debug, Clone)]
 struct Move {
     to: String,
-    since: u64,
+    since: Timestamp,
 }
 
 /// A task whose disruption is not settled.
@@ -138,7 +139,7 @@
 #[derive(Debug, Default)]
 pub struct Drains {
     loaded: bool,
-    due: u64,
+    due: Timestamp,
     drains: BTreeMap<DrainId, Drain>,
     teams: BTreeMap<String, TeamDisruption>,
     /// Machines that take nothing new.
@@ -191,14 +192,14 @@
     }
 
     /// The controller tells the time of day, by which deadlines and windows count.
-    pub fn time_of_day(&mut self, now: u64, day_ms: u64) {
-        self.drains.day_offset = Some(day_ms as i64 - (now / 1_000) as i64);
+    pub fn time_of_day(&mut self, now: Timestamp, day_ms: u64) {
+        self.drains.day_offset = Some(day_ms as i64 - (now.as_micros() / 1_000) as i64);
     }
 
     /// The time of day in milliseconds, as of this step.
     pub(super) fn day_ms(&self) -> u64 {
         let offset = self.drains.day_offset.unwrap_or(0);
-        ((self.now / 1_000) as i64 + offset).max(0) as u64
+        ((self.now.as_micros() / 1_000) as i64 + offset).max(0) as u64
     }
 
     fn budget_of(&self, team: &str) -> Budget {
--- a/src/scheduler/drains/reservations.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -6,6 +6,7 @@
 use super::super::scoring::{self, ZoneCount};
 use super::super::Scheduler;
 use crate::limits;
+use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
 /// Room on machines that is kept for replicas on their way there.
@@ -58,7 +59,7 @@
     /// Replicas that have ended on the machine that they leave start on the place that was kept.
     pub(in super::super) fn place_moved(&mut self, capacity: &mut FreeCapacity) {
         let patience = limits::DRAIN_MOVE_TIMEOUT;
-        let moves: Vec<(TaskId, String, u64)> =
+        let moves: Vec<(TaskId, String, Timestamp)> =
             self.drains.moves.iter().map(|(id, to)| (*id, to.to.clone(), to.since)).collect();
         for (id, to, since) in moves {
             let Some(job) = self.jobs.get(&id.job_id).filter(|job| !job.terminated) else {
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -4,6 +4,7 @@
 use super::super::{Effect, Scheduler, WriteOutcome};
 use super::{Drain, Drains, PendingWrite, TeamDisruption};
 use crate::limits;
+use crate::time::Timestamp;
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::{Ledger, LedgerRecord};
 use dockpier_drain::progress::{Chunk, Progress};
@@ -49,7 +50,7 @@
 }
 
 impl Drain {
-    fn new(stored: StoredRequest, chunks: Option<Vec<Chunk>>, now: u64) -> Self {
+    fn new(stored: StoredRequest, chunks: Option<Vec<Chunk>>, now: Timestamp) -> Self {
         let resolved = chunks.is_some();
         let progress = Progress::restore(chunks.unwrap_or_default());
         let counts = progress.counts();
@@ -60,11 +61,11 @@
             resolved,
             summary: None,
             summary_writing: PendingWrite::default(),
-            summary_at: 0,
+            summary_at: Timestamp::ZERO,
             seen: now,
             done_then: counts.returned + counts.gone,
             waits: Vec::new(),
-            refused_until: 0,
+            refused_until: Timestamp::ZERO,
         }
     }
 }
--- a/src/scheduler/drains/summary.rs
+++ b/src/scheduler/drains/summary.rs
@@ -2,6 +2,7 @@
 
 use super::super::Scheduler;
 use super::Drain;
+use crate::time::{whole_millis, Timestamp};
 use dockpier_drain::budget::Budgets;
 use dockpier_drain::request::DesiredState;
 use dockpier_drain::status::{DrainState, Summary, Wait, WAITS_MOST};
@@ -26,7 +27,7 @@
 }
 
 impl Drain {
-    fn summarise(&self, day: u64, now: u64, token: u64, budgets: &Budgets) -> Summary {
+    fn summarise(&self, day: u64, now: Timestamp, token: u64, budgets: &Budgets) -> Summary {
         let state = self.state();
         let mut waits = match (state, self.stored.desired_state) {
             (DrainState::Finished | DrainState::Cancelled, _) => Vec::new(),
@@ -43,12 +44,12 @@
     }
 
     /// When the rest is done at the pace seen so far.
-    fn estimate(&self, day: u64, now: u64) -> Option<u64> {
+    fn estimate(&self, day: u64, now: Timestamp) -> Option<u64> {
         let counts = self.progress.counts();
         let done = counts.returned + counts.gone;
         let since = done.checked_sub(self.done_then).filter(|since| *since > 0)? as u64;
         let left = (counts.waiting + counts.replacing + counts.cordoned) as u64;
-        Some(day + now.saturating_sub(self.seen) / 1_000 / since * left)
+        Some(day + whole_millis(now.since(self.seen)) / since * left)
     }
 }
 
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -11,6 +11,7 @@
 mod preemption;
 mod priority;
 
+use crate::time::{from_seconds, Timestamp};
 pub use capacity::FreeCapacity;
 
 use crate::limits;
@@ -20,8 +21,8 @@
 
 impl Scheduler {
     fn in_gap(&self, job: &Job) -> bool {
-        job.elasticity.last_resized_at > 0
-            && self.now < job.elasticity.last_resized_at + limits::micros(self.config.operator.rescale_gap_s)
+        job.elasticity.last_resized_at > Timestamp::ZERO
+            && self.now < job.elasticity.last_resized_at + from_seconds(self.config.operator.rescale_gap_s)
     }
 
     /// One round within its budget of decision steps. What it could not reach is taken up by the next round.
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -3,7 +3,9 @@
 use crate::limits;
 use crate::scheduler::model::{Job, JobId, Kind, Priority};
 use crate::scheduler::Scheduler;
+use crate::time::{from_seconds, scaled, whole_micros, Timestamp};
 use std::sync::Arc;
+use std::time::Duration;
 
 impl Scheduler {
     /// Aged rank: the priority class plus the share of a class that its age has earned, in thousandths.
@@ -26,11 +28,11 @@
         if job.spec.priority == Priority::Critical {
             return Priority::Critical as u64 * 1000;
         }
-        let age = self.now.saturating_sub(job.submitted_at);
-        let aging = limits::micros(self.config.operator.aging_s);
-        let due = job.spec.deadline_s.map(limits::micros).filter(|due| *due > 0 && age <= *due);
-        let aging = due.map_or(aging, |due| aging.min(due)) as f64 * size;
-        self.aged(job, job.submitted_at, (aging as u64).max(1))
+        let age = self.now.since(job.submitted_at);
+        let aging = from_seconds(self.config.operator.aging_s);
+        let due = job.spec.deadline_s.map(from_seconds).filter(|due| !due.is_zero() && age <= *due);
+        let aging = scaled(due.map_or(aging, |due| aging.min(due)), size);
+        self.aged(job, job.submitted_at, aging.max(Duration::from_micros(1)))
     }
 
     /// How much work is left of a job, as a multiple of what a job brings on average now.
@@ -50,9 +52,10 @@
 
     /// The rank of a job that gains a class in `aging` from `since` on; age never lifts anybody above
     /// critical services.
-    pub(super) fn aged(&self, job: &Job, since: u64, aging: u64) -> u64 {
-        let age = self.now.saturating_sub(since);
-        (job.spec.priority as u64 * 1000 + age * 1000 / aging).min(Priority::Critical as u64 * 1000 - 1)
+    pub(super) fn aged(&self, job: &Job, since: Timestamp, aging: Duration) -> u64 {
+        let age = whole_micros(self.now.since(since));
+        (job.spec.priority as u64 * 1000 + age * 1000 / whole_micros(aging))
+            .min(Priority::Critical as u64 * 1000 - 1)
     }
 
     /// The order in which jobs yield: lowest class with its age first, the latest first on ties. The work that
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -4,9 +4,11 @@
 use crate::scheduler::model::*;
 use crate::scheduler::{Command, Config, StoredJob, StoredMachine};
 use crate::settings::{Operator, Team, Workers};
+use crate::time::Timestamp;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 fn config() -> Config {
     let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
@@ -29,7 +31,7 @@
         record_machines: 20,
         value_most: 4_096,
         rentals_at_once: 10,
-        shard_lease: 0,
+        shard_lease: Duration::ZERO,
     }
 }
 
@@ -76,9 +78,9 @@
     let config = config();
     let zones = config.zones.clone();
     let types = vec![machine_type("m", 4.0, &zones), machine_type("n", 8.0, &zones)];
-    let mut scheduler = Scheduler::new(config, limits::SECOND);
+    let mut scheduler = Scheduler::new(config, Timestamp::from_secs(1));
     let load = Command::Load { jobs: vec![], records: vec![] };
-    drop(scheduler.step(limits::SECOND, vec![Command::Types(types), load]));
+    drop(scheduler.step(Timestamp::from_secs(1), vec![Command::Types(types), load]));
     // Everybody has the first image of some fleets.
     let popular = rng.random_bool(0.5);
     for number in 0..machines {
@@ -100,9 +102,10 @@
         }
         let Some(machine) = scheduler.machines.get_mut(&name) else { continue };
         (machine.state, machine.reconciled, machine.recorded) = (MachineState::Ready, true, true);
-        (machine.heartbeats.last_at, machine.image_cache.images) = (limits::SECOND, images);
+        (machine.heartbeats.last_at, machine.image_cache.images) = (Timestamp::from_secs(1), images);
         machine.lifecycle.consolidation_target = !machine.spot && rng.random_bool(0.2);
-        machine.health.quarantined_until = if rng.random_bool(0.1) { 100 * limits::SECOND } else { 0 };
+        machine.health.quarantined_until =
+            if rng.random_bool(0.1) { Timestamp::from_secs(100) } else { Timestamp::ZERO };
         for task in 0..rng.random_range(0..4u32) {
             let id = TaskId { job_id: JobId(900_000 + number as u64), task };
             let fetching = rng.random_bool(0.1);
@@ -114,7 +117,7 @@
                 status: if fetching { TaskStatus::Fetching } else { TaskStatus::Running },
                 running_since: None,
                 image: "other".into(),
-                placed_at: 0,
+                placed_at: Timestamp::ZERO,
                 stopping: None,
             };
             machine.tasks.insert(id, placed);
@@ -133,7 +136,8 @@
         let specs: Vec<JobSpec> = (1..12).map(|id| draw_job(&mut rng, id)).collect();
         for spec in specs {
             let version = spec.job_id.0;
-            scheduler.add_job(StoredJob { spec, version, age: 0, succeeded: BTreeSet::new() }, false);
+            scheduler
+                .add_job(StoredJob { spec, version, age: Duration::ZERO, succeeded: BTreeSet::new() }, false);
         }
         let order: Vec<JobId> = scheduler.jobs.keys().copied().collect();
         let mut steps = 0;
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -6,12 +6,14 @@
 //! out first: by zone, by route and by time.
 //!
 //! [`FailureDetector`] owns what is known of zones and routes. `lease_expiry` has it updated, the autoscaler asks which
-//! machines to delete, and placement asks which zones are unreachable. Times are in microseconds.
+//! machines to delete, and placement asks which zones are unreachable.
 
 use super::model::{Machine, MachineState, PreviousRoute};
 use super::Scheduler;
 use crate::limits;
+use crate::time::{from_seconds, whole_micros, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 use tracing::info;
 
 /// Whether heartbeats arrive from a zone, or by a route.
@@ -25,12 +27,12 @@
 /// A time during which a zone or a route was unreachable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Outage {
-    from: u64,
-    until: u64,
+    from: Timestamp,
+    until: Timestamp,
 }
 
 impl Reachability {
-    fn update(&mut self, unreachable: bool, now: u64) {
+    fn update(&mut self, unreachable: bool, now: Timestamp) {
         match &mut self.last_outage {
             Some(outage) if unreachable && self.unreachable => outage.until = now,
             Some(_) | None if unreachable => self.last_outage = Some(Outage { from: now, until: now }),
@@ -40,18 +42,18 @@
     }
 
     /// When the last outage began; the end of time if there was none.
-    fn unreachable_from(&self) -> u64 {
-        self.last_outage.map_or(u64::MAX, |outage| outage.from)
+    fn unreachable_from(&self) -> Timestamp {
+        self.last_outage.map_or(Timestamp::MAX, |outage| outage.from)
     }
 
     /// When a machine that is still silent can no longer be excused by the last outage. Until its heartbeats arrive,
     /// the machine may have to wait for timeouts at two nodes.
-    fn recovered_at(&self) -> u64 {
-        self.last_outage.map_or(0, |outage| outage.until + limits::FAILOVER_GRACE_PERIOD)
+    fn recovered_at(&self) -> Timestamp {
+        self.last_outage.map_or(Timestamp::ZERO, |outage| outage.until + limits::FAILOVER_GRACE_PERIOD)
     }
 
     /// Whether no outage excuses silence at this time.
-    fn is_recovered(&self, now: u64) -> bool {
+    fn is_recovered(&self, now: Timestamp) -> bool {
         !self.unreachable && now >= self.recovered_at()
     }
 }
@@ -68,7 +70,7 @@
     /// The route before this one.
     pub previous_route: Option<PreviousRoute>,
     /// When its last heartbeat arrived.
-    pub last_heartbeat_at: u64,
+    pub last_heartbeat_at: Timestamp,
     /// Whether its heartbeats show that no response arrives there.
     pub unresponsive: bool,
     /// Whether an earlier leader recorded it and it has sent no heartbeat to this one.
@@ -82,13 +84,13 @@
     ///
     /// Machines of one outage become silent one after the other over an interval. Those that are only late already
     /// count towards a common cause, or the first of them would be declared dead before they were many.
-    fn is_late(&self, now: u64, timeouts: &DetectionTimeouts) -> bool {
+    fn is_late(&self, now: Timestamp, timeouts: &DetectionTimeouts) -> bool {
         let due = self.last_heartbeat_at + timeouts.heartbeat_interval / 4 * 5;
         self.unresponsive || now >= due + limits::LATE_HEARTBEAT_MARGIN
     }
 
     /// Whether it is dead, if no common cause explains its silence.
-    fn is_dead(&self, now: u64, timeouts: &DetectionTimeouts) -> bool {
+    fn is_dead(&self, now: Timestamp, timeouts: &DetectionTimeouts) -> bool {
         self.unresponsive || now >= self.last_heartbeat_at + timeouts.silence
     }
 
@@ -99,17 +101,17 @@
     }
 }
 
-/// Times on which failure detection rests, in microseconds.
+/// Times on which failure detection rests.
 #[derive(Debug, Clone, Copy)]
 pub struct DetectionTimeouts {
     /// Interval between the heartbeats of a machine.
-    pub heartbeat_interval: u64,
+    pub heartbeat_interval: Duration,
     /// After this time without a heartbeat a machine is silent.
-    pub silence: u64,
+    pub silence: Duration,
     /// How long a leaseholder that the leader does not reach may go on to respond by itself.
-    pub shard_lease: u64,
+    pub shard_lease: Duration,
     /// When this leader began to receive heartbeats.
-    pub started_at: u64,
+    pub started_at: Timestamp,
 }
 
 impl DetectionTimeouts {
@@ -117,8 +119,9 @@
     ///
     /// The more machines there are, the sooner their common silence is significant. A margin is needed all the same:
     /// machines that once arrived all together do so again.
-    fn is_unreachable(&self, now: u64, arrivals: Arrivals) -> bool {
-        let mean_interval = self.heartbeat_interval / arrivals.machines.max(1) as u64;
+    fn is_unreachable(&self, now: Timestamp, arrivals: Arrivals) -> bool {
+        let mean_interval =
+            Duration::from_micros(whole_micros(self.heartbeat_interval) / arrivals.machines.max(1) as u64);
         let silent_since = arrivals.latest.max(self.started_at);
         let timeout = limits::route_silence_timeout(self.heartbeat_interval);
         arrivals.machines >= limits::MIN_CORRELATED_SILENCE as usize
@@ -126,7 +129,7 @@
     }
 
     /// Whether the leader is too young to declare any machine dead.
-    fn is_initial_grace(&self, now: u64) -> bool {
+    fn is_initial_grace(&self, now: Timestamp) -> bool {
         now < self.started_at + self.silence.max(limits::FAILOVER_GRACE_PERIOD)
     }
 }
@@ -137,11 +140,11 @@
     /// Number of machines.
     machines: usize,
     /// When the last heartbeat of any of them arrived.
-    latest: u64,
+    latest: Timestamp,
 }
 
 impl Arrivals {
-    fn add(&mut self, last_heartbeat_at: u64) {
+    fn add(&mut self, last_heartbeat_at: Timestamp) {
         self.machines += 1;
         self.latest = self.latest.max(last_heartbeat_at);
     }
@@ -166,7 +169,7 @@
     /// Updates zones and routes. `out_of_touch`: leaseholders that this leader does not reach.
     pub fn observe(
         &mut self,
-        now: u64,
+        now: Timestamp,
         timeouts: &DetectionTimeouts,
         observed: &[ObservedMachine],
         out_of_touch: &BTreeSet<usize>,
@@ -183,7 +186,7 @@
         }
     }
 
-    fn observe_zones(&mut self, now: u64, timeouts: &DetectionTimeouts, observed: &[ObservedMachine]) {
+    fn observe_zones(&mut self, now: Timestamp, timeouts: &DetectionTimeouts, observed: &[ObservedMachine]) {
         let mut arrivals: BTreeMap<&str, Arrivals> = BTreeMap::new();
         for machine in observed {
             arrivals.entry(machine.zone).or_default().add(machine.last_heartbeat_at);
@@ -220,7 +223,7 @@
     /// Names of the machines that are dead, as far as can be told.
     pub fn declared_dead<'a>(
         &self,
-        now: u64,
+        now: Timestamp,
         timeouts: &DetectionTimeouts,
         observed: &[ObservedMachine<'a>],
     ) -> Vec<&'a str> {
@@ -259,7 +262,7 @@
     }
 
     /// Whether so many machines of all recovered routes are late that a common cause is likely.
-    fn many_are_late(&self, now: u64, timeouts: &DetectionTimeouts, routes: &MachinesByRoute) -> bool {
+    fn many_are_late(&self, now: Timestamp, timeouts: &DetectionTimeouts, routes: &MachinesByRoute) -> bool {
         let recovered = routes.iter().filter(|(route, _)| self.route(**route).is_recovered(now));
         let (mut total, mut late) = (0, 0);
         for machine in recovered.flat_map(|(_, machines)| machines) {
@@ -283,7 +286,7 @@
 
 /// Until when the state of its route excuses the silence of a machine. A leaseholder that only the leader does not reach
 /// goes on to respond to unchanged heartbeats until its lease ends.
-fn route_excused_until(reachability: Reachability, timeouts: &DetectionTimeouts) -> u64 {
+fn route_excused_until(reachability: Reachability, timeouts: &DetectionTimeouts) -> Timestamp {
     if reachability.unreachable {
         reachability.unreachable_from() + timeouts.shard_lease + limits::FAILOVER_GRACE_PERIOD
     } else {
@@ -295,7 +298,7 @@
     fn detection_timeouts(&self) -> DetectionTimeouts {
         let report_s = self.config.workers.report_s;
         DetectionTimeouts {
-            heartbeat_interval: limits::micros(report_s),
+            heartbeat_interval: from_seconds(report_s),
             silence: limits::silence_timeout(report_s),
             shard_lease: self.config.shard_lease,
             started_at: self.started_at,
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -2,34 +2,39 @@
 
 use super::*;
 use crate::limits::SECOND;
+use crate::time::{whole_micros, Timestamp};
+use std::time::Duration;
 
-const HEARTBEAT_INTERVAL: u64 = 3 * SECOND;
-const SHARD_LEASE: u64 = 22 * SECOND;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(3);
+const SHARD_LEASE: Duration = Duration::from_secs(22);
 /// When the outage begins.
-const OUTAGE_START: u64 = 100 * SECOND;
+const OUTAGE_START: Timestamp = Timestamp::from_secs(100);
 const ZONES: [&str; 2] = ["a", "b"];
 /// Longer than any case lasts.
-const FOR_GOOD: u64 = 1_000 * SECOND;
+const FOR_GOOD: Duration = Duration::from_secs(1_000);
 const CLUSTER_SIZES: [usize; 4] = [20, 120, 1_900, 6_000];
 
 /// How long a machine is silent from `OUTAGE_START` on, by its index and the number of machines.
-type Outage = fn(usize, usize) -> u64;
+type Outage = fn(usize, usize) -> Duration;
 
 fn timeouts() -> DetectionTimeouts {
     DetectionTimeouts {
         heartbeat_interval: HEARTBEAT_INTERVAL,
         silence: limits::silence_timeout(3.0),
         shard_lease: SHARD_LEASE,
-        started_at: SECOND,
+        started_at: Timestamp::from_secs(1),
     }
 }
 
 /// When the last heartbeat of the machine `index` arrived, which is silent for `outage` from `OUTAGE_START` on.
-fn last_heartbeat_at(index: usize, outage: u64, now: u64) -> u64 {
-    let phase = index as u64 * 7_919 % 1_000 * HEARTBEAT_INTERVAL / 1_000;
-    let heartbeat = |at: u64| at.saturating_sub(phase) / HEARTBEAT_INTERVAL * HEARTBEAT_INTERVAL + phase;
+fn last_heartbeat_at(index: usize, outage: Duration, now: Timestamp) -> Timestamp {
+    let phase = (index as u32 * 7_919 % 1_000) * HEARTBEAT_INTERVAL / 1_000;
+    let heartbeat = |at: Timestamp| {
+        let whole_intervals = (at - phase).as_micros() / whole_micros(HEARTBEAT_INTERVAL);
+        Timestamp::ZERO + whole_intervals as u32 * HEARTBEAT_INTERVAL + phase
+    };
     let until = OUTAGE_START + outage;
-    if now < OUTAGE_START || outage == 0 {
+    if now < OUTAGE_START || outage.is_zero() {
         heartbeat(now)
     } else if now < until {
         heartbeat(OUTAGE_START)
@@ -42,20 +47,23 @@
 /// What was declared dead in a case.
 struct DeclaredDead {
     machines: usize,
-    /// How long after the beginning of the outage the first was, in microseconds.
-    first_after: u64,
+    /// How long after the beginning of the outage the first was.
+    first_after: Duration,
 }
 
 /// Plays a case: machines whose heartbeats are spread evenly over the interval, a third by each of three routes, and
 /// the outage that some have.
-fn play(machines: usize, outage: Outage, lost_route: Option<usize>, time: u64) -> DeclaredDead {
+fn play(machines: usize, outage: Outage, lost_route: Option<usize>, duration: Duration) -> DeclaredDead {
     let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
     let timeouts = timeouts();
     let mut detector = FailureDetector::default();
     let mut declared_dead: BTreeSet<usize> = BTreeSet::new();
-    let mut first_after = u64::MAX;
-    for step in 0..(OUTAGE_START / 2 + time) / limits::LEASE_EXPIRY_INTERVAL {
-        let now = OUTAGE_START / 2 + step * limits::LEASE_EXPIRY_INTERVAL;
+    let mut first_after = Duration::MAX;
+    let start = OUTAGE_START - OUTAGE_START.since(Timestamp::ZERO) / 2;
+    let played = start.since(Timestamp::ZERO) + duration;
+    let steps = whole_micros(played) / whole_micros(limits::LEASE_EXPIRY_INTERVAL);
+    for step in 0..steps as u32 {
+        let now = start + step * limits::LEASE_EXPIRY_INTERVAL;
         let observed: Vec<ObservedMachine> = (0..machines)
             .filter(|i| !declared_dead.contains(i))
             .map(|i| ObservedMachine {
@@ -72,7 +80,7 @@
         let lost = lost_route.filter(|_| now >= OUTAGE_START).into_iter().collect();
         detector.observe(now, &timeouts, &observed, &lost);
         for name in detector.declared_dead(now, &timeouts, &observed) {
-            first_after = first_after.min(now - OUTAGE_START);
+            first_after = first_after.min(now.since(OUTAGE_START));
             declared_dead.extend(name[2..].parse::<usize>());
         }
     }
@@ -88,7 +96,7 @@
         zone: "a",
         route: None,
         previous_route: None,
-        last_heartbeat_at: SECOND,
+        last_heartbeat_at: Timestamp::from_secs(1),
         unresponsive: false,
         expected: false,
         lost,
@@ -112,8 +120,8 @@
     lost_route: Option<usize>,
     /// How many machines, by the number of all.
     expected: fn(usize) -> usize,
-    /// How long after the beginning of the outage the first at the latest, in microseconds.
-    within: u64,
+    /// How long after the beginning of the outage the first at the latest.
+    within: Duration,
 }
 
 impl Case {
@@ -125,43 +133,50 @@
 
     /// Nothing, or silence with a common cause: no machine is declared dead.
     fn none_dead(name: &'static str, outage: Outage) -> Self {
-        Case { name, outage, lost_route: None, expected: |_| 0, within: u64::MAX }
+        Case { name, outage, lost_route: None, expected: |_| 0, within: Duration::MAX }
     }
 }
 
 fn cases() -> [Case; 10] {
     [
-        Case::none_dead("no outage", |_, _| 0),
-        Case::failures("a machine fails", |i, _| if i == 5 { FOR_GOOD } else { 0 }, |_| 1),
-        Case::failures("a tenth fails", |i, _| if i % 10 == 4 { FOR_GOOD } else { 0 }, |n| n / 10),
+        Case::none_dead("no outage", |_, _| Duration::ZERO),
+        Case::failures("a machine fails", |i, _| if i == 5 { FOR_GOOD } else { Duration::ZERO }, |_| 1),
+        Case::failures(
+            "a tenth fails",
+            |i, _| if i % 10 == 4 { FOR_GOOD } else { Duration::ZERO },
+            |n| n / 10,
+        ),
         Case::failures(
             "a tenth hangs past its lease",
-            |i, _| if i % 10 == 4 { 25 * SECOND } else { 0 },
+            |i, _| if i % 10 == 4 { 25 * SECOND } else { Duration::ZERO },
             |n| n / 10,
         ),
         // A third of those that use one route: chance in a small cluster.
         Case::failures(
             "a ninth fails, all of one route",
-            |i, _| if i % 9 == 1 { FOR_GOOD } else { 0 },
+            |i, _| if i % 9 == 1 { FOR_GOOD } else { Duration::ZERO },
             |n| (n + 7) / 9,
         ),
-        Case::none_dead("a third of each zone at once", |i, _| if i % 6 < 2 { FOR_GOOD } else { 0 }),
-        Case::none_dead("a zone is partitioned", |i, _| if i % 2 == 1 { 45 * SECOND } else { 0 }),
-        Case::none_dead("a zone for good", |i, _| if i % 2 == 1 { FOR_GOOD } else { 0 }),
+        Case::none_dead(
+            "a third of each zone at once",
+            |i, _| if i % 6 < 2 { FOR_GOOD } else { Duration::ZERO },
+        ),
+        Case::none_dead(
+            "a zone is partitioned",
+            |i, _| if i % 2 == 1 { 45 * SECOND } else { Duration::ZERO },
+        ),
+        Case::none_dead("a zone for good", |i, _| if i % 2 == 1 { FOR_GOOD } else { Duration::ZERO }),
         Case::none_dead("all are silent", |_, _| 45 * SECOND),
         // Its leaseholder responds by itself; the machines come another way when its lease has ended.
         Case {
             lost_route: Some(1),
-            ..Case::none_dead(
-                "a leaseholder is out of touch",
-                |i, _| {
-                    if i % 3 == 1 {
-                        25 * SECOND
-                    } else {
-                        0
-                    }
-                },
-            )
+            ..Case::none_dead("a leaseholder is out of touch", |i, _| {
+                if i % 3 == 1 {
+                    25 * SECOND
+                } else {
+                    Duration::ZERO
+                }
+            })
         },
     ]
 }
@@ -174,7 +189,7 @@
             let expected = expected(machines);
             let first = dead.first_after;
             assert_eq!(dead.machines, expected, "{name}, {machines} machines");
-            assert!(expected == 0 || first <= within, "{name}, {machines} machines: after {first}");
+            assert!(expected == 0 || first <= within, "{name}, {machines} machines: after {first:?}");
         }
     }
 }
@@ -185,7 +200,7 @@
     let partition = |i: usize, n: usize| match i % 2 {
         1 if i > n - n / 10 => FOR_GOOD,
         1 => 45 * SECOND,
-        _ => 0,
+        _ => Duration::ZERO,
     };
     for machines in CLUSTER_SIZES {
         let dead = play(machines, partition, None, 90 * SECOND);
@@ -193,6 +208,6 @@
         let first = dead.first_after;
         assert!(expected < machines / 2 / 2);
         assert_eq!(dead.machines, expected, "a partition, {machines} machines");
-        assert!(first >= 44 * SECOND + limits::FAILOVER_GRACE_PERIOD, "{machines} machines: after {first}");
+        assert!(first >= 44 * SECOND + limits::FAILOVER_GRACE_PERIOD, "{machines} machines: after {first:?}");
     }
 }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -5,7 +5,9 @@
 use super::model::{Job, JobId, Kind, Machine, PendingReason, StopRequest, TaskStatus};
 use super::Scheduler;
 use crate::limits;
+use crate::time::from_seconds;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 /// How far a gang is, by what is known of its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -117,12 +119,12 @@
     /// answered up to `SHARD_HEARTBEAT_INTERVAL` later: a machine that seems due within that may well have just reported, and
     /// comes an interval later. Where heartbeats are hardly rarer than that there is nothing to tell them apart by.
     pub fn heartbeat_due_s(&self, machine: &Machine) -> i64 {
-        let heartbeat_interval = limits::micros(self.config.workers.report_s);
+        let heartbeat_interval = from_seconds(self.config.workers.report_s);
         if heartbeat_interval <= 2 * limits::SHARD_HEARTBEAT_INTERVAL {
             return 0;
         }
-        let due = (machine.heartbeats.last_at + heartbeat_interval).saturating_sub(self.now);
+        let due = (machine.heartbeats.last_at + heartbeat_interval).since(self.now);
         let missed = machine.route.cached_by_leaseholder && due < limits::SHARD_HEARTBEAT_INTERVAL;
-        ((due + if missed { heartbeat_interval } else { 0 }) / limits::SECOND) as i64
+        (due + if missed { heartbeat_interval } else { Duration::ZERO }).as_secs() as i64
     }
 }
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -5,7 +5,9 @@
 use super::model::{ExitReason, Job, JobId, Machine, MachineState, TaskCommand};
 use super::{Effect, Scheduler};
 use crate::lease::renewal::LeaseRenewal;
+use crate::time::Timestamp;
 use std::collections::BTreeMap;
+use std::time::Duration;
 use tracing::debug;
 
 /// Stops of the machine's own tasks and of orphaned ones.
@@ -103,7 +105,7 @@
     /// Decides and records whether the leaseholder that relayed the machine's heartbeat may respond to unchanged ones
     /// by itself.
     fn update_cacheable(&mut self, name: &str, task_commands: &[TaskCommand]) -> bool {
-        let has_leaseholders = self.config.shard_lease > 0;
+        let has_leaseholders = self.config.shard_lease > Duration::ZERO;
         let Some(machine) = self.machines.get_mut(name) else { return false };
         machine.route.cached_by_leaseholder = has_leaseholders
             && machine.route.via.is_some()
@@ -113,14 +115,14 @@
         machine.route.cached_by_leaseholder
     }
 
-    /// A leaseholder has responded to these machines by itself, and to no others before `covers_until` (microseconds;
-    /// None: the list may be incomplete). Their leases are renewed. A machine for which there is a command is asked
+    /// A leaseholder has responded to these machines by itself, and to no others before `covers_until`
+    /// (None: the list may be incomplete). Their leases are renewed. A machine for which there is a command is asked
     /// for again, whether or not its leaseholder was asked before.
     pub(super) fn apply_shard_heartbeat(
         &mut self,
         node: usize,
         names: Vec<String>,
-        covers_until: Option<u64>,
+        covers_until: Option<Timestamp>,
     ) {
         let now = self.now;
         self.peers.record_shard_heartbeat(node, covers_until, now);
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -23,6 +23,7 @@
 };
 use super::{Effect, HeartbeatOutcome, PendingHeartbeat, Scheduler};
 use crate::limits;
+use crate::time::{from_seconds, Timestamp};
 use std::collections::BTreeSet;
 use tracing::info;
 
@@ -40,8 +41,8 @@
             && heartbeat.tasks == self.heartbeats.reported_tasks
     }
 
-    /// Records that a periodic heartbeat of the machine arrived at `now` (microseconds).
-    fn record_alive(&mut self, now: u64) {
+    /// Records that a periodic heartbeat of the machine arrived at `now`.
+    fn record_alive(&mut self, now: Timestamp) {
         self.heartbeats.last_at = now;
         if self.state != MachineState::Ready {
             info!(machine = self.name, zone = self.zone, spot = self.spot, "machine up");
@@ -60,7 +61,7 @@
         let now = self.now;
         self.machines
             .entry(stored.name.clone())
-            .or_insert_with(|| Machine::new(stored, capacity, now, now + limits::micros(boot_s)))
+            .or_insert_with(|| Machine::new(stored, capacity, now, now + from_seconds(boot_s)))
     }
 
     /// Takes in a periodic heartbeat that came by way of `via` (None: straight to the leader), and responds to it or
@@ -148,7 +149,7 @@
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
         machine.heartbeats.record_newest(number, source);
         machine.address = heartbeat.address;
-        machine.lifecycle.recall_at = heartbeat.notice_s.map(|seconds| now + limits::micros(seconds));
+        machine.lifecycle.recall_at = heartbeat.notice_s.map(|seconds| now + from_seconds(seconds));
         machine.reconciled |= heartbeat.token == token;
         if machine.reconciled {
             if source == HeartbeatSource::Periodic {
--- a/src/scheduler/job_registry.rs
+++ b/src/scheduler/job_registry.rs
@@ -14,7 +14,7 @@
             return;
         }
         debug!(job = %job_id, tasks = stored.spec.tasks, inherited, "job known");
-        let submitted_at = self.now.saturating_sub(stored.age);
+        let submitted_at = self.now - stored.age;
         let job = Job::new(stored.spec, stored.version, submitted_at, inherited, stored.succeeded);
         self.jobs.insert(job_id, job);
     }
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -13,12 +13,13 @@
 use super::model::{Job, Machine, MachineState, TerminationProof};
 use super::{autoscaler, Scheduler};
 use crate::limits;
+use crate::time::{whole_millis, Timestamp};
 use std::collections::BTreeSet;
 use tracing::info;
 
 impl Machine {
-    /// When its lease may last have been renewed, in microseconds.
-    fn lease_renewed_at(&self) -> u64 {
+    /// When its lease may last have been renewed.
+    fn lease_renewed_at(&self) -> Timestamp {
         self.last_renewal.at().max(self.heartbeats.last_at)
     }
 
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Until when leases may have been renewed without a record here, in microseconds.
-    pub(super) fn unrecorded_renewals_until(&self) -> u64 {
+    /// Until when leases may have been renewed without a record here.
+    pub(super) fn unrecorded_renewals_until(&self) -> Timestamp {
         self.started_at.max(self.peers.kept_alive_until())
     }
 
@@ -135,7 +136,7 @@
         let all_expired = self.now >= self.unrecorded_renewals_until() + worker_lease;
         self.reconciled = all_expired || !self.machines.values().any(Machine::is_unreconciled);
         if self.reconciled {
-            let after_ms = (self.now - self.started_at) / 1000;
+            let after_ms = whole_millis(self.now.since(self.started_at));
             info!(after_ms, "all machines of earlier leaders reconciled");
             self.rounds.request();
             self.note_all_accounted_for();
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -8,8 +8,10 @@
 use super::model::{Heartbeat, JobId, JobSpec, MachineType, StoredMachine, TaskCommand};
 use crate::lease::renewal::LeaseRenewal;
 use crate::settings::{Operator, Team, Workers};
+use crate::time::Timestamp;
 use dockpier_drain::request::StoredRequest;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 /// What the scheduler has to know of its settings and its leadership.
 #[derive(Debug, Clone)]
@@ -38,8 +40,8 @@
     pub value_most: usize,
     /// Largest number of rental requests under way at once.
     pub rentals_at_once: usize,
-    /// How long a leaseholder may respond by itself, in microseconds; 0: there are no leaseholders.
-    pub shard_lease: u64,
+    /// How long a leaseholder may respond by itself; zero: there are no leaseholders.
+    pub shard_lease: Duration,
 }
 
 /// A job as the state service has it.
@@ -49,8 +51,8 @@
     pub spec: JobSpec,
     /// Version of its record.
     pub version: u64,
-    /// Time since its submission, in microseconds.
-    pub age: u64,
+    /// Time since its submission.
+    pub age: Duration,
     /// Tasks that have succeeded.
     pub succeeded: BTreeSet<u32>,
 }
@@ -120,8 +122,8 @@
         node: usize,
         /// Names of the machines.
         machines: Vec<String>,
-        /// It has responded to no other machine before then (microseconds). None: the list may be incomplete.
-        covers_until: Option<u64>,
+        /// It has responded to no other machine before then. None: the list may be incomplete.
+        covers_until: Option<Timestamp>,
         /// Whether it has just restarted: an earlier incarnation may have responded to any machine until now.
         first_of_incarnation: bool,
     },
@@ -186,8 +188,8 @@
     JobRead {
         /// The job.
         job_id: JobId,
-        /// When the read was sent, in microseconds.
-        sent: u64,
+        /// When the read was sent.
+        sent: Timestamp,
         /// What was read.
         reading: JobReading,
     },
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
 //! The scheduler: single owner of jobs, tasks, machines and drains. Commands come in batches, effects go out.
 //!
-//! Pure: no I/O, no clock, no globals; the random numbers are seeded. Times are in microseconds of the controller's
-//! monotonic clock, which passes them in. The controller calls [`Scheduler::step`] with what has happened and carries
+//! Pure: no I/O, no clock, no globals; the random numbers are seeded. Instants are of the controller's clock,
+//! which passes them in. The controller calls [`Scheduler::step`] with what has happened and carries
 //! out the [`Effect`]s. `heartbeats` describes the path of a heartbeat through these modules.
 
 mod autoscaler;
@@ -34,6 +34,7 @@
 mod task_lists;
 mod usage;
 
+use crate::time::Timestamp;
 pub use messages::{Command, Config, Effect, HeartbeatOutcome, ListedMachine, StoredJob, WriteOutcome};
 pub use model::{StoredMachine, TaskCommand};
 pub use stale_heartbeats::IgnoredHeartbeats;
@@ -64,10 +65,10 @@
 pub struct Scheduler {
     /// Settings, and the fencing token of this leader.
     pub config: Config,
-    /// The time of the last step, in microseconds.
-    pub now: u64,
-    /// When this leader loaded its state, in microseconds; before that, when it was created.
-    pub started_at: u64,
+    /// The time of the last step.
+    pub now: Timestamp,
+    /// When this leader loaded its state; before that, when it was created.
+    pub started_at: Timestamp,
     /// Whether it has loaded its state. Before that it decides nothing.
     pub loaded: bool,
 
@@ -102,8 +103,8 @@
     ignored_heartbeats: IgnoredHeartbeats,
     peers: PeerNodes,
     failure_detector: failure_detection::FailureDetector,
-    /// When leases are next checked for expiry, in microseconds.
-    next_expiry_check_at: u64,
+    /// When leases are next checked for expiry.
+    next_expiry_check_at: Timestamp,
 
     // Machines and tasks of earlier leaders.
     /// Whether all machines of earlier leaders are accounted for.
@@ -121,8 +122,8 @@
 }
 
 impl Scheduler {
-    /// A scheduler that has not loaded its state. `now` is in microseconds.
-    pub fn new(config: Config, now: u64) -> Self {
+    /// A scheduler that has not loaded its state.
+    pub fn new(config: Config, now: Timestamp) -> Self {
         let writes = records::write_budget(config.write_rps, now);
         // Leaseholders of the last leader may renew leases for as long as their shard leases run.
         let kept_alive_until = now + limits::lengthened(config.shard_lease);
@@ -147,7 +148,7 @@
             ignored_heartbeats: IgnoredHeartbeats::default(),
             peers: PeerNodes::new(kept_alive_until),
             failure_detector: failure_detection::FailureDetector::default(),
-            next_expiry_check_at: 0,
+            next_expiry_check_at: Timestamp::ZERO,
             reconciled: false,
             unreconciled: BTreeSet::new(),
             cold_start: cold_start::ColdStart::default(),
@@ -157,20 +158,20 @@
         }
     }
 
-    /// Another node may have renewed leases of workers until `at` (microseconds): none of them counts as expired
+    /// Another node may have renewed leases of workers until `at`: none of them counts as expired
     /// before a full worker lease after that.
-    pub fn record_kept_alive_until(&mut self, at: u64) {
+    pub fn record_kept_alive_until(&mut self, at: Timestamp) {
         self.peers.record_kept_alive_until(at);
     }
 
-    /// Records that these nodes are out of touch at `now` (microseconds).
-    pub fn out_of_touch(&mut self, now: u64, nodes: impl Iterator<Item = usize>) {
+    /// Records that these nodes are out of touch at `now`.
+    pub fn out_of_touch(&mut self, now: Timestamp, nodes: impl Iterator<Item = usize>) {
         self.peers.record_out_of_touch(now, nodes);
     }
 
-    /// Applies a batch of commands at `now` (microseconds), decides within the budget, and returns what is to be done.
+    /// Applies a batch of commands at `now`, decides within the budget, and returns what is to be done.
     #[must_use = "effects that are not carried out are lost, responses to heartbeats among them"]
-    pub fn step(&mut self, now: u64, batch: Vec<Command>) -> Vec<Effect> {
+    pub fn step(&mut self, now: Timestamp, batch: Vec<Command>) -> Vec<Effect> {
         self.now = self.now.max(now);
         for command in batch {
             self.apply(command);
@@ -233,7 +234,7 @@
         &mut self,
         node: usize,
         machines: Vec<String>,
-        covers_until: Option<u64>,
+        covers_until: Option<Timestamp>,
         first_of_incarnation: bool,
     ) {
         if first_of_incarnation {
--- a/src/scheduler/model/heartbeat.rs
+++ b/src/scheduler/model/heartbeat.rs
@@ -1,6 +1,7 @@
 //! Heartbeats of workers, and what the leader keeps of each machine's heartbeats.
 
 use super::{TaskId, TaskStatus};
+use crate::time::Timestamp;
 
 /// Orders the heartbeats of one worker: by agent epoch first, then by sequence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -71,9 +72,9 @@
     /// Sequence of the last periodic heartbeat of this agent epoch. Responses to direct commands raise
     /// `newest` alone, and may overtake periodic heartbeats that are still under way.
     pub last_periodic_sequence: u64,
-    /// When the machine last showed that it is alive, in microseconds. Failure detection counts silence from here.
+    /// When the machine last showed that it is alive. Failure detection counts silence from here.
     /// Lease expiry counts from the later of this and `Machine::last_renewal`; see `lease_expiry`.
-    pub last_at: u64,
+    pub last_at: Timestamp,
     /// Whether a stale heartbeat of this machine has been logged; further ones are only counted.
     pub stale_logged: bool,
     /// The task list of the newest heartbeat, to recognise an unchanged one.
@@ -81,14 +82,14 @@
 }
 
 impl HeartbeatTracker {
-    /// Records a periodic heartbeat of the current agent epoch, which arrived at `now` (microseconds).
-    pub(in crate::scheduler) fn record_unchanged(&mut self, sequence: u64, now: u64) {
+    /// Records a periodic heartbeat of the current agent epoch, which arrived at `now`.
+    pub(in crate::scheduler) fn record_unchanged(&mut self, sequence: u64, now: Timestamp) {
         self.newest.sequence = sequence;
         self.record_overtaken(sequence, now);
     }
 
     /// Records a periodic heartbeat that a direct response has overtaken: its list is older than ours.
-    pub(in crate::scheduler) fn record_overtaken(&mut self, sequence: u64, now: u64) {
+    pub(in crate::scheduler) fn record_overtaken(&mut self, sequence: u64, now: Timestamp) {
         self.last_periodic_sequence = sequence;
         self.last_at = now;
     }
--- a/src/scheduler/model/job.rs
+++ b/src/scheduler/model/job.rs
@@ -2,8 +2,10 @@
 
 use super::{JobId, PendingReason, PreviousPlacement, Resources};
 use crate::limits;
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
+use std::time::Duration;
 
 /// How the tasks of a job belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -62,7 +64,7 @@
     pub spot: bool,
     /// Its owner's estimate of the run time of a task, in seconds.
     pub estimate_s: f64,
-    /// Seconds of progress between two checkpoints; 0: it saves none.
+    /// Seconds of progress between two checkpoints; zero: it saves none.
     pub checkpoint_s: f64,
     /// How long a task needs to save a checkpoint when it is stopped, in seconds.
     pub save_s: f64,
@@ -100,8 +102,8 @@
     pub succeeded: BTreeSet<u32>,
     /// Succeeded tasks that are not in the state service yet.
     pub unrecorded: BTreeSet<u32>,
-    /// Since when there are unrecorded tasks, in microseconds.
-    pub unrecorded_since: Option<u64>,
+    /// Since when there are unrecorded tasks.
+    pub unrecorded_since: Option<Timestamp>,
     /// Chunks of succeeded tasks that have a key in the state service.
     pub recorded_chunks: BTreeSet<u32>,
     /// Whether a write of this progress is under way.
@@ -109,8 +111,8 @@
 }
 
 impl Progress {
-    /// Records that these tasks have succeeded at `now` (microseconds). Without effect if all of them had before.
-    pub(in crate::scheduler) fn record_succeeded(&mut self, tasks: Range<u32>, now: u64) {
+    /// Records that these tasks have succeeded at `now`. Without effect if all of them had before.
+    pub(in crate::scheduler) fn record_succeeded(&mut self, tasks: Range<u32>, now: Timestamp) {
         let before = self.succeeded.len();
         self.succeeded.extend(tasks.clone());
         if self.succeeded.len() > before {
@@ -124,15 +126,15 @@
 /// Run times of the succeeded tasks of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RunTimes {
-    /// Sum of the run times in microseconds.
-    pub total: u64,
+    /// Sum of the run times.
+    pub total: Duration,
     /// How many there are.
     pub count: u64,
 }
 
 impl RunTimes {
-    /// Adds a run time in microseconds.
-    pub fn add(&mut self, run_time: u64) {
+    /// Adds a run time.
+    pub fn add(&mut self, run_time: Duration) {
         self.total += run_time;
         self.count += 1;
     }
@@ -145,15 +147,15 @@
     pub count: u32,
     /// Machines on which its tasks failed since one of them last succeeded.
     pub machines: BTreeSet<String>,
-    /// Until then none of its tasks starts, in microseconds.
-    pub backoff_until: u64,
+    /// Until then none of its tasks starts.
+    pub backoff_until: Timestamp,
 }
 
 /// The width of a job and its last change.
 #[derive(Debug, Clone, Default)]
 pub struct Elasticity {
-    /// When its width last changed, in microseconds; 0: never.
-    pub last_resized_at: u64,
+    /// When its width last changed; zero: never.
+    pub last_resized_at: Timestamp,
     /// The width (number of tasks at once) that it was last given.
     pub width: u32,
 }
@@ -163,8 +165,8 @@
 pub struct GangState {
     /// The last attempt of the gang that is known to have ended.
     pub ended_attempt: u64,
-    /// Since when a part of the gang is placed and the rest has found no room, in microseconds.
-    pub incomplete_since: Option<u64>,
+    /// Since when a part of the gang is placed and the rest has found no room.
+    pub incomplete_since: Option<Timestamp>,
 }
 
 /// A job as the leader knows it.
@@ -172,8 +174,8 @@
 pub struct Job {
     /// What was submitted.
     pub spec: JobSpec,
-    /// When it was submitted, in microseconds. Its age and its place in the order of arrival count from here.
-    pub submitted_at: u64,
+    /// When it was submitted. Its age and its place in the order of arrival count from here.
+    pub submitted_at: Timestamp,
     /// Version of its record in the state service.
     pub version: u64,
     /// Whether an earlier leader may have started it.
@@ -199,12 +201,12 @@
 }
 
 impl Job {
-    /// A job of which nothing is placed. `submitted_at` is in microseconds; `succeeded`: the tasks of which the state
+    /// A job of which nothing is placed. `succeeded`: the tasks of which the state
     /// service records that they have succeeded.
     pub fn new(
         spec: JobSpec,
         version: u64,
-        submitted_at: u64,
+        submitted_at: Timestamp,
         inherited: bool,
         succeeded: BTreeSet<u32>,
     ) -> Self {
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -4,6 +4,7 @@
     CommandTracker, HeartbeatTracker, JobId, Placement, ReportedTasks, Resources, Route, TaskId, TaskStatus,
 };
 use crate::lease::renewal::LastRenewal;
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A type of machine that the cloud offers.
@@ -19,7 +20,7 @@
     pub spot_price: Option<f64>,
     /// Nominal boot time in seconds.
     pub boot_s: f64,
-    /// Rate at which images are fetched, in GB per second; 0: not known.
+    /// Rate at which images are fetched, in GB per second; zero: not known.
     pub fetch_gb_per_s: f64,
     /// Zones in which it is offered.
     pub zones: Vec<String>,
@@ -67,31 +68,31 @@
 pub struct MachineHealth {
     /// Jobs of which a task failed here, unless the job was itself suspected at that time.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Until then nothing is placed here, in microseconds: a task failed, or the worker had no room for one.
-    pub no_room_backoff_until: u64,
+    /// Until then nothing is placed here: a task failed, or the worker had no room for one.
+    pub no_room_backoff_until: Timestamp,
     /// Tasks in a row that took far longer here than the rest of their job elsewhere.
     pub slow_tasks: u32,
-    /// Until then no array or gang is placed here, in microseconds.
-    pub quarantined_until: u64,
+    /// Until then no array or gang is placed here.
+    pub quarantined_until: Timestamp,
 }
 
 /// From the rental of a machine to its deletion.
 #[derive(Debug, Clone, Default)]
 pub struct Lifecycle {
-    /// When the cloud recalls it, in microseconds, if it has given notice.
-    pub recall_at: Option<u64>,
+    /// When the cloud recalls it, if it has given notice.
+    pub recall_at: Option<Timestamp>,
     /// Whether it is to be replaced: nothing new is placed on it.
     pub draining: bool,
     /// An ordinary machine that fixed work and the reserve could do without.
     pub consolidation_target: bool,
     /// Whether its deletion has been ordered.
     pub deleting: bool,
-    /// Since when it holds no task, in microseconds.
-    pub idle_since: u64,
-    /// When this leader first knew of it, in microseconds.
-    pub known_since: u64,
-    /// When it counts as failed if it has sent no heartbeat, in microseconds.
-    pub boot_deadline: u64,
+    /// Since when it holds no task.
+    pub idle_since: Timestamp,
+    /// When this leader first knew of it.
+    pub known_since: Timestamp,
+    /// When it counts as failed if it has sent no heartbeat.
+    pub boot_deadline: Timestamp,
 }
 
 impl Lifecycle {
@@ -146,12 +147,12 @@
 }
 
 impl Machine {
-    /// A machine of which nothing is known but what is stored. `now` and `boot_deadline` are in microseconds.
+    /// A machine of which nothing is known but what is stored.
     pub(in crate::scheduler) fn new(
         stored: &StoredMachine,
         capacity: Resources,
-        now: u64,
-        boot_deadline: u64,
+        now: Timestamp,
+        boot_deadline: Timestamp,
     ) -> Self {
         Machine {
             name: stored.name.clone(),
@@ -210,8 +211,7 @@
     }
 
     /// Resources that no task takes once every stop under way is confirmed. An overdue stop is not counted on.
-    /// `now` is in microseconds.
-    pub fn available_soon(&self, now: u64) -> Resources {
+    pub fn available_soon(&self, now: Timestamp) -> Resources {
         let ends_soon = |task: &Placement| task.stopping.is_some_and(|stop| !stop.is_overdue(now));
         self.tasks
             .values()
--- a/src/scheduler/model/reported_tasks.rs
+++ b/src/scheduler/model/reported_tasks.rs
@@ -1,6 +1,7 @@
 //! Tasks that a machine reports beside those placed on it.
 
 use super::{ExitReason, TaskAttempt};
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tasks that a machine reports beside those placed on it.
@@ -10,9 +11,9 @@
     pub exited: BTreeMap<TaskAttempt, ExitReason>,
     /// Running tasks of jobs that do not exist. They are stopped.
     pub orphaned: BTreeSet<TaskAttempt>,
-    /// Running tasks of jobs that are not known here, and when each was first reported, in microseconds. They are
+    /// Running tasks of jobs that are not known here, and when each was first reported. They are
     /// left alone until the state service has been asked about their jobs.
-    pub unverified: BTreeMap<TaskAttempt, u64>,
+    pub unverified: BTreeMap<TaskAttempt, Timestamp>,
 }
 
 impl ReportedTasks {
--- a/src/scheduler/model/route.rs
+++ b/src/scheduler/model/route.rs
@@ -1,5 +1,6 @@
 //! The controller through which a machine sends its heartbeats.
 
+use crate::time::Timestamp;
 /// The controller through which a machine sends its heartbeats. `None` stands for the leader's own node.
 #[derive(Debug, Clone, Default)]
 pub struct Route {
@@ -18,13 +19,13 @@
 pub struct PreviousRoute {
     /// The node that relayed its heartbeats. None: they came straight to the leader.
     pub via: Option<usize>,
-    /// When its first heartbeat came by another route, in microseconds.
-    pub left_at: u64,
+    /// When its first heartbeat came by another route.
+    pub left_at: Timestamp,
 }
 
 impl Route {
-    /// Records that a heartbeat came by this route at `now` (microseconds). Returns whether the route is a new one.
-    pub(in crate::scheduler) fn record(&mut self, via: Option<usize>, now: u64) -> bool {
+    /// Records that a heartbeat came by this route at `now`. Returns whether the route is a new one.
+    pub(in crate::scheduler) fn record(&mut self, via: Option<usize>, now: Timestamp) -> bool {
         let changed = self.via != via;
         if changed {
             self.previous = Some(PreviousRoute { via: self.via, left_at: now });
--- a/src/scheduler/model/task.rs
+++ b/src/scheduler/model/task.rs
@@ -2,6 +2,7 @@
 
 use super::{HeartbeatNumber, Resources};
 use crate::limits;
+use crate::time::{from_seconds, Timestamp};
 
 /// Why a task is not running any more, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,16 +37,16 @@
 /// A stop that was requested of a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StopRequest {
-    /// When it was first requested with this grace period, in microseconds.
-    pub requested_at: u64,
+    /// When it was first requested with this grace period.
+    pub requested_at: Timestamp,
     /// Grace period in which the task may save a checkpoint, in seconds.
     pub grace_s: f64,
 }
 
 impl StopRequest {
-    /// Whether the task should have ended by `now` (microseconds).
-    pub fn is_overdue(&self, now: u64) -> bool {
-        now >= self.requested_at + limits::micros(self.grace_s) + limits::STOP_TIMEOUT
+    /// Whether the task should have ended by `now`.
+    pub fn is_overdue(&self, now: Timestamp) -> bool {
+        now >= self.requested_at + from_seconds(self.grace_s) + limits::STOP_TIMEOUT
     }
 }
 
@@ -62,12 +63,12 @@
     pub confirmed: bool,
     /// What its worker last said of it.
     pub status: TaskStatus,
-    /// When this leader first saw it run, in microseconds. None if it did not see it start.
-    pub running_since: Option<u64>,
+    /// When this leader first saw it run. None if it did not see it start.
+    pub running_since: Option<Timestamp>,
     /// Name of its image.
     pub image: String,
-    /// When this leader placed or first saw it, in microseconds: a shrink stops the newest.
-    pub placed_at: u64,
+    /// When this leader placed or first saw it: a shrink stops the newest.
+    pub placed_at: Timestamp,
     /// The stop that was requested, if any.
     pub stopping: Option<StopRequest>,
 }
--- a/src/scheduler/model/termination_proof.rs
+++ b/src/scheduler/model/termination_proof.rs
@@ -1,7 +1,7 @@
 //! Proofs that a task is on no machine: what a leader must have before it starts the task elsewhere.
 
 use super::HeartbeatNumber;
-use crate::limits;
+use crate::time::{as_seconds, Timestamp};
 use std::fmt;
 
 /// Why a task is known to be gone from a machine.
@@ -23,12 +23,12 @@
     },
     /// The worker's lease has expired.
     LeaseExpired {
-        /// When the lease may last have been renewed, in microseconds.
-        last_renewal: u64,
+        /// When the lease may last have been renewed.
+        last_renewal: Timestamp,
         /// The leaseholder that renewed it or relayed the heartbeat. None: the leader itself.
         via: Option<usize>,
-        /// When it was counted as expired, in microseconds.
-        at: u64,
+        /// When it was counted as expired.
+        at: Timestamp,
     },
     /// The cloud says that the machine is deleted.
     Deleted,
@@ -44,7 +44,7 @@
             }
             TerminationProof::NewAgentEpoch { agent_epoch } => write!(f, "agent epoch {agent_epoch} began"),
             TerminationProof::LeaseExpired { last_renewal, via, at } => {
-                let silent_s = at.saturating_sub(*last_renewal) as f64 / limits::SECOND as f64;
+                let silent_s = as_seconds(at.since(*last_renewal));
                 write!(f, "lease ended {silent_s:.3} s after the last answer")?;
                 via.map_or(Ok(()), |node| write!(f, " by way of node {node}"))
             }
--- a/src/scheduler/model/tests.rs
+++ b/src/scheduler/model/tests.rs
@@ -3,7 +3,9 @@
 use super::*;
 use crate::lease::renewal::LastRenewal;
 use crate::limits::{self, SECOND};
+use crate::time::Timestamp;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 fn task(job_id: u64, task: u32) -> TaskId {
     TaskId { job_id: JobId(job_id), task }
@@ -18,7 +20,7 @@
         status,
         running_since: None,
         image: image.into(),
-        placed_at: 0,
+        placed_at: Timestamp::ZERO,
         stopping: None,
     }
 }
@@ -32,7 +34,12 @@
         address: "address".into(),
         images: BTreeSet::new(),
     };
-    Machine::new(&stored, Resources::offered(4.0, 0.0, 16.0), SECOND, 60 * SECOND)
+    Machine::new(
+        &stored,
+        Resources::offered(4.0, 0.0, 16.0),
+        Timestamp::from_secs(1),
+        Timestamp::from_secs(60),
+    )
 }
 
 #[test]
@@ -58,9 +65,9 @@
     heartbeats.record_newest(number(6), HeartbeatSource::DirectResponse);
     assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 4));
     // The periodic heartbeat that was overtaken.
-    heartbeats.record_overtaken(5, SECOND);
+    heartbeats.record_overtaken(5, Timestamp::from_secs(1));
     assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 5));
-    assert_eq!(heartbeats.last_at, SECOND);
+    assert_eq!(heartbeats.last_at, Timestamp::from_secs(1));
 }
 
 #[test]
@@ -75,33 +82,36 @@
 #[test]
 fn route_remembers_the_one_before_when_it_changes() {
     let mut route = Route::default();
-    assert!(!route.record(None, SECOND));
+    assert!(!route.record(None, Timestamp::from_secs(1)));
     assert_eq!(route.previous, None);
-    assert!(route.record(Some(2), 2 * SECOND));
-    assert!(!route.record(Some(2), 3 * SECOND));
+    assert!(route.record(Some(2), Timestamp::from_secs(2)));
+    assert!(!route.record(Some(2), Timestamp::from_secs(3)));
     assert_eq!(route.via, Some(2));
-    assert_eq!(route.previous, Some(PreviousRoute { via: None, left_at: 2 * SECOND }));
+    assert_eq!(route.previous, Some(PreviousRoute { via: None, left_at: Timestamp::from_secs(2) }));
 }
 
 #[test]
 fn stop_is_overdue_after_its_grace_period_and_the_timeout() {
-    let stop = StopRequest { requested_at: SECOND, grace_s: 2.0 };
+    let stop = StopRequest { requested_at: Timestamp::from_secs(1), grace_s: 2.0 };
     let overdue = 3 * SECOND + limits::STOP_TIMEOUT;
-    assert!(!stop.is_overdue(overdue - 1));
-    assert!(stop.is_overdue(overdue));
+    assert!(!stop.is_overdue(Timestamp::ZERO + overdue - Duration::from_micros(1)));
+    assert!(stop.is_overdue(Timestamp::ZERO + overdue));
 }
 
 #[test]
 fn resources_of_a_stopping_task_are_available_soon_until_the_stop_is_overdue() {
     let mut machine = machine();
     let mut stopping = placement("image", TaskStatus::Running);
-    stopping.stopping = Some(StopRequest { requested_at: SECOND, grace_s: 2.0 });
+    stopping.stopping = Some(StopRequest { requested_at: Timestamp::from_secs(1), grace_s: 2.0 });
     machine.tasks.insert(task(1, 0), stopping);
     machine.tasks.insert(task(1, 1), placement("image", TaskStatus::Running));
     assert_eq!(machine.available(), Resources::offered(2.0, 0.0, 14.0));
     let overdue = 3 * SECOND + limits::STOP_TIMEOUT;
-    assert_eq!(machine.available_soon(overdue - 1), Resources::offered(3.0, 0.0, 15.0));
-    assert_eq!(machine.available_soon(overdue), machine.available());
+    assert_eq!(
+        machine.available_soon(Timestamp::ZERO + overdue - Duration::from_micros(1)),
+        Resources::offered(3.0, 0.0, 15.0)
+    );
+    assert_eq!(machine.available_soon(Timestamp::ZERO + overdue), machine.available());
 }
 
 #[test]
@@ -127,7 +137,7 @@
         |machine| machine.state = MachineState::Lost,
         |machine| machine.reconciled = false,
         |machine| machine.recorded = false,
-        |machine| machine.lifecycle.recall_at = Some(SECOND),
+        |machine| machine.lifecycle.recall_at = Some(Timestamp::from_secs(1)),
         |machine| machine.commands.unacknowledged.push(TaskCommand::Forget { id: task(1, 0), attempt: 1 }),
         |machine| {
             machine.reported.orphaned.insert(TaskAttempt { task: task(9, 0), attempt: 1 });
@@ -144,15 +154,18 @@
 #[test]
 fn succeeded_tasks_are_recorded_once() {
     let mut progress = Progress { pending: BTreeSet::from([0, 1, 2]), ..Progress::default() };
-    progress.record_succeeded(1..2, SECOND);
-    assert_eq!((&progress.pending, progress.unrecorded_since), (&BTreeSet::from([0, 2]), Some(SECOND)));
+    progress.record_succeeded(1..2, Timestamp::from_secs(1));
+    assert_eq!(
+        (&progress.pending, progress.unrecorded_since),
+        (&BTreeSet::from([0, 2]), Some(Timestamp::from_secs(1)))
+    );
     // Written meanwhile: a second report of the same task must not have it written again.
     progress.unrecorded.clear();
     progress.unrecorded_since = None;
-    progress.record_succeeded(1..2, 2 * SECOND);
+    progress.record_succeeded(1..2, Timestamp::from_secs(2));
     assert!(progress.unrecorded.is_empty());
     assert_eq!(progress.unrecorded_since, None);
-    progress.record_succeeded(0..3, 3 * SECOND);
+    progress.record_succeeded(0..3, Timestamp::from_secs(3));
     assert!(progress.pending.is_empty());
     assert_eq!(progress.unrecorded, BTreeSet::from([0, 1, 2]));
 }
@@ -170,8 +183,11 @@
 #[test]
 fn termination_proofs_keep_their_texts() {
     let heartbeat = HeartbeatNumber { agent_epoch: 3, sequence: 7 };
-    let expired =
-        |via| TerminationProof::LeaseExpired { last_renewal: SECOND, via, at: 13 * SECOND + 500_000 };
+    let expired = |via| TerminationProof::LeaseExpired {
+        last_renewal: Timestamp::from_secs(1),
+        via,
+        at: Timestamp::from_secs(13) + Duration::from_millis(500),
+    };
     let texts = [
         (TerminationProof::NeverSent, "start never left"),
         (TerminationProof::Exited, "exit reported"),
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -7,11 +7,12 @@
     Job, JobId, Placement, PreviousPlacement, Resources, StopRequest, TaskId, TaskStatus, TerminationProof,
 };
 use super::Scheduler;
+use crate::time::Timestamp;
 use tracing::debug;
 
 impl Placement {
     /// A placement whose start has not been sent.
-    fn reserved(resource_request: Resources, image: String, attempt: u64, now: u64) -> Self {
+    fn reserved(resource_request: Resources, image: String, attempt: u64, now: Timestamp) -> Self {
         Placement {
             attempt,
             resource_request,
--- a/src/scheduler/quarantine.rs
+++ b/src/scheduler/quarantine.rs
@@ -7,6 +7,7 @@
 use super::model::{Job, JobId};
 use super::Scheduler;
 use crate::limits;
+use crate::time::Timestamp;
 use tracing::warn;
 
 /// In which way a task failed.
@@ -37,7 +38,7 @@
         let suspected = job.is_suspected();
         if suspected || failure == TaskFailure::NotKnownToWorker {
             // A job that fails everywhere must not be restarted in a tight loop.
-            let backoff = limits::JOB_BACKOFF << job.failure_history.count.min(10);
+            let backoff = limits::JOB_BACKOFF * (1 << job.failure_history.count.min(10));
             job.failure_history.count += 1;
             job.failure_history.backoff_until = now + backoff.min(limits::MAX_JOB_BACKOFF);
         }
@@ -60,7 +61,7 @@
         if job.failure_history.machines.is_empty() {
             return;
         }
-        job.failure_history.backoff_until = 0;
+        job.failure_history.backoff_until = Timestamp::ZERO;
         job.failure_history.count = 0;
         for name in std::mem::take(&mut job.failure_history.machines) {
             self.replace_if_faulty(&name, true);
--- a/src/scheduler/recall.rs
+++ b/src/scheduler/recall.rs
@@ -3,6 +3,7 @@
 use super::model::{Job, Kind};
 use super::Scheduler;
 use crate::limits;
+use crate::time::as_seconds;
 
 impl Scheduler {
     /// Stops tasks on a machine if the cloud has given notice of recalling it: services at once, tasks that save checkpoints
@@ -10,7 +11,7 @@
     pub(super) fn stop_before_recall(&mut self, name: &str) {
         let Some(machine) = self.machines.get(name) else { return };
         let Some(recall_at) = machine.lifecycle.recall_at else { return };
-        let left_s = recall_at.saturating_sub(self.now) as f64 / limits::SECOND as f64;
+        let left_s = as_seconds(recall_at.since(self.now));
         let stops: Vec<_> = machine
             .tasks
             .keys()
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -8,8 +8,10 @@
 use super::model::{Job, JobId, Kind, Machine};
 use super::{Effect, Scheduler, StoredMachine, WriteOutcome};
 use crate::limits;
+use crate::time::Timestamp;
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// Writes of a finished job besides its chunks of finished tasks: its final state and its live record.
 const FINAL_WRITES: f64 = 2.0;
@@ -34,8 +36,8 @@
 struct Record {
     machines: BTreeSet<String>,
     urgency: Urgency,
-    /// Since when it is to be written, in microseconds.
-    due_since: u64,
+    /// Since when it is to be written.
+    due_since: Timestamp,
     /// The machines of a write under way.
     in_flight: Option<BTreeSet<String>>,
     /// Records that took machines over from this one. It is written only after they are.
@@ -43,11 +45,11 @@
 }
 
 impl Record {
-    fn new(machines: BTreeSet<String>, urgency: Urgency, due_since: u64) -> Self {
+    fn new(machines: BTreeSet<String>, urgency: Urgency, due_since: Timestamp) -> Self {
         Record { machines, urgency, due_since, in_flight: None, write_after: Vec::new() }
     }
 
-    fn request_write(&mut self, urgency: Urgency, now: u64) {
+    fn request_write(&mut self, urgency: Urgency, now: Timestamp) {
         if self.urgency == Urgency::Written {
             self.due_since = now;
         }
@@ -93,8 +95,8 @@
         }
     }
 
-    /// Records that are to be written at this urgency, after `delay` microseconds.
-    fn due(&self, urgency: Urgency, delay: u64, now: u64) -> Vec<String> {
+    /// Records that are to be written at this urgency, after `delay`.
+    fn due(&self, urgency: Urgency, delay: Duration, now: Timestamp) -> Vec<String> {
         let is_written = |key: &String| self.records.get(key).is_none_or(Record::has_no_new_machine);
         let is_due = |record: &Record| {
             record.urgency >= urgency
@@ -106,8 +108,8 @@
     }
 }
 
-/// The leader's share of the state service's puts and deletes. `now` is in microseconds.
-pub(super) fn write_budget(write_rps: f64, now: u64) -> TokenBucket {
+/// The leader's share of the state service's puts and deletes.
+pub(super) fn write_budget(write_rps: f64, now: Timestamp) -> TokenBucket {
     let rate = write_rps * limits::LEADER_WRITE_SHARE;
     TokenBucket::new(rate, rate.max(limits::MIN_WRITE_BURST), now)
 }
@@ -203,7 +205,9 @@
     /// Writes what is due, the most urgent first, as far as the write budget goes.
     pub fn write_due(&mut self) {
         self.writes.refill(self.now);
-        if !self.finish_jobs() || !self.write_records(Urgency::NewMachine, 0) || !self.write_finished_tasks()
+        if !self.finish_jobs()
+            || !self.write_records(Urgency::NewMachine, Duration::ZERO)
+            || !self.write_finished_tasks()
         {
             return;
         }
@@ -214,7 +218,7 @@
 
     /// Writes the records that are due at this urgency. Returns whether the budget sufficed: only then may less urgent
     /// writes follow.
-    fn write_records(&mut self, urgency: Urgency, delay: u64) -> bool {
+    fn write_records(&mut self, urgency: Urgency, delay: Duration) -> bool {
         for key in self.records.due(urgency, delay, self.now) {
             if !self.writes.take_allowing_debt(1.0) {
                 return false;
@@ -251,7 +255,7 @@
     /// their workers, and tasks that finish meanwhile are written with them. Returns whether the budget sufficed.
     fn write_finished_tasks(&mut self) -> bool {
         let now = self.now;
-        let mut ready: Vec<(Option<u64>, JobId)> = self
+        let mut ready: Vec<(Option<Timestamp>, JobId)> = self
             .jobs
             .values()
             .filter(|job| job.has_finished_tasks_due(now))
@@ -309,7 +313,7 @@
     }
 
     /// Whether the job goes on and has finished tasks that are to be written now.
-    fn has_finished_tasks_due(&self, now: u64) -> bool {
+    fn has_finished_tasks_due(&self, now: Timestamp) -> bool {
         let progress = &self.progress;
         progress.unrecorded_since.is_some_and(|since| now >= since + limits::FINISHED_TASKS_DELAY)
             && !progress.write_in_flight
--- a/src/scheduler/records_tests.rs
+++ b/src/scheduler/records_tests.rs
@@ -1,7 +1,9 @@
 //! Which record a machine is in, and which records are due.
 
 use super::{Record, Records, Urgency};
+use crate::time::Timestamp;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 const MAX_MACHINES: usize = 2;
 const TOKEN: u64 = 7;
@@ -19,8 +21,8 @@
 #[test]
 fn a_machine_keeps_its_record_and_a_new_one_joins_the_last_record_with_room() {
     let mut records = Records::default();
-    insert(&mut records, "7-1", Record::new(machines(&["a"]), Urgency::Written, 0));
-    insert(&mut records, "7-2", Record::new(machines(&["b", "c"]), Urgency::Written, 0));
+    insert(&mut records, "7-1", Record::new(machines(&["a"]), Urgency::Written, Timestamp::ZERO));
+    insert(&mut records, "7-2", Record::new(machines(&["b", "c"]), Urgency::Written, Timestamp::ZERO));
     assert_eq!(records.key_for("c", MAX_MACHINES, TOKEN), "7-2");
     assert_eq!(records.key_for("d", MAX_MACHINES, TOKEN), "7-1");
 }
@@ -28,7 +30,7 @@
 #[test]
 fn a_new_key_is_neither_in_use_nor_reserved() {
     let mut records = Records::default();
-    insert(&mut records, "7-1", Record::new(machines(&["a", "b"]), Urgency::Written, 0));
+    insert(&mut records, "7-1", Record::new(machines(&["a", "b"]), Urgency::Written, Timestamp::ZERO));
     assert_eq!(records.new_key(TOKEN, "7-2"), "7-3");
     assert_eq!(records.key_for("c", MAX_MACHINES, TOKEN), "7-4");
 }
@@ -36,35 +38,46 @@
 #[test]
 fn a_record_is_due_at_its_urgency_after_the_delay_unless_a_write_is_in_flight() {
     let mut records = Records::default();
-    insert(&mut records, "7-1", Record::new(machines(&["a"]), Urgency::DeletedMachine, 100));
-    assert!(records.due(Urgency::NewMachine, 0, 1_000).is_empty());
-    assert!(records.due(Urgency::DeletedMachine, 50, 149).is_empty());
-    assert_eq!(records.due(Urgency::DeletedMachine, 50, 150), ["7-1"]);
-    assert_eq!(records.due(Urgency::Images, 50, 150), ["7-1"]);
+    insert(
+        &mut records,
+        "7-1",
+        Record::new(machines(&["a"]), Urgency::DeletedMachine, Timestamp::from_micros(100)),
+    );
+    assert!(records.due(Urgency::NewMachine, Duration::ZERO, Timestamp::from_micros(1_000)).is_empty());
+    assert!(records
+        .due(Urgency::DeletedMachine, Duration::from_micros(50), Timestamp::from_micros(149))
+        .is_empty());
+    assert_eq!(
+        records.due(Urgency::DeletedMachine, Duration::from_micros(50), Timestamp::from_micros(150)),
+        ["7-1"]
+    );
+    assert_eq!(records.due(Urgency::Images, Duration::from_micros(50), Timestamp::from_micros(150)), ["7-1"]);
     records.records.get_mut("7-1").unwrap().in_flight = Some(machines(&["a"]));
-    assert!(records.due(Urgency::DeletedMachine, 50, 150).is_empty());
+    assert!(records
+        .due(Urgency::DeletedMachine, Duration::from_micros(50), Timestamp::from_micros(150))
+        .is_empty());
 }
 
 #[test]
 fn a_record_is_due_only_after_those_that_took_machines_over_from_it_are_written() {
     let mut records = Records::default();
-    let mut old = Record::new(machines(&["a"]), Urgency::DeletedMachine, 0);
+    let mut old = Record::new(machines(&["a"]), Urgency::DeletedMachine, Timestamp::ZERO);
     old.write_after = vec!["7-1".into()];
     insert(&mut records, "6-1", old);
-    insert(&mut records, "7-1", Record::new(machines(&["b"]), Urgency::NewMachine, 0));
-    assert_eq!(records.due(Urgency::DeletedMachine, 0, 10), ["7-1"]);
+    insert(&mut records, "7-1", Record::new(machines(&["b"]), Urgency::NewMachine, Timestamp::ZERO));
+    assert_eq!(records.due(Urgency::DeletedMachine, Duration::ZERO, Timestamp::from_micros(10)), ["7-1"]);
     let new = records.records.get_mut("7-1").unwrap();
     (new.urgency, new.in_flight) = (Urgency::Written, Some(machines(&["b"])));
-    assert!(records.due(Urgency::DeletedMachine, 0, 10).is_empty());
+    assert!(records.due(Urgency::DeletedMachine, Duration::ZERO, Timestamp::from_micros(10)).is_empty());
     records.records.get_mut("7-1").unwrap().in_flight = None;
-    assert_eq!(records.due(Urgency::DeletedMachine, 0, 10), ["6-1"]);
+    assert_eq!(records.due(Urgency::DeletedMachine, Duration::ZERO, Timestamp::from_micros(10)), ["6-1"]);
 }
 
 #[test]
 fn a_later_request_raises_the_urgency_and_keeps_the_time_of_the_first() {
-    let mut record = Record::new(machines(&["a"]), Urgency::Written, 0);
-    record.request_write(Urgency::Images, 10);
-    record.request_write(Urgency::NewMachine, 20);
-    record.request_write(Urgency::DeletedMachine, 30);
-    assert_eq!((record.urgency, record.due_since), (Urgency::NewMachine, 10));
+    let mut record = Record::new(machines(&["a"]), Urgency::Written, Timestamp::ZERO);
+    record.request_write(Urgency::Images, Timestamp::from_micros(10));
+    record.request_write(Urgency::NewMachine, Timestamp::from_micros(20));
+    record.request_write(Urgency::DeletedMachine, Timestamp::from_micros(30));
+    assert_eq!((record.urgency, record.due_since), (Urgency::NewMachine, Timestamp::from_micros(10)));
 }
--- a/src/scheduler/scaling_plan.rs
+++ b/src/scheduler/scaling_plan.rs
@@ -8,6 +8,7 @@
 use super::scoring::ZoneCount;
 use super::{Effect, Scheduler};
 use crate::limits;
+use crate::time::from_seconds;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
@@ -185,7 +186,7 @@
         if left == 0 {
             return;
         }
-        let patient = self.now < job.submitted_at + limits::micros(self.config.operator.spot_patience_s);
+        let patient = self.now < job.submitted_at + from_seconds(self.config.operator.spot_patience_s);
         let mut offers = self.offers(|t| job.spec.allows_type(t), |_| true, job.spec.spot);
         offers.retain(|(_, o)| {
             let fits = self.types.get(&o.0).is_some_and(|t| needs.fits(&t.capacity));
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -4,6 +4,8 @@
 use super::quarantine::TaskFailure;
 use super::Scheduler;
 use crate::limits;
+use crate::time::whole_micros;
+use std::time::Duration;
 use tracing::{debug, info, warn};
 
 impl Scheduler {
@@ -34,7 +36,7 @@
         let Some(machine) = self.machines.get_mut(name) else { return };
         let running_since = machine.tasks.remove(&id).and_then(|placement| placement.running_since);
         if let (ExitReason::Done, Some(since)) = (reason, running_since) {
-            self.assess_speed(name, id.job_id, now - since);
+            self.assess_speed(name, id.job_id, now.since(since));
         }
         self.remove_placement(name, id, TerminationProof::Exited);
     }
@@ -84,18 +86,19 @@
         job.progress.record_succeeded(succeeded, now);
     }
 
-    /// Compares a run time (microseconds) with those of the same job.
+    /// Compares a run time with those of the same job.
     ///
     /// Tasks of one job differ by half or so. One that takes far longer than the others did counts against its
     /// machine, and several in a row keep arrays off the machine for a while.
-    fn assess_speed(&mut self, name: &str, job_id: JobId, run_time: u64) {
+    fn assess_speed(&mut self, name: &str, job_id: JobId, run_time: Duration) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let earlier = job.run_times;
         job.run_times.add(run_time);
         if earlier.count < limits::MIN_SPEED_SAMPLES {
             return;
         }
-        let is_slow = run_time as f64 > limits::SLOW_FACTOR * earlier.total as f64 / earlier.count as f64;
+        let is_slow = whole_micros(run_time) as f64
+            > limits::SLOW_FACTOR * whole_micros(earlier.total) as f64 / earlier.count as f64;
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.health.slow_tasks = if is_slow { machine.health.slow_tasks + 1 } else { 0 };
--- a/src/scheduler/task_lists.rs
+++ b/src/scheduler/task_lists.rs
@@ -8,6 +8,7 @@
     TaskStatus, TerminationProof,
 };
 use super::Scheduler;
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, warn};
 
@@ -21,12 +22,12 @@
     /// See `ReportedTasks::orphaned`.
     orphaned: BTreeSet<TaskAttempt>,
     /// See `ReportedTasks::unverified`.
-    unverified: BTreeMap<TaskAttempt, u64>,
+    unverified: BTreeMap<TaskAttempt, Timestamp>,
 }
 
 impl Placement {
     /// A placement that a heartbeat has shown, and that this leader did not make.
-    fn adopted(task: &ReportedTask, spec: &JobSpec, now: u64) -> Self {
+    fn adopted(task: &ReportedTask, spec: &JobSpec, now: Timestamp) -> Self {
         Placement {
             attempt: task.attempt,
             resource_request: spec.resource_request,
@@ -41,7 +42,7 @@
     }
 
     /// A heartbeat lists the task.
-    fn confirm(&mut self, task: &ReportedTask, now: u64) {
+    fn confirm(&mut self, task: &ReportedTask, now: Timestamp) {
         self.attempt = task.attempt;
         self.confirmed = true;
         if self.status != TaskStatus::Running && task.status == TaskStatus::Running {
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -1,11 +1,12 @@
 //! Use of machines by teams and jobs, added up and written to the log now and then.
 //!
 //! The sum of all `usage` lines of all nodes is what each job and team has used, changes of leader included. Called by
-//! the autoscaler, and by the controller when leadership ends. Times are in microseconds.
+//! the autoscaler, and by the controller when leadership ends.
 
 use super::model::{JobId, TaskStatus};
 use super::Scheduler;
 use crate::limits;
+use crate::time::{whole_micros, Timestamp};
 use std::collections::BTreeMap;
 use tracing::info;
 
@@ -31,21 +32,21 @@
 pub(super) struct UsageLedger {
     by_job: BTreeMap<UsageKey, JobUsage>,
     /// Use before then is in the ledger.
-    counted_until: u64,
+    counted_until: Timestamp,
     /// When it was last written to the log.
-    written_at: u64,
+    written_at: Timestamp,
 }
 
 /// Hours, from thousandths times microseconds.
 fn hours(amount: i128) -> f64 {
-    amount as f64 / 1000.0 / limits::SECOND as f64 / 3600.0
+    amount as f64 / 1000.0 / 1e6 / 3600.0
 }
 
 impl Scheduler {
     /// Adds up what runs, and writes it to the log when that is due.
     pub(super) fn account(&mut self) {
-        let elapsed = self.now.saturating_sub(self.usage.counted_until.max(self.started_at));
-        let elapsed = i128::from(elapsed);
+        let elapsed = self.now.since(self.usage.counted_until.max(self.started_at));
+        let elapsed = i128::from(whole_micros(elapsed));
         self.usage.counted_until = self.now;
         for machine in self.machines.values() {
             let running = machine.tasks.iter().filter(|(_, task)| task.status == TaskStatus::Running);
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -6,10 +6,10 @@
     Change, ChangeLog, Comparison, Lease, Page, Record, Revision, Transaction, Value,
 };
 use crate::settings::StateLimits;
+use crate::time::{whole_millis, AtomicTimestamp, Timestamp};
 use crate::token_bucket::TokenBucket;
 use reqwest::Method;
 use serde::Deserialize;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use thiserror::Error;
@@ -62,7 +62,7 @@
 }
 
 impl UserBudgets {
-    fn new(limits: &StateLimits, nodes: usize, now: u64) -> Self {
+    fn new(limits: &StateLimits, nodes: usize, now: Timestamp) -> Self {
         let bucket =
             |rate: f64, burst_s: f64| TokenBucket::new(rate, (rate * burst_s).max(MIN_USER_BURST), now);
         UserBudgets {
@@ -73,7 +73,7 @@
 
     /// Takes one request with `writes` puts and deletes. A request that the second bucket refuses has still taken
     /// its writes from the first.
-    fn take(&mut self, now: u64, writes: u32) -> bool {
+    fn take(&mut self, now: Timestamp, writes: u32) -> bool {
         (writes == 0 || self.writes.refill_and_take(now, f64::from(writes)))
             && self.requests.refill_and_take(now, 1.0)
     }
@@ -85,8 +85,8 @@
     http: Http,
     base: String,
     clock: Clock,
-    /// Microseconds; 0 before the first response.
-    last_response_at: Arc<AtomicU64>,
+    /// 0 before the first response.
+    last_response_at: Arc<AtomicTimestamp>,
     max_value_bytes: usize,
     /// Held only while tokens are taken, never across an await.
     user_budgets: Arc<Mutex<UserBudgets>>,
@@ -109,7 +109,7 @@
     Change::Remove { key: key.into() }
 }
 
-/// The condition that `key` has this version; 0: that it does not exist.
+/// The condition that `key` has this version; zero: that it does not exist.
 pub fn compare_version(key: &str, version: u64) -> Comparison {
     Comparison { key: key.into(), version }
 }
@@ -128,14 +128,14 @@
             http,
             base: format!("http://{address}"),
             clock,
-            last_response_at: Arc::new(AtomicU64::new(0)),
+            last_response_at: Arc::default(),
             max_value_bytes: (limits.value_kb * 1024.0) as usize,
             user_budgets: Arc::new(Mutex::new(user_budgets)),
         }
     }
 
-    /// The time of this process's steady clock, in microseconds.
-    pub fn now(&self) -> u64 {
+    /// The time of this process's steady clock.
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
@@ -144,9 +144,9 @@
         self.max_value_bytes
     }
 
-    /// When the service last answered this node other than with 503, in microseconds; 0 if it never did.
-    pub fn last_response_at(&self) -> u64 {
-        self.last_response_at.load(Ordering::Relaxed)
+    /// When the service last answered this node other than with 503; zero if it never did.
+    pub fn last_response_at(&self) -> Timestamp {
+        self.last_response_at.load()
     }
 
     /// Whether a user's request of this node may send one more request now, with `writes` puts and deletes; takes them
@@ -168,9 +168,7 @@
     ) -> Result<Answer, CallError> {
         let answer = self.http.call(method, &format!("{}{path}", self.base), body, timeout).await;
         match &answer {
-            Ok(response) if response.status != 503 => {
-                self.last_response_at.store(self.clock.now(), Ordering::Relaxed)
-            }
+            Ok(response) if response.status != 503 => self.last_response_at.store(self.clock.now()),
             Ok(_) => debug!(path, "state service answers 503"),
             Err(error) => debug!(path, %error, "state service"),
         }
@@ -238,12 +236,12 @@
         }
     }
 
-    /// Creates a lease of so many milliseconds; returns its number.
+    /// Creates a lease of this duration; returns its number.
     ///
     /// # Errors
     /// As [`KeyValueStore::get`].
-    pub async fn create_lease(&self, duration_ms: u64) -> Result<u64, StoreError> {
-        let body = serde_json::json!({ "life_ms": duration_ms }).to_string().into_bytes();
+    pub async fn create_lease(&self, duration: Duration) -> Result<u64, StoreError> {
+        let body = serde_json::json!({ "life_ms": whole_millis(duration) }).to_string().into_bytes();
         let answer = self.call(Method::POST, "/grants", Some(body), limits::STORE_TIMEOUT).await?;
         match answer.status {
             200 => json::<Lease>(&answer).map(|granted| granted.lease),
@@ -272,7 +270,7 @@
         let _ = self.call(Method::DELETE, &path, None, limits::STORE_TIMEOUT).await;
     }
 
-    /// Changes under a prefix after the revision `from`. Waits up to `wait_ms` for the first of them; 0: does not wait.
+    /// Changes under a prefix after the revision `from`. Waits up to `wait` for the first of them; zero: does not wait.
     /// `None`: the log no longer goes back to `from`, and the keys must be listed again.
     ///
     /// # Errors
@@ -281,13 +279,11 @@
         &self,
         prefix: &str,
         from: u64,
-        wait_ms: u64,
+        wait: Duration,
     ) -> Result<Option<ChangeLog>, StoreError> {
+        let wait_ms = whole_millis(wait);
         let path = format!("/follow?prefix={prefix}&from={from}&wait_ms={wait_ms}");
-        let timeout = match wait_ms {
-            0 => limits::POLL_TIMEOUT,
-            _ => Duration::from_millis(wait_ms) + limits::STORE_WATCH_MARGIN,
-        };
+        let timeout = if wait.is_zero() { limits::POLL_TIMEOUT } else { wait + limits::STORE_WATCH_MARGIN };
         let answer = self.call(Method::GET, &path, None, timeout).await?;
         match answer.status {
             200 => json(&answer).map(Some),
--- a/src/storage/leader_lock.rs
+++ b/src/storage/leader_lock.rs
@@ -6,6 +6,7 @@
 use crate::protocol::state_service::Change;
 use crate::storage::key_value_store::{compare_version, CommitOutcome, KeyValueStore, StoreError};
 use crate::storage::keys;
+use crate::time::Timestamp;
 use thiserror::Error;
 
 /// The epoch of the last leader, as it is stored.
@@ -43,8 +44,8 @@
     pub lease: u64,
     /// The version of the new epoch.
     pub version: u64,
-    /// When the lease was requested, in microseconds: it runs from then at the earliest.
-    pub requested_at: u64,
+    /// When the lease was requested: it runs from then at the earliest.
+    pub requested_at: Timestamp,
 }
 
 /// A takeover that was not committed, or is not known to be.
@@ -82,8 +83,7 @@
         lock_condition: LockCondition,
     ) -> Result<Takeover, TakeoverError> {
         let requested_at = self.now();
-        let lease =
-            self.create_lease(limits::LOCK_LEASE_MS).await.map_err(|_| TakeoverError { lease: None })?;
+        let lease = self.create_lease(limits::LOCK_LEASE).await.map_err(|_| TakeoverError { lease: None })?;
         let failed = TakeoverError { lease: Some(lease) };
         let mut conditions = vec![compare_version(keys::LEADER_EPOCH, version)];
         match lock_condition {
--- a/src/storage/live_job_cache.rs
+++ b/src/storage/live_job_cache.rs
@@ -73,7 +73,7 @@
         let refreshed = refresh(&store, &mut cached, &mut update).await.map_err(Arc::new);
         refresh_delay = match &refreshed {
             Ok(()) => limits::LIVE_JOBS_REFRESH_INTERVAL,
-            Err(_) => Duration::from_millis(limits::STORE_RETRY_DELAY_MS),
+            Err(_) => limits::STORE_RETRY_DELAY,
         };
         if refreshed.is_ok() && events.send(Event::LiveJobs(std::mem::take(&mut update))).await.is_err() {
             return;
@@ -104,7 +104,7 @@
             Some(cached) => cached,
             None => list_live_jobs(store, update).await?,
         };
-        let log = match store.follow(keys::LIVE_JOBS, current.revision, 0).await {
+        let log = match store.follow(keys::LIVE_JOBS, current.revision, Duration::ZERO).await {
             Ok(Some(log)) => log,
             // The cached revision is too old to follow from: list the keys again.
             Ok(None) => continue,
--- /dev/null
+++ b/src/time.rs
@@ -0,0 +1,111 @@
+//! Instants of a node's steady clock, and durations as whole microseconds.
+
+use std::fmt;
+use std::ops::{Add, AddAssign, Sub};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+/// An instant of a node's steady clock: whole microseconds since an origin of its process's own.
+///
+/// Instants of different nodes can't be compared. A message may carry its sender's instant, which means something only
+/// when it is echoed back to that sender. Arithmetic saturates at both ends.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Timestamp(u64);
+
+impl Timestamp {
+    /// The clock's origin; also stands for "not yet".
+    pub const ZERO: Timestamp = Timestamp(0);
+    /// Later than every instant that a clock shows.
+    pub const MAX: Timestamp = Timestamp(u64::MAX);
+
+    /// The instant this many microseconds after the clock's origin.
+    pub const fn from_micros(micros: u64) -> Self {
+        Timestamp(micros)
+    }
+
+    /// The instant this many seconds after the clock's origin.
+    pub const fn from_secs(seconds: u64) -> Self {
+        Timestamp(seconds * 1_000_000)
+    }
+
+    /// Microseconds since the clock's origin.
+    pub const fn as_micros(self) -> u64 {
+        self.0
+    }
+
+    /// The time that has passed since `earlier`; zero if that is later than this instant.
+    pub const fn since(self, earlier: Timestamp) -> Duration {
+        Duration::from_micros(self.0.saturating_sub(earlier.0))
+    }
+}
+
+impl Add<Duration> for Timestamp {
+    type Output = Timestamp;
+
+    fn add(self, duration: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_add(whole_micros(duration)))
+    }
+}
+
+impl AddAssign<Duration> for Timestamp {
+    fn add_assign(&mut self, duration: Duration) {
+        *self = *self + duration;
+    }
+}
+
+impl Sub<Duration> for Timestamp {
+    type Output = Timestamp;
+
+    fn sub(self, duration: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_sub(whole_micros(duration)))
+    }
+}
+
+impl fmt::Display for Timestamp {
+    /// Microseconds since the clock's origin.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
+/// A [`Timestamp`] that the tasks of a process share. It is read and written by itself: nothing else is ordered by it.
+#[derive(Debug, Default)]
+pub struct AtomicTimestamp(AtomicU64);
+
+impl AtomicTimestamp {
+    /// The instant last stored; [`Timestamp::ZERO`] before the first.
+    pub fn load(&self) -> Timestamp {
+        Timestamp(self.0.load(Ordering::Relaxed))
+    }
+
+    /// Replaces the instant.
+    pub fn store(&self, at: Timestamp) {
+        self.0.store(at.0, Ordering::Relaxed);
+    }
+}
+
+/// A duration in whole microseconds, the unit of frames between nodes; `u64::MAX` if it is longer than that.
+pub fn whole_micros(duration: Duration) -> u64 {
+    let seconds = duration.as_secs().saturating_mul(1_000_000);
+    seconds.saturating_add(u64::from(duration.subsec_micros()))
+}
+
+/// A duration in seconds, as rates and settings count them.
+pub fn as_seconds(duration: Duration) -> f64 {
+    whole_micros(duration) as f64 / 1e6
+}
+
+/// A duration of this many seconds, in whole microseconds; zero if it is negative.
+pub fn from_seconds(seconds: f64) -> Duration {
+    Duration::from_micros((seconds.max(0.0) * 1e6) as u64)
+}
+
+/// A duration times a factor, in whole microseconds.
+pub fn scaled(duration: Duration, factor: f64) -> Duration {
+    Duration::from_micros((whole_micros(duration) as f64 * factor) as u64)
+}
+
+/// A duration in whole milliseconds.
+pub fn whole_millis(duration: Duration) -> u64 {
+    whole_micros(duration) / 1_000
+}
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -3,7 +3,7 @@
 //! Owned by the part that spends from it: the state service's client for users' requests, the scheduler for the
 //! leader's own records and for the starts of a cold start. The caller passes the time, so the bucket itself reads no clock.
 
-use crate::limits;
+use crate::time::{as_seconds, Timestamp};
 
 /// Tokens that refill at a constant rate up to a capacity. One token is one request, one write or one start of a task.
 /// The default is an empty bucket that never refills.
@@ -15,18 +15,18 @@
     capacity: f64,
     /// Tokens that it holds. Negative while there is a debt, see [`TokenBucket::take_allowing_debt`].
     available: f64,
-    /// Time of the last refill, in microseconds.
-    refilled_at: u64,
+    /// Time of the last refill.
+    refilled_at: Timestamp,
 }
 
 impl TokenBucket {
-    /// A full bucket. `rate` is in tokens per second, `now` in microseconds.
-    pub fn new(rate: f64, capacity: f64, now: u64) -> Self {
+    /// A full bucket. `rate` is in tokens per second.
+    pub fn new(rate: f64, capacity: f64, now: Timestamp) -> Self {
         TokenBucket { rate, capacity, available: capacity, refilled_at: now }
     }
 
     /// An empty bucket. Arguments as for [`TokenBucket::new`].
-    pub fn empty(rate: f64, capacity: f64, now: u64) -> Self {
+    pub fn empty(rate: f64, capacity: f64, now: Timestamp) -> Self {
         TokenBucket { rate, capacity, available: 0.0, refilled_at: now }
     }
 
@@ -35,16 +35,16 @@
         self.available
     }
 
-    /// Adds the tokens for the time since the last refill. `now` is in microseconds.
-    pub fn refill(&mut self, now: u64) {
-        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / limits::SECOND as f64;
+    /// Adds the tokens for the time since the last refill.
+    pub fn refill(&mut self, now: Timestamp) {
+        let elapsed_s = as_seconds(now.since(self.refilled_at));
         self.refilled_at = now;
         self.available = (self.available + elapsed_s * self.rate).min(self.capacity);
     }
 
     /// Refills, then takes `count` tokens if all of them are available. A `count` above the capacity is never granted.
     #[must_use]
-    pub fn refill_and_take(&mut self, now: u64, count: f64) -> bool {
+    pub fn refill_and_take(&mut self, now: Timestamp, count: f64) -> bool {
         self.refill(now);
         let granted = self.available >= count;
         if granted {
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -7,7 +7,9 @@
     Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
 use dockpier::settings::{Operator, Team};
+use dockpier::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 const SLOTS: f64 = 4.0;
 
@@ -21,7 +23,7 @@
 pub struct Cluster {
     pub scheduler: Scheduler,
     config: Config,
-    now: u64,
+    now: Timestamp,
     sequence: u64,
     token: u64,
     /// Machines that are there and report.
@@ -57,7 +59,7 @@
 
 fn stored(spec: JobSpec) -> StoredJob {
     let version = spec.job_id.0;
-    StoredJob { spec, version, age: 0, succeeded: BTreeSet::new() }
+    StoredJob { spec, version, age: Duration::ZERO, succeeded: BTreeSet::new() }
 }
 
 impl Cluster {
@@ -66,9 +68,9 @@
         let operator = Operator { idle_s: 3_600.0, ..Operator::default() };
         let config = Config { operator, teams, zones: vec!["a".into()], ..common::config() };
         let mut cluster = Cluster {
-            scheduler: Scheduler::new(config.clone(), SECOND),
+            scheduler: Scheduler::new(config.clone(), Timestamp::from_secs(1)),
             config,
-            now: SECOND,
+            now: Timestamp::from_secs(1),
             sequence: 0,
             token: 1,
             machines: (0..machines).collect(),
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -4,6 +4,7 @@
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::Command;
 use dockpier::settings::{ColdStartSettings, Operator, Team};
+use dockpier::time::Timestamp;
 use dockpier_simulation::{job, Fleet, Layout};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -198,7 +199,8 @@
     let of = |fleet: &Fleet, job: u64| running(fleet).iter().filter(|id| id.job_id.0 == job).count();
     assert_eq!((of(&fleet, 12), of(&fleet, 13)), (20, 20), "stopped before the store was asked");
     // A reading that left before the report proves nothing of it.
-    let early = Command::JobRead { job_id: JobId(12), sent: 1, reading: JobReading::Absent };
+    let early =
+        Command::JobRead { job_id: JobId(12), sent: Timestamp::from_micros(1), reading: JobReading::Absent };
     drop(fleet.scheduler.step(fleet.now(), vec![early]));
     fleet.run(3.0);
     assert_eq!(of(&fleet, 12), 20, "stopped on a reading older than the report");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,6 +4,7 @@
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::Config;
 use dockpier::settings::{Operator, Team, Workers};
+use std::time::Duration;
 
 /// A leader of one team without limits, in two zones, with no leaseholders and nothing scarce.
 pub fn config() -> Config {
@@ -26,7 +27,7 @@
         record_machines: 3,
         value_most: 4_096,
         rentals_at_once: 10,
-        shard_lease: 0,
+        shard_lease: Duration::ZERO,
     }
 }
 
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -9,8 +9,10 @@
     Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
 use dockpier::settings::Operator;
+use dockpier::time::{from_seconds, Timestamp};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 fn types() -> Vec<MachineType> {
     vec![MachineType {
@@ -38,7 +40,7 @@
 
 struct Bed {
     scheduler: Scheduler,
-    now: u64,
+    now: Timestamp,
     sequence: u64,
     machines: usize,
     running: BTreeMap<String, BTreeMap<TaskId, u64>>,
@@ -56,8 +58,8 @@
             ..common::config()
         };
         let mut bed = Bed {
-            scheduler: Scheduler::new(config, SECOND),
-            now: SECOND,
+            scheduler: Scheduler::new(config, Timestamp::from_secs(1)),
+            now: Timestamp::from_secs(1),
             sequence: 0,
             machines,
             running: BTreeMap::new(),
@@ -71,7 +73,7 @@
     }
 
     fn step(&mut self, batch: Vec<Command>) -> Vec<Effect> {
-        self.now += 100_000;
+        self.now += Duration::from_micros(100_000);
         let effects = self.scheduler.step(self.now, batch);
         for effect in &effects {
             if let Effect::Delete(names) = effect {
@@ -143,7 +145,12 @@
 
     fn submit(&mut self, spec: JobSpec) {
         let version = spec.job_id.0;
-        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, succeeded: BTreeSet::new() })]);
+        self.step(vec![Command::JobAdded(StoredJob {
+            spec,
+            version,
+            age: Duration::ZERO,
+            succeeded: BTreeSet::new(),
+        })]);
         (0..3).for_each(|_| self.heartbeat());
     }
 
@@ -196,7 +203,7 @@
     assert_eq!(bed.width(1), 4);
     bed.submit(spec(2, Kind::Gang, Priority::High, 2));
     assert_eq!((bed.width(1), bed.width(2)), (4, 0), "inside the gap nobody shrinks");
-    while bed.now < 15 * SECOND {
+    while bed.now < Timestamp::from_secs(15) {
         bed.heartbeat();
     }
     assert_eq!((bed.width(1), bed.width(2)), (2, 2), "after it the newcomer gets its minimum");
@@ -216,8 +223,8 @@
     let mut bed = Bed::new(1, 0.0);
     bed.submit(spec(1, Kind::Array, Priority::Normal, 1));
     bed.submit(spec(2, Kind::Array, Priority::Low, 1));
-    let aging = limits::micros(Operator::default().aging_s);
-    while bed.now < SECOND + aging + 10 * SECOND {
+    let aging = from_seconds(Operator::default().aging_s);
+    while bed.now < Timestamp::from_secs(1) + aging + 10 * SECOND {
         bed.heartbeat();
     }
     bed.submit(spec(3, Kind::Array, Priority::Normal, 1));
@@ -232,7 +239,12 @@
     bed.scheduler.config.round_steps = 3;
     let batch = (1..7u64).map(|job_id| {
         let spec = spec(job_id, Kind::Array, Priority::Low, 1);
-        Command::JobAdded(StoredJob { spec, version: job_id, age: 0, succeeded: BTreeSet::new() })
+        Command::JobAdded(StoredJob {
+            spec,
+            version: job_id,
+            age: Duration::ZERO,
+            succeeded: BTreeSet::new(),
+        })
     });
     bed.step(batch.collect());
     (0..4).for_each(|_| bed.heartbeat());
@@ -248,7 +260,7 @@
     let judged = |bed: &Bed| bed.scheduler.machines[&slow].health.quarantined_until > bed.now;
     let mut slow_since = bed.now;
     while !judged(&bed) {
-        assert!(bed.now < 120 * SECOND, "never recognised");
+        assert!(bed.now < Timestamp::from_secs(120), "never recognised");
         // Everywhere else tasks take some 2 s, here 8.
         let fast: Vec<TaskId> =
             bed.running.iter().filter(|(m, _)| **m != slow).flat_map(|(_, t)| t.keys().copied()).collect();
@@ -284,13 +296,14 @@
 fn a_record_that_is_too_large_is_split_and_the_new_ones_are_written_first() {
     let config = Config { token: 2, zones: vec!["a".into()], ..common::config() };
     let most = config.record_machines;
-    let mut scheduler = Scheduler::new(config, SECOND);
+    let mut scheduler = Scheduler::new(config, Timestamp::from_secs(1));
     let old = (0..3 * most).map(known).collect::<Vec<_>>();
     let mut stored: BTreeMap<String, Vec<StoredMachine>> = [("1-1".to_string(), old)].into();
     let records = vec![("1-1".into(), stored["1-1"].clone())];
     let mut then = vec![Command::Types(types()), Command::Load { jobs: vec![], records }];
     for step in 1..100 {
-        let effects = scheduler.step(SECOND + step * 100_000, std::mem::take(&mut then));
+        let effects = scheduler
+            .step(Timestamp::from_secs(1) + Duration::from_micros(step * 100_000), std::mem::take(&mut then));
         for effect in effects {
             let Effect::Record { key, machines } = effect else { continue };
             assert!(machines.len() <= most, "{key}: {} machines", machines.len());
@@ -311,7 +324,7 @@
     let job = StoredJob {
         spec: spec(1, Kind::Array, Priority::Low, 2),
         version: 1,
-        age: 0,
+        age: Duration::ZERO,
         succeeded: BTreeSet::new(),
     };
     let load = Command::Load { jobs: vec![job], records: vec![("1-1".into(), (0..4).map(known).collect())] };
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -8,12 +8,14 @@
 use dockpier::scheduler::{
     Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
+use dockpier::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// Five machines of one place each, and a gang of three on them.
 struct Bed {
     scheduler: Scheduler,
-    now: u64,
+    now: Timestamp,
     sequence: u64,
     token: u64,
     silent: BTreeSet<usize>,
@@ -45,15 +47,15 @@
 fn gang() -> StoredJob {
     let spec =
         JobSpec { checkpoint_s: 20.0, save_s: 3.0, one_zone: true, ..spec(1, Kind::Gang, Priority::High, 3) };
-    StoredJob { spec, version: 1, age: 0, succeeded: BTreeSet::new() }
+    StoredJob { spec, version: 1, age: Duration::ZERO, succeeded: BTreeSet::new() }
 }
 
 impl Bed {
     fn new() -> Bed {
         let config = Config { zones: vec!["a".into()], record_machines: 6, ..common::config() };
         let mut bed = Bed {
-            scheduler: Scheduler::new(config, SECOND),
-            now: SECOND,
+            scheduler: Scheduler::new(config, Timestamp::from_secs(1)),
+            now: Timestamp::from_secs(1),
             sequence: 0,
             token: 1,
             silent: BTreeSet::new(),
@@ -211,7 +213,7 @@
     let job = StoredJob {
         spec: spec(2, Kind::Array, Priority::Critical, 2),
         version: 2,
-        age: 0,
+        age: Duration::ZERO,
         succeeded: BTreeSet::new(),
     };
     bed.step(vec![Command::JobAdded(job)]);
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -3,14 +3,16 @@
 
 use super::common::{self, spec};
 use super::stand_ins::{heartbeat, machine_types, outcome};
-use dockpier::limits::{self, SECOND};
+use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand, WriteOutcome};
+use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 const REPORT_S: f64 = 3.0;
 const LEASE_S: f64 = 20.0;
-const STEP: u64 = SECOND / 10;
+const STEP: Duration = Duration::from_millis(100);
 /// The replica that must never run twice, and the job beside it that is cancelled.
 const REPLICA: TaskId = TaskId { job_id: JobId(1), task: 0 };
 const CANCELLED: JobId = JobId(2);
@@ -18,7 +20,7 @@
 /// A leader with two machines, on the first of which everything runs. The cloud deletes nothing.
 struct Cluster {
     scheduler: Scheduler,
-    now: u64,
+    now: Timestamp,
     sequences: BTreeMap<String, u64>,
     running: BTreeMap<String, BTreeMap<TaskId, u64>>,
     /// Heartbeats that were answered, by their numbers.
@@ -28,7 +30,7 @@
 
 fn service(job_id: JobId) -> Command {
     let spec = spec(job_id.0, Kind::Service, Priority::Critical, 1);
-    Command::JobAdded(StoredJob { spec, version: 1, age: 0, succeeded: BTreeSet::new() })
+    Command::JobAdded(StoredJob { spec, version: 1, age: Duration::ZERO, succeeded: BTreeSet::new() })
 }
 
 impl Cluster {
@@ -43,8 +45,8 @@
         };
         let config = Config { workers, operator, zones: vec!["a".into()], ..common::config() };
         let mut cluster = Cluster {
-            scheduler: Scheduler::new(config, SECOND),
-            now: SECOND,
+            scheduler: Scheduler::new(config, Timestamp::from_secs(1)),
+            now: Timestamp::from_secs(1),
             sequences: BTreeMap::new(),
             running: BTreeMap::new(),
             answered: BTreeSet::new(),
@@ -129,12 +131,12 @@
     }
 
     /// The first machine is silent from now on; returns when its replica is placed on the second.
-    fn placed_elsewhere(&mut self) -> u64 {
-        let until = self.now + 3 * limits::micros(LEASE_S);
-        let mut report_due = 0;
+    fn placed_elsewhere(&mut self) -> Timestamp {
+        let until = self.now + 3 * from_seconds(LEASE_S);
+        let mut report_due = Timestamp::ZERO;
         while self.now < until {
             if self.now >= report_due {
-                report_due = self.now + limits::micros(REPORT_S);
+                report_due = self.now + from_seconds(REPORT_S);
                 self.check_in("m-000002");
             } else {
                 self.step(vec![]);
@@ -166,11 +168,11 @@
     cluster.step(vec![Command::DirectCommandAnswered(direct), overtaken]);
     let answered = cluster.answered.contains(&reply);
     let placed = cluster.placed_elsewhere();
-    let lease_ends = sent + limits::micros(LEASE_S);
+    let lease_ends = sent + from_seconds(LEASE_S);
     assert!(
         !answered || placed >= lease_ends,
         "answered, and placed elsewhere {} s before the lease ended",
-        (lease_ends - placed) as f64 / SECOND as f64
+        as_seconds(lease_ends.since(placed))
     );
     assert!(placed < lease_ends + 8 * SECOND, "a lost machine keeps its replica away for long");
 }
--- a/tests/leases/interleavings.rs
+++ b/tests/leases/interleavings.rs
@@ -9,14 +9,15 @@
 
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{JobId, TaskId};
+use std::time::Duration;
 use world::World;
 
 /// Long against the margin of a lease, so that one heartbeat that is not noted shows.
-const REPORT: u64 = 6 * SECOND;
-const LEASE: u64 = 20 * SECOND;
-const SHARD_LEASE: u64 = 8 * SECOND;
+const REPORT: Duration = Duration::from_secs(6);
+const LEASE: Duration = Duration::from_secs(20);
+const SHARD_LEASE: Duration = Duration::from_secs(8);
 /// How long a worker waits for the answer to a heartbeat.
-const ANSWER_PATIENCE: u64 = 4 * SECOND;
+const ANSWER_PATIENCE: Duration = Duration::from_secs(4);
 /// Events of an order, each a message delivered or a step of time, and steps of time among them at most.
 const DEPTH: usize = 6;
 const TICKS: usize = 1;
--- a/tests/leases/interleavings/message.rs
+++ b/tests/leases/interleavings/message.rs
@@ -3,6 +3,7 @@
 use dockpier::lease::shard::ShardHeartbeat;
 use dockpier::scheduler::model::Heartbeat;
 use dockpier::scheduler::TaskCommand;
+use dockpier::time::Timestamp;
 
 /// A message on its way.
 pub(super) enum Message {
@@ -19,7 +20,7 @@
     /// The worker's answer to them, at the leader.
     DirectAnswer(Heartbeat),
     /// At the leader.
-    Heartbeat { heartbeat: ShardHeartbeat, stamp: u64 },
+    Heartbeat { heartbeat: ShardHeartbeat, stamp: Timestamp },
     /// At the leaseholder.
     Confirmed(u64),
     /// At the leaseholder: the leader has something to tell the watched worker.
--- a/tests/leases/interleavings/worker.rs
+++ b/tests/leases/interleavings/worker.rs
@@ -5,6 +5,7 @@
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{ExitReason, Heartbeat, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
+use dockpier::time::Timestamp;
 use std::collections::BTreeMap;
 
 /// The watched worker, which knows when its lease really ends.
@@ -14,9 +15,9 @@
     pub(super) token: u64,
     pub(super) tasks: BTreeMap<TaskId, (u64, TaskStatus)>,
     /// Sequence and time of the heartbeat that it waits for.
-    pub(super) waits: Option<(u64, u64)>,
-    pub(super) report_due: u64,
-    pub(super) lease_until: u64,
+    pub(super) waits: Option<(u64, Timestamp)>,
+    pub(super) report_due: Timestamp,
+    pub(super) lease_until: Timestamp,
 }
 
 impl Worker {
@@ -48,7 +49,7 @@
     }
 
     /// The answer to a heartbeat has come.
-    pub(super) fn answered(&mut self, now: u64, sequence: u64, task_commands: Option<&[TaskCommand]>) {
+    pub(super) fn answered(&mut self, now: Timestamp, sequence: u64, task_commands: Option<&[TaskCommand]>) {
         let Some((_, sent)) = self.waits.filter(|(waits_for, _)| *waits_for == sequence) else { return };
         self.waits = None;
         let Some(task_commands) = task_commands else {
--- a/tests/leases/interleavings/world.rs
+++ b/tests/leases/interleavings/world.rs
@@ -10,27 +10,26 @@
 use dockpier::scheduler::model::{Heartbeat, Kind, Priority};
 use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand};
 use dockpier::settings::{Operator, Workers};
+use dockpier::time::{as_seconds, Timestamp};
+use std::time::Duration;
 
 pub(super) struct World {
     scheduler: Scheduler,
     shard: Shard,
-    now: u64,
+    now: Timestamp,
     /// The watched worker reports through the leaseholder.
     by_leaseholder: bool,
     worker: Worker,
     empty: Worker,
     pub(super) under_way: Vec<Message>,
-    started_elsewhere: Option<u64>,
+    started_elsewhere: Option<Timestamp>,
 }
 
 impl World {
     /// Both replicas run on the watched worker; its next heartbeat is under way, and one of them has just been cancelled.
     pub(super) fn new(by_leaseholder: bool) -> Self {
-        let workers = Workers {
-            report_s: REPORT as f64 / SECOND as f64,
-            lease_s: LEASE as f64 / SECOND as f64,
-            ..common::config().workers
-        };
+        let workers =
+            Workers { report_s: as_seconds(REPORT), lease_s: as_seconds(LEASE), ..common::config().workers };
         let operator = Operator { reserve_services: 0, idle_s: 36_000.0, ..Operator::default() };
         let config = Config {
             workers,
@@ -40,9 +39,9 @@
             ..common::config()
         };
         let mut world = World {
-            scheduler: Scheduler::new(config, SECOND),
+            scheduler: Scheduler::new(config, Timestamp::from_secs(1)),
             shard: Shard::new(8, 1),
-            now: SECOND,
+            now: Timestamp::from_secs(1),
             by_leaseholder,
             worker: Worker::default(),
             empty: Worker::default(),
@@ -54,11 +53,11 @@
         (0..3).for_each(|_| world.exchange());
         for job_id in [REPLICA.job_id, CANCELLED] {
             let spec = spec(job_id.0, Kind::Service, Priority::Critical, 1);
-            let stored = StoredJob { spec, version: 1, age: 0, succeeded: Default::default() };
+            let stored = StoredJob { spec, version: 1, age: Duration::ZERO, succeeded: Default::default() };
             world.leader(vec![Command::JobAdded(stored)]);
         }
         // Until nothing that an earlier leader's leaseholders may have answered counts any more.
-        (0..2 + SHARD_LEASE / SECOND).for_each(|_| world.exchange());
+        (0..2 + SHARD_LEASE.as_secs()).for_each(|_| world.exchange());
         assert_eq!(world.worker.tasks.len(), 2, "both replicas run on the watched worker");
         world.report_of_empty();
         world.tick(REPORT);
@@ -68,7 +67,7 @@
 
     /// The worker reports, and everything arrives at once.
     fn exchange(&mut self) {
-        self.worker.report_due = 0;
+        self.worker.report_due = Timestamp::ZERO;
         self.tick(SECOND);
         while !self.under_way.is_empty() {
             self.deliver(0);
@@ -80,8 +79,8 @@
     }
 
     /// Time passes, and everybody does what is due.
-    pub(super) fn tick(&mut self, time: u64) {
-        self.now += time;
+    pub(super) fn tick(&mut self, duration: Duration) {
+        self.now += duration;
         if self.worker.waits.is_some_and(|(_, sent)| self.now >= sent + ANSWER_PATIENCE) {
             self.worker.waits = None;
             self.worker.report_due = self.now + SECOND;
@@ -243,7 +242,7 @@
             self.leader(vec![Command::Heartbeat { reply: 0, heartbeat, via: None }]);
         }
         let started = self.started_elsewhere.unwrap_or_else(|| panic!("{order:?}: never started elsewhere"));
-        let early_s = self.worker.lease_until.saturating_sub(started) as f64 / SECOND as f64;
+        let early_s = as_seconds(self.worker.lease_until.since(started));
         let by_leaseholder = self.by_leaseholder;
         assert_eq!(
             early_s, 0.0,
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -7,6 +7,8 @@
 use dockpier::scheduler::overview::PageStart;
 use dockpier::scheduler::{Command, Config, Scheduler, StoredJob, StoredMachine};
 use dockpier::settings::{Operator, Team, Workers};
+use dockpier::time::Timestamp;
+use std::time::Duration;
 
 const SECOND: u64 = 1_000_000;
 
@@ -30,7 +32,7 @@
         record_machines: 3,
         value_most: 4_096,
         rentals_at_once: 10,
-        shard_lease: 0,
+        shard_lease: Duration::ZERO,
     }
 }
 
@@ -55,7 +57,7 @@
         save_s: 0.0,
         deadline_s: None,
     };
-    StoredJob { spec, version: number, age: 0, succeeded: [0].into() }
+    StoredJob { spec, version: number, age: Duration::ZERO, succeeded: [0].into() }
 }
 
 fn machine(name: &str, spot: bool) -> StoredMachine {
@@ -87,7 +89,7 @@
 
 /// A leader that inherited a job of each priority and two machines, of which one reports for twenty seconds.
 fn views() -> Vec<String> {
-    let mut core = Scheduler::new(config(), 0);
+    let mut core = Scheduler::new(config(), Timestamp::ZERO);
     let jobs = vec![
         job(1, Kind::Service, Priority::Critical, "a"),
         job(2, Kind::Gang, Priority::High, "b"),
@@ -96,10 +98,10 @@
     ];
     let machines = vec![machine("m-000001", false), machine("m-000002", true)];
     let load = Command::Load { jobs, records: vec![("40-1".into(), machines)] };
-    drop(core.step(SECOND, vec![Command::Types(vec![machine_type()]), load]));
+    drop(core.step(Timestamp::from_micros(SECOND), vec![Command::Types(vec![machine_type()]), load]));
     let mut views = vec![page(&core, &PageStart::default())];
     for second in 2..22 {
-        drop(core.step(second * SECOND, vec![report("m-000001", second)]));
+        drop(core.step(Timestamp::from_micros(second * SECOND), vec![report("m-000001", second)]));
         if [2, 21].contains(&second) {
             views.push(page(&core, &PageStart::default()));
         }
--- a/tests/pinned_state/store_requests.rs
+++ b/tests/pinned_state/store_requests.rs
@@ -10,6 +10,7 @@
 use dockpier::storage::keys;
 use dockpier::storage::leader_lock::{LockCondition, LockState, StoredEpoch, Takeover};
 use dockpier::storage::record_versions::RecordVersions;
+use std::time::Duration;
 
 const LOCK_VALUE: &str = r#"{"path":"leader/lock","value":{"token":41},"entry":9,"permit":5}"#;
 const EPOCH_VALUE: &str =
@@ -49,12 +50,12 @@
     let (records, revision) = store.list(keys::LIVE_JOBS).await.unwrap();
     let keys: Vec<&str> = records.iter().map(|record| record.key.as_str()).collect();
     assert_eq!((keys, revision), (vec!["live/job-000001", "live/job-000002"], 30));
-    let log = store.follow(keys::LIVE_JOBS, 30, 0).await.unwrap().unwrap();
+    let log = store.follow(keys::LIVE_JOBS, 30, Duration::ZERO).await.unwrap().unwrap();
     let [written, removed] = &log.events[..] else { panic!("two changes") };
     assert_eq!((written.written.as_deref(), written.version), (Some("live/job-000001"), 30));
     assert_eq!((removed.removed.as_deref(), removed.version), (Some("live/job-000002"), 31));
     assert_eq!(log.revision, 31);
-    assert!(store.follow(keys::LIVE_JOBS, 1, 4_000).await.unwrap().is_none());
+    assert!(store.follow(keys::LIVE_JOBS, 1, Duration::from_secs(4)).await.unwrap().is_none());
 }
 
 async fn write(store: &KeyValueStore) {
--- a/tests/pinned_wire/state_requests.rs
+++ b/tests/pinned_wire/state_requests.rs
@@ -138,7 +138,7 @@
         for (status, body) in LOGS {
             for wait_ms in [0, 4_000] {
                 let service = StandIn::answering(*status, body).await;
-                let read = client(service.address).follow("c/", 431, wait_ms).await;
+                let read = client(service.address).follow("c/", 431, Duration::from_millis(wait_ms)).await;
                 transcript.case(format!("followed, answered {status} {body}"), service.asked_text());
                 transcript.case("read", shown(read, service.address, changes));
             }
@@ -195,7 +195,7 @@
         ] {
             let service = StandIn::answering(status, body).await;
             let store = client(service.address);
-            let granted = store.create_lease(5_000).await;
+            let granted = store.create_lease(Duration::from_secs(5)).await;
             transcript.case(format!("asked for, answered {status} {body}"), service.asked_text());
             transcript.case("outcome", shown(granted, service.address, |lease| format!("lease {lease}")));
             let extended = store.renew_lease(7).await;
@@ -205,7 +205,7 @@
             transcript.case(format!("ended, answered {status} {body}"), service.asked_text());
         }
         let address = nobody();
-        let granted = client(address).create_lease(5_000).await;
+        let granted = client(address).create_lease(Duration::from_secs(5)).await;
         transcript.case("nobody there", shown(granted, address, |lease| format!("lease {lease}")));
         transcript.must_equal(include_str!("../golden/wire-state-leases.txt"));
     });
--- a/tests/pinned_wire/worker_orders.rs
+++ b/tests/pinned_wire/worker_orders.rs
@@ -12,6 +12,7 @@
 };
 use dockpier::scheduler::model::{JobId, TaskId};
 use dockpier::scheduler::TaskCommand;
+use dockpier::time::Timestamp;
 use dockpier::worker::send_commands;
 
 fn task(job: u64, task: u32) -> TaskId {
@@ -39,7 +40,7 @@
 
 /// An answer to a check-in under a token.
 pub fn answer(token: u64, orders: &[TaskCommand]) -> HeartbeatResponse {
-    HeartbeatResponse::new(token, LastRenewal::default().record(1), orders)
+    HeartbeatResponse::new(token, LastRenewal::default().record(Timestamp::from_micros(1)), orders)
 }
 
 fn direct(token: u64, session: u64, orders: &[TaskCommand]) -> DirectCommands {
--- a/tests/scale/decision_steps.rs
+++ b/tests/scale/decision_steps.rs
@@ -28,7 +28,7 @@
 
     let calm = fleet.scheduler.steps;
     fleet.heartbeat();
-    let idle_rounds = 4 * SECOND / limits::IDLE_ROUND_INTERVAL + 1;
+    let idle_rounds = 4 * SECOND.as_micros() as u64 / limits::IDLE_ROUND_INTERVAL.as_micros() as u64 + 1;
     let each = 2 * machines as u64 + 320;
     assert!(fleet.scheduler.steps - calm <= idle_rounds * each, "{} steps", fleet.scheduler.steps - calm);
 
--- a/tests/scale/fleet.rs
+++ b/tests/scale/fleet.rs
@@ -11,7 +11,9 @@
     Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
 use dockpier::settings::{Operator, Workers};
+use dockpier::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 pub const MACHINES: usize = 1_900;
 pub const SLOTS: i64 = 4;
@@ -28,7 +30,7 @@
 /// A fleet whose workers carry out what they are told, unless they are deaf.
 pub struct Fleet {
     pub scheduler: Scheduler,
-    pub now: u64,
+    pub now: Timestamp,
     pub sequence: u64,
     /// The token that workers have seen.
     pub token: u64,
@@ -101,8 +103,8 @@
         };
         let machine_type = machine_type(&config);
         let mut fleet = Fleet {
-            scheduler: Scheduler::new(config, SECOND),
-            now: SECOND,
+            scheduler: Scheduler::new(config, Timestamp::from_secs(1)),
+            now: Timestamp::from_secs(1),
             sequence: 0,
             token: 1,
             machines,
@@ -185,7 +187,7 @@
         self.sequence += 1;
         let batches = 40;
         for batch in 0..batches {
-            self.now += 4 * SECOND / batches as u64;
+            self.now += 4 * SECOND / batches as u32;
             let heartbeats = (batch..self.machines).step_by(batches);
             let commands =
                 heartbeats.filter(|i| !self.deleted.contains(&name(*i))).map(|i| self.heartbeat_request(i));
@@ -223,7 +225,12 @@
 
     pub fn submit(&mut self, spec: JobSpec) {
         let version = spec.job_id.0;
-        self.step(vec![Command::JobAdded(StoredJob { spec, version, age: 0, succeeded: BTreeSet::new() })]);
+        self.step(vec![Command::JobAdded(StoredJob {
+            spec,
+            version,
+            age: Duration::ZERO,
+            succeeded: BTreeSet::new(),
+        })]);
     }
 
     /// All that runs of the job ends by itself, and is reported so.
--- a/tests/scale/queue_order.rs
+++ b/tests/scale/queue_order.rs
@@ -1,7 +1,6 @@
 //! The order in which waiting jobs are served: by width, by the work that is left, and by image on a machine.
 
 use crate::fleet::{spec, Fleet};
-use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{Kind, Priority};
 
 /// A wide array stood behind a stream of narrow ones, of its class or a higher one, for as long as the
@@ -38,7 +37,7 @@
                 assert!(fleet.width(1) <= 4);
             }
         }
-        let waited = began.zip(wide_since).map(|(at, since)| (at - since) / SECOND);
+        let waited = began.zip(wide_since).map(|(at, since)| at.since(since).as_secs());
         assert!(waited.is_some_and(|s| s < 240), "stream of {stream:?}: began after {waited:?} s");
     }
 }
--- a/tests/scale/six_thousand_machines.rs
+++ b/tests/scale/six_thousand_machines.rs
@@ -40,7 +40,7 @@
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 1));
     fleet.heartbeat();
     assert_eq!(fleet.width(1), 1);
-    assert!(fleet.now - begun <= 5 * 4 * SECOND);
+    assert!(fleet.now.since(begun) <= 5 * 4 * SECOND);
 }
 
 /// Operators see every machine of a large fleet, page by page, and are told that there is more.
--- a/tests/scheduler_rules/effects.rs
+++ b/tests/scheduler_rules/effects.rs
@@ -4,15 +4,17 @@
 use super::settings::{LEASE_S, STEP};
 use super::worker::Worker;
 use super::world::World;
-use dockpier::limits::{self, SECOND};
+use dockpier::limits::SECOND;
 use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::{Command, Effect, StoredJob, WriteOutcome};
+use dockpier::time::{from_seconds, Timestamp};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 impl World {
     pub(super) fn carry_out(&mut self, effect: Effect) {
-        let soon = self.now + self.rng.random_range(1..3) * STEP;
+        let soon = self.now + self.rng.random_range(1..3u64) as u32 * STEP;
         match effect {
             Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: keep } => {
                 if let Some((node, heartbeat)) = self.passed_on.remove(&reply) {
@@ -43,9 +45,9 @@
                 if worker.token > token || worker.dead || now < worker.deaf_until || late {
                     return;
                 }
-                worker.waits_until = 0;
+                worker.waits_until = Timestamp::ZERO;
                 worker.token = token;
-                worker.lease_until = worker.lease_until.max(sent + limits::micros(LEASE_S));
+                worker.lease_until = worker.lease_until.max(sent + from_seconds(LEASE_S));
                 self.task_commands(&name, &task_commands);
             }
             Effect::DirectCommands { machine, agent_epoch, task_commands, .. } => {
@@ -55,7 +57,8 @@
                 }
                 // Some are held up on their way; a cut and a hang hold them until they end.
                 let held = self.rng.random_bool(0.3);
-                let delay = if held { self.rng.random_range(2..16) * SECOND } else { 0 };
+                let delay =
+                    if held { self.rng.random_range(2..16u64) as u32 * SECOND } else { Duration::ZERO };
                 let at = (self.now + delay).max(worker.cut_until).max(worker.up_at);
                 self.held_orders.push((at, machine, self.token, agent_epoch, task_commands));
                 self.deliver_held_orders();
@@ -83,13 +86,13 @@
             }
             Effect::Record { key, machines } => {
                 let steps = self.rng.random_range(self.deployment.write_steps.clone());
-                self.writes.push((self.now + steps * STEP, key, machines));
+                self.writes.push((self.now + steps as u32 * STEP, key, machines));
             }
             Effect::ReadJob { job_id } => {
                 let stored = self.live.get(&job_id).map(|(version, done)| StoredJob {
                     spec: self.specs[&job_id].clone(),
                     version: *version,
-                    age: 0,
+                    age: Duration::ZERO,
                     succeeded: done.clone(),
                 });
                 let reading = stored.map_or(JobReading::Absent, |job| JobReading::Live(Box::new(job)));
@@ -114,24 +117,24 @@
                     self.machines_made += 1;
                     let name = format!("m-{:06}", self.machines_made);
                     let boot_s = self.rng.random_range(self.deployment.boot_s.clone());
-                    let up_at = self.now + boot_s * SECOND;
+                    let up_at = self.now + Duration::from_secs(boot_s);
                     let worker = Worker {
                         spot,
                         zone: zone.clone(),
                         up_at,
                         dead: false,
-                        cut_until: 0,
-                        deaf_until: 0,
-                        mute_until: 0,
-                        sick_until: 0,
-                        leader_cut_until: 0,
+                        cut_until: Timestamp::ZERO,
+                        deaf_until: Timestamp::ZERO,
+                        mute_until: Timestamp::ZERO,
+                        sick_until: Timestamp::ZERO,
+                        leader_cut_until: Timestamp::ZERO,
                         via: [None, Some(0), Some(1)][self.machines_made as usize % 3],
                         agent_epoch: 1,
                         sequence: 0,
                         token: 0,
-                        lease_until: up_at + limits::micros(LEASE_S),
+                        lease_until: up_at + from_seconds(LEASE_S),
                         next_report: up_at,
-                        waits_until: 0,
+                        waits_until: Timestamp::ZERO,
                         tasks: BTreeMap::new(),
                         gone: BTreeSet::new(),
                     };
--- a/tests/scheduler_rules/gangs.rs
+++ b/tests/scheduler_rules/gangs.rs
@@ -3,19 +3,21 @@
 use super::world::World;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{ExitReason, JobId, Kind, TaskId};
+use dockpier::time::Timestamp;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// An attempt of a gang that has started.
 pub(super) struct GangRun {
-    pub(super) ends: u64,
+    pub(super) ends: Timestamp,
     /// Since when one of its tasks is gone or hangs.
-    pub(super) missing: Option<u64>,
+    pub(super) missing: Option<Timestamp>,
 }
 
 /// How long a gang's tasks wait for one another, and how soon they notice that one is gone.
-const GANG_WAIT: u64 = 30 * SECOND;
-const GANG_PEER: u64 = 6 * SECOND;
+const GANG_WAIT: Duration = Duration::from_secs(30);
+const GANG_PEER: Duration = Duration::from_secs(6);
 
 impl World {
     /// The workers' side of gangs: a gang starts when its last task has its image, its tasks notice when one of
@@ -52,7 +54,7 @@
             }
             let ready = |(name, id): &(String, TaskId)| self.workers[name].tasks[id].ends;
             if whole && members.iter().all(|m| now >= ready(m)) {
-                let ends = now + self.rng.random_range(5..30) * SECOND;
+                let ends = now + self.rng.random_range(5..30u64) as u32 * SECOND;
                 self.gangs.insert(key, GangRun { ends, missing: None });
             } else {
                 let tired = members.iter().filter(|m| now >= ready(m) + GANG_WAIT);
--- a/tests/scheduler_rules/invariants.rs
+++ b/tests/scheduler_rules/invariants.rs
@@ -3,6 +3,7 @@
 use super::world::World;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::MachineState;
+use dockpier::time::as_seconds;
 use std::collections::BTreeMap;
 
 impl World {
@@ -14,7 +15,7 @@
         for (name, agent_epoch) in lost.iter().filter(|(name, _)| !self.lost.contains_key(*name)) {
             let Some(worker) = self.workers.get(name) else { continue };
             let runs = !worker.dead && worker.agent_epoch == *agent_epoch && self.now < worker.lease_until;
-            let early_s = worker.lease_until.saturating_sub(self.now) as f64 / SECOND as f64;
+            let early_s = as_seconds(worker.lease_until.since(self.now));
             assert!(!runs, "{name}: its lease is counted as over {early_s} s early");
         }
         self.lost = lost;
@@ -27,7 +28,7 @@
                 *gpus.entry(&self.specs[&id.job_id].team).or_default() += 1.0;
                 let since = self.cancelled.get(&id.job_id);
                 assert!(
-                    since.is_none_or(|at| self.now < at + 40 * SECOND),
+                    since.is_none_or(|at| self.now < *at + 40 * SECOND),
                     "ran_cancelled: {id} still on a machine"
                 );
             }
--- a/tests/scheduler_rules/leaseholders.rs
+++ b/tests/scheduler_rules/leaseholders.rs
@@ -4,12 +4,13 @@
 use super::world::World;
 use dockpier::lease::shard::{Shard, ShardHeartbeat};
 use dockpier::scheduler::Command;
+use dockpier::time::Timestamp;
 use rand::Rng;
 
 /// A controller that does not lead, and until when it and the leader do not hear one another.
 pub(super) struct Leaseholder {
     pub(super) shard: Shard,
-    pub(super) cut_until: u64,
+    pub(super) cut_until: Timestamp,
 }
 
 pub(super) const LEASEHOLDERS: usize = 2;
--- a/tests/scheduler_rules/messages.rs
+++ b/tests/scheduler_rules/messages.rs
@@ -3,22 +3,24 @@
 use super::leaseholders::LEASEHOLDERS;
 use super::settings::{LEASE_S, STEP};
 use super::worker::Running;
-use super::world::World;
+use super::world::{random_duration, World};
 use dockpier::lease::shard::ShardResponse;
-use dockpier::limits::{self, SECOND};
+use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{ExitReason, Heartbeat, Kind, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::{Command, TaskCommand};
+use dockpier::time::{from_seconds, Timestamp};
 use rand::Rng;
+use std::time::Duration;
 
 /// A heartbeat whose worker waits for the answer.
 pub(super) struct Awaited {
     pub(super) machine: String,
     pub(super) agent_epoch: u64,
-    pub(super) sent: u64,
+    pub(super) sent: Timestamp,
 }
 
 /// How long a worker waits for the answer to a heartbeat.
-pub(super) const ANSWER_PATIENCE: u64 = 4 * SECOND;
+pub(super) const ANSWER_PATIENCE: Duration = Duration::from_secs(4);
 
 impl World {
     /// A worker carries commands out if their token is the highest that it has seen and its agent epoch is meant.
@@ -27,7 +29,7 @@
             std::mem::take(&mut self.held_orders).into_iter().partition(|(at, ..)| *at <= self.now);
         self.held_orders = held;
         for (_, name, token, agent_epoch, task_commands) in
-            Vec::<(u64, String, u64, u64, Vec<TaskCommand>)>::into_iter(due)
+            Vec::<(Timestamp, String, u64, u64, Vec<TaskCommand>)>::into_iter(due)
         {
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             let reached = !worker.dead && self.now >= worker.up_at && self.now < worker.lease_until;
@@ -45,7 +47,7 @@
     /// The answer to direct commands is a heartbeat too, and reaches the leader before or after those under way.
     fn answer_orders(&mut self, name: &str) {
         let Some(heartbeat) = self.heartbeat(name) else { return };
-        let at = self.now + self.rng.random_range(0..3) * STEP;
+        let at = self.now + self.rng.random_range(0..3u64) as u32 * STEP;
         self.later.push((at, Command::DirectCommandAnswered(heartbeat)));
     }
 
@@ -81,9 +83,12 @@
         let now = self.now;
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            let interval = limits::micros(self.deployment.report_s);
-            let jitter = self.rng.random_range(interval / 4 * 3..interval / 4 * 5);
-            let hold = self.rng.random_bool(0.03).then(|| now + self.rng.random_range(0..30 * SECOND));
+            let interval = from_seconds(self.deployment.report_s);
+            let jitter = random_duration(&mut self.rng, interval / 4 * 3..interval / 4 * 5);
+            let hold = self
+                .rng
+                .random_bool(0.03)
+                .then(|| now + random_duration(&mut self.rng, Duration::ZERO..30 * SECOND));
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             if worker.dead || now < worker.up_at {
                 continue;
@@ -91,7 +96,7 @@
             if now >= worker.lease_until {
                 worker.tasks.clear();
                 worker.agent_epoch += 1;
-                worker.lease_until = now + limits::micros(LEASE_S);
+                worker.lease_until = now + from_seconds(LEASE_S);
             }
             for (id, task) in worker.tasks.iter_mut().filter(|(_, t)| t.exited.is_none()) {
                 if now >= task.ends && self.specs[&id.job_id].kind == Kind::Array {
@@ -113,11 +118,12 @@
             if self.rng.random_bool(0.05) {
                 // A copy that arrives from a second to well over a lease later, perhaps at another leader,
                 // perhaps after its machine was deleted.
-                let late = self.rng.random_range(SECOND..4 * limits::micros(LEASE_S));
+                let late = random_duration(&mut self.rng, SECOND..4 * from_seconds(LEASE_S));
                 self.held.push((now + late, None, heartbeat.clone()));
             }
             let slow = self.deployment.slow_reports && self.rng.random_bool(0.2);
-            let arrives = now + if slow { self.rng.random_range(1..15) * STEP } else { 0 };
+            let arrives =
+                now + if slow { self.rng.random_range(1..15u64) as u32 * STEP } else { Duration::ZERO };
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             if self.rng.random_bool(0.01) {
                 let via = self.rng.random_range(0..=LEASEHOLDERS);
@@ -143,7 +149,7 @@
                         self.answered_by_leaseholders += 1;
                         if worker.token <= token && now >= worker.deaf_until {
                             worker.token = token;
-                            worker.lease_until = now + limits::micros(LEASE_S);
+                            worker.lease_until = now + from_seconds(LEASE_S);
                         }
                         continue;
                     }
@@ -164,10 +170,10 @@
         }
         let (due, slow) = std::mem::take(&mut self.slow).into_iter().partition(|(at, _)| *at <= now);
         self.slow = slow;
-        batch.extend(Vec::into_iter(due).map(|(_, command): (u64, Command)| command));
+        batch.extend(Vec::into_iter(due).map(|(_, command): (Timestamp, Command)| command));
         let (due, held) = std::mem::take(&mut self.held).into_iter().partition(|(at, ..)| *at <= now);
         self.held = held;
-        for (_, at, heartbeat) in Vec::<(u64, Option<usize>, Heartbeat)>::into_iter(due) {
+        for (_, at, heartbeat) in Vec::<(Timestamp, Option<usize>, Heartbeat)>::into_iter(due) {
             // The node that a copy comes to tells a leader by its token alone.
             if heartbeat.token > self.token {
                 continue;
--- a/tests/scheduler_rules/settings.rs
+++ b/tests/scheduler_rules/settings.rs
@@ -1,17 +1,17 @@
 //! Configuration of the scheduler under test, the deployments that a world can play in, and drawn jobs.
 
 use super::common;
-use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{JobSpec, Kind, MachineType, Priority, Resources};
 use dockpier::scheduler::Config;
 use dockpier::settings::{ColdStartSettings, Draining, Operator, Team, Workers};
 use dockpier_drain::budget::{Budget, Budgets, Cost, ANY_TEAM};
 use rand::rngs::SmallRng;
 use rand::Rng;
+use std::time::Duration;
 
 pub(super) const LEASE_S: f64 = 10.0;
-pub(super) const STEP: u64 = 100_000;
-pub(super) const SHARD_LEASE: u64 = 8 * SECOND;
+pub(super) const STEP: Duration = Duration::from_millis(100);
+pub(super) const SHARD_LEASE: Duration = Duration::from_secs(8);
 
 /// Where a world plays: its teams, its zones, and how long a machine takes to boot.
 #[derive(Clone)]
--- a/tests/scheduler_rules/store.rs
+++ b/tests/scheduler_rules/store.rs
@@ -2,6 +2,7 @@
 
 use super::world::World;
 use dockpier::scheduler::{Command, StoredMachine, WriteOutcome};
+use dockpier::time::Timestamp;
 
 impl World {
     pub(super) fn write(&mut self, key: String, machines: Vec<StoredMachine>) {
@@ -15,7 +16,7 @@
         let (due, writes) =
             std::mem::take(&mut self.writes).into_iter().partition(|(at, ..)| *at <= self.now);
         self.writes = writes;
-        for (at, key, machines) in Vec::<(u64, String, Vec<StoredMachine>)>::into_iter(due) {
+        for (at, key, machines) in Vec::<(Timestamp, String, Vec<StoredMachine>)>::into_iter(due) {
             self.write(key.clone(), machines);
             self.later.push((at, Command::Recorded { key, outcome: WriteOutcome::Done }));
         }
--- a/tests/scheduler_rules/troubles.rs
+++ b/tests/scheduler_rules/troubles.rs
@@ -5,9 +5,10 @@
 use super::worker::Worker;
 use super::world::World;
 use dockpier::lease::shard::Shard;
-use dockpier::limits::{self, SECOND};
+use dockpier::limits::SECOND;
 use dockpier::scheduler::model::JobId;
 use dockpier::scheduler::Command;
+use dockpier::time::{from_seconds, Timestamp};
 use dockpier_drain::request::{DesiredState, DrainId, DrainRequest, StoredRequest, Target};
 use rand::Rng;
 use std::collections::BTreeSet;
@@ -21,7 +22,7 @@
         if self.deployment.slow_reports && self.rng.random_bool(0.5) {
             return self.mute_at_cancellation();
         }
-        let cut = self.now + self.rng.random_range(1..25) * SECOND;
+        let cut = self.now + self.rng.random_range(1..25u64) as u32 * SECOND;
         // A zone is cut off, or a third of all machines hang, perhaps past their leases, or the leader changes in it.
         if (9..12).contains(&kind) {
             for (i, worker) in
@@ -53,7 +54,7 @@
             2 => worker.deaf_until = cut,
             12 => worker.mute_until = cut,
             // All controllers are away for longer than a worker lease.
-            13 => self.change_leader(limits::micros(LEASE_S) + 5 * SECOND),
+            13 => self.change_leader(from_seconds(LEASE_S) + 5 * SECOND),
             3 => self.change_leader(4 * SECOND),
             // A leaseholder and its workers part from the leader, mostly while the cloud is down, so that only
             // the end of leases proves anything.
@@ -101,8 +102,11 @@
                 deadline: self.rng.random_bool(0.3).then_some(1.0),
                 replace: self.rng.random_bool(0.5),
             };
-            let stored =
-                StoredRequest { request, accepted: self.now / 1_000, desired_state: DesiredState::Run };
+            let stored = StoredRequest {
+                request,
+                accepted: self.now.as_micros() / 1_000,
+                desired_state: DesiredState::Run,
+            };
             self.drains.requests.insert(stored.request.id.clone(), stored);
         } else {
             let one = self.rng.random_range(0..number);
@@ -119,9 +123,9 @@
     }
 
     /// Machines that have just come up, and have work, are cut off as the leader ends.
-    fn end_leader_on_new_machines(&mut self, until: u64) {
+    fn end_leader_on_new_machines(&mut self, until: Timestamp) {
         let works = |w: &Worker| w.tasks.values().any(|t| t.exited.is_none());
-        let new = |w: &Worker, now: u64| !w.dead && w.up_at <= now && now < w.up_at + 4 * SECOND;
+        let new = |w: &Worker, now: Timestamp| !w.dead && w.up_at <= now && now < w.up_at + 4 * SECOND;
         // They are not long in coming where they boot within two seconds.
         for _ in 0..100 {
             if self.workers.values().any(|w| new(w, self.now) && works(w)) {
@@ -157,7 +161,7 @@
     }
 
     /// Jobs of every team are cancelled whose machines are cut off or hang, and the leader changes.
-    fn cancel_at_the_limit(&mut self, until: u64) {
+    fn cancel_at_the_limit(&mut self, until: Timestamp) {
         let running = |world: &World, name: &str| -> BTreeSet<JobId> {
             let tasks = &world.workers[name].tasks;
             tasks.iter().filter(|(_, t)| t.exited.is_none()).map(|(id, _)| id.job_id).collect()
--- a/tests/scheduler_rules/worker.rs
+++ b/tests/scheduler_rules/worker.rs
@@ -5,13 +5,14 @@
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{ExitReason, Kind, TaskId};
 use dockpier::scheduler::TaskCommand;
+use dockpier::time::Timestamp;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(super) struct Running {
     pub(super) attempt: u64,
     /// When its image is there, of a gang's task; when it ends, of any other.
-    pub(super) ends: u64,
+    pub(super) ends: Timestamp,
     pub(super) exited: Option<ExitReason>,
 }
 
@@ -19,26 +20,26 @@
 pub(super) struct Worker {
     pub(super) spot: bool,
     pub(super) zone: String,
-    pub(super) up_at: u64,
+    pub(super) up_at: Timestamp,
     pub(super) dead: bool,
-    pub(super) cut_until: u64,
+    pub(super) cut_until: Timestamp,
     /// Until then its heartbeats arrive, but nothing reaches it.
-    pub(super) deaf_until: u64,
+    pub(super) deaf_until: Timestamp,
     /// Until then its heartbeats reach nobody, while direct commands reach it.
-    pub(super) mute_until: u64,
+    pub(super) mute_until: Timestamp,
     /// Until then every task that starts on it fails.
-    pub(super) sick_until: u64,
+    pub(super) sick_until: Timestamp,
     /// Until then it does not reach the leader.
-    pub(super) leader_cut_until: u64,
+    pub(super) leader_cut_until: Timestamp,
     /// The leaseholder that it reports to; None: the leader.
     pub(super) via: Option<usize>,
     pub(super) agent_epoch: u64,
     pub(super) sequence: u64,
     pub(super) token: u64,
-    pub(super) lease_until: u64,
-    pub(super) next_report: u64,
+    pub(super) lease_until: Timestamp,
+    pub(super) next_report: Timestamp,
     /// Until then it waits for the answer to its last heartbeat, and sends none.
-    pub(super) waits_until: u64,
+    pub(super) waits_until: Timestamp,
     pub(super) tasks: BTreeMap<TaskId, Running>,
     pub(super) gone: BTreeSet<(TaskId, u64)>,
 }
@@ -70,7 +71,7 @@
 
     fn start(&mut self, name: &str, id: TaskId, attempt: u64) {
         let spec = self.specs[&id.job_id].clone();
-        let runs = self.now + self.rng.random_range(3..12) * SECOND;
+        let runs = self.now + self.rng.random_range(3..12u64) as u32 * SECOND;
         let completed = self.completed.get(&id.job_id).is_some_and(|c| c.contains(&id.task));
         for (other, worker) in self.workers.iter().filter(|(_, w)| !w.dead) {
             // One that hangs past its lease kills them the moment it goes on.
@@ -79,7 +80,7 @@
             assert!(!there, "ran_twice: {id} starts on {name} while it is on {other}");
         }
         let since = self.cancelled.get(&id.job_id);
-        assert!(since.is_none_or(|at| self.now < at + 40 * SECOND), "ran_cancelled: {id}");
+        assert!(since.is_none_or(|at| self.now < *at + 40 * SECOND), "ran_cancelled: {id}");
         let Some(worker) = self.workers.get_mut(name) else { return };
         // A gang that has not started yet takes a replacement under its own attempt, on whatever machine.
         let replaces = spec.kind == Kind::Gang && !self.gangs.contains_key(&(id.job_id, attempt));
@@ -95,7 +96,7 @@
         let exited = if completed { Some(ExitReason::Done) } else { sick.then_some(ExitReason::Error) };
         // A gang's task waits for its image at first.
         let gang = spec.kind == Kind::Gang;
-        let runs = if gang { self.now + self.rng.random_range(0..4) * SECOND } else { runs };
+        let runs = if gang { self.now + self.rng.random_range(0..4u64) as u32 * SECOND } else { runs };
         worker.tasks.insert(id, Running { attempt, ends: runs, exited });
         worker.next_report = self.now;
         self.starts += 1;
--- a/tests/scheduler_rules/world.rs
+++ b/tests/scheduler_rules/world.rs
@@ -6,18 +6,20 @@
 use super::settings::{config, job, types, Deployment, STEP};
 use super::worker::Worker;
 use dockpier::lease::shard::Shard;
-use dockpier::limits::SECOND;
 use dockpier::scheduler::drains::LoadedDrains;
 use dockpier::scheduler::model::{Heartbeat, JobId, JobSpec};
 use dockpier::scheduler::{Command, Scheduler, StoredJob, StoredMachine, TaskCommand};
+use dockpier::time::{whole_micros, Timestamp};
 use dockpier_simulation::Store;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Range;
+use std::time::Duration;
 
 pub(super) struct World {
     pub(super) rng: SmallRng,
-    pub(super) now: u64,
+    pub(super) now: Timestamp,
     pub(super) scheduler: Scheduler,
     pub(super) token: u64,
     pub(super) deployment: Deployment,
@@ -26,27 +28,27 @@
     /// Heartbeats that leaseholders passed on, by number.
     pub(super) passed_on: BTreeMap<u64, (usize, Heartbeat)>,
     pub(super) answered_by_leaseholders: u64,
-    pub(super) cloud_down_until: u64,
+    pub(super) cloud_down_until: Timestamp,
     pub(super) specs: BTreeMap<JobId, JobSpec>,
     pub(super) live: BTreeMap<JobId, (u64, BTreeSet<u32>)>,
-    pub(super) cancelled: BTreeMap<JobId, u64>,
+    pub(super) cancelled: BTreeMap<JobId, Timestamp>,
     pub(super) gangs: BTreeMap<(JobId, u64), GangRun>,
     pub(super) gangs_done: u64,
     pub(super) over: BTreeSet<JobId>,
     pub(super) completed: BTreeMap<JobId, BTreeSet<u32>>,
     pub(super) recorded: BTreeMap<String, Vec<StoredMachine>>,
-    pub(super) later: Vec<(u64, Command)>,
+    pub(super) later: Vec<(Timestamp, Command)>,
     /// Records on their way to the state service: when they are carried out, their key and what they say.
-    pub(super) writes: Vec<(u64, String, Vec<StoredMachine>)>,
+    pub(super) writes: Vec<(Timestamp, String, Vec<StoredMachine>)>,
     /// Heartbeats that arrive late, when, and at which controller.
-    pub(super) held: Vec<(u64, Option<usize>, Heartbeat)>,
+    pub(super) held: Vec<(Timestamp, Option<usize>, Heartbeat)>,
     /// Direct commands that arrive late: when, where, under which token and agent epoch.
-    pub(super) held_orders: Vec<(u64, String, u64, u64, Vec<TaskCommand>)>,
+    pub(super) held_orders: Vec<(Timestamp, String, u64, u64, Vec<TaskCommand>)>,
     /// The last reports of each worker, for a copy of them to arrive anywhere.
     pub(super) reported: BTreeMap<String, Vec<Heartbeat>>,
     pub(super) orders_of_former_leaders: u64,
     /// Reports on their way to the leader, whose workers wait: when they arrive.
-    pub(super) slow: Vec<(u64, Command)>,
+    pub(super) slow: Vec<(Timestamp, Command)>,
     pub(super) replies: BTreeMap<u64, Awaited>,
     /// Machines whose lease the leader counts as over, with their agent epochs.
     pub(super) lost: BTreeMap<String, u64>,
@@ -63,16 +65,16 @@
     pub(super) fn new(seed: u64, deployment: Deployment) -> Self {
         World {
             rng: SmallRng::seed_from_u64(seed),
-            now: SECOND,
-            scheduler: Scheduler::new(config(1, &deployment), SECOND),
+            now: Timestamp::from_secs(1),
+            scheduler: Scheduler::new(config(1, &deployment), Timestamp::from_secs(1)),
             token: 1,
             workers: BTreeMap::new(),
             leaseholders: (0..LEASEHOLDERS)
-                .map(|i| Leaseholder { shard: Shard::new(64, i as u64), cut_until: 0 })
+                .map(|i| Leaseholder { shard: Shard::new(64, i as u64), cut_until: Timestamp::ZERO })
                 .collect(),
             passed_on: BTreeMap::new(),
             answered_by_leaseholders: 0,
-            cloud_down_until: 0,
+            cloud_down_until: Timestamp::ZERO,
             specs: BTreeMap::new(),
             live: BTreeMap::new(),
             cancelled: BTreeMap::new(),
@@ -82,9 +84,9 @@
             completed: BTreeMap::new(),
             recorded: BTreeMap::new(),
             later: vec![
-                (0, Command::Types(types(&deployment))),
-                (0, Command::LoadDrains(LoadedDrains::default())),
-                (0, Command::Load { jobs: vec![], records: vec![] }),
+                (Timestamp::ZERO, Command::Types(types(&deployment))),
+                (Timestamp::ZERO, Command::LoadDrains(LoadedDrains::default())),
+                (Timestamp::ZERO, Command::Load { jobs: vec![], records: vec![] }),
             ],
             drains: Store::default(),
             rentals: BTreeMap::new(),
@@ -109,7 +111,8 @@
         self.version += 1;
         self.live.insert(spec.job_id, (self.version, BTreeSet::new()));
         self.specs.insert(spec.job_id, spec.clone());
-        let stored = StoredJob { spec, version: self.version, age: 0, succeeded: BTreeSet::new() };
+        let stored =
+            StoredJob { spec, version: self.version, age: Duration::ZERO, succeeded: BTreeSet::new() };
         self.later.push((self.now + STEP, Command::JobAdded(stored)));
     }
 
@@ -122,7 +125,7 @@
     }
 
     /// The leader is gone; the next one knows what the state service holds, and no more.
-    pub(super) fn change_leader(&mut self, away: u64) {
+    pub(super) fn change_leader(&mut self, away: Duration) {
         self.token += 1;
         self.now += away;
         self.scheduler = Scheduler::new(config(self.token, &self.deployment), self.now);
@@ -142,7 +145,7 @@
             .map(|(job_id, (version, done))| StoredJob {
                 spec: self.specs[job_id].clone(),
                 version: *version,
-                age: 0,
+                age: Duration::ZERO,
                 succeeded: done.clone(),
             })
             .collect();
@@ -155,8 +158,8 @@
         }
         // Commands that were held up arrive just as the new leader begins.
         for (at, name, ..) in &mut self.held_orders {
-            let reachable = self.workers.get(name).map_or(0, |w| w.cut_until.max(w.up_at));
-            *at = reachable.max(self.now + self.rng.random_range(0..10) * STEP);
+            let reachable = self.workers.get(name).map_or(Timestamp::ZERO, |w| w.cut_until.max(w.up_at));
+            *at = reachable.max(self.now + self.rng.random_range(0..10u64) as u32 * STEP);
         }
     }
 
@@ -164,7 +167,7 @@
     fn repeat_old_reports(&mut self) {
         for heartbeat in self.reported.values().flatten() {
             for at in [None, Some(0), Some(1)] {
-                let delay = self.rng.random_range(0..30) * STEP;
+                let delay = self.rng.random_range(0..30u64) as u32 * STEP;
                 self.held.push((self.now + delay, at, heartbeat.clone()));
             }
         }
@@ -177,11 +180,11 @@
         self.deliver_held_orders();
         let (due, later) = std::mem::take(&mut self.later).into_iter().partition(|(at, _)| *at <= self.now);
         self.later = later;
-        batch.extend(Vec::into_iter(due).map(|(_, c): (u64, Command)| c));
+        batch.extend(Vec::into_iter(due).map(|(_, c): (Timestamp, Command)| c));
         self.run_gangs();
         self.run_workers(&mut batch);
         self.run_leaseholders(&mut batch);
-        self.scheduler.time_of_day(self.now, self.now / 1_000);
+        self.scheduler.time_of_day(self.now, self.now.as_micros() / 1_000);
         let effects = self.scheduler.step(self.now, batch);
         for effect in effects {
             self.carry_out(effect);
@@ -190,3 +193,8 @@
         self.check();
     }
 }
+
+/// A random duration of whole microseconds.
+pub(super) fn random_duration(rng: &mut SmallRng, range: Range<Duration>) -> Duration {
+    Duration::from_micros(rng.random_range(whole_micros(range.start)..whole_micros(range.end)))
+}
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -8,7 +8,9 @@
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::TaskCommand;
+use dockpier::time::Timestamp;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 const GOLDEN: &str = include_str!("golden/frames-3f677f9.txt");
 /// Of the first version with gangs, which may run somewhere as well.
@@ -34,7 +36,7 @@
 
 /// What production was asked to write.
 fn payloads(attests: bool) -> Vec<(&'static str, Payload)> {
-    let status = Status { state_age: 5_000, workers: 9, machines: 0, attests };
+    let status = Status { state_age: Duration::from_micros(5_000), workers: 9, machines: 0, attests };
     let id = TaskId { job_id: JobId(412), task: 3 };
     let statuses = [
         TaskStatus::Fetching,
@@ -67,20 +69,20 @@
     let machines = vec!["m-1".to_string(), "m-22".to_string()];
     let leadership = |message| Payload::Leadership(status, message);
     vec![
-        ("heartbeat", leadership(Message::Heartbeat { token: 4, sent: 11 })),
-        ("grant", leadership(Message::Grant { token: 4, echo: 11 })),
-        ("promise-request", leadership(Message::VoteRequest { sent: 3 })),
-        ("promise", leadership(Message::Vote { echo: 3 })),
+        ("heartbeat", leadership(Message::Heartbeat { token: 4, sent: Timestamp::from_micros(11) })),
+        ("grant", leadership(Message::Grant { token: 4, echo: Timestamp::from_micros(11) })),
+        ("promise-request", leadership(Message::VoteRequest { sent: Timestamp::from_micros(3) })),
+        ("promise", leadership(Message::Vote { echo: Timestamp::from_micros(3) })),
         ("release", leadership(Message::Release { token: 4, successor: 1 })),
         ("summary", Payload::Summary(vec![(412, 3, 1), (413, 0, 0)])),
-        ("report", Payload::RelayedHeartbeat { id: 9, stamp: 11, heartbeat }),
+        ("report", Payload::RelayedHeartbeat { id: 9, stamp: Timestamp::from_micros(11), heartbeat }),
         ("reply", Payload::RelayedResponse { id: 9, token: Some(41), cacheable: true, task_commands }),
         ("wake", Payload::WakeRequest(machines.clone())),
         (
             "heard",
             Payload::ShardHeartbeat {
                 id: 3,
-                stamp: 4,
+                stamp: Timestamp::from_micros(4),
                 complete: true,
                 first_of_incarnation: false,
                 machines,
@@ -117,8 +119,8 @@
 fn attestation() -> Attestation {
     Attestation {
         for_incarnation: 7,
-        echo: 11,
-        incarnation_age: 13,
+        echo: Timestamp::from_micros(11),
+        incarnation_age: Duration::from_micros(13),
         confirmations_suspended: true,
         acknowledged: 3,
         last: 5,
