--- a/tests/loopback/standins/workers.rs
+++ b/tests/loopback/standins/workers.rs
@@ -45,27 +45,12 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         }
-        for (load, task) in tasks.iter_mut().filter(|(_, t)| t.1 == "running" && t.3 <= Instant::now()) {
-            (task.1, task.2) = ("exited", Some("done"));
-            note(&cloud, &machine, load, false);
-        }
+        end_due_tasks(&cloud, &machine, &mut tasks);
         tally += 1;
-        let loads: Vec<Value> = tasks
-            .iter()
-            .map(|(load, t)| json!({"load": load, "launch": t.0, "status": t.1, "cause": t.2}))
-            .collect();
-        let heartbeat = json!({"vessel": name, "address": "127.0.0.1:9", "hull": "m4", "quay": machine["quay"],
+        let checkin = json!({"vessel": name, "address": "127.0.0.1:9", "hull": "m4", "quay": machine["quay"],
             "driftwood": machine["driftwood"], "watch": 1, "tally": tally, "helm": helm, "recall_s": null,
-            "loads": loads});
-        let url = format!("http://{}/checkin", nodes[at % nodes.len()]);
-        let answer =
-            client.post(url).body(heartbeat.to_string()).timeout(Duration::from_secs(4)).send().await;
-        let body: Option<Value> = match answer {
-            Ok(answer) if answer.status() == 200 => {
-                serde_json::from_slice(&answer.bytes().await.unwrap_or_default()).ok()
-            }
-            _ => None,
-        };
+            "loads": loads(&tasks)});
+        let body = send_checkin(&client, nodes[at % nodes.len()], &checkin).await;
         match body.filter(|b| b["helm"].as_u64().is_some_and(|h| h >= helm)) {
             Some(body) => {
                 helm = body["helm"].as_u64().unwrap();
@@ -81,6 +66,31 @@
     cloud.lock().unwrap().end_all(&name);
 }
 
+/// Tasks that have run for their time exit.
+fn end_due_tasks(cloud: &Cloud, machine: &Value, tasks: &mut Tasks) {
+    for (load, task) in tasks.iter_mut().filter(|(_, t)| t.1 == "running" && t.3 <= Instant::now()) {
+        (task.1, task.2) = ("exited", Some("done"));
+        note(cloud, machine, load, false);
+    }
+}
+
+/// The tasks as a check-in lists them.
+fn loads(tasks: &Tasks) -> Vec<Value> {
+    tasks.iter().map(|(load, t)| json!({"load": load, "launch": t.0, "status": t.1, "cause": t.2})).collect()
+}
+
+/// The body of a 200 answer; nothing for any other outcome.
+async fn send_checkin(client: &reqwest::Client, node: SocketAddr, checkin: &Value) -> Option<Value> {
+    let url = format!("http://{node}/checkin");
+    let answer = client.post(url).body(checkin.to_string()).timeout(Duration::from_secs(4)).send().await;
+    match answer {
+        Ok(answer) if answer.status() == 200 => {
+            serde_json::from_slice(&answer.bytes().await.unwrap_or_default()).ok()
+        }
+        _ => None,
+    }
+}
+
 fn signal(cloud: &Cloud, machine: &Value, tasks: &mut Tasks, signal: &Value) {
     let load = signal["load"].as_str().unwrap().to_string();
     let launch = signal["launch"].as_u64().unwrap();
--- a/tests/scale/decision_steps.rs
+++ b/tests/scale/decision_steps.rs
@@ -46,7 +46,7 @@
 #[test]
 fn a_plan_costs_by_the_queue_and_asks_for_all_that_is_missing() {
     let mut fleet = Fleet::new(0);
-    fleet.rents = true;
+    fleet.offers_machines = true;
     for job_id in 0..400 {
         fleet.submit(spec(job_id, Kind::Array, Priority::Normal, 10));
     }
--- a/tests/scale/failure_detection.rs
+++ b/tests/scale/failure_detection.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_deaf_machine_gets_no_more_starts_and_is_deleted_and_the_work_goes_elsewhere() {
     let mut fleet = Fleet::new(12);
-    fleet.deaf.insert(name(3));
+    fleet.unreachable.insert(name(3));
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 44));
     (0..6).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.deleted, BTreeSet::from([name(3)]));
@@ -42,11 +42,11 @@
 #[test]
 fn machines_that_seem_deaf_together_are_kept() {
     let mut fleet = Fleet::new(12);
-    fleet.deaf.extend((0..6).map(name));
+    fleet.unreachable.extend((0..6).map(name));
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 40));
     (0..6).for_each(|_| fleet.heartbeat());
     assert!(fleet.deleted.is_empty());
-    fleet.deaf.clear();
+    fleet.unreachable.clear();
     (0..6).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.width(1), 40);
 }
@@ -57,9 +57,9 @@
 fn machines_that_do_not_hear_us_through_a_leaseholder_are_not_deaf() {
     let mut fleet = Fleet::new(12);
     fleet.scheduler.config.shard_lease = 14 * SECOND;
-    fleet.via = Some(1);
+    fleet.leaseholder = Some(1);
     (0..2).for_each(|_| fleet.heartbeat());
-    fleet.deaf.extend((0..2).map(name));
+    fleet.unreachable.extend((0..2).map(name));
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 48));
     (0..5).for_each(|_| fleet.heartbeat());
     assert!(fleet.deleted.is_empty());
@@ -71,7 +71,7 @@
 fn a_lost_leaseholder_does_not_take_its_block_with_it() {
     let mut fleet = Fleet::new(MACHINES);
     fleet.scheduler.config.shard_lease = 14 * SECOND;
-    fleet.via = Some(1);
+    fleet.leaseholder = Some(1);
     fleet.submit(spec(1, Kind::Array, Priority::Normal, MACHINES as u32 * SLOTS as u32));
     (0..3).for_each(|_| fleet.heartbeat());
     fleet.machines = 0;
@@ -80,7 +80,7 @@
         assert!(fleet.deleted.is_empty());
     }
     // They come another way.
-    (fleet.machines, fleet.via) = (MACHINES - 10, None);
+    (fleet.machines, fleet.leaseholder) = (MACHINES - 10, None);
     (0..4).for_each(|_| fleet.heartbeat());
     assert!(fleet.deleted.is_empty() || fleet.deleted.iter().all(|m| *m >= name(MACHINES - 10)));
 }
@@ -103,7 +103,7 @@
     let records = vec![("1-1".to_string(), (0..16).map(recorded).collect())];
     fleet.step(vec![Command::Load { jobs: vec![], records }]);
     // Four of sixteen are dead, and all the others report to a leaseholder.
-    (fleet.machines, fleet.via, fleet.sequence) = (12, Some(1), 0);
+    (fleet.machines, fleet.leaseholder, fleet.sequence) = (12, Some(1), 0);
     (0..4).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.deleted, (12..16).map(name).collect());
 }
--- a/tests/scale/fleet.rs
+++ b/tests/scale/fleet.rs
@@ -27,28 +27,32 @@
     }
 }
 
-/// A fleet whose workers carry out what they are told, unless they are deaf.
+/// A fleet whose workers execute the commands of the responses that reach them.
 pub struct Fleet {
     pub scheduler: Scheduler,
     pub now: Timestamp,
     pub sequence: u64,
-    /// The token that workers have seen.
+    /// The fencing token that workers have seen.
     pub token: u64,
     pub machines: usize,
     pub running: BTreeMap<String, BTreeMap<TaskId, u64>>,
-    pub deaf: BTreeSet<String>,
-    pub done: BTreeSet<JobId>,
+    /// Machines whose heartbeats arrive and that no response reaches.
+    pub unreachable: BTreeSet<String>,
+    /// Jobs whose tasks end by themselves.
+    pub completed: BTreeSet<JobId>,
+    /// Machines that the scheduler had deleted.
     pub deleted: BTreeSet<String>,
+    /// Machines asked of the cloud so far.
     pub rented: u32,
-    /// The cloud has machines, which are up never.
-    pub rents: bool,
-    /// Puts and deletes in the state service: for machines, and for finished tasks and jobs.
+    /// The cloud has machines; they never come up.
+    pub offers_machines: bool,
+    /// Changes of the key-value store: for machine records, and for finished tasks and jobs.
     pub machine_writes: usize,
     pub job_writes: usize,
-    /// Tasks never get past their fetch.
+    /// Tasks stay in the state of fetching their image.
     pub fetching: bool,
-    /// The leaseholder that all reports come through.
-    pub via: Option<usize>,
+    /// The leaseholder through which all heartbeats come.
+    pub leaseholder: Option<usize>,
 }
 
 pub fn name(i: usize) -> String {
@@ -79,28 +83,33 @@
     }
 }
 
+/// Workers report every four seconds; the leader has a fifth of a core.
+fn config(write_rps: f64) -> Config {
+    Config {
+        write_rps,
+        // Machines without work are kept: here they are there to be looked at.
+        operator: Operator { idle_s: 3_600.0, ..Operator::default() },
+        workers: Workers {
+            report_s: 4.0,
+            lease_s: 20.0,
+            cancel_s: 45.0,
+            gang_wait_s: 30.0,
+            gang_peer_s: 6.0,
+        },
+        cpu_share: 0.2,
+        record_machines: 12,
+        ..common::config()
+    }
+}
+
 impl Fleet {
     pub fn new(machines: usize) -> Fleet {
         Fleet::with_writes(machines, common::config().write_rps)
     }
 
-    /// With so many changes a second that the state service takes.
+    /// `write_rps`: changes a second that the key-value store takes.
     pub fn with_writes(machines: usize, write_rps: f64) -> Fleet {
-        let config = Config {
-            write_rps,
-            // Machines without work are kept: here they are there to be looked at.
-            operator: Operator { idle_s: 3_600.0, ..Operator::default() },
-            workers: Workers {
-                report_s: 4.0,
-                lease_s: 20.0,
-                cancel_s: 45.0,
-                gang_wait_s: 30.0,
-                gang_peer_s: 6.0,
-            },
-            cpu_share: 0.2,
-            record_machines: 12,
-            ..common::config()
-        };
+        let config = config(write_rps);
         let machine_type = machine_type(&config);
         let mut fleet = Fleet {
             scheduler: Scheduler::new(config, Timestamp::from_secs(1)),
@@ -109,64 +118,75 @@
             token: 1,
             machines,
             running: BTreeMap::new(),
-            deaf: BTreeSet::new(),
-            done: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
+            completed: BTreeSet::new(),
             deleted: BTreeSet::new(),
             rented: 0,
-            rents: false,
+            offers_machines: false,
             machine_writes: 0,
             job_writes: 0,
             fetching: false,
-            via: None,
+            leaseholder: None,
         };
         fleet.step(vec![Command::Types(vec![machine_type]), Command::Load { jobs: vec![], records: vec![] }]);
         (0..3).for_each(|_| fleet.heartbeat());
         fleet
     }
 
+    /// Takes the commands and carries out the effects, until none of them calls for a further command.
     pub fn step(&mut self, batch: Vec<Command>) {
         let effects = self.scheduler.step(self.now, batch);
-        let mut more = Vec::new();
+        let mut outcomes = Vec::new();
         for effect in effects {
-            match effect {
-                Effect::Record { key, .. } => {
-                    self.machine_writes += 1;
-                    more.push(Command::Recorded { key, outcome: WriteOutcome::Done });
-                }
-                Effect::Delete(machines) => {
-                    self.deleted.extend(machines.iter().cloned());
-                    more.push(Command::Deleted { machines, outcome: WriteOutcome::Done });
-                }
-                Effect::Rent { request, count, .. } => {
-                    let names = (0..count).map(|i| format!("r-{:06}", self.rented + i)).collect();
-                    self.rented += count;
-                    let (machines, outcome) = match self.rents {
-                        true => (Some(names), WriteOutcome::Done),
-                        false => (None, WriteOutcome::Refused),
-                    };
-                    more.push(Command::Rented { request, machines, outcome });
-                }
-                Effect::CommitDone { job_id, tasks, .. } => {
-                    self.job_writes += 1;
-                    more.push(Command::Committed { job_id, tasks, outcome: WriteOutcome::Done });
-                }
-                Effect::Finish { job_id, chunks, .. } => {
-                    self.job_writes += 2 + chunks.len();
-                    more.push(Command::Finished { job_id, outcome: WriteOutcome::Done });
-                }
-                Effect::HeartbeatResponse { reply, task_commands, .. } => {
-                    self.carry_out(&name(reply as usize), task_commands)
-                }
-                _ => {}
+            outcomes.extend(self.apply(effect));
+        }
+        if !outcomes.is_empty() {
+            self.step(outcomes);
+        }
+    }
+
+    /// Carries out an effect; the command that tells the scheduler its outcome, if it is to be told.
+    fn apply(&mut self, effect: Effect) -> Option<Command> {
+        match effect {
+            Effect::Record { key, .. } => {
+                self.machine_writes += 1;
+                Some(Command::Recorded { key, outcome: WriteOutcome::Done })
+            }
+            Effect::Delete(machines) => {
+                self.deleted.extend(machines.iter().cloned());
+                Some(Command::Deleted { machines, outcome: WriteOutcome::Done })
+            }
+            Effect::Rent { request, count, .. } => {
+                let (machines, outcome) = self.rent(count);
+                Some(Command::Rented { request, machines, outcome })
             }
+            Effect::CommitDone { job_id, tasks, .. } => {
+                self.job_writes += 1;
+                Some(Command::Committed { job_id, tasks, outcome: WriteOutcome::Done })
+            }
+            Effect::Finish { job_id, chunks, .. } => {
+                self.job_writes += 2 + chunks.len();
+                Some(Command::Finished { job_id, outcome: WriteOutcome::Done })
+            }
+            Effect::HeartbeatResponse { reply, task_commands, .. } => {
+                self.execute(&name(reply as usize), task_commands);
+                None
+            }
+            _ => None,
         }
-        if !more.is_empty() {
-            self.step(more);
+    }
+
+    fn rent(&mut self, count: u32) -> (Option<Vec<String>>, WriteOutcome) {
+        let names = (0..count).map(|i| format!("r-{:06}", self.rented + i)).collect();
+        self.rented += count;
+        match self.offers_machines {
+            true => (Some(names), WriteOutcome::Done),
+            false => (None, WriteOutcome::Refused),
         }
     }
 
-    fn carry_out(&mut self, machine: &str, task_commands: Vec<TaskCommand>) {
-        if self.deaf.contains(machine) {
+    fn execute(&mut self, machine: &str, task_commands: Vec<TaskCommand>) {
+        if self.unreachable.contains(machine) {
             return;
         }
         let running = self.running.entry(machine.into()).or_default();
@@ -182,7 +202,7 @@
         }
     }
 
-    /// All machines report within four seconds, in batches as they come.
+    /// All machines send a heartbeat within four seconds, in forty batches.
     pub fn heartbeat(&mut self) {
         self.sequence += 1;
         let batches = 40;
@@ -200,7 +220,7 @@
         let machine = name(i);
         let tasks = self.running.get(&machine).into_iter().flatten();
         let status = if self.fetching { TaskStatus::Fetching } else { TaskStatus::Running };
-        let status = |id: &TaskId| match self.done.contains(&id.job_id) {
+        let status = |id: &TaskId| match self.completed.contains(&id.job_id) {
             true => TaskStatus::Exited(ExitReason::Done),
             false => status,
         };
@@ -220,7 +240,7 @@
             notice_s: None,
             tasks,
         };
-        Command::Heartbeat { reply: i as u64, heartbeat, via: self.via }
+        Command::Heartbeat { reply: i as u64, heartbeat, via: self.leaseholder }
     }
 
     pub fn submit(&mut self, spec: JobSpec) {
@@ -233,11 +253,12 @@
         })]);
     }
 
-    /// All that runs of the job ends by itself, and is reported so.
+    /// Every running task of the job exits as done, and its heartbeats report it.
     pub fn complete(&mut self, job_id: u64) {
-        self.done.insert(JobId(job_id));
+        self.completed.insert(JobId(job_id));
     }
 
+    /// The job is removed from the store, as by a cancellation; its tasks stop at once.
     pub fn finish(&mut self, job_id: u64) {
         for running in self.running.values_mut() {
             running.retain(|id, _| id.job_id != JobId(job_id));
@@ -245,6 +266,7 @@
         self.step(vec![Command::JobRemoved(JobId(job_id))]);
     }
 
+    /// Tasks of the job that run.
     pub fn width(&self, job_id: u64) -> usize {
         self.running.values().flat_map(|t| t.keys()).filter(|id| id.job_id == JobId(job_id)).count()
     }
--- a/tests/scale/six_thousand_machines.rs
+++ b/tests/scale/six_thousand_machines.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_queue_for_six_thousand_machines_is_planned_and_rented() {
     let mut fleet = Fleet::new(0);
-    fleet.rents = true;
+    fleet.offers_machines = true;
     for job_id in 0..240 {
         fleet.submit(spec(job_id, Kind::Array, Priority::Normal, 100));
     }
