--- a/src/scheduler/autoscaler.rs
+++ b/src/scheduler/autoscaler.rs
@@ -82,7 +82,7 @@
                 continue;
             }
             let wait = if machine.spot { operator.idle_spot_s } else { operator.idle_s };
-            let needed = kept.contains(&machine.name) || self.drains.is_kept(&machine.name);
+            let needed = kept.contains(&machine.name) || self.drains.is_replacement(&machine.name);
             let idle = now >= machine.lifecycle.idle_since + limits::micros(wait) && !needed;
             if idle || machine.lifecycle.draining {
                 back.push(machine.name.clone());
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -21,8 +21,8 @@
         self.machines.values_mut().for_each(|m| m.lifecycle.consolidation_target = false);
         // Without critical services nothing is held back for them, and ordinary machines are needed only for work
         // that may not use spot machines: a deployment of arrays alone kept its ordinary machines for ever.
-        let fixed = self.critical_shape().or_else(|| self.largest(|j| !j.spec.spot));
-        let elastic = self.largest(|j| j.spec.spot);
+        let fixed = self.critical_place().or_else(|| self.largest_request(|j| !j.spec.spot));
+        let elastic = self.largest_request(|j| j.spec.spot);
         let Some(elastic) = elastic.or(fixed) else { return };
         let shape = fixed.unwrap_or(elastic);
         let mut candidates: Vec<(usize, String)> = Vec::new();
@@ -32,7 +32,7 @@
         candidates.sort();
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
         let slots = |m: &Machine| elastic.count_in(&m.available());
-        let reserve = self.reserve_places() * count(self.config.zones.len());
+        let reserve = self.headroom_per_zone() * count(self.config.zones.len());
         let waiting: usize = self
             .jobs
             .values()
@@ -75,7 +75,7 @@
             .filter(|j| !j.spec.spot && !j.terminated)
             .map(|j| j.progress.pending.len())
             .sum();
-        let mut need = (fixed + waiting) as i64 + self.reserve_places();
+        let mut need = (fixed + waiting) as i64 + self.headroom_per_zone();
         let mut beyond = Vec::new();
         for (_, tasks, machine) in here {
             if need <= 0 {
@@ -156,7 +156,7 @@
         let place = warm.iter_mut().find(|(name, free)| {
             job.spec.resource_request.fits(free)
                 && self.machines.get(*name).is_some_and(|m| {
-                    scoring::allowed(job, m)
+                    scoring::is_eligible(job, m)
                         && zones.allows(job, &m.zone)
                         && m.image_cache.images.contains(&job.spec.image)
                 })
--- a/src/scheduler/drains/eviction.rs
+++ b/src/scheduler/drains/eviction.rs
@@ -215,18 +215,18 @@
         let mut zones = ZoneCount::of(job, &self.machines);
         zones.remove(&from.zone);
         let (kept, spare) = (&left.kept, &left.spare);
-        let shape = self.critical_shape();
+        let shape = self.critical_place();
         let fits = |machine: &&Machine| {
             let free = kept.free(machine);
             // A replacement brings the places of the machine that it stands for.
-            let lost = match shape.filter(|_| !machine.spot && !self.drains.is_kept(&machine.name)) {
+            let lost = match shape.filter(|_| !machine.spot && !self.drains.is_replacement(&machine.name)) {
                 Some(shape) => {
                     shape.count_in(&free) - shape.count_in(&free.minus(&job.spec.resource_request))
                 }
                 None => 0,
             };
             self.is_schedulable(machine)
-                && scoring::allowed(job, machine)
+                && scoring::is_eligible(job, machine)
                 && zones.allows(job, &machine.zone)
                 && job.spec.resource_request.fits(&free)
                 && !job.failure_history.machines.contains(&machine.name)
@@ -235,11 +235,11 @@
         let own = |machine: &Machine| {
             self.drains.replacing.get(&machine.name).is_some_and(|replaced| *replaced == from.name)
         };
-        let others = |machine: &Machine| self.drains.is_kept(&machine.name) && !own(machine);
+        let others = |machine: &Machine| self.drains.is_replacement(&machine.name) && !own(machine);
         let best = self.machines.values().filter(fits).min_by_key(|machine| {
             let cold = !machine.image_cache.images.contains(&job.spec.image);
             let targeted = self.drains.is_targeted(&machine.name);
-            let left = scoring::emptiness(job, &kept.free(machine));
+            let left = scoring::remainder(job, &kept.free(machine));
             (targeted, others(machine), cold, !own(machine), left, &machine.name)
         })?;
         Some((self.down_s(job, Some(best)), best.name.clone()))
--- a/src/scheduler/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -175,7 +175,7 @@
     }
 
     /// Keeps its room for what moves off the machine that it replaces, critical jobs aside.
-    pub fn is_kept(&self, machine: &str) -> bool {
+    pub fn is_replacement(&self, machine: &str) -> bool {
         self.replacing.contains_key(machine)
     }
 
--- a/src/scheduler/drains/reservations.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -36,8 +36,8 @@
 
     /// Places of critical services in each zone beyond those that are reserved.
     pub(super) fn spare_places(&self, kept: &ReservedCapacity) -> BTreeMap<String, i64> {
-        let Some(shape) = self.critical_shape() else { return BTreeMap::new() };
-        let reserved = self.reserve_places();
+        let Some(shape) = self.critical_place() else { return BTreeMap::new() };
+        let reserved = self.headroom_per_zone();
         let mut spare: BTreeMap<String, i64> =
             self.config.zones.iter().map(|zone| (zone.clone(), -reserved)).collect();
         for machine in self.machines.values().filter(|m| !m.spot && self.is_schedulable(m)) {
@@ -48,7 +48,7 @@
     }
 
     /// The round's free room less what is kept.
-    pub(in super::super) fn keep_places(&self, capacity: &mut FreeCapacity) {
+    pub(in super::super) fn reserve_for_moves(&self, capacity: &mut FreeCapacity) {
         let kept = self.kept_rooms();
         for machine in kept.0.keys().filter_map(|name| self.machines.get(name)) {
             capacity.limit(machine, kept.free(machine));
@@ -56,7 +56,7 @@
     }
 
     /// Replicas that have ended on the machine that they leave start on the place that was kept.
-    pub(in super::super) fn place_moved(&mut self, capacity: &mut FreeCapacity) {
+    pub(in super::super) fn place_moved_replicas(&mut self, capacity: &mut FreeCapacity) {
         let patience = limits::DRAIN_MOVE_TIMEOUT;
         let moves: Vec<(TaskId, String, u64)> =
             self.drains.moves.iter().map(|(id, to)| (*id, to.to.clone(), to.since)).collect();
@@ -75,7 +75,9 @@
             // From here on it is placed by the ordinary pass where its place is gone.
             self.drains.moves.remove(&id);
             let kept = self.kept_rooms();
-            if self.may_start_on(id.job_id, &to, &kept) && self.team_room(job, &capacity.teams) > 0 {
+            if self.may_start_on(id.job_id, &to, &kept)
+                && self.tasks_within_limit(job, &capacity.team_usage) > 0
+            {
                 if let Some(machine) = self.machines.get(&to) {
                     capacity.limit(machine, kept.free(machine));
                 }
@@ -89,7 +91,7 @@
         let Some(job) = self.jobs.get(&job_id) else { return false };
         let Some(machine) = self.machines.get(name) else { return false };
         self.is_schedulable(machine)
-            && scoring::allowed(job, machine)
+            && scoring::is_eligible(job, machine)
             && ZoneCount::of(job, &self.machines).allows(job, &machine.zone)
             && job.spec.resource_request.fits(&kept.free(machine))
             && job.failure_history.backoff_until <= self.now
--- a/src/scheduler/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -123,7 +123,7 @@
         kept: &ReservedCapacity,
     ) -> Candidate {
         let shape =
-            self.critical_shape().filter(|_| !machine.spot && !replace && self.is_schedulable(machine));
+            self.critical_place().filter(|_| !machine.spot && !replace && self.is_schedulable(machine));
         let replicas = self.replicas_on(machine);
         let moves = replicas.iter().fold(Resources::default(), |sum, needs| sum.plus(needs));
         Candidate {
@@ -189,7 +189,7 @@
             zones.insert(zone.clone(), ZoneRoom { free: Amounts::default(), spare_places });
         }
         for machine in
-            self.machines.values().filter(|m| self.is_schedulable(m) && !self.drains.is_kept(&m.name))
+            self.machines.values().filter(|m| self.is_schedulable(m) && !self.drains.is_replacement(&m.name))
         {
             let Some(zone) = zones.get_mut(&machine.zone) else { continue };
             let free = amounts(&kept.free(machine));
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -1,184 +1,183 @@
-//! Machines for the tasks of a job, the best ones first.
+//! Machines for the tasks of a job: filter, score, assign.
+//!
+//! It only names machines. Whether the job may start is decided in `admission`, and placements are reserved there.
+//!
+//! A machine that is best stays best until it is full, since each task only makes it fuller. So machines are filtered
+//! and scored once, and the zones are compared by their best ones for each task.
 
 use super::capacity::FreeCapacity;
+use super::headroom_guard::HeadroomGuard;
+use super::zone_choice::ZoneChoice;
 use crate::scheduler::model::{Job, Kind, Machine, Priority, Resources};
-use crate::scheduler::scoring::{self, ZoneCount};
+use crate::scheduler::scoring::{self, Score, ZoneCount};
 use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 
-/// A machine that has room for a task, as `candidates` weighs it.
+/// Whether a task may go where its image would be fetched beside another one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(in crate::scheduler) enum SharedFetch {
+    /// Images that are fetched at the same time share the rate: fetched one after the other, the first is there sooner
+    /// and the last no later (exception 6 of `docs/design.md`).
+    Avoid,
+    /// It may.
+    Allow,
+}
+
+/// What machines are looked for.
+#[derive(Clone, Copy)]
+pub(in crate::scheduler) struct PlacementRequest<'a> {
+    /// The job.
+    pub job: &'a Job,
+    /// Number of its tasks, the most that are assigned.
+    pub tasks: u32,
+    /// Whether a fetch may be shared.
+    pub shared_fetch: SharedFetch,
+}
+
+/// A machine that has passed the filter, with its score.
 struct Candidate<'a> {
-    /// Kind, coldness, surplus (see `scoring::cost`), and for gangs the wait for its heartbeat: the same for every
-    /// further task put there.
-    base: [i64; 3],
-    emptiness: i64,
+    score: Score,
+    /// Best fit: what a further task would leave; see [`scoring::remainder`].
+    remainder: i64,
     machine: &'a Machine,
-    free: Resources,
+    available: Resources,
 }
 
 impl Scheduler {
-    /// Machines for up to `want` tasks of the job, the best ones first; an entry per task. A machine
-    /// that is best stays best until it is full, since each task only makes it fuller; so the candidates
-    /// are weighed once, and the zones are compared by their best ones. `now`: only places where its image
-    /// is, or can be fetched at once.
-    pub fn find(
+    /// Names of machines for the tasks of the request, the best first; one entry for each task that found room.
+    pub(in crate::scheduler) fn find_machines(
         &self,
-        job: &Job,
-        want: u32,
-        now: bool,
+        request: PlacementRequest<'_>,
         capacity: &FreeCapacity,
         steps: &mut usize,
     ) -> Vec<String> {
-        let mut zones = ZoneCount::of(job, &self.machines);
-        let pinned = if job.spec.one_zone && job.placements.is_empty() {
-            match self.best_zone(job, capacity) {
-                Some(zone) => Some(zone),
-                None => return Vec::new(),
-            }
-        } else {
-            None
+        let zone_choice = self.choose_zone(request.job, capacity);
+        if zone_choice == ZoneChoice::Nowhere {
+            return Vec::new();
+        }
+        let by_zone = self.filter_and_score(request, &zone_choice, capacity, steps);
+        let mut pool = CandidatePool {
+            job: request.job,
+            by_zone,
+            zones: ZoneCount::of(request.job, &self.machines),
+            headroom: HeadroomGuard::new(request.job, capacity),
         };
-        let needs = &job.spec.resource_request;
-        let mut reserve = self.reserve_room(capacity, job);
+        pool.sort(steps);
+        pool.assign(request.tasks, steps)
+    }
+
+    fn filter_and_score<'a>(
+        &'a self,
+        request: PlacementRequest<'_>,
+        zone_choice: &ZoneChoice,
+        capacity: &'a FreeCapacity,
+        steps: &mut usize,
+    ) -> BTreeMap<&'a str, Vec<Candidate<'a>>> {
+        let job = request.job;
+        let names =
+            self.names_to_evaluate(job, request.tasks, &capacity.classes, steps).unwrap_or_else(|| {
+                *steps += capacity.available.len();
+                capacity.available.keys().map(String::as_str).collect()
+            });
         let mut by_zone: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
-        let names = self.names_to_weigh(job, want, &capacity.alike, steps).unwrap_or_else(|| {
-            *steps += capacity.free.len();
-            capacity.free.keys().map(String::as_str).collect()
-        });
         for name in names {
-            let Some(free) = capacity.free.get(name).filter(|free| needs.fits(free)) else { continue };
+            let available = capacity.available.get(name);
+            let Some(available) = available.filter(|room| job.spec.resource_request.fits(room)) else {
+                continue;
+            };
             let Some(machine) = self.machines.get(name) else { continue };
-            // One under suspicion has nowhere else to go.
-            let failed_here = !job.is_suspected() && job.failure_history.machines.contains(name);
-            if !scoring::allowed(job, machine)
-                || failed_here
-                || machine.lifecycle.consolidation_target && job.spec.spot
-                || job.spec.priority != Priority::Critical && self.drains.is_kept(name)
-                || machine.health.quarantined_until > self.now && job.spec.kind != Kind::Service
-                || pinned.as_ref().is_some_and(|z| *z != machine.zone)
-            {
+            if !self.passes_filter(job, machine) || !zone_choice.allows(&machine.zone) {
                 continue;
             }
-            let (mut base, emptiness) = scoring::cost(job, machine, free, capacity.fixed_work);
-            // It would have to leave again.
-            base[2] += i64::from(self.drains.is_targeted(name));
-            // All of a gang wait for the last of them: machines whose next heartbeat is due come first.
-            if job.spec.kind == Kind::Gang {
-                base[2] += 2 * self.heartbeat_due_s(machine);
-            }
-            // Images that are fetched at the same time share the rate: one after the other, the first is
-            // there sooner and the last no later.
-            if now && base[1] > 1 {
+            let score = self.score(job, machine, capacity);
+            if request.shared_fetch == SharedFetch::Avoid && score.shares_fetch() {
                 continue;
             }
-            let candidate = Candidate { base, emptiness, machine, free: *free };
+            let remainder = scoring::remainder(job, available);
+            let candidate = Candidate { score, remainder, machine, available: *available };
             by_zone.entry(&machine.zone).or_default().push(candidate);
         }
-        for candidates in by_zone.values_mut() {
-            *steps += candidates.len();
-            // The best one last, where it is taken from.
-            candidates.sort_unstable_by(|a, b| {
-                (b.base, b.emptiness, &b.machine.name).cmp(&(a.base, a.emptiness, &a.machine.name))
-            });
-        }
-        let critical = job.spec.priority == Priority::Critical;
-        let mut found = Vec::new();
-        while (found.len() as u32) < want {
-            *steps += 1;
-            let open = by_zone.iter().filter(|(zone, _)| zones.allows(job, zone));
-            let best = open
-                .filter_map(|(zone, candidates)| candidates.last().map(|c| (*zone, c)))
-                .min_by_key(|(zone, c)| {
-                    let here = if critical { i64::from(zones.get(zone)) } else { 0 };
-                    (c.base, here, c.emptiness, &c.machine.name)
-                })
-                .map(|(zone, _)| zone);
-            let Some(candidates) = best.and_then(|zone| by_zone.get_mut(zone)) else { break };
-            let Some(best) = candidates.last_mut() else { break };
-            if !reserve.spares(best.machine, &best.free, needs) {
-                candidates.pop();
-                continue;
-            }
-            reserve.take(best.machine, &best.free, needs);
-            zones.add(&best.machine.zone);
-            found.push(best.machine.name.clone());
-            best.free = best.free.minus(needs);
-            best.emptiness = scoring::emptiness(job, &best.free);
-            if !needs.fits(&best.free) {
-                candidates.pop();
-            }
-        }
-        found
+        by_zone
     }
 
-    /// The zone with most places for a job whose tasks must share one; for a gang the one where the last of its
-    /// tasks starts first.
-    fn best_zone(&self, job: &Job, capacity: &FreeCapacity) -> Option<String> {
-        let mut zones: BTreeMap<&str, Vec<(i64, i64, i64)>> = BTreeMap::new();
-        let tasks = i64::from(job.spec.tasks);
-        let gang = job.spec.kind == Kind::Gang;
-        for (name, free) in &capacity.free {
-            if let Some(machine) = self.machines.get(name).filter(|m| scoring::allowed(job, m)) {
-                let places = job.spec.resource_request.count_in(free).min(tasks);
-                if places > 0 {
-                    let due = if gang { self.heartbeat_due_s(machine) } else { 0 };
-                    let cold = if gang { machine.image_fetches(&job.spec.image) } else { 0 };
-                    zones.entry(&machine.zone).or_default().push((cold, due, places));
-                }
-            }
-        }
-        let weigh = |places: &mut Vec<(i64, i64, i64)>| {
-            places.sort_unstable();
-            let all: i64 = places.iter().map(|(.., n)| n).sum();
-            let mut left = tasks;
-            let last = places.iter().find(|(.., n)| {
-                left -= n;
-                left <= 0
-            });
-            let (cold, due) = last.map_or((i64::MAX, i64::MAX), |(cold, due, _)| (*cold, *due));
-            (gang.then_some((std::cmp::Reverse(cold), std::cmp::Reverse(due))), all)
-        };
-        let weighed = zones.into_iter().map(|(zone, mut places)| (weigh(&mut places), zone));
-        weighed.max().map(|(_, zone)| zone.to_string())
+    /// Filter: whether the job may use the machine now, its room aside.
+    fn passes_filter(&self, job: &Job, machine: &Machine) -> bool {
+        // A job under suspicion would have nowhere else to go.
+        let failed_here = !job.is_suspected() && job.failure_history.machines.contains(&machine.name);
+        scoring::is_eligible(job, machine)
+            && !failed_here
+            && !(machine.lifecycle.consolidation_target && job.spec.spot)
+            && (job.spec.priority == Priority::Critical || !self.drains.is_replacement(&machine.name))
+            && (job.spec.kind == Kind::Service || machine.health.quarantined_until <= self.now)
     }
 
-    /// Room held back in each zone for critical services, against everyone else's tasks.
-    fn reserve_room(&self, capacity: &FreeCapacity, job: &Job) -> Reserve {
-        let mut reserve = Reserve { shape: None, spare: BTreeMap::new() };
-        let Some(shape) = capacity.shape else { return reserve };
-        if job.spec.priority == Priority::Critical {
-            return reserve;
+    /// Score: the part of it that stays the same for every further task of the job on the machine.
+    fn score(&self, job: &Job, machine: &Machine, capacity: &FreeCapacity) -> Score {
+        let mut score = Score::of(job, machine, capacity.has_fixed_work);
+        // A task on a machine that will be drained would have to leave again.
+        score.penalty += i64::from(self.drains.is_targeted(&machine.name));
+        // All tasks of a gang wait for the last one: machines whose next heartbeat is due come first.
+        if job.spec.kind == Kind::Gang {
+            score.penalty += 2 * self.heartbeat_due_s(machine);
         }
-        reserve.spare.clone_from(&capacity.critical_places);
-        reserve.spare.values_mut().for_each(|n| *n -= capacity.kept);
-        reserve.shape = Some(shape);
-        reserve
+        score
     }
 }
 
-struct Reserve {
-    shape: Option<Resources>,
-    /// Critical places in each zone beyond the reserve.
-    spare: BTreeMap<String, i64>,
+/// The candidates for the tasks of a job, and what the tasks assigned so far leave.
+struct CandidatePool<'a> {
+    job: &'a Job,
+    /// The candidates of each zone; once sorted, the best one is the last, where it is taken from.
+    by_zone: BTreeMap<&'a str, Vec<Candidate<'a>>>,
+    zones: ZoneCount,
+    headroom: HeadroomGuard,
 }
 
-impl Reserve {
-    fn cost(&self, free: &Resources, needs: &Resources) -> i64 {
-        self.shape.map_or(0, |s| s.count_in(free) - s.count_in(&free.minus(needs)))
+impl<'a> CandidatePool<'a> {
+    fn sort(&mut self, steps: &mut usize) {
+        for candidates in self.by_zone.values_mut() {
+            *steps += candidates.len();
+            candidates.sort_unstable_by(|a, b| {
+                (b.score, b.remainder, &b.machine.name).cmp(&(a.score, a.remainder, &a.machine.name))
+            });
+        }
     }
 
-    fn spares(&self, machine: &Machine, free: &Resources, needs: &Resources) -> bool {
-        if self.shape.is_none() || machine.spot {
-            return true;
+    /// Assign: each task goes to the best candidate of the best zone, until no zone has one.
+    fn assign(mut self, tasks: u32, steps: &mut usize) -> Vec<String> {
+        let request = &self.job.spec.resource_request;
+        let mut assigned = Vec::new();
+        while (assigned.len() as u32) < tasks {
+            *steps += 1;
+            let best_zone = self.best_zone();
+            let Some(candidates) = best_zone.and_then(|zone| self.by_zone.get_mut(zone)) else { break };
+            let Some(best) = candidates.last_mut() else { break };
+            if !self.headroom.allows(best.machine, &best.available, request) {
+                candidates.pop();
+                continue;
+            }
+            self.headroom.take(best.machine, &best.available, request);
+            self.zones.add(&best.machine.zone);
+            assigned.push(best.machine.name.clone());
+            best.available = best.available.minus(request);
+            best.remainder = scoring::remainder(self.job, &best.available);
+            if !request.fits(&best.available) {
+                candidates.pop();
+            }
         }
-        let cost = self.cost(free, needs);
-        cost <= 0 || cost <= self.spare.get(&machine.zone).copied().unwrap_or(0)
+        assigned
     }
 
-    fn take(&mut self, machine: &Machine, free: &Resources, needs: &Resources) {
-        let cost = self.cost(free, needs);
-        if let (false, Some(spare)) = (machine.spot, self.spare.get_mut(&machine.zone)) {
-            *spare -= cost;
-        }
+    /// The zone with the best candidate, among those where the job's zone rules allow a further task. Critical jobs
+    /// spread over the zones where the scores are equal.
+    fn best_zone(&self) -> Option<&'a str> {
+        let spreads = self.job.spec.priority == Priority::Critical;
+        let open = self.by_zone.iter().filter(|(zone, _)| self.zones.allows(self.job, zone));
+        open.filter_map(|(zone, candidates)| candidates.last().map(|best| (*zone, best)))
+            .min_by_key(|(zone, best)| {
+                let tasks_there = if spreads { self.zones.get(zone) } else { 0 };
+                (best.score, tasks_there, best.remainder, &best.machine.name)
+            })
+            .map(|(zone, _)| zone)
     }
 }
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -1,71 +1,86 @@
-//! Free capacity as a round fills it, and what all jobs of the round ask for alike.
+//! Free capacity of a round: the room that its placements and stops leave, and what all its jobs have in common.
 
-use super::equivalence_class::{AlikeMachines, Grouping};
-use crate::scheduler::model::{JobId, Kind, Machine, Priority, Resources};
+use super::equivalence_class::{ClassBuilder, EquivalenceClasses};
+use crate::scheduler::model::{Job, JobId, Kind, Machine, Priority, Resources};
 use crate::scheduler::quota::TeamUsage;
 use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Free room per machine as a round fills it, and what all jobs of the round ask for alike: worked out
-/// once a round, since a look at every machine for every job does not scale.
+/// Room on each machine as a round fills it, and what all jobs of the round have in common. Determined once a round,
+/// since a look at every machine for every job does not scale.
 #[derive(Clone)]
 pub struct FreeCapacity {
-    /// Machines with room for the smallest waiting task; the others take nobody.
-    pub(super) free: BTreeMap<String, Resources>,
-    /// The same machines, grouped.
-    pub(super) alike: AlikeMachines,
-    /// Places of the largest critical shape on the ordinary ones of these machines, by zone.
+    /// Room on the machines that can take the smallest waiting task; the others take none.
+    pub(super) available: BTreeMap<String, Resources>,
+    /// The same machines by equivalence class.
+    pub(super) classes: EquivalenceClasses,
+    /// Places for the largest critical task on the ordinary ones of these machines, by zone.
     pub(super) critical_places: BTreeMap<String, i64>,
-    /// Room that stops under way will give, by machine.
-    pub(super) pending: BTreeMap<String, Resources>,
-    /// Tasks of each job that were told to stop.
-    pub(super) stopping: BTreeMap<JobId, u32>,
-    /// The largest shape among critical jobs and the places of it kept free in each zone.
-    pub(super) shape: Option<Resources>,
-    pub(super) kept: i64,
-    /// The least important class of which an array holds anything.
-    pub(super) lowest: Option<Priority>,
-    /// In which order jobs yield, worked out when somebody asks for it.
-    pub(super) yielding: Option<Arc<[JobId]>>,
-    /// Some job may not use spot machines.
-    pub(super) fixed_work: bool,
+    /// Room that stops under way will free, by machine.
+    pub(super) freed_by_stops: BTreeMap<String, Resources>,
+    /// Number of tasks of each job that were asked to stop.
+    pub(super) stopping_tasks: BTreeMap<JobId, u32>,
+    /// What a place for a critical task must hold. None: there are no critical jobs.
+    pub(super) critical_place: Option<Resources>,
+    /// Places that are kept free in each zone for critical services.
+    pub(super) headroom_per_zone: i64,
+    /// The lowest priority of an array of which something is placed.
+    pub(super) lowest_preemptible: Option<Priority>,
+    /// The order in which jobs are preempted, determined when it is first asked for.
+    pub(super) preemption_order: Option<Arc<[JobId]>>,
+    /// Whether some job may not use spot machines.
+    pub(super) has_fixed_work: bool,
     /// What each team uses.
-    pub(in crate::scheduler) teams: TeamUsage,
+    pub(in crate::scheduler) team_usage: TeamUsage,
 }
 
 impl FreeCapacity {
-    pub(super) fn take(&mut self, machine: &Machine, needs: &Resources) {
-        let free = self.free_on(machine).minus(needs);
-        self.set(machine, free);
+    /// A task with this request is placed on the machine.
+    pub(super) fn take(&mut self, machine: &Machine, request: &Resources) {
+        let available = self.available_on(machine).minus(request);
+        self.set(machine, available);
     }
 
-    /// A stop will give room on the machine.
-    pub(super) fn give(&mut self, machine: &Machine, room: &Resources) {
-        let free = self.free_on(machine).plus(room);
-        self.set(machine, free);
+    /// Room on each of these machines is set aside for a task with this request, so that no later job of the round
+    /// takes it.
+    pub(super) fn take_on_each(
+        &mut self,
+        names: &[String],
+        machines: &BTreeMap<String, Machine>,
+        request: &Resources,
+    ) {
+        for machine in names.iter().filter_map(|name| machines.get(name)) {
+            self.take(machine, request);
+        }
+    }
+
+    /// A stop will free this room on the machine.
+    pub(super) fn release(&mut self, machine: &Machine, room: &Resources) {
+        let available = self.available_on(machine).plus(room);
+        self.set(machine, available);
     }
 
-    /// Only so much of a machine's room is free to everybody.
+    /// Only so much of the machine's room is open to every job.
     pub(in crate::scheduler) fn limit(&mut self, machine: &Machine, room: Resources) {
-        if self.free.contains_key(&machine.name) {
+        if self.available.contains_key(&machine.name) {
             self.set(machine, room);
         }
     }
 
-    fn free_on(&self, machine: &Machine) -> Resources {
-        self.free.get(&machine.name).copied().unwrap_or_else(|| machine.available())
+    fn available_on(&self, machine: &Machine) -> Resources {
+        self.available.get(&machine.name).copied().unwrap_or_else(|| machine.available())
     }
 
-    fn set(&mut self, machine: &Machine, free: Resources) {
-        let before = self.free.insert(machine.name.clone(), free);
-        self.alike.set_apart(&machine.name);
-        self.count_places(machine, before, free);
+    fn set(&mut self, machine: &Machine, available: Resources) {
+        let before = self.available.insert(machine.name.clone(), available);
+        self.classes.remove(&machine.name);
+        self.count_critical_places(machine, before, available);
     }
 
-    fn count_places(&mut self, machine: &Machine, before: Option<Resources>, free: Resources) {
-        let Some(shape) = self.shape.filter(|_| !machine.spot) else { return };
-        let more = shape.count_in(&free) - before.map_or(0, |before| shape.count_in(&before));
+    fn count_critical_places(&mut self, machine: &Machine, before: Option<Resources>, now: Resources) {
+        let Some(place) = self.critical_place.filter(|_| !machine.spot) else { return };
+        let more = place.count_in(&now) - before.map_or(0, |before| place.count_in(&before));
         match self.critical_places.get_mut(&machine.zone) {
             Some(places) => *places += more,
             None => {
@@ -74,66 +89,74 @@
         }
     }
 
-    /// The room there will be once every stop under way is confirmed.
-    pub(super) fn soon(&self, machines: &BTreeMap<String, Machine>) -> FreeCapacity {
-        let mut soon = self.clone();
-        for (name, pending) in &self.pending {
+    /// The capacity there will be once every stop under way is confirmed.
+    pub(super) fn after_stops(&self, machines: &BTreeMap<String, Machine>) -> FreeCapacity {
+        let mut after = self.clone();
+        for (name, freed) in &self.freed_by_stops {
             if let Some(machine) = machines.get(name) {
-                soon.give(machine, pending);
+                after.release(machine, freed);
             }
         }
-        soon
+        after
+    }
+
+    /// Number of tasks of the job that were asked to stop.
+    pub(super) fn stopping(&self, job_id: JobId) -> u32 {
+        self.stopping_tasks.get(&job_id).copied().unwrap_or(0)
     }
 }
 
 impl Scheduler {
-    /// What the jobs of a round have in common, and the machines with room for any of them.
-    pub(super) fn capacity(&mut self, order: &[JobId], steps: &mut usize) -> FreeCapacity {
-        self.note_unreconciled();
-        let jobs = || order.iter().filter_map(|job_id| self.jobs.get(job_id));
-        let least = jobs()
-            .filter(|j| !j.progress.pending.is_empty())
-            .map(|j| j.spec.resource_request)
-            .reduce(|a, b| a.least(&b));
-        let mut capacity = FreeCapacity {
-            free: BTreeMap::new(),
-            alike: AlikeMachines::default(),
-            critical_places: BTreeMap::new(),
-            pending: BTreeMap::new(),
-            stopping: BTreeMap::new(),
-            shape: self.critical_shape(),
-            kept: self.reserve_places(),
-            lowest: jobs()
-                .filter(|j| j.spec.kind == Kind::Array && !j.placements.is_empty())
-                .map(|j| j.spec.priority)
-                .min(),
-            yielding: None,
-            fixed_work: self.jobs.values().any(|j| !j.terminated && !j.spec.spot),
-            teams: self.team_usage(),
-        };
-        let mut grouping = Grouping::new(self);
+    /// The machines with room for any of these jobs, and what the jobs have in common.
+    pub(super) fn free_capacity(&self, order: &[JobId], steps: &mut usize) -> FreeCapacity {
+        let waiting = self.jobs_of(order).filter(|job| !job.progress.pending.is_empty());
+        let smallest = waiting.map(|job| job.spec.resource_request).reduce(|a, b| a.least(&b));
+        let mut capacity = self.capacity_without_machines(order);
+        let mut classes = ClassBuilder::new(self);
         for machine in self.machines.values() {
             *steps += 1;
             for (id, task) in &machine.tasks {
                 if task.stopping.is_some() {
-                    *capacity.stopping.entry(id.job_id).or_default() += 1;
+                    *capacity.stopping_tasks.entry(id.job_id).or_default() += 1;
                 }
             }
             if !self.is_schedulable(machine) {
                 continue;
             }
-            let free = machine.available();
-            if least.is_some_and(|least| least.fits(&free)) {
-                capacity.free.insert(machine.name.clone(), free);
-                capacity.count_places(machine, None, free);
-                grouping.add(machine, free);
+            let available = machine.available();
+            if smallest.is_some_and(|smallest| smallest.fits(&available)) {
+                capacity.available.insert(machine.name.clone(), available);
+                capacity.count_critical_places(machine, None, available);
+                classes.add(machine, available);
             }
-            let pending = machine.available_soon(self.now).minus(&free);
-            if pending != Resources::default() {
-                capacity.pending.insert(machine.name.clone(), pending);
+            let freed = machine.available_soon(self.now).minus(&available);
+            if freed != Resources::default() {
+                capacity.freed_by_stops.insert(machine.name.clone(), freed);
             }
         }
-        capacity.alike = grouping.finish();
+        capacity.classes = classes.build();
         capacity
     }
+
+    fn capacity_without_machines(&self, order: &[JobId]) -> FreeCapacity {
+        let preemptible =
+            self.jobs_of(order).filter(|job| job.spec.kind == Kind::Array && !job.placements.is_empty());
+        FreeCapacity {
+            available: BTreeMap::new(),
+            classes: EquivalenceClasses::default(),
+            critical_places: BTreeMap::new(),
+            freed_by_stops: BTreeMap::new(),
+            stopping_tasks: BTreeMap::new(),
+            critical_place: self.critical_place(),
+            headroom_per_zone: self.headroom_per_zone(),
+            lowest_preemptible: preemptible.map(|job| job.spec.priority).min(),
+            preemption_order: None,
+            has_fixed_work: self.jobs.values().any(|job| !job.terminated && !job.spec.spot),
+            team_usage: self.team_usage(),
+        }
+    }
+
+    fn jobs_of<'a>(&'a self, order: &'a [JobId]) -> impl Iterator<Item = &'a Job> {
+        order.iter().filter_map(|job_id| self.jobs.get(job_id))
+    }
 }
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -1,142 +1,133 @@
-//! Shrinking lower jobs for one that cannot start.
+//! Preemption for a job that cannot start: the paper's shrink (figure 2). Decides whether tasks of other jobs stop for
+//! it, and asks them to.
 
+use super::candidates::{PlacementRequest, SharedFetch};
 use super::capacity::FreeCapacity;
-use crate::scheduler::model::{Job, JobId, Kind, PendingReason, Priority, Resources, TaskId};
+use super::victims::{Protection, Victim, VictimSearch};
+use crate::scheduler::model::{Job, JobId, Kind, PendingReason, Priority, Resources};
 use crate::scheduler::quota::TeamUsage;
-use crate::scheduler::scoring;
 use crate::scheduler::Scheduler;
 use tracing::debug;
 
+/// What preemption does for a job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[must_use]
+pub(super) enum Preemption {
+    /// Room for it is being made.
+    UnderWay,
+    /// It could not make enough room, so it stops nothing.
+    Impossible,
+}
+
+/// Tasks to stop, and the machines that the newcomer then uses.
+struct PreemptionPlan {
+    victims: Vec<Victim>,
+    targets: Vec<String>,
+}
+
 impl Scheduler {
-    /// Stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots.
-    /// Returns whether that room is under way.
-    pub(super) fn shrink_for(
+    /// Stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots. Room of stops under
+    /// way counts as found, so that no two preemptions are made for it; so does room whose machine is fetching an image
+    /// for another job.
+    pub(super) fn preempt_for(
         &mut self,
         job_id: JobId,
         missing: u32,
         capacity: &mut FreeCapacity,
         steps: &mut usize,
-    ) -> bool {
-        let Some(job) = self.jobs.get(&job_id) else { return false };
-        let needs = job.spec.resource_request;
-        // Room that stops under way will free counts as found, so that nobody shrinks twice for it.
-        let soon = capacity.soon(&self.machines);
-        // So does room whose machine is fetching for somebody else.
-        let coming = self.find(job, missing, false, &soon, steps);
+    ) -> Preemption {
+        let Some(job) = self.jobs.get(&job_id) else { return Preemption::Impossible };
+        let request = job.spec.resource_request;
+        let after_stops = capacity.after_stops(&self.machines);
+        let newcomer = PlacementRequest { job, tasks: missing, shared_fetch: SharedFetch::Allow };
+        let coming = self.find_machines(newcomer, &after_stops, steps);
         if coming.len() as u32 >= missing {
-            // Hold the room for this job: nobody later in the round may take it.
-            coming.iter().filter_map(|m| self.machines.get(m)).for_each(|m| capacity.take(m, &needs));
+            capacity.take_on_each(&coming, &self.machines, &request);
             self.wait(job_id, PendingReason::StopsOrFetchUnderWay);
-            return true;
+            return Preemption::UnderWay;
         }
-        let may_any = capacity.lowest.is_some_and(|lowest| lowest < job.spec.priority)
-            || self.within_guarantee(&job.spec.team, &needs, &capacity.teams);
-        if !may_any {
+        if !self.may_preempt_any(job, capacity) {
             self.wait(job_id, PendingReason::NothingToPreempt);
-            return false;
+            return Preemption::Impossible;
         }
-        // A critical job that cannot start goes on where the design stops: jobs inside the gap yield too,
-        // and then jobs below their minimum. A swarm of lower jobs pinned at one task each would
-        // otherwise keep it out until a machine has booted.
-        let stages: &[(bool, bool)] = match job.spec.priority {
-            Priority::Critical => &[(true, true), (false, true), (false, false)],
-            _ => &[(true, true)],
-        };
-        let order = capacity.yielding.get_or_insert_with(|| self.yielding()).clone();
-        let chosen = stages.iter().find_map(|(gap, minimum)| {
-            let mut soon = soon.clone();
-            let stops = self.victims(job, missing, &order, &mut soon, (*gap, *minimum), steps);
-            let targets = self.find(job, missing, false, &soon, steps);
-            (targets.len() as u32 >= missing).then_some((stops, targets))
-        });
-        let Some((mut stops, targets)) = chosen else {
+        let order = capacity.preemption_order.get_or_insert_with(|| self.preemption_order()).clone();
+        let Some(plan) = self.plan_preemption(newcomer, &order, &after_stops, steps) else {
             self.wait(job_id, PendingReason::PreemptionInsufficient);
-            return false;
+            return Preemption::Impossible;
         };
-        // Stops on machines that the newcomer ends up not using would be for nothing.
-        stops.retain(|(name, _)| targets.contains(name));
-        targets.iter().filter_map(|m| self.machines.get(m)).for_each(|m| capacity.take(m, &needs));
-        for (machine, id) in stops {
-            debug!(task = %id, machine, newcomer = %job_id, "shrink");
-            self.decided(format!("stop {id} on {machine} for {job_id}"));
-            let now = self.now;
-            let grace = self.jobs.get(&id.job_id).map_or(0.0, |j| j.spec.save_s);
-            if let Some(victim) = self.jobs.get_mut(&id.job_id) {
-                victim.elasticity.last_resized_at = now;
-                victim.elasticity.width = victim.elasticity.width.saturating_sub(1).max(victim.minimum());
-                let freed = capacity.pending.entry(machine.clone()).or_default();
-                *freed = freed.plus(&victim.spec.resource_request);
-                capacity.teams.stop(&victim.spec.team, &victim.spec.resource_request);
-                *capacity.stopping.entry(id.job_id).or_default() += 1;
-            }
-            self.stop(&machine, id, grace);
-        }
+        capacity.take_on_each(&plan.targets, &self.machines, &request);
+        self.preempt(job_id, plan, capacity);
         self.wait(job_id, PendingReason::StopsUnderWay);
-        true
+        Preemption::UnderWay
+    }
+
+    /// Whether the job may preempt at all, before victims are looked for.
+    fn may_preempt_any(&self, job: &Job, capacity: &FreeCapacity) -> bool {
+        capacity.lowest_preemptible.is_some_and(|lowest| lowest < job.spec.priority)
+            || self.within_guarantee(&job.spec.team, &job.spec.resource_request, &capacity.team_usage)
     }
 
-    /// Tasks of lower jobs to stop, lowest job first and its newest task first, until `missing` places
-    /// are found. `gap`, `minimum`: whether the rescale gap and the victims' minimum protect them.
-    pub(super) fn victims(
+    fn plan_preemption(
         &self,
-        job: &Job,
-        missing: u32,
+        newcomer: PlacementRequest<'_>,
         order: &[JobId],
-        soon: &mut FreeCapacity,
-        (gap, minimum): (bool, bool),
+        after_stops: &FreeCapacity,
         steps: &mut usize,
-    ) -> Vec<(String, TaskId)> {
-        let mut stops = Vec::new();
-        for victim in order.iter().filter_map(|v| self.jobs.get(v)) {
-            *steps += 1;
-            if victim.placements.is_empty() || gap && self.in_gap(victim) {
-                continue;
+    ) -> Option<PreemptionPlan> {
+        // Exception 4 of `docs/design.md`: a critical job that cannot start goes on where the design stops. A swarm of
+        // lower jobs pinned at one task each would otherwise keep it out until a machine has booted.
+        let stages: &[Protection] = match newcomer.job.spec.priority {
+            Priority::Critical => &[Protection::GapAndMinimum, Protection::Minimum, Protection::None],
+            Priority::Low | Priority::Normal | Priority::High => &[Protection::GapAndMinimum],
+        };
+        stages.iter().find_map(|protection| {
+            let search = VictimSearch::new(self, newcomer, *protection, after_stops.clone());
+            let (mut victims, capacity) = search.run(order, steps);
+            let targets = self.find_machines(newcomer, &capacity, steps);
+            if (targets.len() as u32) < newcomer.tasks {
+                return None;
             }
-            let mut running: Vec<_> = self
-                .placements_of(victim)
-                .filter(|(_, _, t)| t.stopping.is_none())
-                .map(|(id, name, t)| (t.placed_at, id, name))
-                .collect();
-            running.sort();
-            let floor = if minimum { victim.minimum() } else { 0 };
-            // Each stop brings the victim's team nearer to its guarantee.
-            while running.len() as u32 > floor && self.may_preempt(job, victim, &soon.teams) {
-                let Some((_, id, name)) = running.pop() else { break };
-                *steps += 1;
-                let Some(machine) = self.machines.get(name).filter(|m| self.is_schedulable(m)) else {
-                    continue;
-                };
-                // A stop that cannot help the newcomer would be for nothing.
-                if !scoring::allowed(job, machine) {
-                    continue;
-                }
-                soon.give(machine, &victim.spec.resource_request);
-                soon.teams.stop(&victim.spec.team, &victim.spec.resource_request);
-                stops.push((name.to_string(), id));
-                if self.find(job, missing, false, soon, steps).len() as u32 >= missing {
-                    return stops;
-                }
+            // Stops on machines that the newcomer does not use in the end would be for nothing.
+            victims.retain(|victim| targets.contains(&victim.machine));
+            Some(PreemptionPlan { victims, targets })
+        })
+    }
+
+    fn preempt(&mut self, newcomer: JobId, plan: PreemptionPlan, capacity: &mut FreeCapacity) {
+        let now = self.now;
+        for Victim { machine, task } in plan.victims {
+            debug!(task = %task, machine, newcomer = %newcomer, "shrink");
+            self.decided(format!("stop {task} on {machine} for {newcomer}"));
+            let grace_s = self.jobs.get(&task.job_id).map_or(0.0, |job| job.spec.save_s);
+            if let Some(job) = self.jobs.get_mut(&task.job_id) {
+                job.elasticity.last_resized_at = now;
+                job.elasticity.width = job.elasticity.width.saturating_sub(1).max(job.minimum());
+                let request = &job.spec.resource_request;
+                let freed = capacity.freed_by_stops.entry(machine.clone()).or_default();
+                *freed = freed.plus(request);
+                capacity.team_usage.stop(&job.spec.team, request);
+                *capacity.stopping_tasks.entry(task.job_id).or_default() += 1;
             }
+            self.stop(&machine, task, grace_s);
         }
-        stops
     }
 
     /// PROTOCOL, Preemption: higher over lower priority; or a team inside its guarantee over what
     /// another team runs beyond its own.
-    pub(super) fn may_preempt(&self, job: &Job, victim: &Job, teams: &TeamUsage) -> bool {
+    pub(super) fn may_preempt(&self, job: &Job, victim: &Job, usage: &TeamUsage) -> bool {
         if victim.spec.job_id == job.spec.job_id || victim.spec.kind != Kind::Array {
             return false;
         }
-        let higher = job.spec.priority > victim.spec.priority;
+        let is_higher = job.spec.priority > victim.spec.priority;
         if job.spec.team == victim.spec.team {
-            return higher;
+            return is_higher;
         }
-        let guaranteed = self.within_guarantee(&job.spec.team, &job.spec.resource_request, teams);
-        let victim_guaranteed = self.within_guarantee(&victim.spec.team, &Resources::default(), teams);
-        // Without the second condition borrowed capacity went back and forth: what a team got back within its
-        // guarantee was stopped again for a job of a higher class that its own team's guarantee did not cover.
-        // Critical jobs are beyond that: nobody stops them, so nothing goes back and forth.
-        let protected = victim_guaranteed && !guaranteed && job.spec.priority != Priority::Critical;
-        guaranteed && !victim_guaranteed || higher && !protected
+        let is_guaranteed = self.within_guarantee(&job.spec.team, &job.spec.resource_request, usage);
+        let victim_is_guaranteed = self.within_guarantee(&victim.spec.team, &Resources::default(), usage);
+        // Without the protection borrowed capacity went back and forth: what a team got back within its guarantee was
+        // stopped again for a job of a higher class that its own team's guarantee did not cover. Critical jobs are
+        // beyond that: they are not preempted, so nothing goes back and forth.
+        let is_protected = victim_is_guaranteed && !is_guaranteed && job.spec.priority != Priority::Critical;
+        is_guaranteed && !victim_is_guaranteed || is_higher && !is_protected
     }
 }
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -1,40 +1,50 @@
-//! Who comes first: aged priority, and the orders in which jobs are served and yield.
+//! Aged priority of jobs, and the orders in which they are served and preempted (paper, 3.2.1 and 3.2.2).
 
 use crate::limits;
 use crate::scheduler::model::{Job, JobId, Kind, Priority};
 use crate::scheduler::Scheduler;
+use std::cmp::Reverse;
 use std::sync::Arc;
 
+/// What a priority class counts in a rank.
+const RANKS_PER_CLASS: u64 = 1000;
+
+/// The rank of the critical class, which age does not lift others to.
+const CRITICAL_RANK: u64 = Priority::Critical as u64 * RANKS_PER_CLASS;
+
 impl Scheduler {
     /// Aged rank: the priority class plus the share of a class that its age has earned, in thousandths.
     /// Every job ages from its arrival: were only waiting ones to age, a newcomer would pass earlier jobs
     /// that still grow, and a job short of its width would yield after an earlier one that has all.
     ///
-    /// A deadline makes a job age faster, by one class until it falls due; one that is late already leaves
-    /// the room to those that can still be in time. Either rate goes by the work that is left: when more waits
-    /// than can be served, first come first served makes all alike late, and the short ones are the many. A
-    /// job of which nothing has begun for long ages fastest, so that the widest are not put off for ever.
-    pub fn rank(&self, job: &Job) -> u64 {
-        let rank = self.plain_rank(job, self.size(job));
+    /// A job of which nothing has begun for long ages fastest, so that the widest are not put off for ever (exception 5
+    /// of `docs/design.md`).
+    pub(in crate::scheduler) fn rank(&self, job: &Job) -> u64 {
+        let rank = self.regular_rank(job, self.relative_size(job));
         if job.has_started() || job.spec.priority == Priority::Critical {
             return rank;
         }
-        rank.max(self.aged(job, job.submitted_at + limits::AGING_DELAY, limits::AGING_INTERVAL))
+        rank.max(self.aged_rank(job, job.submitted_at + limits::AGING_DELAY, limits::AGING_INTERVAL))
     }
 
-    pub(super) fn plain_rank(&self, job: &Job, size: f64) -> u64 {
+    /// The rank without exception 5. A deadline makes a job age faster, by one class until it falls due; one that is
+    /// late already leaves the room to those that can still be in time.
+    ///
+    /// Either rate goes by the work that is left, `size` (exception 7 of `docs/design.md`): when more waits than can be
+    /// served, first come first served makes all alike late, and the short ones are the many.
+    pub(super) fn regular_rank(&self, job: &Job, size: f64) -> u64 {
         if job.spec.priority == Priority::Critical {
-            return Priority::Critical as u64 * 1000;
+            return CRITICAL_RANK;
         }
         let age = self.now.saturating_sub(job.submitted_at);
         let aging = limits::micros(self.config.operator.aging_s);
         let due = job.spec.deadline_s.map(limits::micros).filter(|due| *due > 0 && age <= *due);
         let aging = due.map_or(aging, |due| aging.min(due)) as f64 * size;
-        self.aged(job, job.submitted_at, (aging as u64).max(1))
+        self.aged_rank(job, job.submitted_at, (aging as u64).max(1))
     }
 
     /// How much work is left of a job, as a multiple of what a job brings on average now.
-    pub(super) fn size(&self, job: &Job) -> f64 {
+    pub(super) fn relative_size(&self, job: &Job) -> f64 {
         if self.mean_job_work <= 0.0 {
             return 1.0;
         }
@@ -42,37 +52,40 @@
         size.clamp(1.0 / limits::MAX_AGING_FACTOR, limits::MAX_AGING_FACTOR)
     }
 
-    pub(super) fn note_typical_work(&mut self) {
-        let elastic = self.jobs.values().filter(|j| !j.terminated && j.spec.kind != Kind::Service);
-        let works: Vec<f64> = elastic.map(|j| j.work(j.spec.tasks)).collect();
+    pub(super) fn update_mean_job_work(&mut self) {
+        let ending = self.jobs.values().filter(|job| !job.terminated && job.spec.kind != Kind::Service);
+        let works: Vec<f64> = ending.map(|job| job.work(job.spec.tasks)).collect();
         self.mean_job_work = works.iter().sum::<f64>() / works.len().max(1) as f64;
     }
 
-    /// The rank of a job that gains a class in `aging` from `since` on; age never lifts anybody above
-    /// critical services.
-    pub(super) fn aged(&self, job: &Job, since: u64, aging: u64) -> u64 {
+    /// The rank of a job that gains a class in each `interval` from `since` on (microseconds). Age never lifts a job
+    /// above critical services.
+    fn aged_rank(&self, job: &Job, since: u64, interval: u64) -> u64 {
         let age = self.now.saturating_sub(since);
-        (job.spec.priority as u64 * 1000 + age * 1000 / aging).min(Priority::Critical as u64 * 1000 - 1)
+        let rank = job.spec.priority as u64 * RANKS_PER_CLASS + age * RANKS_PER_CLASS / interval;
+        rank.min(CRITICAL_RANK - 1)
     }
 
-    /// The order in which jobs yield: lowest class with its age first, the latest first on ties. The work that
-    /// is left does not count here: it would make the long jobs feed everybody else.
-    pub(super) fn yielding(&self) -> Arc<[JobId]> {
-        let running = self.jobs.values().filter(|j| !j.terminated && !j.placements.is_empty());
-        let mut order: Vec<_> = running
-            .map(|j| (self.plain_rank(j, 1.0), std::cmp::Reverse((j.submitted_at, j.version)), j.spec.job_id))
+    /// The order in which jobs are preempted (figure 2): lowest class with its age first, the latest first on ties. The
+    /// work that is left does not count here: it would make the long jobs feed all others.
+    pub(super) fn preemption_order(&self) -> Arc<[JobId]> {
+        let placed = self.jobs.values().filter(|job| !job.terminated && !job.placements.is_empty());
+        let mut order: Vec<_> = placed
+            .map(|job| {
+                (self.regular_rank(job, 1.0), Reverse((job.submitted_at, job.version)), job.spec.job_id)
+            })
             .collect();
         order.sort();
         order.into_iter().map(|(_, _, job_id)| job_id).collect()
     }
 
-    /// The order of a round: highest aged priority first, earlier first on ties.
-    pub(super) fn order(&self) -> Vec<JobId> {
+    /// The order of a round (figures 2 and 3): highest aged rank first, earlier first on ties.
+    pub(super) fn round_order(&self) -> Vec<JobId> {
         let mut order: Vec<_> = self
             .jobs
             .values()
-            .filter(|j| !j.terminated && (!j.progress.pending.is_empty() || !j.placements.is_empty()))
-            .map(|j| (std::cmp::Reverse(self.rank(j)), j.submitted_at, j.version, j.spec.job_id))
+            .filter(|job| !job.terminated && (!job.progress.pending.is_empty() || !job.placements.is_empty()))
+            .map(|job| (Reverse(self.rank(job)), job.submitted_at, job.version, job.spec.job_id))
             .collect();
         order.sort();
         order.into_iter().map(|(_, _, _, job_id)| job_id).collect()
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -1,7 +1,9 @@
 //! Machines weighed by groups against every machine weighed by itself.
 
 use super::*;
-use crate::scheduler::model::*;
+use crate::scheduler::model::{
+    JobSpec, Kind, MachineState, MachineType, Placement, Priority, Resources, TaskId, TaskStatus,
+};
 use crate::scheduler::{Command, Config, StoredJob, StoredMachine};
 use crate::settings::{Operator, Team, Workers};
 use rand::rngs::SmallRng;
@@ -137,15 +139,18 @@
         }
         let order: Vec<JobId> = scheduler.jobs.keys().copied().collect();
         let mut steps = 0;
-        let mut grouped = scheduler.capacity(&order, &mut steps);
+        let mut grouped = scheduler.free_capacity(&order, &mut steps);
         for job_id in order {
             let mut each = grouped.clone();
-            let names: Vec<String> = each.free.keys().cloned().collect();
-            names.iter().for_each(|name| each.alike.set_apart(name));
+            let names: Vec<String> = each.available.keys().cloned().collect();
+            names.iter().for_each(|name| each.classes.remove(name));
             let job = &scheduler.jobs[&job_id];
-            let (want, patient) = (rng.random_range(1..job.spec.tasks + 1), rng.random_bool(0.5));
-            let found = scheduler.find(job, want, patient, &grouped, &mut steps);
-            assert_eq!(found, scheduler.find(job, want, patient, &each, &mut steps), "seed {seed}, {job_id}");
+            let (tasks, avoid) = (rng.random_range(1..job.spec.tasks + 1), rng.random_bool(0.5));
+            let shared_fetch = if avoid { SharedFetch::Avoid } else { SharedFetch::Allow };
+            let request = PlacementRequest { job, tasks, shared_fetch };
+            let found = scheduler.find_machines(request, &grouped, &mut steps);
+            let found_in_each = scheduler.find_machines(request, &each, &mut steps);
+            assert_eq!(found, found_in_each, "seed {seed}, {job_id}");
             found_any += usize::from(!found.is_empty());
             let needs = job.spec.resource_request;
             for name in found.iter().take(rng.random_range(0..8)) {
--- /dev/null
+++ b/src/scheduler/elastic/victims.rs
@@ -0,0 +1,138 @@
+//! The search for tasks to preempt: whose, which and how many. It only names them; `preemption` stops them.
+
+use super::candidates::PlacementRequest;
+use super::capacity::FreeCapacity;
+use crate::scheduler::model::{Job, JobId, TaskId};
+use crate::scheduler::scoring;
+use crate::scheduler::Scheduler;
+
+/// What protects the jobs that are shrunk.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Protection {
+    /// The rescale gap, and their minimum width: the paper's rule.
+    GapAndMinimum,
+    /// Only their minimum width.
+    Minimum,
+    /// Nothing.
+    None,
+}
+
+/// A task to preempt, and the machine that it is on.
+pub(super) struct Victim {
+    pub machine: String,
+    pub task: TaskId,
+}
+
+/// A task that may be preempted. The newest is the largest.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct RunningTask<'a> {
+    placed_at: u64,
+    task: TaskId,
+    machine: &'a str,
+}
+
+/// Whether the victims found so far make enough room.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[must_use]
+enum Room {
+    Enough,
+    NotEnough,
+}
+
+/// A search for the fewest victims that make room for a newcomer.
+pub(super) struct VictimSearch<'a> {
+    scheduler: &'a Scheduler,
+    newcomer: PlacementRequest<'a>,
+    protection: Protection,
+    /// The capacity once the victims found so far have ended.
+    capacity: FreeCapacity,
+    victims: Vec<Victim>,
+}
+
+impl<'a> VictimSearch<'a> {
+    /// `capacity` is the one after the stops under way.
+    pub(super) fn new(
+        scheduler: &'a Scheduler,
+        newcomer: PlacementRequest<'a>,
+        protection: Protection,
+        capacity: FreeCapacity,
+    ) -> Self {
+        VictimSearch { scheduler, newcomer, protection, capacity, victims: Vec::new() }
+    }
+
+    /// Takes victims from the jobs in this order, the newest task of each first, until there is room for the newcomer.
+    /// Returns those found and the capacity once they have ended, also if that is not enough.
+    pub(super) fn run(mut self, order: &[JobId], steps: &mut usize) -> (Vec<Victim>, FreeCapacity) {
+        for job in order.iter().filter_map(|job_id| self.scheduler.jobs.get(job_id)) {
+            *steps += 1;
+            if job.placements.is_empty() || self.is_protected_by_gap(job) {
+                continue;
+            }
+            match self.shrink(job, steps) {
+                Room::Enough => break,
+                Room::NotEnough => {}
+            }
+        }
+        (self.victims, self.capacity)
+    }
+
+    fn is_protected_by_gap(&self, job: &Job) -> bool {
+        match self.protection {
+            Protection::GapAndMinimum => self.scheduler.is_in_rescale_gap(job),
+            Protection::Minimum | Protection::None => false,
+        }
+    }
+
+    fn least_width(&self, job: &Job) -> u32 {
+        match self.protection {
+            Protection::GapAndMinimum | Protection::Minimum => job.minimum(),
+            Protection::None => 0,
+        }
+    }
+
+    /// Takes the newest tasks of one job, one by one.
+    fn shrink(&mut self, job: &Job, steps: &mut usize) -> Room {
+        let scheduler = self.scheduler;
+        let least_width = self.least_width(job);
+        let mut running = running_tasks(scheduler, job);
+        // Each stop brings the team of the job nearer to its guarantee.
+        while running.len() as u32 > least_width
+            && scheduler.may_preempt(self.newcomer.job, job, &self.capacity.team_usage)
+        {
+            let Some(task) = running.pop() else { break };
+            *steps += 1;
+            if !self.take(job, &task) {
+                continue;
+            }
+            let found = scheduler.find_machines(self.newcomer, &self.capacity, steps);
+            if found.len() as u32 >= self.newcomer.tasks {
+                return Room::Enough;
+            }
+        }
+        Room::NotEnough
+    }
+
+    /// Returns whether the task became a victim. A stop that cannot help the newcomer would be for nothing.
+    fn take(&mut self, job: &Job, running: &RunningTask<'_>) -> bool {
+        let machine = self.scheduler.machines.get(running.machine);
+        let machine = machine.filter(|machine| self.scheduler.is_schedulable(machine));
+        let Some(machine) = machine.filter(|machine| scoring::is_eligible(self.newcomer.job, machine)) else {
+            return false;
+        };
+        self.capacity.release(machine, &job.spec.resource_request);
+        self.capacity.team_usage.stop(&job.spec.team, &job.spec.resource_request);
+        self.victims.push(Victim { machine: running.machine.to_string(), task: running.task });
+        true
+    }
+}
+
+/// The job's tasks that were not asked to stop, the newest last.
+fn running_tasks<'a>(scheduler: &'a Scheduler, job: &'a Job) -> Vec<RunningTask<'a>> {
+    let mut running: Vec<_> = scheduler
+        .placements_of(job)
+        .filter(|(_, _, placement)| placement.stopping.is_none())
+        .map(|(task, machine, placement)| RunningTask { placed_at: placement.placed_at, task, machine })
+        .collect();
+    running.sort();
+    running
+}
--- /dev/null
+++ b/src/scheduler/elastic/zone_choice.rs
@@ -0,0 +1,110 @@
+//! The zone of a job whose tasks must share one.
+
+use super::capacity::FreeCapacity;
+use crate::scheduler::model::{Job, Kind, Machine};
+use crate::scheduler::scoring;
+use crate::scheduler::Scheduler;
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+/// The zones that are open to the next tasks of a job.
+#[derive(Debug, PartialEq, Eq)]
+pub(super) enum ZoneChoice {
+    /// All, as far as the job's zone rules allow.
+    Any,
+    /// This one.
+    Only(String),
+    /// None: the job needs one zone for all its tasks, and none has room.
+    Nowhere,
+}
+
+impl ZoneChoice {
+    pub(super) fn allows(&self, zone: &str) -> bool {
+        match self {
+            ZoneChoice::Any => true,
+            ZoneChoice::Only(chosen) => chosen == zone,
+            ZoneChoice::Nowhere => false,
+        }
+    }
+}
+
+/// How long a task waits for its start. Smaller is better; the fields count in their order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct StartDelay {
+    image_fetches: i64,
+    heartbeat_due_s: i64,
+}
+
+impl StartDelay {
+    const ZERO: StartDelay = StartDelay { image_fetches: 0, heartbeat_due_s: 0 };
+    const NEVER: StartDelay = StartDelay { image_fetches: i64::MAX, heartbeat_due_s: i64::MAX };
+}
+
+/// Places for tasks of the job on one machine. The earliest come first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Places {
+    delay: StartDelay,
+    count: i64,
+}
+
+/// How good a zone is for all tasks of a job. Larger is better; the fields count in their order.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ZoneScore {
+    /// For a gang: when its last task would start. None for other jobs.
+    last_start: Option<Reverse<StartDelay>>,
+    places: i64,
+}
+
+impl Scheduler {
+    /// A job of which something is placed goes on in that zone by its zone rules.
+    pub(super) fn choose_zone(&self, job: &Job, capacity: &FreeCapacity) -> ZoneChoice {
+        if !job.spec.one_zone || !job.placements.is_empty() {
+            return ZoneChoice::Any;
+        }
+        match self.best_zone(job, capacity) {
+            Some(zone) => ZoneChoice::Only(zone),
+            None => ZoneChoice::Nowhere,
+        }
+    }
+
+    /// The zone with most places; for a gang the one where the last of its tasks starts first.
+    fn best_zone(&self, job: &Job, capacity: &FreeCapacity) -> Option<String> {
+        let tasks = i64::from(job.spec.tasks);
+        let mut zones: BTreeMap<&str, Vec<Places>> = BTreeMap::new();
+        for (name, available) in &capacity.available {
+            let machine = self.machines.get(name).filter(|machine| scoring::is_eligible(job, machine));
+            let Some(machine) = machine else { continue };
+            let count = job.spec.resource_request.count_in(available).min(tasks);
+            if count > 0 {
+                let delay = self.start_delay(job, machine);
+                zones.entry(&machine.zone).or_default().push(Places { delay, count });
+            }
+        }
+        let scored = zones.into_iter().map(|(zone, places)| (zone_score(job, places), zone));
+        scored.max().map(|(_, zone)| zone.to_string())
+    }
+
+    /// Only gangs go by it.
+    fn start_delay(&self, job: &Job, machine: &Machine) -> StartDelay {
+        match job.spec.kind {
+            Kind::Gang => StartDelay {
+                image_fetches: machine.image_fetches(&job.spec.image),
+                heartbeat_due_s: self.heartbeat_due_s(machine),
+            },
+            Kind::Array | Kind::Service => StartDelay::ZERO,
+        }
+    }
+}
+
+fn zone_score(job: &Job, mut places: Vec<Places>) -> ZoneScore {
+    places.sort_unstable();
+    let all = places.iter().map(|places| places.count).sum();
+    let mut left = i64::from(job.spec.tasks);
+    let last = places.iter().find(|places| {
+        left -= places.count;
+        left <= 0
+    });
+    let last_start = last.map_or(StartDelay::NEVER, |places| places.delay);
+    let is_gang = job.spec.kind == Kind::Gang;
+    ZoneScore { last_start: is_gang.then_some(Reverse(last_start)), places: all }
+}
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -1,7 +1,7 @@
 //! Gangs: tasks that run together or not at all. They find one another by their attempt number, wait for one
 //! another, start together and end together; the operators' page on gangs (`docs/design.md`) has the details.
 
-use super::elastic::FreeCapacity;
+use super::elastic::{FreeCapacity, PlacementRequest, SharedFetch};
 use super::model::{Job, JobId, Kind, Machine, PendingReason, StopRequest, TaskStatus};
 use super::Scheduler;
 use crate::limits;
@@ -50,8 +50,9 @@
             Stage::Waiting { attempt } => {
                 let now = self.now;
                 let missing = job.progress.pending.len() as u32;
-                let may = self.team_room(job, &capacity.teams) >= missing;
-                let found = if may { self.find(job, missing, false, capacity, steps) } else { Vec::new() };
+                let may = self.tasks_within_limit(job, &capacity.team_usage) >= missing;
+                let request = PlacementRequest { job, tasks: missing, shared_fetch: SharedFetch::Allow };
+                let found = if may { self.find_machines(request, capacity, steps) } else { Vec::new() };
                 if found.len() as u32 == missing {
                     for machine in found {
                         self.assign(job_id, &machine, attempt, capacity);
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -1,26 +1,26 @@
-//! Places that are kept free for critical services.
+//! Headroom: places that are kept free for critical services. Owns how many there are and what each must hold.
 
-use super::model::*;
+use super::model::{Job, Priority, Resources};
 use super::Scheduler;
 
 impl Scheduler {
-    /// The largest shape among critical jobs: what a reserved place must hold.
-    pub(super) fn critical_shape(&self) -> Option<Resources> {
-        self.largest(|j| j.spec.priority == Priority::Critical)
+    /// What a place for a critical task must hold: the most that one of them requests. None: there are no critical jobs.
+    pub(super) fn critical_place(&self) -> Option<Resources> {
+        self.largest_request(|job| job.spec.priority == Priority::Critical)
     }
 
-    /// Places kept free in each zone: room for the widest critical services about, spread over zones.
-    pub(super) fn reserve_places(&self) -> i64 {
-        let critical = self.jobs.values().filter(|j| j.spec.priority == Priority::Critical);
-        let widest = critical.map(|j| j.spec.tasks).max().unwrap_or(0);
+    /// Places kept free in each zone: enough for the widest critical services, spread over the zones.
+    pub(super) fn headroom_per_zone(&self) -> i64 {
+        let critical = self.jobs.values().filter(|job| job.spec.priority == Priority::Critical);
+        let widest = critical.map(|job| job.spec.tasks).max().unwrap_or(0);
         let zones = self.config.zones.len().max(1) as u32;
         i64::from((widest * self.config.operator.reserve_services).div_ceil(zones))
     }
 
-    /// Room that holds a task of any of these jobs.
-    pub(super) fn largest(&self, of: impl Fn(&Job) -> bool) -> Option<Resources> {
-        let needs = self.jobs.values().filter(|j| of(j)).map(|j| j.spec.resource_request);
-        needs.reduce(|a, b| Resources {
+    /// Room that holds a task of any of the jobs that `includes` accepts.
+    pub(super) fn largest_request(&self, includes: impl Fn(&Job) -> bool) -> Option<Resources> {
+        let requests = self.jobs.values().filter(|job| includes(job)).map(|job| job.spec.resource_request);
+        requests.reduce(|a, b| Resources {
             cpus: a.cpus.max(b.cpus),
             gpus: a.gpus.max(b.gpus),
             memory: a.memory.max(b.memory),
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -97,7 +97,7 @@
     }
 
     /// How many more tasks of the job its team's limit allows.
-    pub(super) fn team_room(&self, job: &Job, usage: &TeamUsage) -> u32 {
+    pub(super) fn tasks_within_limit(&self, job: &Job, usage: &TeamUsage) -> u32 {
         let Some(team) = self.team(&job.spec.team) else { return 0 };
         if !self.team_limited(&team.name) {
             return u32::MAX;
--- a/src/scheduler/scaling_plan.rs
+++ b/src/scheduler/scaling_plan.rs
@@ -49,7 +49,7 @@
         let needs = &job.spec.resource_request;
         let each = u32::try_from(needs.count_in(&group.room)).unwrap_or(u32::MAX);
         let all = each.saturating_mul(group.count);
-        let tasks = left.min(all).min(zones.room(job, &group.offer.1));
+        let tasks = left.min(all).min(zones.tasks_allowed(job, &group.offer.1));
         if tasks == 0 {
             return 0;
         }
@@ -83,7 +83,7 @@
         };
         let booting =
             self.machines.values().filter(|m| m.state == MachineState::Pending && !m.lifecycle.deleting);
-        let booting = booting.filter(|m| !self.drains.is_kept(&m.name));
+        let booting = booting.filter(|m| !self.drains.is_replacement(&m.name));
         for machine in booting {
             let offer = (machine.machine_type.clone(), machine.zone.clone(), machine.spot);
             *plan.count.entry(offer).or_default() += 1;
@@ -166,7 +166,7 @@
     fn plan_job(&self, job: &Job, plan: &mut Plan, steps: &mut usize) {
         let needs = &job.spec.resource_request;
         let mut zones = ZoneCount::of(job, &self.machines);
-        let most = self.team_room(job, &plan.teams);
+        let most = self.tasks_within_limit(job, &plan.teams);
         let mut left = (job.progress.pending.len() as u32).min(most);
         // What is coming, machines in use and with the least room first.
         *steps += 1 + plan.coming.len();
@@ -195,7 +195,7 @@
             *steps += offers.len();
             // Equal prices: the zone with fewer of the job's tasks, then the one with fewer machines.
             let load = |o: &Offer| plan.count.get(o).copied().unwrap_or(0);
-            let open = offers.iter().filter(|(_, o)| zones.room(job, &o.1) > 0);
+            let open = offers.iter().filter(|(_, o)| zones.tasks_allowed(job, &o.1) > 0);
             let best = open.min_by(|a, b| {
                 a.0.total_cmp(&b.0)
                     .then_with(|| (zones.get(&a.1 .1), load(&a.1)).cmp(&(zones.get(&b.1 .1), load(&b.1))))
@@ -204,7 +204,7 @@
             let Some(t) = self.types.get(&offer.0) else { return };
             // One task at a time would be fairer to the zones, but a machine that is paid for is filled.
             let each = u32::try_from(needs.count_in(&t.capacity)).unwrap_or(u32::MAX);
-            let tasks = left.min(each).min(zones.room(job, &offer.1));
+            let tasks = left.min(each).min(zones.tasks_allowed(job, &offer.1));
             zones.add_many(&offer.1, tasks);
             left -= tasks;
             *plan.wanted.entry(offer.clone()).or_default() += 1;
@@ -216,9 +216,9 @@
     /// Keeps places for critical services in each zone; returns the machines they rest on.
     fn plan_reserve(&self, plan: &mut Plan) -> BTreeSet<String> {
         let mut kept = BTreeSet::new();
-        let Some(shape) = self.critical_shape() else { return kept };
+        let Some(shape) = self.critical_place() else { return kept };
         for zone in &self.config.zones {
-            let mut open = self.reserve_places();
+            let mut open = self.headroom_per_zone();
             let mut here: Vec<(&Machine, i64)> = self
                 .machines
                 .values()
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -1,9 +1,10 @@
-//! Choosing a machine for one task. Slots are places that fit the task, not a plain number.
+//! Eligibility and score of a machine for a task of a job, and the count of a job's tasks by zone. Slots are places
+//! that fit the task, not a plain number.
 
 use super::model::{Job, Machine, Priority, Resources};
 use std::collections::BTreeMap;
 
-/// How the tasks of one job lie over the zones, every place where one may be included.
+/// How the tasks of one job are spread over the zones. Every place where a task may be counts.
 #[derive(Debug, Clone, Default)]
 pub struct ZoneCount(BTreeMap<String, u32>);
 
@@ -11,8 +12,8 @@
     /// Counts the placements of a job; empty where zones make no difference to it.
     pub fn of(job: &Job, machines: &BTreeMap<String, Machine>) -> Self {
         let mut count = ZoneCount::default();
-        // A job to which zones make no difference need not be counted.
-        if !job.spec.spread && !job.spec.one_zone && job.spec.priority != Priority::Critical {
+        let zones_matter = job.spec.spread || job.spec.one_zone || job.spec.priority == Priority::Critical;
+        if !zones_matter {
             return count;
         }
         for machine in job.placements.values().flatten().filter_map(|name| machines.get(name)) {
@@ -33,8 +34,8 @@
 
     /// One task less in the zone.
     pub fn remove(&mut self, zone: &str) {
-        if let Some(n) = self.0.get_mut(zone) {
-            *n = n.saturating_sub(1);
+        if let Some(tasks) = self.0.get_mut(zone) {
+            *tasks = tasks.saturating_sub(1);
         }
     }
 
@@ -45,13 +46,14 @@
 
     /// Whether the zone rules of the job allow one more task there.
     pub fn allows(&self, job: &Job, zone: &str) -> bool {
-        self.room(job, zone) > 0
+        self.tasks_allowed(job, zone) > 0
     }
 
     /// How many more tasks of the job its zone rules allow there.
-    pub fn room(&self, job: &Job, zone: &str) -> u32 {
-        let elsewhere = job.spec.one_zone && self.0.iter().any(|(other, n)| *n > 0 && other != zone);
-        if elsewhere || !job.spec.allows_zone(zone) {
+    pub fn tasks_allowed(&self, job: &Job, zone: &str) -> u32 {
+        let is_elsewhere = |(other, tasks): (&String, &u32)| *tasks > 0 && other != zone;
+        let bound_elsewhere = job.spec.one_zone && self.0.iter().any(is_elsewhere);
+        if bound_elsewhere || !job.spec.allows_zone(zone) {
             return 0;
         }
         job.spec.zone_most().saturating_sub(self.get(zone))
@@ -59,25 +61,44 @@
 }
 
 /// Whether the job may ever use this machine, its present room and the other tasks aside.
-pub fn allowed(job: &Job, machine: &Machine) -> bool {
+pub fn is_eligible(job: &Job, machine: &Machine) -> bool {
     job.spec.allows_type(&machine.machine_type)
         && job.spec.allows_zone(&machine.zone)
         && (!machine.spot || job.spec.spot)
 }
 
-/// Smaller is better. Work that may use spot machines leaves the ordinary ones to those that may
-/// not, where there are any (`fixed_work`); a warm image saves the fetch; full machines are filled first so that
-/// others empty. The first part stays the same for every further task of the job that is put there.
-pub fn cost(job: &Job, machine: &Machine, room: &Resources, fixed_work: bool) -> ([i64; 3], i64) {
-    let dearer = job.spec.spot && !machine.spot;
-    let kind = i64::from(dearer && fixed_work);
-    let cold = machine.image_fetches(&job.spec.image);
-    let last_resort = i64::from(machine.lifecycle.consolidation_target) + i64::from(dearer);
-    ([kind, cold, last_resort], emptiness(job, room))
+/// The part of a machine's score that stays the same for every further task of the job put there. Smaller is better;
+/// the fields count in their order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Score {
+    /// An ordinary machine for a job that may use spot machines, while there is work that may not.
+    pub takes_from_fixed_work: bool,
+    /// Image fetches that a task waits for; see [`Machine::image_fetches`].
+    pub image_fetches: i64,
+    /// Reasons to take the machine last.
+    pub penalty: i64,
 }
 
-/// What a task would leave of the room.
-pub fn emptiness(job: &Job, room: &Resources) -> i64 {
+impl Score {
+    /// `has_fixed_work`: whether some job may not use spot machines.
+    pub fn of(job: &Job, machine: &Machine, has_fixed_work: bool) -> Self {
+        let is_dearer = job.spec.spot && !machine.spot;
+        Score {
+            takes_from_fixed_work: is_dearer && has_fixed_work,
+            image_fetches: machine.image_fetches(&job.spec.image),
+            penalty: i64::from(machine.lifecycle.consolidation_target) + i64::from(is_dearer),
+        }
+    }
+
+    /// Whether the image would be fetched beside another one.
+    pub fn shares_fetch(&self) -> bool {
+        self.image_fetches > 1
+    }
+}
+
+/// Best-fit bin packing: what a task of the job would leave of the room. The fullest machines are filled first, so that
+/// others empty. A GPU counts as much as a thousand processors.
+pub fn remainder(job: &Job, room: &Resources) -> i64 {
     let left = room.minus(&job.spec.resource_request);
     left.gpus * 1000 + left.cpus
 }
