--- a/src/scheduler/drains/eviction.rs
+++ b/src/scheduler/drains/eviction.rs
@@ -247,7 +247,7 @@
 
     fn gang_is_reachable(&self, job: &Job) -> bool {
         job.progress.pending.is_empty()
-            && self.can_be_told_at_once(job)
+            && self.is_reachable_everywhere(job)
             && self.placements_of(job).all(|(_, _, task)| task.status == TaskStatus::Running)
     }
 
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -29,11 +29,16 @@
 impl Scheduler {
     /// Stops every task of the job at once, without a grace period.
     pub(super) fn stop_all(&mut self, job_id: JobId) {
+        self.stop_all_within(job_id, 0.0);
+    }
+
+    /// Asks every task of the job to stop within `grace_s` seconds.
+    pub(super) fn stop_all_within(&mut self, job_id: JobId, grace_s: f64) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let placements: Vec<_> =
             self.placements_of(job).map(|(id, name, _)| (id, name.to_string())).collect();
         for (id, name) in placements {
-            self.stop(&name, id, 0.0);
+            self.stop(&name, id, grace_s);
         }
     }
 
