--- a/src/scheduler/autoscaler/mod.rs
+++ b/src/scheduler/autoscaler/mod.rs
@@ -50,7 +50,7 @@
             self.delete_lost();
             // Before the machines of the last leader are known, every one of them would look missing.
             if self.reconciled && !self.types.is_empty() {
-                self.mark_surplus();
+                self.mark_consolidation_targets();
                 self.move_replicas();
                 self.begin_plan();
             }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,168 +1,210 @@
-//! Ordinary machines beyond what fixed work needs are closed to work that may use spot machines, and
-//! emptied of the few replicas they still hold, so that they can be returned. PROTOCOL, Preemption,
-//! allows a replica to be stopped in order to be moved.
+//! Consolidation: ordinary machines beyond what fixed work needs are closed to work that may use spot machines, and
+//! emptied of the few replicas they still hold, so that they can be deleted (exception 3 of `docs/design.md`). Owns
+//! which machines are consolidation targets and which replicas move. PROTOCOL, Preemption, allows a replica to be
+//! stopped in order to be moved.
 
-use super::model::*;
+use super::model::{Job, Kind, Machine, Placement, Resources, TaskId, TaskStatus};
 use super::scoring::{self, ZoneCount};
 use super::Scheduler;
 use crate::limits;
-use std::collections::{BTreeMap, BTreeSet};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
 use tracing::info;
 
+/// An ordinary machine of a zone, by how willingly it is kept: those with most fixed work come first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct OrdinaryMachine<'a> {
+    fixed_tasks: Reverse<usize>,
+    tasks: Reverse<usize>,
+    name: &'a str,
+    /// Places for fixed tasks that it has when it is empty.
+    places: i64,
+}
+
+/// A machine that the fixed work of its zone does not need. Those with fewest tasks come first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct UnneededMachine<'a> {
+    tasks: usize,
+    name: &'a str,
+}
+
+/// A replica that is to leave its machine.
+struct ReplicaMove {
+    from: String,
+    task: TaskId,
+}
+
+fn signed(count: usize) -> i64 {
+    i64::try_from(count).unwrap_or(i64::MAX)
+}
+
 impl Scheduler {
-    /// Work that must have an ordinary machine.
+    /// Whether the task must have an ordinary machine.
     fn is_fixed(&self, id: &TaskId) -> bool {
-        self.jobs.get(&id.job_id).is_none_or(|j| !j.spec.spot)
+        self.jobs.get(&id.job_id).is_none_or(|job| !job.spec.spot)
     }
 
-    /// Marks, zone by zone, the machines that fixed work and the reserve could do without, emptiest
-    /// first, as far as the other machines have room for what runs on them and for what waits.
-    pub fn mark_surplus(&mut self) {
-        self.machines.values_mut().for_each(|m| m.lifecycle.consolidation_target = false);
-        // Without critical services nothing is held back for them, and ordinary machines are needed only for work
-        // that may not use spot machines: a deployment of arrays alone kept its ordinary machines for ever.
-        let fixed = self.critical_place().or_else(|| self.largest_request(|j| !j.spec.spot));
-        let elastic = self.largest_request(|j| j.spec.spot);
-        let Some(elastic) = elastic.or(fixed) else { return };
-        let shape = fixed.unwrap_or(elastic);
-        let mut candidates: Vec<(usize, String)> = Vec::new();
-        for zone in &self.config.zones {
-            candidates.extend(self.beyond_need(zone, &shape));
-        }
-        candidates.sort();
-        let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
-        let slots = |m: &Machine| elastic.count_in(&m.available());
-        let reserve = self.headroom_per_zone() * count(self.config.zones.len());
-        let waiting: usize = self
-            .jobs
-            .values()
-            .filter(|j| j.spec.spot && !j.terminated)
-            .map(|j| j.progress.pending.len())
-            .sum();
-        let mut free: i64 = self.machines.values().filter(|m| self.is_schedulable(m)).map(slots).sum();
-        free -= reserve + count(waiting);
-        let mut surplus = BTreeSet::new();
-        for (_, name) in candidates {
-            let Some(machine) = self.machines.get(&name) else { continue };
-            let held = count(machine.tasks.keys().filter(|id| !self.is_fixed(id)).count());
-            let cost = slots(machine) + held;
-            if free >= cost {
-                free -= cost;
-                surplus.insert(name);
-            }
-        }
-        for name in surplus {
+    fn fixed_tasks(&self, machine: &Machine) -> usize {
+        machine.tasks.keys().filter(|id| self.is_fixed(id)).count()
+    }
+
+    /// Number of pending tasks of the jobs that `includes` accepts.
+    fn pending_tasks(&self, includes: impl Fn(&Job) -> bool) -> usize {
+        let jobs = self.jobs.values().filter(|job| includes(job) && !job.terminated);
+        jobs.map(|job| job.progress.pending.len()).sum()
+    }
+
+    /// Marks the ordinary machines that fixed work and the headroom could do without.
+    pub(super) fn mark_consolidation_targets(&mut self) {
+        self.machines.values_mut().for_each(|machine| machine.lifecycle.consolidation_target = false);
+        for name in self.consolidation_targets() {
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.lifecycle.consolidation_target = true;
             }
         }
     }
 
-    /// Ordinary machines of a zone that fixed work and the reserve do not need, with how many tasks
-    /// each holds.
-    fn beyond_need(&self, zone: &str, shape: &Resources) -> Vec<(usize, String)> {
-        let mut here: Vec<(usize, usize, &Machine)> = self
+    /// Machines that fixed work does not need, emptiest first, as far as the other machines have room for what runs on
+    /// them and for what waits.
+    fn consolidation_targets(&self) -> Vec<String> {
+        // Without critical services nothing is held back for them, and ordinary machines are needed only for work
+        // that may not use spot machines: a deployment of arrays alone kept its ordinary machines for ever.
+        let fixed = self.critical_place().or_else(|| self.largest_request(|job| !job.spec.spot));
+        let Some(elastic) = self.largest_request(|job| job.spec.spot).or(fixed) else { return Vec::new() };
+        let place = fixed.unwrap_or(elastic);
+        let slots = |machine: &Machine| elastic.count_in(&machine.available());
+        let zones = &self.config.zones;
+        let mut unneeded: Vec<UnneededMachine> =
+            zones.iter().flat_map(|zone| self.beyond_fixed_work(zone, &place)).collect();
+        unneeded.sort();
+        let schedulable = self.machines.values().filter(|machine| self.is_schedulable(machine));
+        let mut free: i64 = schedulable.map(slots).sum();
+        free -=
+            self.headroom_per_zone() * signed(zones.len()) + signed(self.pending_tasks(|job| job.spec.spot));
+        let mut targets = Vec::new();
+        for UnneededMachine { name, .. } in unneeded {
+            let Some(machine) = self.machines.get(name) else { continue };
+            let elastic_tasks = machine.tasks.len() - self.fixed_tasks(machine);
+            let lost = slots(machine) + signed(elastic_tasks);
+            if free >= lost {
+                free -= lost;
+                targets.push(name.to_string());
+            }
+        }
+        targets
+    }
+
+    /// Ordinary machines of a zone that fixed work and the headroom do not need.
+    fn beyond_fixed_work(&self, zone: &str, place: &Resources) -> Vec<UnneededMachine<'_>> {
+        let mut ordinary: Vec<OrdinaryMachine> = self
             .machines
             .values()
-            .filter(|m| !m.spot && m.zone == *zone && self.is_schedulable(m))
-            .map(|m| (m.tasks.keys().filter(|id| self.is_fixed(id)).count(), m.tasks.len(), m))
+            .filter(|machine| !machine.spot && machine.zone == *zone && self.is_schedulable(machine))
+            .map(|machine| OrdinaryMachine {
+                fixed_tasks: Reverse(self.fixed_tasks(machine)),
+                tasks: Reverse(machine.tasks.len()),
+                name: &machine.name,
+                places: place.count_in(&machine.capacity),
+            })
             .collect();
-        here.sort_by(|a, b| (b.0, b.1, &a.2.name).cmp(&(a.0, a.1, &b.2.name)));
-        let fixed: usize = here.iter().map(|(n, _, _)| n).sum();
-        let waiting: usize = self
-            .jobs
-            .values()
-            .filter(|j| !j.spec.spot && !j.terminated)
-            .map(|j| j.progress.pending.len())
-            .sum();
-        let mut need = (fixed + waiting) as i64 + self.headroom_per_zone();
-        let mut beyond = Vec::new();
-        for (_, tasks, machine) in here {
-            if need <= 0 {
-                beyond.push((tasks, machine.name.clone()));
+        ordinary.sort();
+        let fixed: usize = ordinary.iter().map(|machine| machine.fixed_tasks.0).sum();
+        let mut needed = (fixed + self.pending_tasks(|job| !job.spec.spot)) as i64 + self.headroom_per_zone();
+        let mut unneeded = Vec::new();
+        for OrdinaryMachine { tasks, name, places, .. } in ordinary {
+            if needed <= 0 {
+                unneeded.push(UnneededMachine { tasks: tasks.0, name });
             }
-            need -= shape.count_in(&machine.capacity);
+            needed -= places;
         }
-        beyond
+        unneeded
     }
 
-    /// Stops replicas on surplus machines, if places with their images are free elsewhere. Few at a time,
-    /// and only while all is calm: a move costs its users a few seconds.
-    pub fn move_replicas(&mut self) {
-        let calm = self.reconciled
-            && self.now >= self.started_at + limits::REPLICA_MOVE_INITIAL_DELAY
-            && self.now >= self.fleet.moved + limits::REPLICA_MOVE_INTERVAL
-            && self.jobs.values().all(|j| j.terminated || j.spec.spot || j.progress.pending.is_empty());
-        if !calm {
+    /// Stops replicas on consolidation targets, if places with their images are free elsewhere. Few at a time,
+    /// and only while nothing else is under way: a move costs its users a few seconds.
+    pub(super) fn move_replicas(&mut self) {
+        if !self.may_move_replicas() {
             return;
         }
-        let fixed = |m: &Machine| m.tasks.keys().filter(|id| self.is_fixed(id)).count();
-        let replicas: usize = self.machines.values().map(fixed).sum();
-        let most = (replicas / limits::REPLICAS_PER_MOVE).max(1);
-        let mut sources: Vec<&Machine> =
-            self.machines.values().filter(|m| m.lifecycle.consolidation_target && fixed(m) > 0).collect();
-        sources.sort_by_key(|m| (m.tasks.len(), m.name.clone()));
-        let mut warm = self.warm_room();
-        let mut moves: Vec<(String, TaskId)> = Vec::new();
+        for ReplicaMove { from, task } in self.choose_replica_moves() {
+            info!(task = %task, machine = from, "moving a replica off a surplus machine");
+            self.decided(format!("move {task} off {from}"));
+            self.fleet.moved = self.now;
+            let now = self.now;
+            if let Some(job) = self.jobs.get_mut(&task.job_id) {
+                job.elasticity.last_resized_at = now;
+            }
+            self.stop(&from, task, 0.0);
+        }
+    }
+
+    fn may_move_replicas(&self) -> bool {
+        let has_all_fixed_work =
+            |job: &Job| job.terminated || job.spec.spot || job.progress.pending.is_empty();
+        self.reconciled
+            && self.now >= self.started_at + limits::REPLICA_MOVE_INITIAL_DELAY
+            && self.now >= self.fleet.moved + limits::REPLICA_MOVE_INTERVAL
+            && self.jobs.values().all(has_all_fixed_work)
+    }
+
+    fn choose_replica_moves(&self) -> Vec<ReplicaMove> {
+        let replicas: usize = self.machines.values().map(|machine| self.fixed_tasks(machine)).sum();
+        let max_moves = (replicas / limits::REPLICAS_PER_MOVE).max(1);
+        let holds_replicas =
+            |machine: &&Machine| machine.lifecycle.consolidation_target && self.fixed_tasks(machine) > 0;
+        let mut sources: Vec<&Machine> = self.machines.values().filter(holds_replicas).collect();
+        sources.sort_by(|a, b| (a.tasks.len(), &a.name).cmp(&(b.tasks.len(), &b.name)));
+        let mut room = self.room_on_staying_machines();
+        let mut moves: Vec<ReplicaMove> = Vec::new();
         for machine in sources {
-            for (id, task) in &machine.tasks {
-                if moves.len() >= most {
+            for (id, placement) in &machine.tasks {
+                if moves.len() >= max_moves {
                     break;
                 }
-                let still = task.stopping.is_none() && task.status == TaskStatus::Running;
-                let Some(job) = self.jobs.get(&id.job_id).filter(|_| still && self.is_fixed(id)) else {
-                    continue;
-                };
+                let Some(job) = self.job_of_movable(id, placement) else { continue };
                 // One replica of a job at a time: the others carry on.
-                if moves.iter().all(|(_, other)| other.job_id != id.job_id)
-                    && self.take_warm_place(job, machine, &mut warm)
-                {
-                    moves.push((machine.name.clone(), *id));
+                let is_first_of_job = moves.iter().all(|other| other.task.job_id != id.job_id);
+                if is_first_of_job && self.take_warm_place(job, machine, &mut room) {
+                    moves.push(ReplicaMove { from: machine.name.clone(), task: *id });
                 }
             }
         }
-        for (machine, id) in moves {
-            info!(task = %id, machine, "moving a replica off a surplus machine");
-            self.decided(format!("move {id} off {machine}"));
-            self.fleet.moved = self.now;
-            let now = self.now;
-            if let Some(job) = self.jobs.get_mut(&id.job_id) {
-                job.elasticity.last_resized_at = now;
-            }
-            self.stop(&machine, id, 0.0);
-        }
+        moves
     }
 
-    /// Machines that stay and have room.
-    fn warm_room(&self) -> BTreeMap<String, Resources> {
-        let staying = self
-            .machines
-            .values()
-            .filter(|m| !m.lifecycle.consolidation_target && !m.spot && self.is_schedulable(m));
-        let room = staying.map(|m| (m.name.clone(), m.available()));
-        room.filter(|(_, free)| free.cpus > 0).collect()
+    /// The job of a fixed task that runs and was not asked to stop.
+    fn job_of_movable(&self, id: &TaskId, placement: &Placement) -> Option<&Job> {
+        let runs = placement.stopping.is_none() && placement.status == TaskStatus::Running;
+        self.jobs.get(&id.job_id).filter(|_| runs && self.is_fixed(id))
+    }
+
+    fn room_on_staying_machines(&self) -> BTreeMap<String, Resources> {
+        let staying = self.machines.values().filter(|machine| {
+            !machine.lifecycle.consolidation_target && !machine.spot && self.is_schedulable(machine)
+        });
+        let room = staying.map(|machine| (machine.name.clone(), machine.available()));
+        room.filter(|(_, available)| available.cpus > 0).collect()
     }
 
-    /// Whether a task of the job could go from this machine to another at once, without a fetch; the
+    /// Whether a task of the job could go from this machine to another at once, without an image fetch; the
     /// place is then taken.
-    fn take_warm_place(&self, job: &Job, from: &Machine, warm: &mut BTreeMap<String, Resources>) -> bool {
-        if job.spec.kind != Kind::Service
-            || job.elasticity.last_resized_at + limits::JOB_REPLICA_MOVE_INTERVAL > self.now
-        {
+    fn take_warm_place(&self, job: &Job, from: &Machine, room: &mut BTreeMap<String, Resources>) -> bool {
+        let next_move_at = job.elasticity.last_resized_at + limits::JOB_REPLICA_MOVE_INTERVAL;
+        if job.spec.kind != Kind::Service || next_move_at > self.now {
             return false;
         }
         let mut zones = ZoneCount::of(job, &self.machines);
         zones.remove(&from.zone);
-        let place = warm.iter_mut().find(|(name, free)| {
-            job.spec.resource_request.fits(free)
-                && self.machines.get(*name).is_some_and(|m| {
-                    scoring::is_eligible(job, m)
-                        && zones.allows(job, &m.zone)
-                        && m.image_cache.images.contains(&job.spec.image)
-                })
+        let may_take = |machine: &Machine| {
+            scoring::is_eligible(job, machine)
+                && zones.allows(job, &machine.zone)
+                && machine.image_cache.images.contains(&job.spec.image)
+        };
+        let place = room.iter_mut().find(|(name, available)| {
+            job.spec.resource_request.fits(available) && self.machines.get(*name).is_some_and(may_take)
         });
-        let Some((_, free)) = place else { return false };
-        *free = free.minus(&job.spec.resource_request);
+        let Some((_, available)) = place else { return false };
+        *available = available.minus(&job.spec.resource_request);
         true
     }
 }
