--- a/src/scheduler/autoscaler/mod.rs
+++ b/src/scheduler/autoscaler/mod.rs
@@ -1,35 +1,60 @@
-//! What to rent, keep, drain and return. Renting follows the queue.
+//! Autoscaler: scale out by the queue, scale in what is idle, lost or emptied. Owns rentals and deletions under way,
+//! and which machines are gone.
+//!
+//! `scaling_plan` decides what is rented, `consolidation` which machines are emptied, `machine_list` reads the cloud's
+//! list of machines.
 
-use super::model::*;
-use super::scaling_plan::Plan;
-use super::{Effect, ListedMachine, Scheduler, WriteOutcome};
+mod machine_list;
+mod offer;
+
+pub use offer::{InstanceOffer, Offer};
+
+use super::model::{JobSpec, Machine, MachineState, MachineType, TerminationProof};
+use super::scaling_plan::ScalingPlan;
+use super::{Effect, Scheduler, WriteOutcome};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info};
 
-/// One kind of machine that the cloud may have: type, zone, spot or not.
-pub type Offer = (String, String, bool);
+/// A rental request without a response.
+#[derive(Debug)]
+pub struct Rental {
+    /// What is rented.
+    pub offer: InstanceOffer,
+    /// How many machines.
+    pub count: u32,
+}
+
+/// An offer that the cloud has refused is left alone for a while.
+#[derive(Debug, Clone, Copy)]
+struct OfferBackoff {
+    /// When it may be asked for again, in microseconds.
+    until: u64,
+    /// The pause that ends then, in microseconds. It doubles with the next refusal.
+    pause: u64,
+}
 
-/// State of the autoscaler: rentals under way, refused offers, deleted machines.
+/// State of the autoscaler: rentals under way, refused offers, deleted machines. Times are in microseconds.
 #[derive(Debug, Default)]
 pub struct Fleet {
+    /// When the next round is due.
     due: u64,
     /// Number of the last rental request.
     pub requests: u64,
-    /// Requests without an answer yet, and how many machines each asks for.
-    pub renting: BTreeMap<u64, (Offer, u32)>,
-    /// Offers refused: when to ask again, and the pause after that.
-    refused: BTreeMap<Offer, (u64, u64)>,
+    /// Requests without a response, by number.
+    pub renting: BTreeMap<u64, Rental>,
+    /// Offers that the cloud has refused.
+    refused: BTreeMap<InstanceOffer, OfferBackoff>,
     /// Machines with stops to send directly.
     pub direct: BTreeSet<String>,
-    /// Listed machines that a later list no longer shows: since when.
+    /// Silent machines that the cloud's list does not show: since when.
     missing: BTreeMap<String, u64>,
     /// When a replica was last moved.
-    pub moved: u64,
+    pub last_move_at: u64,
     /// Machines that are provably gone, and since when; names are never used again.
     pub deleted: BTreeMap<String, u64>,
     /// A plan that its budget did not suffice for; the next round goes on with it.
-    pub plan: Option<Plan>,
+    pub plan: Option<ScalingPlan>,
 }
 
 impl Fleet {
@@ -40,7 +65,7 @@
 }
 
 impl Scheduler {
-    /// Scales out and in, once in a while; a plan that its budget did not suffice for goes on.
+    /// Scales out and in once per `AUTOSCALER_INTERVAL`; a plan that its budget did not suffice for goes on before.
     pub fn fleet_round(&mut self) {
         if self.now < self.fleet.due {
             return;
@@ -55,57 +80,62 @@
                 self.begin_plan();
             }
         }
-        let complete = self.go_on_planning();
-        self.fleet.due =
-            self.now + if complete { limits::AUTOSCALER_INTERVAL } else { limits::AUTOSCALER_RESUME_DELAY };
+        let is_complete = self.continue_plan();
+        let pause = if is_complete { limits::AUTOSCALER_INTERVAL } else { limits::AUTOSCALER_RESUME_DELAY };
+        self.fleet.due = self.now + pause;
     }
 
-    /// Whether the cloud refused this offer lately.
-    pub fn refused(&self, offer: &Offer) -> bool {
-        self.fleet.refused.get(offer).is_some_and(|(until, _)| self.now < *until)
+    /// Whether the cloud has refused this offer lately.
+    pub(super) fn is_backing_off(&self, offer: &InstanceOffer) -> bool {
+        self.fleet.refused.get(offer).is_some_and(|backoff| self.now < backoff.until)
     }
 
-    /// Scales in: deletes machines that have been idle for long enough, except those in `kept`.
-    pub fn return_idle(&mut self, kept: &BTreeSet<String>) {
+    /// Scale in: deletes machines that have been idle for long enough, except those in `kept`, and those that are to be
+    /// replaced as soon as they are idle.
+    pub(super) fn delete_idle(&mut self, kept: &BTreeSet<String>) {
         let now = self.now;
-        let operator = self.config.operator.clone();
-        let mut back = Vec::new();
-        for machine in
-            self.machines.values_mut().filter(|m| m.state == MachineState::Ready && !m.lifecycle.deleting)
-        {
+        let idle_after = limits::micros(self.config.operator.idle_s);
+        let spot_idle_after = limits::micros(self.config.operator.idle_spot_s);
+        let mut idle = Vec::new();
+        let ready =
+            |machine: &&mut Machine| machine.state == MachineState::Ready && !machine.lifecycle.deleting;
+        for machine in self.machines.values_mut().filter(ready) {
             if !machine.tasks.is_empty() || machine.reported.has_unknown() {
                 machine.lifecycle.idle_since = now;
                 continue;
             }
-            // A result that is not committed yet is only here.
+            // A result that is not stored yet is only here.
             if !machine.reported.exited.is_empty() {
                 continue;
             }
-            let wait = if machine.spot { operator.idle_spot_s } else { operator.idle_s };
-            let needed = kept.contains(&machine.name) || self.drains.is_replacement(&machine.name);
-            let idle = now >= machine.lifecycle.idle_since + limits::micros(wait) && !needed;
-            if idle || machine.lifecycle.draining {
-                back.push(machine.name.clone());
+            let wait = if machine.spot { spot_idle_after } else { idle_after };
+            let is_needed = kept.contains(&machine.name) || self.drains.is_replacement(&machine.name);
+            let has_waited = now >= machine.lifecycle.idle_since + wait;
+            if has_waited && !is_needed || machine.lifecycle.draining {
+                idle.push(machine.name.clone());
             }
         }
-        self.delete(back, "idle");
+        self.delete(idle, "idle");
     }
 
-    /// Machines that are lost, failed to boot, or are silent or deaf while the others are not.
+    /// Deletes machines that are lost or failed to boot, and those that the failure detector gives up.
     fn delete_lost(&mut self) {
         let now = self.now;
-        let mut back = self.machines_to_declare_dead();
+        let mut lost = self.machines_to_declare_dead();
         // One in an unreachable zone may be up and unheard, and holds an image for when the zone is back.
-        let may_go = |m: &&Machine| !m.lifecycle.deleting && !self.failure_detector.zone_unreachable(&m.zone);
-        for machine in self.machines.values().filter(may_go) {
+        let may_be_deleted = |machine: &&Machine| {
+            !machine.lifecycle.deleting && !self.failure_detector.zone_unreachable(&machine.zone)
+        };
+        for machine in self.machines.values().filter(may_be_deleted) {
             let never_up = machine.state == MachineState::Pending && now >= machine.lifecycle.boot_deadline;
             if never_up || machine.state == MachineState::Lost {
-                back.push(machine.name.clone());
+                lost.push(machine.name.clone());
             }
         }
-        self.delete(back, "lost, silent, deaf or never up");
+        self.delete(lost, "lost, silent, deaf or never up");
     }
 
+    /// Asks the cloud to delete these machines.
     pub(super) fn delete(&mut self, names: Vec<String>, why: &str) {
         for chunk in names.chunks(limits::MAX_MACHINES_PER_DELETION) {
             for name in chunk {
@@ -119,27 +149,31 @@
         }
     }
 
-    /// The cloud answered a deletion.
+    /// The cloud has responded to a deletion. Its 200 is proof: the machine and everything on it are gone.
     pub fn deleted(&mut self, names: Vec<String>, outcome: WriteOutcome) {
         for name in names {
-            if outcome != WriteOutcome::Done {
-                if let Some(machine) = self.machines.get_mut(&name) {
-                    machine.lifecycle.deleting = false;
+            match outcome {
+                WriteOutcome::Done => self.remove_machine(name),
+                WriteOutcome::Refused | WriteOutcome::Unknown => {
+                    if let Some(machine) = self.machines.get_mut(&name) {
+                        machine.lifecycle.deleting = false;
+                    }
                 }
-                continue;
             }
-            // The cloud's 200 is proof: the machine and everything on it are gone.
-            self.release_machine(&name, TerminationProof::Deleted);
-            self.fleet.deleted.insert(name.clone(), self.now);
-            self.fleet.missing.remove(&name);
-            self.note_machine_gone(&name);
-            if let Some(machine) = self.machines.remove(&name) {
-                self.forget_images(&machine);
-            }
-            self.unrecord(&name);
         }
     }
 
+    fn remove_machine(&mut self, name: String) {
+        self.release_machine(&name, TerminationProof::Deleted);
+        self.fleet.deleted.insert(name.clone(), self.now);
+        self.fleet.missing.remove(&name);
+        self.note_machine_gone(&name);
+        if let Some(machine) = self.machines.remove(&name) {
+            self.forget_images(&machine);
+        }
+        self.unrecord(&name);
+    }
+
     fn forget_images(&mut self, machine: &Machine) {
         for image in &machine.image_cache.images {
             if let Some(warm) = self.machines_by_image.get_mut(image) {
@@ -151,123 +185,62 @@
         }
     }
 
-    /// The cloud answered a rental request.
+    /// The cloud has responded to a rental request.
     pub fn rented(&mut self, request: u64, machines: Option<Vec<String>>, outcome: WriteOutcome) {
         if self.replacement_rented(request, &machines, outcome) {
             return;
         }
-        let Some((offer, count)) = self.fleet.renting.remove(&request) else { return };
+        let Some(Rental { offer, count }) = self.fleet.renting.remove(&request) else { return };
         let names = machines.unwrap_or_default();
         if outcome == WriteOutcome::Refused || (names.len() as u32) < count {
-            let known = self.fleet.refused.get(&offer).copied();
-            let (until, pause) = known.unwrap_or((0, limits::RENTAL_BACKOFF / 2));
-            // Requests made together that are refused together are one refusal.
-            let pause = if self.now < until { pause } else { (pause * 2).min(limits::MAX_RENTAL_BACKOFF) };
-            debug!(
-                machine_type = offer.0,
-                zone = offer.1,
-                spot = offer.2,
-                pause_s = pause / limits::SECOND,
-                "refused"
-            );
-            self.fleet.refused.insert(offer.clone(), (self.now + pause, pause));
+            self.back_off(&offer);
         } else {
             self.fleet.refused.remove(&offer);
         }
         for name in names {
-            let (machine_type, zone, spot) = offer.clone();
-            self.machine(&super::StoredMachine {
-                name,
-                machine_type,
-                zone,
-                spot,
-                address: String::new(),
-                images: BTreeSet::new(),
-            });
+            self.machine(&offer.machine_named(name));
         }
     }
 
-    /// The cloud's list of machines arrived. It lags: it is only ever a hint.
-    pub fn listed(&mut self, list: Vec<ListedMachine>) {
-        let now = self.now;
-        self.fleet.deleted.retain(|_, since| now < *since + limits::DELETED_MACHINE_RETENTION);
-        let mut shown = BTreeSet::new();
-        let mut failed = Vec::new();
-        for listed in list {
-            shown.insert(listed.machine.name.clone());
-            let name = &listed.machine.name;
-            let known = self.machines.contains_key(name) || self.fleet.deleted.contains_key(name);
-            if !known && self.loaded {
-                // A late rental, or one of an earlier leader's: used, or returned when idle.
-                debug!(machine = listed.machine.name, "listed and not known: adopted");
-                let now = self.now;
-                let machine = self.machine(&listed.machine);
-                let age = limits::micros(listed.age_s);
-                machine.lifecycle.boot_deadline =
-                    machine.lifecycle.boot_deadline.saturating_sub(age).max(now + 10 * limits::SECOND);
-            }
-            if listed.failed {
-                failed.push(listed.machine.name);
-            }
-        }
-        failed.retain(|n| self.machines.get(n).is_some_and(|m| !m.lifecycle.deleting));
-        self.delete(failed, "failed");
-        // The last leader had heard from it, and the list shows it no more: most likely it was taken, and
-        // the cloud's word on its deletion lets the work that it may have held start at once.
-        let vanished: Vec<String> = self
-            .machines
-            .values()
-            .filter(|m| {
-                m.inherited && !m.reconciled && m.state == MachineState::Pending && !m.lifecycle.deleting
-            })
-            .filter(|m| !shown.contains(&m.name))
-            .map(|m| m.name.clone())
-            .collect();
-        self.delete(vanished, "held by the last leader and not listed");
-        // Silent and missing from the lists for several lags: taken by the cloud.
-        let lag = limits::micros(self.config.list_lag_s * 4.0) + 10 * limits::SECOND;
-        let now = self.now;
-        let mut gone = Vec::new();
-        for machine in self.machines.values() {
-            let silent =
-                now >= machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s);
-            if shown.contains(&machine.name) || !silent || machine.lifecycle.deleting {
-                self.fleet.missing.remove(&machine.name);
-                continue;
-            }
-            let since = *self.fleet.missing.entry(machine.name.clone()).or_insert(now);
-            if now >= since + lag && now >= machine.lifecycle.known_since + lag {
-                gone.push(machine.name.clone());
-            }
-        }
-        self.delete(gone, "not listed any more");
+    fn back_off(&mut self, offer: &InstanceOffer) {
+        let first = OfferBackoff { until: 0, pause: limits::RENTAL_BACKOFF / 2 };
+        let last = self.fleet.refused.get(offer).copied().unwrap_or(first);
+        // Requests made together that are refused together are one refusal.
+        let pause =
+            if self.now < last.until { last.pause } else { (last.pause * 2).min(limits::MAX_RENTAL_BACKOFF) };
+        debug!(
+            machine_type = offer.machine_type,
+            zone = offer.zone,
+            spot = offer.spot,
+            pause_s = pause / limits::SECOND,
+            "refused"
+        );
+        self.fleet.refused.insert(offer.clone(), OfferBackoff { until: self.now + pause, pause });
     }
-}
 
-impl Scheduler {
-    /// For the operators' log: how the fleet stands.
+    /// For the operators' log: how many machines there are in each state, and what they hold.
     pub fn fleet_line(&self) -> String {
-        let count = |f: &dyn Fn(&Machine) -> bool| self.machines.values().filter(|m| f(m)).count();
-        let waiting: usize = self.jobs.values().map(|j| j.progress.pending.len()).sum();
-        let placed: usize = self.machines.values().map(|m| m.tasks.len()).sum();
+        let count = |counts: &dyn Fn(&Machine) -> bool| self.machines.values().filter(|m| counts(m)).count();
+        let waiting: usize = self.jobs.values().map(|job| job.progress.pending.len()).sum();
+        let placed: usize = self.machines.values().map(|machine| machine.tasks.len()).sum();
         format!(
             "ordinary {} spot {} expected {} lost {} tasks placed {} waiting {} jobs {}",
-            count(&|m| m.state == MachineState::Ready && !m.spot),
-            count(&|m| m.state == MachineState::Ready && m.spot),
-            count(&|m| m.state == MachineState::Pending),
-            count(&|m| m.state == MachineState::Lost),
+            count(&|machine| machine.state == MachineState::Ready && !machine.spot),
+            count(&|machine| machine.state == MachineState::Ready && machine.spot),
+            count(&|machine| machine.state == MachineState::Pending),
+            count(&|machine| machine.state == MachineState::Lost),
             placed,
             waiting,
             self.jobs.len()
         )
     }
 
-    /// Whether any machine could ever run the job: None while the types are not known.
+    /// Whether a machine of some type could ever run a task of the job. Without knowledge of the types none could.
     pub fn fits_some_type(job: &JobSpec, types: &BTreeMap<String, MachineType>) -> bool {
-        types.values().any(|t| {
-            job.allows_type(&t.name)
-                && job.resource_request.fits(&t.capacity)
-                && t.zones.iter().any(|z| job.allows_zone(z))
+        types.values().any(|machine_type| {
+            job.allows_type(&machine_type.name)
+                && job.resource_request.fits(&machine_type.capacity)
+                && machine_type.zones.iter().any(|zone| job.allows_zone(zone))
         })
     }
 }
--- a/src/scheduler/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -3,14 +3,13 @@
 //! The rental's name follows from the drain, the machine and the attempt. So whoever leads asks under the same name,
 //! and the cloud rents one machine however often it is asked.
 
-use super::super::autoscaler::Offer;
+use super::super::autoscaler::InstanceOffer;
 use super::super::model::MachineState;
-use super::super::{Effect, Scheduler, StoredMachine, WriteOutcome};
+use super::super::{Effect, Scheduler, WriteOutcome};
 use crate::limits;
 use dockpier_drain::progress::MachineDrainState;
 use dockpier_drain::request::DrainId;
 use dockpier_drain::status::Wait;
-use std::collections::BTreeSet;
 use tracing::info;
 
 /// A machine whose replacement is under way, and whether that is stored.
@@ -79,7 +78,8 @@
         let accepted = drain.stored.accepted;
         let name =
             format!("drain-{}-{accepted}-{}-{}", replacing.drain, replacing.machine, replacing.attempt);
-        let Some((machine_type, zone, spot)) = self.offer_of(&replacing.machine) else { return };
+        let Some(offer) = self.machines.get(&replacing.machine).map(InstanceOffer::of) else { return };
+        let InstanceOffer { machine_type, zone, spot } = offer;
         self.fleet.requests += 1;
         let request = self.fleet.requests;
         info!(drain = %replacing.drain, machine = replacing.machine, request, "rent a replacement");
@@ -88,11 +88,6 @@
         self.drain_waits(&replacing.drain, wait);
     }
 
-    fn offer_of(&self, machine: &str) -> Option<Offer> {
-        let machine = self.machines.get(machine)?;
-        Some((machine.machine_type.clone(), machine.zone.clone(), machine.spot))
-    }
-
     /// The cloud has answered a request; returns whether it was for a replacement.
     pub(in super::super) fn replacement_rented(
         &mut self,
@@ -101,7 +96,7 @@
         outcome: WriteOutcome,
     ) -> bool {
         let Some((id, machine)) = self.drains.renting.remove(&request) else { return false };
-        let offer = self.offer_of(&machine);
+        let offer = self.machines.get(&machine).map(InstanceOffer::of);
         let name = names.iter().flatten().next().cloned().filter(|_| outcome == WriteOutcome::Done);
         let now = self.now;
         let Some(drain) = self.drains.drains.get_mut(&id) else { return true };
@@ -115,15 +110,8 @@
         };
         let attempt = *attempt;
         drain.advance(&machine, MachineDrainState::Replacing { attempt, machine: Some(name.clone()) });
-        if let Some((machine_type, zone, spot)) = offer {
-            self.machine(&StoredMachine {
-                name: name.clone(),
-                machine_type,
-                zone,
-                spot,
-                address: String::new(),
-                images: BTreeSet::new(),
-            });
+        if let Some(offer) = offer {
+            self.machine(&offer.machine_named(name.clone()));
         }
         self.drains.replacing.insert(name, machine);
         true
--- a/src/scheduler/scaling_plan.rs
+++ b/src/scheduler/scaling_plan.rs
@@ -1,108 +1,203 @@
-//! What to rent: the queue and the reserve packed into what is coming and, beyond that, into new machines.
+//! Scale out: the queue and the headroom are packed into machines that are coming and, beyond that, into new ones.
+//! Owns the plan of what to rent.
+//!
 //! Machines that are not there yet are all alike but for their offer and the room left on them, so the plan
 //! counts them in groups: its cost follows the queue, not the number of machines under way.
 
-use super::autoscaler::Offer;
-use super::model::*;
+use super::autoscaler::{InstanceOffer, Rental};
+use super::model::{Job, JobId, Machine, MachineState, Resources};
 use super::quota::TeamUsage;
 use super::scoring::ZoneCount;
 use super::{Effect, Scheduler};
 use crate::limits;
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
 /// Machines that are not there yet, as the plan fills them: alike ones counted together.
 #[derive(Debug)]
-struct Group {
-    offer: Offer,
-    room: Resources,
-    used: bool,
+struct ComingGroup {
+    offer: InstanceOffer,
+    available: Resources,
+    /// Whether the plan has put a task on each of them.
+    in_use: bool,
     count: u32,
 }
 
-/// A plan of scaling out: the queue is placed on machines that are not there yet.
-#[derive(Debug)]
-pub struct Plan {
-    queue: std::vec::IntoIter<JobId>,
-    coming: Vec<Group>,
-    /// How many machines of each offer are coming or wanted.
-    count: BTreeMap<Offer, u32>,
-    wanted: BTreeMap<Offer, u32>,
-    teams: TeamUsage,
+/// All machines that are not there yet.
+#[derive(Debug, Default)]
+struct ComingMachines(Vec<ComingGroup>);
+
+/// Pending tasks of a job that have no place in the plan yet.
+struct Demand<'a> {
+    job: &'a Job,
+    /// The job's tasks by zone, those in the plan included.
+    zones: ZoneCount,
+    tasks: u32,
+}
+
+impl Demand<'_> {
+    fn request(&self) -> &Resources {
+        &self.job.spec.resource_request
+    }
+
+    /// How many of the tasks machines with so much room in the zone take.
+    fn tasks_for(&self, zone: &str, room_for: u32) -> u32 {
+        self.tasks.min(room_for).min(self.zones.tasks_allowed(self.job, zone))
+    }
+
+    /// So many tasks have a place in the zone.
+    fn place(&mut self, zone: &str, tasks: u32) {
+        self.zones.add_many(zone, tasks);
+        self.tasks -= tasks;
+    }
 }
 
-impl Plan {
-    fn add(&mut self, offer: &Offer, room: Resources, used: bool, count: u32) {
-        if count == 0 || room.gpus <= 0 && room.cpus <= 0 {
+impl ComingMachines {
+    fn add(&mut self, offer: &InstanceOffer, available: Resources, in_use: bool, count: u32) {
+        if count == 0 || available.gpus <= 0 && available.cpus <= 0 {
             return;
         }
-        let alike = |g: &&mut Group| g.room == room && g.used == used && g.offer == *offer;
-        match self.coming.iter_mut().find(alike) {
+        let is_alike = |group: &&mut ComingGroup| {
+            group.available == available && group.in_use == in_use && group.offer == *offer
+        };
+        match self.0.iter_mut().find(is_alike) {
             Some(group) => group.count += count,
-            None => self.coming.push(Group { offer: offer.clone(), room, used, count }),
+            None => self.0.push(ComingGroup { offer: offer.clone(), available, in_use, count }),
+        }
+    }
+
+    /// Puts as much of the demand as fits on these machines: those in use first, and of them the ones with least room.
+    fn fill(&mut self, demand: &mut Demand<'_>) {
+        self.0.retain(|group| group.count > 0);
+        let mut fitting: Vec<usize> =
+            (0..self.0.len()).filter(|index| self.0[*index].fits(demand.job)).collect();
+        fitting.sort_by_key(|index| (!self.0[*index].in_use, self.0[*index].available.gpus));
+        for index in fitting {
+            if demand.tasks == 0 {
+                break;
+            }
+            self.fill_group(index, demand);
         }
     }
 
-    /// Puts up to `left` tasks on machines of one group; returns how many found room there.
-    fn fill(&mut self, at: usize, job: &Job, zones: &mut ZoneCount, left: u32) -> u32 {
-        let group = &self.coming[at];
-        let needs = &job.spec.resource_request;
-        let each = u32::try_from(needs.count_in(&group.room)).unwrap_or(u32::MAX);
-        let all = each.saturating_mul(group.count);
-        let tasks = left.min(all).min(zones.tasks_allowed(job, &group.offer.1));
+    /// Fills the machines of one group one after the other.
+    fn fill_group(&mut self, index: usize, demand: &mut Demand<'_>) {
+        let group = &self.0[index];
+        let per_machine = tasks_that_fit(demand.request(), &group.available);
+        let tasks = demand.tasks_for(&group.offer.zone, per_machine.saturating_mul(group.count));
         if tasks == 0 {
-            return 0;
+            return;
         }
-        let (offer, room) = (group.offer.clone(), group.room);
-        let (full, rest) = (tasks / each, tasks % each);
-        self.coming[at].count -= full + u32::from(rest > 0);
-        let left_on = |n: u32| room.minus(&needs.times(n.into()));
-        self.add(&offer, left_on(each), true, full);
+        let (offer, available) = (group.offer.clone(), group.available);
+        let (full, rest) = (tasks / per_machine, tasks % per_machine);
+        self.0[index].count -= full + u32::from(rest > 0);
+        let left_by = |tasks: u32| available.minus(&demand.request().times(tasks.into()));
+        self.add(&offer, left_by(per_machine), true, full);
         if rest > 0 {
-            self.add(&offer, left_on(rest), true, 1);
+            self.add(&offer, left_by(rest), true, 1);
         }
-        zones.add_many(&offer.1, tasks);
-        tasks
+        demand.place(&offer.zone, tasks);
+    }
+
+    /// Places for critical services on the ordinary ones in a zone.
+    fn critical_places(&self, zone: &str, place: &Resources) -> i64 {
+        let ordinary = self.0.iter().filter(|group| !group.offer.spot && group.offer.zone == *zone);
+        ordinary.map(|group| place.count_in(&group.available) * i64::from(group.count)).sum()
     }
 }
 
+impl ComingGroup {
+    fn fits(&self, job: &Job) -> bool {
+        job.spec.resource_request.fits(&self.available)
+            && job.spec.allows_type(&self.offer.machine_type)
+            && (!self.offer.spot || job.spec.spot)
+    }
+}
+
+fn tasks_that_fit(request: &Resources, room: &Resources) -> u32 {
+    u32::try_from(request.count_in(room)).unwrap_or(u32::MAX)
+}
+
+/// A plan of scaling out: the queue is placed on machines that are not there yet.
+#[derive(Debug)]
+pub struct ScalingPlan {
+    /// Jobs that are not planned yet.
+    queue: std::vec::IntoIter<JobId>,
+    coming: ComingMachines,
+    /// How many machines of each offer are coming or to be rented.
+    counts: BTreeMap<InstanceOffer, u32>,
+    /// How many machines of each offer are to be rented.
+    wanted: BTreeMap<InstanceOffer, u32>,
+    team_usage: TeamUsage,
+}
+
+/// An offer and its present price per hour.
+struct PricedOffer {
+    price: f64,
+    offer: InstanceOffer,
+}
+
+/// A ready machine with places for critical services. Those that cost least to keep come first: those that run
+/// something anyway, then those with fewest places.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct HeadroomMachine<'a> {
+    is_empty: bool,
+    places: i64,
+    name: &'a str,
+}
+
 impl Scheduler {
-    /// Takes up the plan. Machines in an unreachable zone, booting or not, help nobody until it is back, so that none
-    /// is counted on or rented there.
-    pub fn begin_plan(&mut self) {
-        let queue = self.jobs.values().filter(|j| !j.terminated && !j.progress.pending.is_empty());
-        let mut queue: Vec<&Job> = queue.filter(|j| j.failure_history.backoff_until <= self.now).collect();
-        queue.sort_by_key(|j| (std::cmp::Reverse(self.rank(j)), j.submitted_at, j.spec.job_id));
-        let queue: Vec<JobId> = queue.into_iter().map(|j| j.spec.job_id).collect();
-        let mut plan = Plan {
-            queue: queue.into_iter(),
-            coming: Vec::new(),
-            count: BTreeMap::new(),
+    /// Begins a plan. Machines in an unreachable zone, booting or not, are of no use until it is back, so that none is
+    /// counted on or rented there.
+    pub(super) fn begin_plan(&mut self) {
+        let counts = self.coming_counts();
+        let mut coming = ComingMachines::default();
+        for (offer, count) in &counts {
+            let is_reachable = !self.failure_detector.zone_unreachable(&offer.zone);
+            let machine_type = self.types.get(&offer.machine_type).filter(|_| is_reachable);
+            if let Some(machine_type) = machine_type {
+                coming.add(offer, machine_type.capacity, false, *count);
+            }
+        }
+        self.fleet.plan = Some(ScalingPlan {
+            queue: self.planning_order().into_iter(),
+            coming,
+            counts,
             wanted: BTreeMap::new(),
-            teams: self.team_usage(),
+            team_usage: self.team_usage(),
+        });
+    }
+
+    /// Jobs with pending tasks that may start, highest aged rank first.
+    fn planning_order(&self) -> Vec<JobId> {
+        let pending = self.jobs.values().filter(|job| !job.terminated && !job.progress.pending.is_empty());
+        let mut queue: Vec<&Job> =
+            pending.filter(|job| job.failure_history.backoff_until <= self.now).collect();
+        queue.sort_by_key(|job| (Reverse(self.rank(job)), job.submitted_at, job.spec.job_id));
+        queue.into_iter().map(|job| job.spec.job_id).collect()
+    }
+
+    /// Machines that boot or are being rented. Replacements for drained machines are not counted on.
+    fn coming_counts(&self) -> BTreeMap<InstanceOffer, u32> {
+        let mut counts = BTreeMap::new();
+        let is_booting = |machine: &&Machine| {
+            machine.state == MachineState::Pending
+                && !machine.lifecycle.deleting
+                && !self.drains.is_replacement(&machine.name)
         };
-        let booting =
-            self.machines.values().filter(|m| m.state == MachineState::Pending && !m.lifecycle.deleting);
-        let booting = booting.filter(|m| !self.drains.is_replacement(&m.name));
-        for machine in booting {
-            let offer = (machine.machine_type.clone(), machine.zone.clone(), machine.spot);
-            *plan.count.entry(offer).or_default() += 1;
-        }
-        for (offer, n) in self.fleet.renting.values() {
-            *plan.count.entry(offer.clone()).or_default() += n;
+        for machine in self.machines.values().filter(is_booting) {
+            *counts.entry(InstanceOffer::of(machine)).or_default() += 1;
         }
-        for (offer, n) in plan.count.clone() {
-            if let Some(machine_type) =
-                self.types.get(&offer.0).filter(|_| !self.failure_detector.zone_unreachable(&offer.1))
-            {
-                plan.add(&offer, machine_type.capacity, false, n);
-            }
+        for rental in self.fleet.renting.values() {
+            *counts.entry(rental.offer.clone()).or_default() += rental.count;
         }
-        self.fleet.plan = Some(plan);
+        counts
     }
 
-    /// Goes on within a budget; rents and returns machines when the queue is through. Returns whether it is.
-    pub fn go_on_planning(&mut self) -> bool {
+    /// Goes on within a budget of decision steps; rents and deletes machines when all jobs are planned. Returns whether
+    /// they are.
+    pub(super) fn continue_plan(&mut self) -> bool {
         let Some(mut plan) = self.fleet.plan.take() else { return true };
         let mut steps = 0;
         while steps < self.config.round_steps {
@@ -111,7 +206,7 @@
                 self.carry_out_plan(plan);
                 return true;
             };
-            if let Some(job) = self.jobs.get(&job_id).filter(|j| !j.terminated) {
+            if let Some(job) = self.jobs.get(&job_id).filter(|job| !job.terminated) {
                 self.plan_job(job, &mut plan, &mut steps);
             }
         }
@@ -120,8 +215,8 @@
         false
     }
 
-    fn carry_out_plan(&mut self, mut plan: Plan) {
-        let kept = self.plan_reserve(&mut plan);
+    fn carry_out_plan(&mut self, mut plan: ScalingPlan) {
+        let kept = self.plan_headroom(&mut plan);
         for (offer, mut count) in plan.wanted {
             // A request names at most so many, and all that are missing are missing now.
             while count > 0 && self.fleet.renting.len() < self.config.rentals_at_once {
@@ -130,123 +225,155 @@
                 self.rent(&offer, part);
             }
         }
-        self.return_idle(&kept);
+        self.delete_idle(&kept);
     }
 
-    fn rent(&mut self, offer: &Offer, count: u32) {
+    fn rent(&mut self, offer: &InstanceOffer, count: u32) {
         self.fleet.requests += 1;
         let request = self.fleet.requests;
-        info!(request, machine_type = offer.0, zone = offer.1, spot = offer.2, count, "rent");
-        let kind = if offer.2 { "spot" } else { "ordinary" };
-        self.decided(format!("rent {count} {kind} {} in {}", offer.0, offer.1));
-        self.fleet.renting.insert(request, (offer.clone(), count));
-        let (machine_type, zone, spot) = offer.clone();
+        let InstanceOffer { machine_type, zone, spot } = offer.clone();
+        info!(request, machine_type, zone, spot, count, "rent");
+        let kind = if spot { "spot" } else { "ordinary" };
+        self.decided(format!("rent {count} {kind} {machine_type} in {zone}"));
+        self.fleet.renting.insert(request, Rental { offer: offer.clone(), count });
         self.effects.push(Effect::Rent { request, name: None, machine_type, zone, spot, count });
     }
 
+    /// What the cloud offers in reachable zones, the cheapest first.
     fn offers(
         &self,
-        job_type: impl Fn(&str) -> bool,
-        zone: impl Fn(&str) -> bool,
-        spot: bool,
-    ) -> Vec<(f64, Offer)> {
+        allows_type: impl Fn(&str) -> bool,
+        allows_zone: impl Fn(&str) -> bool,
+        may_use_spot: bool,
+    ) -> Vec<PricedOffer> {
         let mut offers = Vec::new();
-        for t in self.types.values().filter(|t| job_type(&t.name)) {
-            for z in t.zones.iter().filter(|z| zone(z) && !self.failure_detector.zone_unreachable(z)) {
-                if let (true, Some(price)) = (spot, t.spot_price) {
-                    offers.push((price, (t.name.clone(), z.clone(), true)));
+        for machine_type in self.types.values().filter(|machine_type| allows_type(&machine_type.name)) {
+            let zones = machine_type.zones.iter();
+            for zone in zones.filter(|z| allows_zone(z) && !self.failure_detector.zone_unreachable(z)) {
+                let offer = |spot| InstanceOffer {
+                    machine_type: machine_type.name.clone(),
+                    zone: zone.clone(),
+                    spot,
+                };
+                if let (true, Some(price)) = (may_use_spot, machine_type.spot_price) {
+                    offers.push(PricedOffer { price, offer: offer(true) });
                 }
-                offers.push((t.price, (t.name.clone(), z.clone(), false)));
+                offers.push(PricedOffer { price: machine_type.price, offer: offer(false) });
             }
         }
-        offers.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
+        offers.sort_by(|a, b| a.price.total_cmp(&b.price).then_with(|| a.offer.cmp(&b.offer)));
         offers
     }
 
-    fn plan_job(&self, job: &Job, plan: &mut Plan, steps: &mut usize) {
-        let needs = &job.spec.resource_request;
-        let mut zones = ZoneCount::of(job, &self.machines);
-        let most = self.tasks_within_limit(job, &plan.teams);
-        let mut left = (job.progress.pending.len() as u32).min(most);
-        // What is coming, machines in use and with the least room first.
-        *steps += 1 + plan.coming.len();
-        plan.coming.retain(|g| g.count > 0);
-        let fits = |g: &Group| {
-            needs.fits(&g.room) && job.spec.allows_type(&g.offer.0) && (!g.offer.2 || job.spec.spot)
-        };
-        let mut fitting: Vec<usize> = (0..plan.coming.len()).filter(|at| fits(&plan.coming[*at])).collect();
-        fitting.sort_by_key(|at| (!plan.coming[*at].used, plan.coming[*at].room.gpus));
-        for at in fitting {
-            if left == 0 {
-                break;
-            }
-            left -= plan.fill(at, job, &mut zones, left);
-        }
-        if left == 0 {
-            return;
+    /// Whether the offer could be rented now for tasks with this request.
+    fn is_rentable(&self, offer: &InstanceOffer, request: &Resources) -> bool {
+        let machine_type = self.types.get(&offer.machine_type);
+        machine_type.is_some_and(|machine_type| request.fits(&machine_type.capacity))
+            && !self.is_backing_off(offer)
+    }
+
+    /// Places the pending tasks of a job, as far as its team's limit allows, on coming machines and then on new ones.
+    fn plan_job(&self, job: &Job, plan: &mut ScalingPlan, steps: &mut usize) {
+        let allowed = self.tasks_within_limit(job, &plan.team_usage);
+        let tasks = (job.progress.pending.len() as u32).min(allowed);
+        let mut demand = Demand { job, zones: ZoneCount::of(job, &self.machines), tasks };
+        *steps += 1 + plan.coming.0.len();
+        plan.coming.fill(&mut demand);
+        if demand.tasks > 0 {
+            self.plan_new_machines(&mut demand, plan, steps);
         }
-        let patient = self.now < job.submitted_at + limits::micros(self.config.operator.spot_patience_s);
-        let mut offers = self.offers(|t| job.spec.allows_type(t), |_| true, job.spec.spot);
-        offers.retain(|(_, o)| {
-            let fits = self.types.get(&o.0).is_some_and(|t| needs.fits(&t.capacity));
-            fits && !(job.spec.spot && !o.2 && patient) && !self.refused(o)
-        });
-        while left > 0 {
+    }
+
+    fn plan_new_machines(&self, demand: &mut Demand<'_>, plan: &mut ScalingPlan, steps: &mut usize) {
+        let offers = self.offers_for(demand.job);
+        while demand.tasks > 0 {
             *steps += offers.len();
-            // Equal prices: the zone with fewer of the job's tasks, then the one with fewer machines.
-            let load = |o: &Offer| plan.count.get(o).copied().unwrap_or(0);
-            let open = offers.iter().filter(|(_, o)| zones.tasks_allowed(job, &o.1) > 0);
-            let best = open.min_by(|a, b| {
-                a.0.total_cmp(&b.0)
-                    .then_with(|| (zones.get(&a.1 .1), load(&a.1)).cmp(&(zones.get(&b.1 .1), load(&b.1))))
-            });
-            let Some((_, offer)) = best else { return };
-            let Some(t) = self.types.get(&offer.0) else { return };
+            let Some(offer) = best_offer(&offers, demand, &plan.counts) else { return };
+            let Some(machine_type) = self.types.get(&offer.machine_type) else { return };
             // One task at a time would be fairer to the zones, but a machine that is paid for is filled.
-            let each = u32::try_from(needs.count_in(&t.capacity)).unwrap_or(u32::MAX);
-            let tasks = left.min(each).min(zones.tasks_allowed(job, &offer.1));
-            zones.add_many(&offer.1, tasks);
-            left -= tasks;
+            let per_machine = tasks_that_fit(demand.request(), &machine_type.capacity);
+            let tasks = demand.tasks_for(&offer.zone, per_machine);
+            demand.place(&offer.zone, tasks);
             *plan.wanted.entry(offer.clone()).or_default() += 1;
-            *plan.count.entry(offer.clone()).or_default() += 1;
-            plan.add(offer, t.capacity.minus(&needs.times(tasks.into())), true, 1);
+            *plan.counts.entry(offer.clone()).or_default() += 1;
+            let left = machine_type.capacity.minus(&demand.request().times(tasks.into()));
+            plan.coming.add(offer, left, true, 1);
         }
     }
 
-    /// Keeps places for critical services in each zone; returns the machines they rest on.
-    fn plan_reserve(&self, plan: &mut Plan) -> BTreeSet<String> {
+    /// Offers that may be rented for the job. One that may use spot machines waits for them for a while.
+    fn offers_for(&self, job: &Job) -> Vec<PricedOffer> {
+        let spot_patience = limits::micros(self.config.operator.spot_patience_s);
+        let waits_for_spot = job.spec.spot && self.now < job.submitted_at + spot_patience;
+        let mut offers = self.offers(|name| job.spec.allows_type(name), |_| true, job.spec.spot);
+        offers.retain(|priced| {
+            let offer = &priced.offer;
+            (offer.spot || !waits_for_spot) && self.is_rentable(offer, &job.spec.resource_request)
+        });
+        offers
+    }
+
+    /// Keeps the headroom of each zone: on ready machines, on coming ones, and on new ones beyond that. Returns the
+    /// ready machines that are kept for it.
+    fn plan_headroom(&self, plan: &mut ScalingPlan) -> BTreeSet<String> {
         let mut kept = BTreeSet::new();
-        let Some(shape) = self.critical_place() else { return kept };
+        let Some(place) = self.critical_place() else { return kept };
         for zone in &self.config.zones {
-            let mut open = self.headroom_per_zone();
-            let mut here: Vec<(&Machine, i64)> = self
-                .machines
-                .values()
-                .filter(|m| self.is_schedulable(m) && !m.spot && m.zone == *zone)
-                .map(|m| (m, shape.count_in(&m.available())))
-                .filter(|(_, n)| *n > 0)
-                .collect();
-            // Places on machines that run something anyway cost nothing more.
-            here.sort_by_key(|(m, n)| (m.tasks.is_empty(), *n, m.name.clone()));
-            for (machine, places) in here {
-                if open > 0 {
-                    open -= places;
-                    kept.insert(machine.name.clone());
+            let mut missing = self.headroom_per_zone();
+            for machine in self.headroom_machines(zone, &place) {
+                if missing > 0 {
+                    missing -= machine.places;
+                    kept.insert(machine.name.to_string());
                 }
             }
-            let coming = plan.coming.iter().filter(|g| !g.offer.2 && g.offer.1 == *zone);
-            open -= coming.map(|g| shape.count_in(&g.room) * i64::from(g.count)).sum::<i64>();
-            while open > 0 {
-                let offers = self.offers(|_| true, |z| z == zone, false);
-                let fits = offers.into_iter().find(|(_, o)| {
-                    !self.refused(o) && self.types.get(&o.0).is_some_and(|t| shape.fits(&t.capacity))
-                });
-                let Some((_, offer)) = fits else { break };
-                let Some(t) = self.types.get(&offer.0) else { break };
-                open -= shape.count_in(&t.capacity).max(1);
+            missing -= plan.coming.critical_places(zone, &place);
+            while missing > 0 {
+                let Some((offer, capacity)) = self.headroom_offer(zone, &place) else { break };
+                missing -= place.count_in(&capacity).max(1);
                 *plan.wanted.entry(offer).or_default() += 1;
             }
         }
         kept
     }
+
+    /// Ready ordinary machines of the zone with places for critical services, the cheapest to keep first.
+    fn headroom_machines(&self, zone: &str, place: &Resources) -> Vec<HeadroomMachine<'_>> {
+        let ordinary = self
+            .machines
+            .values()
+            .filter(|machine| self.is_schedulable(machine) && !machine.spot && machine.zone == *zone);
+        let mut machines: Vec<HeadroomMachine> = ordinary
+            .map(|machine| HeadroomMachine {
+                is_empty: machine.tasks.is_empty(),
+                places: place.count_in(&machine.available()),
+                name: &machine.name,
+            })
+            .filter(|machine| machine.places > 0)
+            .collect();
+        machines.sort();
+        machines
+    }
+
+    /// The cheapest ordinary machine that holds such a place, and its capacity.
+    fn headroom_offer(&self, zone: &str, place: &Resources) -> Option<(InstanceOffer, Resources)> {
+        let offers = self.offers(|_| true, |other| other == zone, false);
+        let cheapest = offers.into_iter().find(|priced| self.is_rentable(&priced.offer, place))?;
+        let machine_type = self.types.get(&cheapest.offer.machine_type)?;
+        Some((cheapest.offer, machine_type.capacity))
+    }
+}
+
+/// The cheapest offer in a zone that is open to the job; of equal prices the one in the zone with fewer of its tasks,
+/// then the one with fewer machines.
+fn best_offer<'a>(
+    offers: &'a [PricedOffer],
+    demand: &Demand<'_>,
+    counts: &BTreeMap<InstanceOffer, u32>,
+) -> Option<&'a InstanceOffer> {
+    let load =
+        |offer: &InstanceOffer| (demand.zones.get(&offer.zone), counts.get(offer).copied().unwrap_or(0));
+    let open = offers.iter().filter(|priced| demand.zones.allows(demand.job, &priced.offer.zone));
+    let best =
+        open.min_by(|a, b| a.price.total_cmp(&b.price).then_with(|| load(&a.offer).cmp(&load(&b.offer))));
+    best.map(|priced| &priced.offer)
 }
