--- a/src/scheduler/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -1,15 +1,22 @@
 //! Planned draining: the leader carries out what operators ask for, in steps that keep every team's disruption within
-//! its budget. `dockpier_drain` decides; here its decisions meet the rules that the scheduler keeps anyway.
+//! its budget. `dockpier_drain` decides; here its decisions meet the rules that the scheduler keeps anyway. Owns the
+//! drains, the teams' disruption ledgers, and which machines are cordoned.
 //!
 //! A state of a machine is stored before anything is done on the strength of it, and a stop's estimate is stored in
-//! its team's ledger before the stop is told. So a new leader goes on where the last one stopped, and no budget
+//! its team's ledger before the stop is requested. So a new leader goes on where the last one stopped, and no budget
 //! begins anew with it. Where draining is turned off, or nothing is drained, no decision differs.
+//!
+//! Each round: `disruption` records what happened to tasks, `replacement` rents machines, `eviction` empties cordoned
+//! ones, `step` begins with further ones, `store` writes what has changed.
 
+mod destination;
 mod disruption;
+mod drain;
 mod eviction;
 mod replacement;
 mod reservations;
 mod step;
+mod stops;
 mod store;
 mod summary;
 
@@ -19,144 +26,63 @@
 use super::Scheduler;
 use crate::limits;
 use dockpier_drain::budget::Budget;
-use dockpier_drain::ledger::{Allowance, DisruptionId, Ledger};
+use dockpier_drain::ledger::{Allowance, Ledger};
 use dockpier_drain::progress::{MachineDrainState, Progress};
-use dockpier_drain::request::{DesiredState, DrainId, StoredRequest};
-use dockpier_drain::status::{DrainState, Summary, Wait};
+use dockpier_drain::request::DrainId;
+use dockpier_drain::status::Wait;
+use drain::{Drain, WriteState};
+use reservations::ReservedPlace;
 use std::collections::{BTreeMap, BTreeSet};
+use stops::{OpenDisruption, PendingStop};
 
-/// A value that only the leader writes, and how far its writing is.
-#[derive(Debug, Default)]
-struct PendingWrite {
-    /// It has changed since it was last sent to the state service.
-    dirty: bool,
-    /// A write is under way.
-    sent: bool,
-}
-
-impl PendingWrite {
-    /// The state service has what the scheduler has.
-    fn is_stored(&self) -> bool {
-        !self.dirty && !self.sent
-    }
-}
-
-/// A drain as the leader knows it.
-#[derive(Debug)]
-struct Drain {
-    stored: StoredRequest,
-    progress: Progress,
-    /// For each part of the progress.
-    writing: Vec<PendingWrite>,
-    /// Its machines are determined.
-    resolved: bool,
-    summary: Option<Summary>,
-    summary_writing: PendingWrite,
-    /// When the summary was last sent.
-    summary_at: u64,
-    /// When this leader first saw it, and how many machines were done then: its pace.
-    seen: u64,
-    done_then: usize,
-    /// What kept its machines back in the last round.
-    waits: Vec<Wait>,
-    /// The cloud refused a replacement: not asked again before.
-    refused_until: u64,
-}
-
-impl Drain {
-    fn goes_on(&self) -> bool {
-        self.resolved && self.stored.desired_state == DesiredState::Run && !self.progress.is_finished()
-    }
-
-    fn state(&self) -> DrainState {
-        match self.stored.desired_state {
-            _ if self.resolved && self.progress.is_finished() => DrainState::Finished,
-            DesiredState::Run => DrainState::Running,
-            DesiredState::Pause => DrainState::Paused,
-            DesiredState::Cancel => DrainState::Cancelled,
-        }
-    }
-
-    /// Takes a machine on; what has changed is to be stored.
-    fn advance(&mut self, machine: &str, next: MachineDrainState) -> bool {
-        let Some(chunk) = self.progress.advance(machine, next) else { return false };
-        self.writing[chunk].dirty = true;
-        true
-    }
-
-    fn under_way(&self) -> usize {
-        self.progress.machines().filter(|(_, state)| state.under_way()).count()
-    }
-
-    fn wait(&mut self, wait: Wait) {
-        if !self.waits.contains(&wait) {
-            self.waits.push(wait);
-        }
-    }
-}
-
-/// A stop whose estimate is being stored.
-#[derive(Debug, Clone)]
-struct PendingStop {
-    disruption: DisruptionId,
-    drain: DrainId,
-    task: TaskId,
-    machine: String,
-    /// The place of a replica that moves.
-    to: Option<String>,
-    grace_s: f64,
-}
-
+/// What a team's tasks lose to drains and failures.
 #[derive(Debug, Default)]
 struct TeamDisruption {
     ledger: Ledger,
-    writing: PendingWrite,
-    /// When it was last sent.
+    record: WriteState,
+    /// When the record was last sent, in microseconds.
     sent_at: u64,
-    /// Stops that wait for the next write, and for the one under way.
+    /// Stops whose estimates the next write stores.
     pending: Vec<PendingStop>,
+    /// Stops whose estimates the write under way stores.
     in_write: Vec<PendingStop>,
-    /// Up to when the record of an earlier leader tells everything, in milliseconds of the time of day.
+    /// Up to when the record of an earlier leader is complete, in milliseconds of the time of day.
     as_of: Option<u64>,
 }
 
-/// A replica on its way to another machine: its place is kept.
-#[derive(Debug, Clone)]
-struct Move {
-    to: String,
-    since: u64,
-}
-
-/// A task whose disruption is not settled.
-#[derive(Debug, Clone)]
-struct OpenDisruption {
-    team: String,
-    id: DisruptionId,
+/// A machine that some drain wants to replace.
+#[derive(Debug)]
+struct ReplacementFor {
+    drain: DrainId,
+    machine: String,
 }
 
-/// Everything that the leader knows of drains.
+/// Everything that the leader knows of drains. Times are in microseconds.
 #[derive(Debug, Default)]
 pub struct Drains {
     loaded: bool,
+    /// When the next round is due.
     due: u64,
     drains: BTreeMap<DrainId, Drain>,
     teams: BTreeMap<String, TeamDisruption>,
     /// Machines that take nothing new.
     cordoned: BTreeSet<String>,
     /// Replacements whose machines are not empty yet, and those machines.
-    replacing: BTreeMap<String, String>,
+    replacements: BTreeMap<String, String>,
     /// Machines to be drained of which nothing has happened yet: the last choice for what moves.
     targeted: BTreeSet<String>,
     /// Machines that some drain has begun with and not ended.
     started: BTreeSet<String>,
-    /// Rental requests for replacements.
-    renting: BTreeMap<u64, (DrainId, String)>,
-    moves: BTreeMap<TaskId, Move>,
+    /// Rental requests for replacements, by number.
+    renting: BTreeMap<u64, ReplacementFor>,
+    /// Places reserved for replicas that move.
+    moves: BTreeMap<TaskId, ReservedPlace>,
+    /// Tasks whose disruption is not settled.
     disrupted: BTreeMap<TaskId, OpenDisruption>,
     /// Replicas that served in the last round.
     serving: BTreeSet<TaskId>,
-    /// What earlier leaders' records do not tell has been counted.
-    taken_over: bool,
+    /// Whether the disruption that earlier leaders' records lack has been counted.
+    missed_disruption_counted: bool,
     /// Rounds so far; the drains take turns by it.
     rounds: usize,
     /// The time of day less the steady clock, in milliseconds.
@@ -169,28 +95,79 @@
         self.teams.values().flat_map(|team| team.pending.iter().chain(&team.in_write))
     }
 
-    /// Takes nothing new.
+    /// Whether the machine takes nothing new.
     pub fn is_cordoned(&self, machine: &str) -> bool {
         self.cordoned.contains(machine)
     }
 
-    /// Keeps its room for what moves off the machine that it replaces, critical jobs aside.
+    /// Whether the machine keeps its room for what moves off the one that it replaces, critical jobs aside.
     pub fn is_replacement(&self, machine: &str) -> bool {
-        self.replacing.contains_key(machine)
+        self.replacements.contains_key(machine)
     }
 
-    /// Will be drained: a task put there would have to leave again.
+    /// Whether the machine will be drained: a task put there would have to leave again.
     pub fn is_targeted(&self, machine: &str) -> bool {
         self.targeted.contains(machine)
     }
+
+    /// Derives which machines are cordoned, replacements, targeted and started from the states of the drains.
+    fn update_marks(&mut self) {
+        self.cordoned.clear();
+        self.replacements.clear();
+        self.targeted.clear();
+        self.started.clear();
+        let in_force = self.drains.values().filter(|drain| !drain.is_cancelled());
+        for (machine, state) in in_force.flat_map(|drain| drain.progress.machines()) {
+            match state {
+                MachineDrainState::Waiting => {
+                    self.targeted.insert(machine.to_string());
+                }
+                MachineDrainState::Cordoned { .. } => {
+                    self.cordoned.insert(machine.to_string());
+                }
+                MachineDrainState::Replacing { .. }
+                | MachineDrainState::Returned { .. }
+                | MachineDrainState::Gone => {}
+            }
+            if !state.under_way() {
+                continue;
+            }
+            self.started.insert(machine.to_string());
+            if let Some(replacement) = state.replacement() {
+                self.replacements.insert(replacement.to_string(), machine.to_string());
+            }
+        }
+        // One that another drain has begun with is no longer to come.
+        self.targeted.retain(|machine| !self.started.contains(machine));
+    }
+
+    /// Drains that go on, in the order in which they were accepted.
+    fn active(&self) -> Vec<DrainId> {
+        let active = self.drains.iter().filter(|(_, drain)| drain.is_active());
+        let mut order: Vec<_> = active.map(|(id, drain)| (drain.stored.accepted, id.clone())).collect();
+        order.sort();
+        order.into_iter().map(|(_, id)| id).collect()
+    }
+
+    fn add_wait(&mut self, id: &DrainId, wait: Wait) {
+        if let Some(drain) = self.drains.get_mut(id) {
+            drain.add_wait(wait);
+        }
+    }
+
+    fn advance(&mut self, id: &DrainId, machine: &str, next: MachineDrainState) {
+        if let Some(drain) = self.drains.get_mut(id) {
+            drain.advance(machine, next);
+        }
+    }
 }
 
 impl Scheduler {
-    fn draining_on(&self) -> bool {
+    fn is_draining_enabled(&self) -> bool {
         self.config.operator.draining.enabled
     }
 
-    /// The controller tells the time of day, by which deadlines and windows count.
+    /// The controller passes the time of day in, by which deadlines and windows count.
     pub fn time_of_day(&mut self, now: u64, day_ms: u64) {
         self.drains.day_offset = Some(day_ms as i64 - (now / 1_000) as i64);
     }
@@ -213,34 +190,34 @@
         }
     }
 
-    /// One look at all drains: what happened, what may be done now, what is to be stored.
+    /// One round over all drains: what happened, what may be done now, what is to be stored.
     pub(super) fn drain_round(&mut self) {
-        let ready = self.draining_on() && self.drains.loaded && self.drains.day_offset.is_some();
-        if !ready || self.now < self.drains.due {
+        let is_ready = self.is_draining_enabled() && self.drains.loaded && self.drains.day_offset.is_some();
+        if !is_ready || self.now < self.drains.due {
             return;
         }
         self.drains.due = self.now + limits::DRAIN_INTERVAL;
         self.drains.rounds += 1;
-        self.observe_disruption();
+        self.record_disruption();
         for drain in self.drains.drains.values_mut() {
             drain.waits.clear();
         }
         self.resolve_drains();
-        self.mark_drained_machines();
-        match self.why_no_step() {
-            Some(why) => self.all_wait(why),
+        self.drains.update_marks();
+        match self.reason_for_no_step() {
+            Some(wait) => self.let_all_wait(wait),
             None => {
                 self.advance_replacements();
-                self.empty_machines();
-                self.take_step();
-                self.mark_drained_machines();
+                self.evict_from_cordoned_machines();
+                self.begin_step();
+                self.drains.update_marks();
             }
         }
         self.write_drains();
     }
 
-    /// What keeps every drain from going on. What was told goes on all the same.
-    fn why_no_step(&self) -> Option<Wait> {
+    /// What keeps every drain from a further step. Stops that were requested go on all the same.
+    fn reason_for_no_step(&self) -> Option<Wait> {
         if !self.reconciled {
             return Some(Wait::Reconciling);
         }
@@ -249,9 +226,9 @@
         unreachable.map(|zone| Wait::ZoneUnreachable { zone: zone.clone() })
     }
 
-    fn all_wait(&mut self, why: Wait) {
-        let going_on = self.drains.drains.values_mut().filter(|drain| drain.goes_on() || !drain.resolved);
-        going_on.for_each(|drain| drain.wait(why.clone()));
+    fn let_all_wait(&mut self, wait: Wait) {
+        let waiting = self.drains.drains.values_mut().filter(|drain| drain.is_active() || !drain.is_resolved);
+        waiting.for_each(|drain| drain.add_wait(wait.clone()));
     }
 
     /// Determines the machines of drains that are new, once all machines are known.
@@ -260,59 +237,11 @@
             return;
         }
         let value_most = self.config.value_most;
-        for drain in self.drains.drains.values_mut().filter(|drain| !drain.resolved) {
+        for drain in self.drains.drains.values_mut().filter(|drain| !drain.is_resolved) {
             let request = &drain.stored.request;
             let covered =
                 self.machines.values().filter(|m| request.covers(&m.name, &m.machine_type, &m.zone));
-            drain.progress = Progress::of(covered.map(|m| m.name.clone()), value_most);
-            drain.writing =
-                drain.progress.chunks().iter().map(|_| PendingWrite { dirty: true, sent: false }).collect();
-            drain.resolved = true;
-        }
-    }
-
-    /// Cordons, keeps replacements and notes what is still to come, as the states of the drains say.
-    fn mark_drained_machines(&mut self) {
-        let drains = &mut self.drains;
-        drains.cordoned.clear();
-        drains.replacing.clear();
-        drains.targeted.clear();
-        drains.started.clear();
-        for drain in drains.drains.values().filter(|drain| drain.stored.desired_state != DesiredState::Cancel)
-        {
-            for (machine, state) in drain.progress.machines() {
-                match state {
-                    MachineDrainState::Waiting => {
-                        drains.targeted.insert(machine.to_string());
-                    }
-                    MachineDrainState::Cordoned { .. } => {
-                        drains.cordoned.insert(machine.to_string());
-                    }
-                    _ => {}
-                }
-                if state.under_way() {
-                    drains.started.insert(machine.to_string());
-                }
-                if let Some(replacement) = state.replacement().filter(|_| state.under_way()) {
-                    drains.replacing.insert(replacement.to_string(), machine.to_string());
-                }
-            }
-        }
-        // One that another drain has begun with is no longer to come.
-        drains.targeted.retain(|machine| !drains.started.contains(machine));
-    }
-
-    /// Drains that go on, in the order in which they were accepted.
-    fn drains_going_on(&self) -> Vec<DrainId> {
-        let going_on = self.drains.drains.iter().filter(|(_, drain)| drain.goes_on());
-        let mut order: Vec<_> = going_on.map(|(id, drain)| (drain.stored.accepted, id.clone())).collect();
-        order.sort();
-        order.into_iter().map(|(_, id)| id).collect()
-    }
-
-    fn drain_waits(&mut self, id: &DrainId, wait: Wait) {
-        if let Some(drain) = self.drains.drains.get_mut(id) {
-            drain.wait(wait);
+            drain.resolve(Progress::of(covered.map(|machine| machine.name.clone()), value_most));
         }
     }
 }
--- a/src/scheduler/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -3,34 +3,48 @@
 //! The rental's name follows from the drain, the machine and the attempt. So whoever leads asks under the same name,
 //! and the cloud rents one machine however often it is asked.
 
-use super::super::autoscaler::InstanceOffer;
-use super::super::model::MachineState;
-use super::super::{Effect, Scheduler, WriteOutcome};
+use super::ReplacementFor;
 use crate::limits;
+use crate::scheduler::autoscaler::InstanceOffer;
+use crate::scheduler::model::MachineState;
+use crate::scheduler::{Effect, Scheduler, WriteOutcome};
 use dockpier_drain::progress::MachineDrainState;
 use dockpier_drain::request::DrainId;
 use dockpier_drain::status::Wait;
 use tracing::info;
 
-/// A machine whose replacement is under way, and whether that is stored.
+/// A machine whose replacement is under way.
 struct Replacing {
     drain: DrainId,
     machine: String,
     attempt: u32,
+    /// Name of the replacement, once the cloud has rented it.
     replacement: Option<String>,
-    stored: bool,
+    /// Whether this state is stored.
+    is_stored: bool,
+}
+
+impl Replacing {
+    fn is_asked_for(&self, purpose: &ReplacementFor) -> bool {
+        purpose.drain == self.drain && purpose.machine == self.machine
+    }
+
+    fn starting(&self) -> Wait {
+        Wait::ReplacementStarting { machine: self.machine.clone() }
+    }
 }
 
 impl Scheduler {
+    /// Goes on with every machine that is being replaced.
     pub(super) fn advance_replacements(&mut self) {
         for replacing in self.replacements_under_way() {
             if !self.machines.contains_key(&replacing.machine) {
-                self.advance(&replacing, MachineDrainState::Gone);
+                self.drains.advance(&replacing.drain, &replacing.machine, MachineDrainState::Gone);
                 continue;
             }
             match &replacing.replacement {
-                None if replacing.stored => self.rent_replacement(&replacing),
-                None => self.drain_waits(&replacing.drain, Wait::Unwritten),
+                None if replacing.is_stored => self.rent_replacement(&replacing),
+                None => self.drains.add_wait(&replacing.drain, Wait::Unwritten),
                 Some(name) => self.await_replacement(&replacing, name),
             }
         }
@@ -38,9 +52,9 @@
 
     fn replacements_under_way(&self) -> Vec<Replacing> {
         let mut found = Vec::new();
-        for id in self.drains_going_on() {
+        for id in self.drains.active() {
             let drain = &self.drains.drains[&id];
-            for (at, chunk) in drain.progress.chunks().iter().enumerate() {
+            for (chunk, write) in drain.progress.chunks().iter().zip(&drain.chunk_writes) {
                 for entry in &chunk.machines {
                     if let MachineDrainState::Replacing { attempt, machine } = &entry.state {
                         found.push(Replacing {
@@ -48,7 +62,7 @@
                             machine: entry.machine.clone(),
                             attempt: *attempt,
                             replacement: machine.clone(),
-                            stored: drain.writing[at].is_stored(),
+                            is_stored: write.is_stored(),
                         });
                     }
                 }
@@ -57,23 +71,14 @@
         found
     }
 
-    fn advance(&mut self, replacing: &Replacing, next: MachineDrainState) {
-        if let Some(drain) = self.drains.drains.get_mut(&replacing.drain) {
-            drain.advance(&replacing.machine, next);
-        }
-    }
-
     fn rent_replacement(&mut self, replacing: &Replacing) {
-        let wait = Wait::ReplacementStarting { machine: replacing.machine.clone() };
-        let asked =
-            |(drain, machine): &(DrainId, String)| *drain == replacing.drain && *machine == replacing.machine;
-        if self.drains.renting.values().any(asked) {
-            return self.drain_waits(&replacing.drain, wait);
+        if self.drains.renting.values().any(|purpose| replacing.is_asked_for(purpose)) {
+            return self.drains.add_wait(&replacing.drain, replacing.starting());
         }
         let Some(drain) = self.drains.drains.get(&replacing.drain) else { return };
-        if self.now < drain.refused_until {
+        if self.now < drain.replacement_backoff_until {
             let wait = Wait::NoReplacement { machine: replacing.machine.clone() };
-            return self.drain_waits(&replacing.drain, wait);
+            return self.drains.add_wait(&replacing.drain, wait);
         }
         let accepted = drain.stored.accepted;
         let name =
@@ -83,25 +88,26 @@
         self.fleet.requests += 1;
         let request = self.fleet.requests;
         info!(drain = %replacing.drain, machine = replacing.machine, request, "rent a replacement");
-        self.drains.renting.insert(request, (replacing.drain.clone(), replacing.machine.clone()));
+        let purpose = ReplacementFor { drain: replacing.drain.clone(), machine: replacing.machine.clone() };
+        self.drains.renting.insert(request, purpose);
         self.effects.push(Effect::Rent { request, name: Some(name), machine_type, zone, spot, count: 1 });
-        self.drain_waits(&replacing.drain, wait);
+        self.drains.add_wait(&replacing.drain, replacing.starting());
     }
 
-    /// The cloud has answered a request; returns whether it was for a replacement.
-    pub(in super::super) fn replacement_rented(
+    /// The cloud has responded to a rental request. Returns whether it was for a replacement.
+    pub(in crate::scheduler) fn replacement_rented(
         &mut self,
         request: u64,
         names: &Option<Vec<String>>,
         outcome: WriteOutcome,
     ) -> bool {
-        let Some((id, machine)) = self.drains.renting.remove(&request) else { return false };
-        let offer = self.machines.get(&machine).map(InstanceOffer::of);
-        let name = names.iter().flatten().next().cloned().filter(|_| outcome == WriteOutcome::Done);
-        let now = self.now;
+        let Some(ReplacementFor { drain: id, machine }) = self.drains.renting.remove(&request) else {
+            return false;
+        };
         let Some(drain) = self.drains.drains.get_mut(&id) else { return true };
-        let Some(name) = name else {
-            drain.refused_until = now + limits::RENTAL_BACKOFF;
+        let rented = names.iter().flatten().next().filter(|_| outcome == WriteOutcome::Done);
+        let Some(name) = rented.cloned() else {
+            drain.replacement_backoff_until = self.now + limits::RENTAL_BACKOFF;
             return true;
         };
         let Some(MachineDrainState::Replacing { attempt, machine: None }) = drain.progress.state(&machine)
@@ -110,27 +116,27 @@
         };
         let attempt = *attempt;
         drain.advance(&machine, MachineDrainState::Replacing { attempt, machine: Some(name.clone()) });
-        if let Some(offer) = offer {
+        if let Some(offer) = self.machines.get(&machine).map(InstanceOffer::of) {
             self.machine(&offer.machine_named(name.clone()));
         }
-        self.drains.replacing.insert(name, machine);
+        self.drains.replacements.insert(name, machine);
         true
     }
 
     /// The replacement is named: once it is up its machine is cordoned; if it never comes another one is rented.
     fn await_replacement(&mut self, replacing: &Replacing, name: &str) {
-        let up =
-            self.machines.get(name).is_some_and(|m| m.state == MachineState::Ready && self.is_schedulable(m));
-        if up {
-            let replacement = Some(name.to_string());
-            return self.advance(replacing, MachineDrainState::Cordoned { replacement });
-        }
-        if !self.machines.contains_key(name) {
+        let machine = self.machines.get(name);
+        let is_up = machine
+            .is_some_and(|machine| machine.state == MachineState::Ready && self.is_schedulable(machine));
+        if is_up {
+            let next = MachineDrainState::Cordoned { replacement: Some(name.to_string()) };
+            self.drains.advance(&replacing.drain, &replacing.machine, next);
+        } else if machine.is_none() {
             info!(drain = %replacing.drain, machine = replacing.machine, name, "its replacement did not come");
-            let attempt = replacing.attempt + 1;
-            return self.advance(replacing, MachineDrainState::Replacing { attempt, machine: None });
+            let next = MachineDrainState::Replacing { attempt: replacing.attempt + 1, machine: None };
+            self.drains.advance(&replacing.drain, &replacing.machine, next);
+        } else {
+            self.drains.add_wait(&replacing.drain, replacing.starting());
         }
-        let wait = Wait::ReplacementStarting { machine: replacing.machine.clone() };
-        self.drain_waits(&replacing.drain, wait);
     }
 }
--- a/src/scheduler/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -1,157 +1,175 @@
-//! The next step: which machines are replaced or cordoned now.
+//! The next step: which machines are replaced or cordoned now. `dockpier_drain::plan` chooses among the candidates.
 
-use super::super::model::{Job, Kind, Machine, MachineState, Resources};
-use super::super::Scheduler;
-use super::disruption::runs_on;
 use super::reservations::ReservedCapacity;
 use crate::limits;
+use crate::scheduler::model::{Job, Kind, Machine, MachineState, Resources};
+use crate::scheduler::Scheduler;
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::Allowance;
 use dockpier_drain::plan::{self, Amounts, Candidate, Expected, Limits, Refusal, ZoneRoom};
 use dockpier_drain::progress::MachineDrainState;
 use dockpier_drain::request::DrainId;
 use dockpier_drain::status::Wait;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use tracing::debug;
 
+/// A machine that may be begun with. Those with fewest tasks come first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct WaitingMachine {
+    tasks: usize,
+    name: String,
+}
+
 impl Scheduler {
-    pub(super) fn take_step(&mut self) {
-        let drains = self.drains_going_on();
+    /// Begins with as many machines as the budgets, the zones and the drains allow, and notes what keeps the others
+    /// back.
+    pub(super) fn begin_step(&mut self) {
+        let drains = self.drains.active();
         if drains.is_empty() {
             return;
         }
-        let caps = self.caps(&drains);
-        let kept = self.kept_rooms();
-        let candidates = self.candidates(&drains, &caps, &kept);
+        let quotas = self.machines_to_begin(&drains);
+        let reserved = self.reserved_capacity();
+        let candidates = self.drain_candidates(&drains, &quotas, &reserved);
         if candidates.is_empty() {
             return;
         }
         let limits = Limits {
-            machines: caps.iter().sum(),
-            drains: caps,
+            machines: quotas.iter().sum(),
+            drains: quotas,
             teams: self.allowances_beyond_cordoned(&candidates),
-            zones: self.zone_room(&kept),
+            zones: self.zone_room(&reserved),
         };
         let choice = plan::choose(&candidates, &limits, limits::DRAIN_SOLVER_TIMEOUT_S);
         debug!(chosen = choice.chosen.len(), candidates = candidates.len(), method = ?choice.method, "drain step");
-        for at in &choice.chosen {
-            self.begin_machine(&drains[candidates[*at].drain], &candidates[*at].machine);
+        for index in &choice.chosen {
+            self.begin_machine(&drains[candidates[*index].drain], &candidates[*index].machine);
         }
-        for (at, candidate) in candidates.iter().enumerate().filter(|(at, _)| !choice.chosen.contains(at)) {
-            let wait = match plan::refusal(candidate, &limits) {
-                Some(refusal) => wait_for(refusal),
-                None => Wait::StepFull,
-            };
+        let is_refused = |index: &usize| !choice.chosen.contains(index);
+        for (at, candidate) in candidates.iter().enumerate().filter(|(index, _)| is_refused(index)) {
+            let wait = plan::refusal(candidate, &limits).map_or(Wait::StepFull, wait_for);
             debug!(machine = candidate.machine, at, %wait, "not in this step");
-            self.drain_waits(&drains[candidate.drain], wait);
+            self.drains.add_wait(&drains[candidate.drain], wait);
         }
     }
 
     /// How many machines each drain may begin with now. What all drains may have under way is shared evenly; what
     /// does not divide goes round, so that a drain that can't use its part keeps no other out.
-    fn caps(&self, drains: &[DrainId]) -> Vec<usize> {
+    fn machines_to_begin(&self, drains: &[DrainId]) -> Vec<usize> {
         let all = self.config.operator.draining.machines_at_once as usize;
-        let under_way: Vec<usize> = drains.iter().map(|id| self.drains.drains[id].under_way()).collect();
+        let under_way: Vec<usize> =
+            drains.iter().map(|id| self.drains.drains[id].machines_under_way()).collect();
         let left = all.saturating_sub(under_way.iter().sum());
         let (each, rest) = (left / drains.len(), left % drains.len());
         let turn = self.drains.rounds % drains.len();
-        let share = |at: usize| each + usize::from((at + drains.len() - turn) % drains.len() < rest);
-        let own = |at: usize| {
-            let drain = &self.drains.drains[&drains[at]];
+        let share = |index: usize| each + usize::from((index + drains.len() - turn) % drains.len() < rest);
+        let own_limit = |index: usize| {
+            let drain = &self.drains.drains[&drains[index]];
             let machines = drain.progress.machines().count();
-            drain.stored.request.at_once(machines).saturating_sub(under_way[at])
+            drain.stored.request.at_once(machines).saturating_sub(under_way[index])
         };
-        (0..drains.len()).map(|at| share(at).min(own(at))).collect()
+        (0..drains.len()).map(|index| share(index).min(own_limit(index))).collect()
     }
 
-    /// Machines that nothing has happened to, a few more than may begin: those with least on them first.
-    fn candidates(&mut self, drains: &[DrainId], caps: &[usize], kept: &ReservedCapacity) -> Vec<Candidate> {
-        let mut all = Vec::new();
+    /// Machines that nothing has happened to, a few more than may begin: those with fewest tasks first.
+    fn drain_candidates(
+        &mut self,
+        drains: &[DrainId],
+        quotas: &[usize],
+        reserved: &ReservedCapacity,
+    ) -> Vec<Candidate> {
+        let mut candidates = Vec::new();
         let mut taken = self.drains.started.clone();
-        for (at, id) in drains.iter().enumerate() {
-            let waiting: Vec<String> = self.drains.drains[id]
-                .progress
-                .machines()
-                .filter(|(_, state)| **state == MachineDrainState::Waiting)
-                .map(|(machine, _)| machine.to_string())
-                .collect();
-            if caps[at] == 0 {
+        for (index, id) in drains.iter().enumerate() {
+            let waiting = self.waiting_machines(id);
+            if quotas[index] == 0 {
                 if !waiting.is_empty() {
-                    self.drain_waits(id, Wait::StepFull);
+                    self.drains.add_wait(id, Wait::StepFull);
                 }
                 continue;
             }
-            let replace = self.drains.drains[id].stored.request.replace;
-            let here = self.machines_to_begin(id, waiting).into_iter();
-            let here: Vec<String> = here
-                .filter(|name| taken.insert(name.clone()))
-                .take(caps[at] * limits::MAX_DRAIN_CANDIDATES)
-                .collect();
-            let machines = here.iter().filter_map(|name| self.machines.get(name));
-            all.extend(machines.map(|machine| self.candidate(at, machine, replace, kept)));
+            let most = quotas[index] * limits::MAX_DRAIN_CANDIDATES;
+            let names = self.first_to_begin(id, waiting, most, &mut taken);
+            let is_replaced = self.drains.drains[id].stored.request.replace;
+            let machines = names.iter().filter_map(|name| self.machines.get(name));
+            candidates
+                .extend(machines.map(|machine| self.drain_candidate(index, machine, is_replaced, reserved)));
         }
-        all
+        candidates
+    }
+
+    fn waiting_machines(&self, id: &DrainId) -> Vec<String> {
+        let machines = self.drains.drains[id].progress.machines();
+        let waiting = machines.filter(|(_, state)| **state == MachineDrainState::Waiting);
+        waiting.map(|(machine, _)| machine.to_string()).collect()
     }
 
-    /// Of the machines that wait, those that may begin, with least on them first. What is gone is noted.
-    fn machines_to_begin(&mut self, id: &DrainId, waiting: Vec<String>) -> Vec<String> {
-        let mut here: Vec<(usize, String)> = Vec::new();
+    /// Up to `most` of the waiting machines that may begin and that no other drain has taken.
+    fn first_to_begin(
+        &mut self,
+        id: &DrainId,
+        waiting: Vec<String>,
+        most: usize,
+        taken: &mut BTreeSet<String>,
+    ) -> Vec<String> {
+        let ready = self.ready_to_begin(id, waiting).into_iter();
+        ready.map(|machine| machine.name).filter(|name| taken.insert(name.clone())).take(most).collect()
+    }
+
+    /// Of the waiting machines those that may begin, in order. Those that are gone are noted.
+    fn ready_to_begin(&mut self, id: &DrainId, waiting: Vec<String>) -> Vec<WaitingMachine> {
+        let mut ready: Vec<WaitingMachine> = Vec::new();
         for name in waiting {
             let Some(machine) = self.machines.get(&name) else {
-                if let Some(drain) = self.drains.drains.get_mut(id) {
-                    drain.advance(&name, MachineDrainState::Gone);
-                }
+                self.drains.advance(id, &name, MachineDrainState::Gone);
                 continue;
             };
-            // It is on its way out already.
-            let leaving = machine.lifecycle.deleting
+            let is_leaving = machine.lifecycle.deleting
                 || machine.lifecycle.recall_at.is_some()
                 || machine.state != MachineState::Ready;
-            if !leaving {
-                here.push((machine.tasks.len(), name));
+            if !is_leaving {
+                ready.push(WaitingMachine { tasks: machine.tasks.len(), name });
             }
         }
-        here.sort();
-        here.into_iter().map(|(_, name)| name).collect()
+        ready.sort();
+        ready
     }
 
-    fn candidate(
+    /// What draining the machine takes. A replacement takes what moves, and brings the places for critical services.
+    fn drain_candidate(
         &self,
         drain: usize,
         machine: &Machine,
-        replace: bool,
-        kept: &ReservedCapacity,
+        is_replaced: bool,
+        reserved: &ReservedCapacity,
     ) -> Candidate {
-        let shape =
-            self.critical_place().filter(|_| !machine.spot && !replace && self.is_schedulable(machine));
-        let replicas = self.replicas_on(machine);
-        let moves = replicas.iter().fold(Resources::default(), |sum, needs| sum.plus(needs));
+        let counts_places = !machine.spot && !is_replaced && self.is_schedulable(machine);
+        let place = self.critical_place().filter(|_| counts_places);
+        let moves = if is_replaced { Amounts::default() } else { amounts(&self.replica_requests(machine)) };
         Candidate {
             drain,
             machine: machine.name.clone(),
             zone: machine.zone.clone(),
-            // A replacement takes what moves.
-            moves: if replace { Amounts::default() } else { amounts(&moves) },
-            places: shape.map_or(0, |shape| shape.count_in(&kept.free(machine)).max(0)),
-            teams: self.expected(machine),
+            moves,
+            places: place.map_or(0, |place| place.count_in(&reserved.available_on(machine)).max(0)),
+            teams: self.expected_disruption(machine),
         }
     }
 
-    fn replicas_on(&self, machine: &Machine) -> Vec<Resources> {
+    /// What the replicas on the machine request together.
+    fn replica_requests(&self, machine: &Machine) -> Resources {
         let jobs = machine.tasks.keys().filter_map(|id| self.jobs.get(&id.job_id));
-        jobs.filter(|job| job.spec.kind == Kind::Service && !job.terminated)
-            .map(|job| job.spec.resource_request)
-            .collect()
+        jobs.filter(|job| is_live_service(job))
+            .fold(Resources::default(), |sum, job| sum.plus(&job.spec.resource_request))
     }
 
     /// What emptying the machine takes of each team: its replicas are down for a while, one after the other. Elastic
     /// tasks save or are let finish.
-    fn expected(&self, machine: &Machine) -> BTreeMap<String, Expected> {
+    fn expected_disruption(&self, machine: &Machine) -> BTreeMap<String, Expected> {
         let mut teams: BTreeMap<String, Expected> = BTreeMap::new();
-        for (id, task) in &machine.tasks {
-            let service = |job: &&Job| job.spec.kind == Kind::Service && !job.terminated;
-            let Some(job) = self.jobs.get(&id.job_id).filter(service) else { continue };
-            if runs_on(task) {
+        for (id, placement) in &machine.tasks {
+            let Some(job) = self.jobs.get(&id.job_id).filter(|job| is_live_service(job)) else { continue };
+            if placement.is_undisturbed() {
                 let expected = teams.entry(job.spec.team.clone()).or_default();
                 expected.together = 1;
                 expected.cost = expected.cost.plus(Cost::replica(self.down_s(job, None)));
@@ -167,7 +185,7 @@
             teams.entry(team.clone()).or_insert_with(|| self.allowance_of(team));
         }
         for machine in self.drains.started.iter().filter_map(|name| self.machines.get(name)) {
-            for (team, expected) in self.expected(machine) {
+            for (team, expected) in self.expected_disruption(machine) {
                 if let Some(left) = teams.get_mut(&team) {
                     left.cost = left.cost.less(expected.cost);
                 }
@@ -180,36 +198,41 @@
         teams
     }
 
-    /// Room for what moves on machines that stay, and places that can be spared.
-    fn zone_room(&self, kept: &ReservedCapacity) -> BTreeMap<String, ZoneRoom> {
-        let mut spare = self.spare_places(kept);
+    /// Room for what moves on machines that stay, and places for critical services that can be spared.
+    fn zone_room(&self, reserved: &ReservedCapacity) -> BTreeMap<String, ZoneRoom> {
+        let mut spare = self.spare_critical_places(reserved);
         let mut zones: BTreeMap<String, ZoneRoom> = BTreeMap::new();
         for zone in &self.config.zones {
             let spare_places = spare.remove(zone).unwrap_or(0);
             zones.insert(zone.clone(), ZoneRoom { free: Amounts::default(), spare_places });
         }
-        for machine in
-            self.machines.values().filter(|m| self.is_schedulable(m) && !self.drains.is_replacement(&m.name))
-        {
+        let stays =
+            |machine: &&Machine| self.is_schedulable(machine) && !self.drains.is_replacement(&machine.name);
+        for machine in self.machines.values().filter(stays) {
             let Some(zone) = zones.get_mut(&machine.zone) else { continue };
-            let free = amounts(&kept.free(machine));
-            zone.free.cpus += free.cpus.max(0);
-            zone.free.gpus += free.gpus.max(0);
-            zone.free.memory += free.memory.max(0);
+            let available = amounts(&reserved.available_on(machine));
+            zone.free.cpus += available.cpus.max(0);
+            zone.free.gpus += available.gpus.max(0);
+            zone.free.memory += available.memory.max(0);
         }
         zones
     }
 
     fn begin_machine(&mut self, id: &DrainId, machine: &str) {
         let Some(drain) = self.drains.drains.get_mut(id) else { return };
-        let next = match drain.stored.request.replace {
-            true => MachineDrainState::Replacing { attempt: 1, machine: None },
-            false => MachineDrainState::Cordoned { replacement: None },
+        let next = if drain.stored.request.replace {
+            MachineDrainState::Replacing { attempt: 1, machine: None }
+        } else {
+            MachineDrainState::Cordoned { replacement: None }
         };
         drain.advance(machine, next);
     }
 }
 
+fn is_live_service(job: &Job) -> bool {
+    job.spec.kind == Kind::Service && !job.terminated
+}
+
 fn amounts(resources: &Resources) -> Amounts {
     Amounts { cpus: resources.cpus, gpus: resources.gpus, memory: resources.memory }
 }
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -1,12 +1,13 @@
-//! What of drains is stored, and how far its writing is. The leader's budget of changes comes first to everything
-//! else: a drain is never urgent.
+//! Records of drains: what is loaded, what is to be written, and how far each write is. All other records come first
+//! in the leader's budget of writes: a drain is never urgent.
 
-use super::super::{Effect, Scheduler, WriteOutcome};
-use super::{Drain, Drains, PendingWrite, TeamDisruption};
+use super::drain::{Drain, WriteState};
+use super::{Drains, TeamDisruption};
 use crate::limits;
+use crate::scheduler::{Effect, Scheduler, WriteOutcome};
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::{Ledger, LedgerRecord};
-use dockpier_drain::progress::{Chunk, Progress};
+use dockpier_drain::progress::Chunk;
 use dockpier_drain::request::{DrainId, StoredRequest};
 use dockpier_drain::status::Summary;
 use serde::Serialize;
@@ -48,31 +49,10 @@
     pub unreadable_ledgers: Vec<String>,
 }
 
-impl Drain {
-    fn new(stored: StoredRequest, chunks: Option<Vec<Chunk>>, now: u64) -> Self {
-        let resolved = chunks.is_some();
-        let progress = Progress::restore(chunks.unwrap_or_default());
-        let counts = progress.counts();
-        Drain {
-            stored,
-            writing: progress.chunks().iter().map(|_| PendingWrite::default()).collect(),
-            progress,
-            resolved,
-            summary: None,
-            summary_writing: PendingWrite::default(),
-            summary_at: 0,
-            seen: now,
-            done_then: counts.returned + counts.gone,
-            waits: Vec::new(),
-            refused_until: 0,
-        }
-    }
-}
-
 impl Scheduler {
     /// What was stored when this leader took over; before the jobs are loaded, so that no machine that is being
     /// drained gets work in between.
-    pub(in super::super) fn load_drains(&mut self, mut stored: LoadedDrains) {
+    pub(in crate::scheduler) fn load_drains(&mut self, mut stored: LoadedDrains) {
         let now = self.now;
         let drains = stored.requests.into_iter().map(|request| {
             let id = request.request.id.clone();
@@ -90,7 +70,7 @@
         let day_offset = self.drains.day_offset;
         self.drains =
             Drains { loaded: true, drains: drains.collect(), teams, day_offset, ..Drains::default() };
-        self.mark_drained_machines();
+        self.drains.update_marks();
     }
 
     /// What nobody can know counts high: the whole budget is spent now.
@@ -103,7 +83,7 @@
     }
 
     /// What operators ask for has changed.
-    pub(in super::super) fn take_drain_requests(&mut self, requests: Vec<StoredRequest>) {
+    pub(in crate::scheduler) fn take_drain_requests(&mut self, requests: Vec<StoredRequest>) {
         if !self.drains.loaded {
             return;
         }
@@ -118,10 +98,10 @@
             }
         }
         self.drains.due = now;
-        self.mark_drained_machines();
+        self.drains.update_marks();
     }
 
-    /// Sends what has changed, within the leader's budget of changes.
+    /// Sends what has changed, within the leader's budget of writes.
     pub(super) fn write_drains(&mut self) {
         self.update_summaries();
         let mut due: Vec<(DrainKey, DrainValue)> = Vec::new();
@@ -132,24 +112,23 @@
             if !self.writes.take_allowing_debt(1.0) {
                 return;
             }
-            self.note_sent(&key);
+            self.record_sent(&key);
             self.effects.push(Effect::WriteDrain { key, value });
         }
     }
 
-    /// Ledgers that stops wait for at once; the others once in a while.
+    /// Ledgers that stops wait for at once; the others once per `DRAIN_LEDGER_INTERVAL`.
     fn ledgers_to_write(&mut self) -> Vec<(DrainKey, DrainValue)> {
         let (now, day) = (self.now, self.day_ms());
         let budgets = self.config.operator.draining.budgets.clone();
         let mut due = Vec::new();
         for (team, disruption) in &mut self.drains.teams {
-            let urgent = !disruption.pending.is_empty();
-            let in_turn = now >= disruption.sent_at + limits::DRAIN_LEDGER_INTERVAL;
-            if disruption.writing.sent || !(urgent || disruption.writing.dirty && in_turn) {
-                continue;
+            let has_pending_stops = !disruption.pending.is_empty() && !disruption.record.is_in_flight();
+            let is_in_turn = now >= disruption.sent_at + limits::DRAIN_LEDGER_INTERVAL;
+            if has_pending_stops || disruption.record.is_due() && is_in_turn {
+                let record = disruption.ledger.record(day, &budgets.of(team));
+                due.push((DrainKey::Ledger(team.clone()), DrainValue::Ledger(record)));
             }
-            let record = disruption.ledger.record(day, &budgets.of(team));
-            due.push((DrainKey::Ledger(team.clone()), DrainValue::Ledger(record)));
         }
         due
     }
@@ -157,9 +136,10 @@
     fn progress_to_write(&self) -> Vec<(DrainKey, DrainValue)> {
         let mut due = Vec::new();
         for (id, drain) in &self.drains.drains {
-            for (at, _) in drain.writing.iter().enumerate().filter(|(_, w)| w.dirty && !w.sent) {
-                let chunk = drain.progress.chunks()[at].clone();
-                due.push((DrainKey::Progress(id.clone(), at), DrainValue::Progress(chunk)));
+            let writes = drain.chunk_writes.iter().enumerate();
+            for (index, _) in writes.filter(|(_, write)| write.is_due()) {
+                let chunk = drain.progress.chunks()[index].clone();
+                due.push((DrainKey::Progress(id.clone(), index), DrainValue::Progress(chunk)));
             }
         }
         due
@@ -167,8 +147,8 @@
 
     fn summaries_to_write(&self) -> Vec<(DrainKey, DrainValue)> {
         let due = self.drains.drains.iter().filter(|(_, drain)| {
-            let in_turn = self.now >= drain.summary_at + limits::DRAIN_SUMMARY_INTERVAL;
-            drain.summary_writing.dirty && !drain.summary_writing.sent && in_turn
+            let is_in_turn = self.now >= drain.summary_sent_at + limits::DRAIN_SUMMARY_INTERVAL;
+            drain.summary_write.is_due() && is_in_turn
         });
         due.filter_map(|(id, drain)| {
             let summary = drain.summary.clone()?;
@@ -177,23 +157,23 @@
         .collect()
     }
 
-    fn writing_of(&mut self, key: &DrainKey) -> Option<&mut PendingWrite> {
+    fn write_state(&mut self, key: &DrainKey) -> Option<&mut WriteState> {
         match key {
-            DrainKey::Progress(id, at) => self.drains.drains.get_mut(id)?.writing.get_mut(*at),
-            DrainKey::Summary(id) => Some(&mut self.drains.drains.get_mut(id)?.summary_writing),
-            DrainKey::Ledger(team) => Some(&mut self.drains.teams.get_mut(team)?.writing),
+            DrainKey::Progress(id, index) => self.drains.drains.get_mut(id)?.chunk_writes.get_mut(*index),
+            DrainKey::Summary(id) => Some(&mut self.drains.drains.get_mut(id)?.summary_write),
+            DrainKey::Ledger(team) => Some(&mut self.drains.teams.get_mut(team)?.record),
         }
     }
 
-    fn note_sent(&mut self, key: &DrainKey) {
+    fn record_sent(&mut self, key: &DrainKey) {
         let now = self.now;
-        if let Some(writing) = self.writing_of(key) {
-            *writing = PendingWrite { dirty: false, sent: true };
+        if let Some(write) = self.write_state(key) {
+            write.begin();
         }
         match key {
             DrainKey::Summary(id) => {
                 if let Some(drain) = self.drains.drains.get_mut(id) {
-                    drain.summary_at = now;
+                    drain.summary_sent_at = now;
                 }
             }
             DrainKey::Ledger(team) => {
@@ -206,20 +186,20 @@
         }
     }
 
-    /// The state service has answered. What it did not take for sure is written again.
-    pub(in super::super) fn drain_written(&mut self, key: &DrainKey, outcome: WriteOutcome) {
-        let done = outcome == WriteOutcome::Done;
-        if let Some(writing) = self.writing_of(key) {
-            writing.sent = false;
-            writing.dirty |= !done;
+    /// The state service has responded. What it has not confirmed is written again.
+    pub(in crate::scheduler) fn drain_written(&mut self, key: &DrainKey, outcome: WriteOutcome) {
+        let is_confirmed = outcome == WriteOutcome::Done;
+        if let Some(write) = self.write_state(key) {
+            write.end(is_confirmed);
         }
         let DrainKey::Ledger(team) = key else { return };
         let Some(disruption) = self.drains.teams.get_mut(team) else { return };
         let stops = std::mem::take(&mut disruption.in_write);
-        match done {
-            true => self.tell_stops(team, stops),
-            // Their estimates stay set aside, and the stops wait for the next write.
-            false => disruption.pending.splice(0..0, stops).for_each(drop),
+        if is_confirmed {
+            self.request_stops(team, stops);
+        } else {
+            // Their estimates stay reserved, and the stops wait for the next write.
+            disruption.pending.splice(0..0, stops).for_each(drop);
         }
     }
 }
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -127,7 +127,7 @@
 
     /// All tasks are provably not on this machine any more.
     pub(super) fn release_machine(&mut self, name: &str, proof: TerminationProof) {
-        self.note_lost_work(name);
+        self.record_lost_work(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         let tasks = std::mem::take(&mut machine.tasks);
         machine.reported.clear();
