--- a/src/scheduler/drains/drain.rs
+++ b/src/scheduler/drains/drain.rs
@@ -146,3 +146,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "drain_tests.rs"]
+mod tests;
--- a/src/scheduler/elastic/headroom_guard.rs
+++ b/src/scheduler/elastic/headroom_guard.rs
@@ -49,3 +49,7 @@
         self.place.map_or(0, lost_of)
     }
 }
+
+#[cfg(test)]
+#[path = "headroom_guard_tests.rs"]
+mod tests;
--- a/src/scheduler/elastic/zone_choice.rs
+++ b/src/scheduler/elastic/zone_choice.rs
@@ -108,3 +108,7 @@
     let is_gang = job.spec.kind == Kind::Gang;
     ZoneScore { last_start: is_gang.then_some(Reverse(last_start)), places: all }
 }
+
+#[cfg(test)]
+#[path = "zone_choice_tests.rs"]
+mod tests;
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -102,3 +102,7 @@
     let left = room.minus(&job.spec.resource_request);
     left.gpus * 1000 + left.cpus
 }
+
+#[cfg(test)]
+#[path = "scoring_tests.rs"]
+pub(super) mod tests;
