--- a/src/settings.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,9 @@
 //! The platform's settings file (JSON), checked.
 
+mod operator;
+
 use crate::limits;
-pub use crate::operator::{ColdStartSettings, Draining, Operator};
+pub use operator::{ColdStartSettings, Draining, Operator};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -331,5 +333,4 @@
 }
 
 #[cfg(test)]
-#[path = "settings_tests.rs"]
 mod tests;
