--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,9 +1,10 @@
 //! The operators' own settings (S-expressions), checked: every mistake is refused with its line.
 
-use crate::settings::{read, Settings, SettingsError};
-use dockpier_drain::budget::{Budget, Budgets, Cost};
+use super::{read, Settings, SettingsError};
+use dockpier_drain::budget::{Budget, BudgetError, Budgets, Cost, ANY_TEAM};
 use lexpr::datum::Ref;
 use std::path::Path;
+use thiserror::Error;
 
 /// What the operators set themselves; each key has a default. Seconds, tasks or shares as named.
 #[derive(Debug, Clone, PartialEq)]
@@ -83,86 +84,163 @@
     }
 }
 
-/// What is wrong with an entry; its line is added where it is known.
-type EntryResult = Result<(), String>;
+/// What is wrong with an entry of the operators' file, or with the file as a whole.
+#[derive(Debug, Error)]
+pub enum EntryError {
+    /// The text is not one S-expression.
+    #[error("not one S-expression: {0}")]
+    Syntax(#[from] lexpr::parse::Error),
+    /// The S-expression is not a list.
+    #[error("expected a list of (key number)")]
+    NotAList,
+    /// An entry is neither a key with a number nor a budget.
+    #[error("expected (key number)")]
+    NotAKeyAndNumber,
+    /// A key that does not exist.
+    #[error("unknown key `{key}`")]
+    UnknownKey {
+        /// The key.
+        key: String,
+    },
+    /// A number that is negative, infinite or not a number.
+    #[error("`{key}` must be 0 or more")]
+    Negative {
+        /// The key.
+        key: String,
+    },
+    /// A number that has to be above 0.
+    #[error("`{key}` must be above 0")]
+    NotPositive {
+        /// The key.
+        key: String,
+    },
+    /// A number that has to be 1 or more.
+    #[error("`{key}` must be 1 or more")]
+    BelowOne {
+        /// The key.
+        key: String,
+    },
+    /// A number with a fraction, or above the most that the key takes.
+    #[error("`{key}` must be a whole number up to {max}")]
+    NotWhole {
+        /// The key.
+        key: String,
+        /// The most that it takes.
+        max: u32,
+    },
+    /// A budget without a team.
+    #[error("`drain-budget` must name a team in quotes")]
+    BudgetWithoutTeam,
+    /// A budget for a team that the platform's settings do not have.
+    #[error("`drain-budget`: no team is called `{team}`")]
+    UnknownTeam {
+        /// The team.
+        team: String,
+    },
+    /// An amount of a budget that is not a name with a number.
+    #[error("`drain-budget`: expected (name number)")]
+    NotANameAndNumber,
+    /// An amount of a budget that does not exist.
+    #[error("`drain-budget`: unknown name `{name}`")]
+    UnknownAmount {
+        /// The amount's name.
+        name: String,
+    },
+    /// A budget's number of tasks that is not a whole number within its bounds.
+    #[error("`tasks` must be a whole number from 0 to {MAX_BUDGET_TASKS}")]
+    BudgetTasks,
+    /// A budget that is refused as a whole.
+    #[error(transparent)]
+    Budget(#[from] BudgetError),
+}
+
+/// Most tasks that a budget may allow at once.
+const MAX_BUDGET_TASKS: u32 = 100_000;
+/// Most critical services for which room is kept.
+const MAX_RESERVED_SERVICES: u32 = 1_000;
+/// Most machines that drains may have under way.
+const MAX_MACHINES_AT_ONCE: u32 = 10_000;
 
 impl Operator {
     /// Reads and checks the operators' file.
+    ///
+    /// # Errors
+    /// The file cannot be read, or one of its entries is refused.
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         Self::parse(&read(file)?, file)
     }
 
     /// `((rescale-gap-s 10) (drain-budget "team" (tasks 2)))`: a list of keys, most with a number each.
+    ///
+    /// # Errors
+    /// The first entry that is refused, with its line; `file` is named in it.
     pub fn parse(text: &str, file: &Path) -> Result<Self, SettingsError> {
-        let refuse = |line: usize, why: String| SettingsError::Line { file: file.into(), line, why };
-        let datum = lexpr::datum::from_str(text).map_err(|e| {
-            refuse(e.location().map_or(1, |l| l.line()), format!("not one S-expression: {e}"))
+        let refuse =
+            |line: usize, source: EntryError| SettingsError::Line { file: file.into(), line, source };
+        let datum = lexpr::datum::from_str(text).map_err(|error| {
+            let line = error.location().map_or(1, |location| location.line());
+            refuse(line, error.into())
         })?;
         let mut operator = Operator::default();
-        let entries = datum.list_iter().ok_or_else(|| refuse(1, "expected a list of (key number)".into()))?;
-        for entry in entries {
+        for entry in datum.list_iter().ok_or_else(|| refuse(1, EntryError::NotAList))? {
             let line = entry.span().start().line();
-            operator.take_entry(&entry).map_err(|why| refuse(line, why))?;
+            operator.set_entry(&entry).map_err(|source| refuse(line, source))?;
         }
         Ok(operator)
     }
 
-    fn take_entry(&mut self, entry: &Ref<'_>) -> EntryResult {
-        let parts: Vec<_> = entry.list_iter().map(|items| items.collect()).unwrap_or_default();
-        match parts.as_slice() {
+    fn set_entry(&mut self, entry: &Ref<'_>) -> Result<(), EntryError> {
+        let items = items(entry);
+        match items.as_slice() {
             [key, team, amounts @ ..] if key.value().as_symbol() == Some("drain-budget") => {
-                let team = team.value().as_str().ok_or("`drain-budget` must name a team in quotes")?;
+                let team = team.value().as_str().ok_or(EntryError::BudgetWithoutTeam)?;
                 self.draining.named.push((team.to_string(), entry.span().start().line()));
-                self.draining.budgets.add(team, budget(amounts)?).map_err(|e| e.to_string())
+                Ok(self.draining.budgets.add(team, budget(amounts)?)?)
             }
-            [key, number] => {
-                let (key, number) = (key.value().as_symbol(), number.value().as_f64());
-                self.take_number(key.zip(number).ok_or("expected (key number)")?)
+            _ => {
+                let (key, number) = name_and_number(&items).ok_or(EntryError::NotAKeyAndNumber)?;
+                self.set_number(key, number)
             }
-            _ => Err("expected (key number)".into()),
         }
     }
 
-    fn take_number(&mut self, (key, number): (&str, f64)) -> EntryResult {
+    fn set_number(&mut self, key: &str, number: f64) -> Result<(), EntryError> {
         if !number.is_finite() || number < 0.0 {
-            return Err(format!("`{key}` must be 0 or more"));
+            return Err(EntryError::Negative { key: key.to_string() });
         }
-        let whole = |most: f64| match number.fract() == 0.0 && number <= most {
-            true => Ok(number as u32),
-            false => Err(format!("`{key}` must be a whole number up to {most}")),
-        };
         match key {
             "rescale-gap-s" => self.rescale_gap_s = number,
-            "aging-s" if number > 0.0 => self.aging_s = number,
-            "aging-s" => return Err("`aging-s` must be above 0".into()),
-            "reserve-services" => self.reserve_services = whole(1_000.0)?,
+            "aging-s" => self.aging_s = positive(key, number)?,
+            "reserve-services" => self.reserve_services = whole(key, number, MAX_RESERVED_SERVICES)?,
             "idle-s" => self.idle_s = number,
             "idle-spot-s" => self.idle_spot_s = number,
             "spot-patience-s" => self.spot_patience_s = number,
-            "cold-start" => self.cold_start.enabled = whole(1.0)? == 1,
-            "cold-start-pace" if number > 0.0 => self.cold_start.pace = number,
-            "cold-start-pace" => return Err("`cold-start-pace` must be above 0".into()),
-            "draining" => self.draining.enabled = whole(1.0)? == 1,
-            "drain-machines-at-once" if number >= 1.0 => self.draining.machines_at_once = whole(10_000.0)?,
-            "drain-machines-at-once" => return Err("`drain-machines-at-once` must be 1 or more".into()),
-            _ => return Err(format!("unknown key `{key}`")),
+            "cold-start" => self.cold_start.enabled = whole(key, number, 1)? == 1,
+            "cold-start-pace" => self.cold_start.pace = positive(key, number)?,
+            "draining" => self.draining.enabled = whole(key, number, 1)? == 1,
+            "drain-machines-at-once" if number < 1.0 => {
+                return Err(EntryError::BelowOne { key: key.to_string() });
+            }
+            "drain-machines-at-once" => {
+                self.draining.machines_at_once = whole(key, number, MAX_MACHINES_AT_ONCE)?;
+            }
+            _ => return Err(EntryError::UnknownKey { key: key.to_string() }),
         }
         Ok(())
     }
 
-    /// Checks what depends on the platform's settings: the teams that are named exist.
+    /// Checks what depends on the platform's settings: the teams that budgets name exist.
+    ///
+    /// # Errors
+    /// The first budget of a team that does not exist, with its line; `file` is named in it.
     pub fn check_against(&self, settings: &Settings, file: &Path) -> Result<(), SettingsError> {
-        let known = |team: &str| settings.deployment.teams.iter().any(|t| t.name == team);
-        let mut unknown = self
-            .draining
-            .named
-            .iter()
-            .filter(|(team, _)| team != dockpier_drain::budget::ANY_TEAM && !known(team));
-        match unknown.next() {
+        let exists = |team: &str| settings.deployment.teams.iter().any(|known| known.name == team);
+        let unknown = self.draining.named.iter().find(|(team, _)| team != ANY_TEAM && !exists(team));
+        match unknown {
             Some((team, line)) => Err(SettingsError::Line {
                 file: file.into(),
                 line: *line,
-                why: format!("`drain-budget`: no team is called `{team}`"),
+                source: EntryError::UnknownTeam { team: team.clone() },
             }),
             None => Ok(()),
         }
@@ -171,22 +249,50 @@
 
 /// The amounts of a budget: `(tasks 2) (replica-s 60) (work-s 600) (window-s 3600)`. What is not named is 0, the
 /// window an hour.
-fn budget(amounts: &[Ref<'_>]) -> Result<Budget, String> {
+fn budget(amounts: &[Ref<'_>]) -> Result<Budget, EntryError> {
     let mut budget = Budget { tasks: 0, cost: Cost::NONE, ..Budget::NONE };
     for amount in amounts {
-        let parts: Vec<_> = amount.list_iter().map(|items| items.collect()).unwrap_or_default();
-        let (key, number) = match parts.as_slice() {
-            [key, number] => (key.value().as_symbol(), number.value().as_f64()),
-            _ => (None, None),
-        };
-        match key.zip(number).ok_or("`drain-budget`: expected (name number)")? {
-            ("tasks", n) if n >= 0.0 && n.fract() == 0.0 && n <= 100_000.0 => budget.tasks = n as u32,
-            ("tasks", _) => return Err("`tasks` must be a whole number from 0 to 100000".into()),
-            ("replica-s", n) => budget.cost.replica_s = n,
-            ("work-s", n) => budget.cost.work_s = n,
-            ("window-s", n) => budget.window_s = n,
-            (key, _) => return Err(format!("`drain-budget`: unknown name `{key}`")),
+        let items = items(amount);
+        match name_and_number(&items).ok_or(EntryError::NotANameAndNumber)? {
+            ("tasks", number) => {
+                let is_within =
+                    number >= 0.0 && number.fract() == 0.0 && number <= f64::from(MAX_BUDGET_TASKS);
+                budget.tasks = is_within.then_some(number as u32).ok_or(EntryError::BudgetTasks)?;
+            }
+            ("replica-s", number) => budget.cost.replica_s = number,
+            ("work-s", number) => budget.cost.work_s = number,
+            ("window-s", number) => budget.window_s = number,
+            (name, _) => return Err(EntryError::UnknownAmount { name: name.to_string() }),
         }
     }
     Ok(budget)
 }
+
+/// The items of a list; none where it is not a list.
+fn items<'a>(list: &Ref<'a>) -> Vec<Ref<'a>> {
+    list.list_iter().map(|items| items.collect()).unwrap_or_default()
+}
+
+/// A symbol and a number, where the items are just these.
+fn name_and_number<'a>(items: &'a [Ref<'_>]) -> Option<(&'a str, f64)> {
+    match items {
+        [name, number] => name.value().as_symbol().zip(number.value().as_f64()),
+        _ => None,
+    }
+}
+
+fn positive(key: &str, number: f64) -> Result<f64, EntryError> {
+    if number > 0.0 {
+        Ok(number)
+    } else {
+        Err(EntryError::NotPositive { key: key.to_string() })
+    }
+}
+
+fn whole(key: &str, number: f64, max: u32) -> Result<u32, EntryError> {
+    if number.fract() == 0.0 && number <= f64::from(max) {
+        Ok(number as u32)
+    } else {
+        Err(EntryError::NotWhole { key: key.to_string(), max })
+    }
+}
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of `settings`.
 
-use super::*;
+use super::{Operator, Settings};
+use std::path::Path;
 
 /// Settings of one node and one team.
 const SETTINGS: &str = r#"{"node_name":"a","site":"z","public_addr":"127.0.0.1:1","peer_bind":"127.0.0.1:2",
