--- a/src/http.rs
+++ b/src/http.rs
@@ -7,12 +7,22 @@
 /// Why a request has no response.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// It never left: the connection could not be made.
+    /// The connection could not be made: the request was not sent.
     #[error("not sent: {0}")]
-    NotSent(String),
-    /// It may have been carried out, or may yet be.
+    NotSent(#[source] reqwest::Error),
+    /// The request may have been carried out, or may yet be.
     #[error("no answer: {0}")]
-    NoAnswer(String),
+    NoAnswer(#[source] reqwest::Error),
+}
+
+impl From<reqwest::Error> for CallError {
+    fn from(error: reqwest::Error) -> Self {
+        if error.is_connect() {
+            CallError::NotSent(error)
+        } else {
+            CallError::NoAnswer(error)
+        }
+    }
 }
 
 /// An HTTP client; clones share its connections.
@@ -29,11 +39,18 @@
 
 impl Http {
     /// A client that keeps idle connections for `limits::IDLE_CONNECTION_TIMEOUT`.
+    ///
+    /// # Errors
+    /// The client can't be set up.
     pub fn new() -> Result<Self, reqwest::Error> {
         Self::builder().pool_idle_timeout(limits::IDLE_CONNECTION_TIMEOUT).build().map(Http)
     }
 
-    /// For a few words to each of many hosts: a connection kept to every one would use up the sockets.
+    /// A client for single requests to many hosts. It keeps no idle connection: one to every host would use up the
+    /// sockets.
+    ///
+    /// # Errors
+    /// As for [`Http::new`].
     pub fn to_many() -> Result<Self, reqwest::Error> {
         Self::builder().pool_max_idle_per_host(0).build().map(Http)
     }
@@ -46,7 +63,10 @@
             .redirect(reqwest::redirect::Policy::none())
     }
 
-    /// Sends a request and reads the whole response within `timeout`.
+    /// Sends a request and reads the whole response within `timeout`. A response of any status is no error.
+    ///
+    /// # Errors
+    /// There is no whole response; the error tells whether the request may have been carried out.
     pub async fn call(
         &self,
         method: reqwest::Method,
@@ -58,41 +78,35 @@
         if let Some(body) = body {
             request = request.header("content-type", "application/json").body(body);
         }
-        let response = request.send().await.map_err(|e| {
-            if e.is_connect() {
-                CallError::NotSent(e.to_string())
-            } else {
-                CallError::NoAnswer(e.to_string())
-            }
-        })?;
+        let response = request.send().await?;
         let status = response.status().as_u16();
-        let body = response.bytes().await.map_err(|e| CallError::NoAnswer(e.to_string()))?;
+        let body = response.bytes().await.map_err(CallError::NoAnswer)?;
         Ok(Answer { status, body: body.to_vec() })
     }
 }
 
-/// This process's steady clock, in microseconds. It starts at a random point, so that a time echoed
-/// by a peer to an earlier incarnation of this node can't be taken for one of ours.
+/// The monotonic clock of this process, in microseconds. It starts at a random point, so that a time echoed by a peer to
+/// an earlier incarnation of this node can't be taken for one of this incarnation.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    begun: Instant,
+    started: Instant,
     base: u64,
 }
 
 impl Clock {
     /// Starts a clock at a random point, so that times of different processes are not comparable by accident.
     pub fn start() -> Self {
-        Clock { begun: Instant::now(), base: rand::random_range((1 << 40)..(1 << 50)) }
+        Clock { started: Instant::now(), base: rand::random_range((1 << 40)..(1 << 50)) }
     }
 
-    /// Microseconds of this process's steady clock.
+    /// Microseconds of this process's monotonic clock.
     pub fn now(&self) -> u64 {
-        self.base + self.begun.elapsed().as_micros() as u64
+        self.base + self.started.elapsed().as_micros() as u64
     }
 }
 
-/// The time of day in milliseconds; it may wander by the settings' `skew_ms`, so that only ages of many
-/// seconds mean anything.
+/// The time of day in milliseconds since 1970. It may be off by the settings' `skew_ms`, so that only ages of many seconds
+/// mean anything.
 pub fn wall_ms() -> u64 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |t| t.as_millis() as u64)
 }
