--- a/src/api/heartbeats.rs
+++ b/src/api/heartbeats.rs
@@ -1,6 +1,6 @@
-//! What workers send: heartbeats, answered by the controller's event loop.
+//! Workers' heartbeats, answered by the controller's event loop.
 
-use super::refusal::{json, Refusal};
+use super::refusal::{json, Malformed, Refusal, Unavailable};
 use super::{read_body, Api};
 use crate::limits;
 use crate::node_events::{Event, HeartbeatReply};
@@ -8,28 +8,27 @@
 use crate::protocol::workers::{HeartbeatRequest, Redirect};
 use poem::http::StatusCode;
 use poem::{Body, Response};
-use tokio::sync::oneshot;
 use tracing::warn;
 
 impl Api {
     /// Hands a worker's heartbeat to the event loop and waits for its reply.
+    ///
+    /// # Errors
+    /// The heartbeat is malformed, or the event loop may not answer it or did not in time.
     pub(super) async fn heartbeat(&self, body: Body) -> Result<Response, Refusal> {
         let bytes = read_body(body).await?;
-        let heartbeat_request: HeartbeatRequest = protocol::parse(&bytes).map_err(|why| {
-            warn!(why, "malformed heartbeat");
-            Refusal::Malformed(why)
+        let heartbeat_request: HeartbeatRequest = protocol::parse(&bytes).map_err(|error| {
+            warn!(why = error.to_string(), "malformed heartbeat");
+            Malformed::from(error)
         })?;
-        let (to, answer) = oneshot::channel();
-        self.events
-            .try_send(Event::Heartbeat(heartbeat_request, to))
-            .map_err(|_| Refusal::Later("too many events at once".into()))?;
-        match tokio::time::timeout(limits::HEARTBEAT_RESPONSE_TIMEOUT, answer).await {
-            Ok(Ok(HeartbeatReply::Accepted(answer))) => Ok(json(StatusCode::OK, &answer)),
-            Ok(Ok(HeartbeatReply::Malformed)) => Err(Refusal::Malformed("loads: unreadable task".into())),
-            Ok(Ok(HeartbeatReply::Redirected(leader))) => {
+        let event = |reply_to| Event::Heartbeat(heartbeat_request, reply_to);
+        match self.ask(event, limits::HEARTBEAT_RESPONSE_TIMEOUT).await? {
+            Some(HeartbeatReply::Accepted(response)) => Ok(json(StatusCode::OK, &response)),
+            Some(HeartbeatReply::Malformed) => Err(Malformed::TaskName.into()),
+            Some(HeartbeatReply::Redirected(leader)) => {
                 Ok(json(StatusCode::MISDIRECTED_REQUEST, &Redirect { leader }))
             }
-            _ => Err(Refusal::Later("not entitled to act now".into())),
+            None => Err(Unavailable::NoAuthority.into()),
         }
     }
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! The HTTP endpoints of users, workers and operators. No decisions here: users' requests are decided by transactions on
 //! the key-value store, heartbeats by the controller's event loop.
 //!
-//! `submissions` is what users ask, `heartbeats` what workers send, `operations` what operators ask;
-//! `final_states` remembers jobs that have ended; `refusal` is every error with its status and text.
+//! `submissions` serves users, `heartbeats` workers, `operations` operators and the load balancer; `final_states` caches
+//! the states of jobs that have ended; `refusal` is every error with its status and text; `routes` maps paths to these.
 
 mod final_states;
 mod heartbeats;
@@ -11,7 +11,7 @@
 mod routes;
 mod submissions;
 
-pub(crate) use refusal::{json, Refusal};
+pub(crate) use refusal::{json, Conflict, Malformed, NotFound, Refusal, Unavailable};
 pub use routes::routes;
 
 use crate::limits;
@@ -23,11 +23,12 @@
 use poem::Body;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
-use tokio::sync::{mpsc, watch, Semaphore, SemaphorePermit};
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch, Semaphore, SemaphorePermit};
 
-/// What the settings say that requests are checked against.
+/// The settings that requests are checked against.
 pub struct ApiSettings {
-    /// The teams with their guarantees and limits.
+    /// The teams with their quotas.
     pub teams: Vec<Team>,
     /// The zones.
     pub zones: Vec<String>,
@@ -44,23 +45,21 @@
     pub settings: ApiSettings,
     /// The machine types last read.
     pub types: watch::Receiver<Types>,
-    /// The counts of tasks last received from the leader.
+    /// Each job's finished and running tasks, as last received from the leader.
     pub summary: watch::Receiver<Summary>,
     /// Queue of the controller's event loop. It is bounded: when it is full, requests are refused with `Retry-After`.
     pub events: mpsc::Sender<Event>,
     /// Written by the event loop, read by every request.
     pub health: Arc<Health>,
-    /// Turns of submissions and cancellations, and of polls.
+    /// Bounds the submissions, cancellations and changes of drains that are served at once.
     changes: Semaphore,
+    /// Bounds the polls that are served at once.
     polls: Semaphore,
     final_states: Mutex<FinalStateCache>,
 }
 
-async fn read_body(body: Body) -> Result<Vec<u8>, Refusal> {
-    body.into_bytes_limit(limits::MAX_BODY_BYTES)
-        .await
-        .map(Into::into)
-        .map_err(|e| Refusal::Malformed(format!("body: {e}")))
+async fn read_body(body: Body) -> Result<Vec<u8>, Malformed> {
+    Ok(body.into_bytes_limit(limits::MAX_BODY_BYTES).await?.into())
 }
 
 impl Api {
@@ -72,39 +71,56 @@
         summary: watch::Receiver<Summary>,
         events: mpsc::Sender<Event>,
         health: Arc<Health>,
-        room: limits::Capacity,
+        capacity: limits::Capacity,
     ) -> Self {
         Api {
-            live: LiveJobCache::start(store.clone(), room.polls + room.changes, events.clone()),
+            live: LiveJobCache::start(store.clone(), capacity.polls + capacity.changes, events.clone()),
             store,
             settings,
             types,
             summary,
             events,
             health,
-            changes: Semaphore::new(room.changes),
-            polls: Semaphore::new(room.polls),
-            final_states: Mutex::new(FinalStateCache::new(room.over)),
+            changes: Semaphore::new(capacity.changes),
+            polls: Semaphore::new(capacity.polls),
+            final_states: Mutex::new(FinalStateCache::new(capacity.over)),
         }
     }
 
-    /// A user's turn, which is not waited for. A node that is cut off from the state service sends its
-    /// users elsewhere at once instead of letting them wait for it.
-    fn admit<'a>(&self, turns: &'a Semaphore) -> Result<SemaphorePermit<'a>, Refusal> {
+    /// A permit for one request of a user, refused at once where none is free. A node that is cut off from the state
+    /// service refuses too, so that its users go to another node instead of waiting for this one.
+    fn admit<'a>(&self, permits: &'a Semaphore) -> Result<SemaphorePermit<'a>, Unavailable> {
         if self.health.cut_off.load(Ordering::Relaxed) {
-            return Err(Refusal::Later("this node is cut off from the state service".into()));
+            return Err(Unavailable::CutOff);
         }
-        turns.try_acquire().map_err(|_| Refusal::Later("too many requests at once".into()))
+        permits.try_acquire().map_err(|_| Unavailable::TooManyRequests)
     }
 
-    /// A turn among those that change something.
-    pub(crate) fn admit_change(&self) -> Result<SemaphorePermit<'_>, Refusal> {
+    /// A permit for a request that changes something.
+    pub(crate) fn admit_change(&self) -> Result<SemaphorePermit<'_>, Unavailable> {
         self.admit(&self.changes)
     }
 
-    /// A request to the state service for one user alone, within the node's share of its limit.
-    pub(crate) fn may_ask(&self, writes: u32) -> Result<(), Refusal> {
-        let busy = || Refusal::Later("too many requests to the state service".into());
-        self.store.try_acquire_user_budget(writes).then_some(()).ok_or_else(busy)
+    /// Takes one request to the state service, with so many writes, from the node's share of its limits.
+    pub(crate) fn spend_store_budget(&self, writes: u32) -> Result<(), Unavailable> {
+        match self.store.try_acquire_user_budget(writes) {
+            true => Ok(()),
+            false => Err(Unavailable::StoreBudgetSpent),
+        }
+    }
+
+    /// Puts an event into the controller's queue and waits for the reply; `None`: none came within `timeout`, or the
+    /// controller dropped the request.
+    async fn ask<T>(
+        &self,
+        event: impl FnOnce(oneshot::Sender<T>) -> Event,
+        timeout: Duration,
+    ) -> Result<Option<T>, Unavailable> {
+        let (reply_to, reply) = oneshot::channel();
+        self.events.try_send(event(reply_to)).map_err(|_| Unavailable::TooManyEvents)?;
+        match tokio::time::timeout(timeout, reply).await {
+            Ok(Ok(reply)) => Ok(Some(reply)),
+            Ok(Err(_)) | Err(_) => Ok(None),
+        }
     }
 }
--- a/src/api/operations.rs
+++ b/src/api/operations.rs
@@ -1,6 +1,6 @@
-//! What operators and the load balancer ask: overview, cold start, health. Drains are in `drains::endpoint`.
+//! Overview, cold start and health, for operators and the load balancer. Drains are in `drains::endpoint`.
 
-use super::refusal::{json, Refusal};
+use super::refusal::{json, NotFound, Refusal, Unavailable};
 use super::Api;
 use crate::limits;
 use crate::node_events::Event;
@@ -9,36 +9,41 @@
 use poem::http::StatusCode;
 use poem::Response;
 use std::sync::atomic::Ordering;
-use tokio::sync::oneshot;
 
 impl Api {
     /// The report of the last cold start, as the leader stored it.
+    ///
+    /// # Errors
+    /// There is none, or the state service can't be asked now.
     pub(super) async fn cold_start(&self) -> Result<Response, Refusal> {
-        self.may_ask(0)?;
+        self.spend_store_budget(0)?;
         match self.store.get(keys::COLD_START_REPORT, limits::STORE_TIMEOUT).await? {
-            Some((report, _)) => Ok(json(StatusCode::OK, &report)),
-            None => Err(Refusal::NotFound("no cold start has been reported".into())),
+            Some((report, _version)) => Ok(json(StatusCode::OK, &report)),
+            None => Err(NotFound::ColdStartReport.into()),
         }
     }
 
-    /// Who leads; of the leader also the queue with the reason each job waits, the machines and recent decisions.
+    /// Who leads; on the leader also a page of the queue with the reason each job waits, the machines and recent
+    /// decisions.
+    ///
+    /// # Errors
+    /// The event loop did not reply in time.
     pub(super) async fn overview(&self, start: PageStart) -> Result<Response, Refusal> {
-        let busy = || Refusal::Later("too many events at once".into());
-        let (to, view) = oneshot::channel();
-        self.events.try_send(Event::Overview(start, to)).map_err(|_| busy())?;
-        let Ok(Ok(view)) = tokio::time::timeout(limits::HEARTBEAT_RESPONSE_TIMEOUT, view).await else {
-            return Err(busy());
-        };
-        let text = serde_json::to_string_pretty(&view).map_err(|_| busy())?;
+        let view = self.ask(|reply_to| Event::Overview(start, reply_to), limits::HEARTBEAT_RESPONSE_TIMEOUT);
+        let view = view.await?.ok_or(Unavailable::TooManyEvents)?;
+        let text = serde_json::to_string_pretty(&view).map_err(|_| Unavailable::TooManyEvents)?;
         Ok(Response::builder().content_type("application/json").body(text))
     }
 
     /// Whether this node takes requests, for the load balancer.
+    ///
+    /// # Errors
+    /// It does not.
     pub(super) fn health(&self) -> Result<Response, Refusal> {
         if self.health.healthy.load(Ordering::Relaxed) {
             Ok(json(StatusCode::OK, &serde_json::json!({ "status": "ok" })))
         } else {
-            Err(Refusal::Later("cannot take requests now".into()))
+            Err(Unavailable::NotHealthy.into())
         }
     }
 }
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -1,4 +1,4 @@
-//! Which path leads to which endpoint.
+//! The paths of the endpoints.
 
 use super::refusal::{error, Refusal};
 use super::{read_body, Api};
@@ -9,52 +9,51 @@
 
 type Shared<'a> = Data<&'a Arc<Api>>;
 
-fn answer(result: Result<Response, Refusal>) -> Response {
+fn respond(result: Result<Response, Refusal>) -> Response {
     result.unwrap_or_else(Response::from)
 }
 
 #[handler]
 async fn post_submission(Data(api): Shared<'_>, body: Body) -> Response {
-    answer(api.submit(body).await)
+    respond(api.submit(body).await)
 }
 
 #[handler]
 async fn get_submission(Data(api): Shared<'_>, Path(job_id): Path<String>) -> Response {
-    answer(api.poll(&job_id).await)
+    respond(api.poll(&job_id).await)
 }
 
 #[handler]
 async fn post_cancellation(Data(api): Shared<'_>, Path(job_id): Path<String>) -> Response {
-    answer(api.cancel(&job_id).await)
+    respond(api.cancel(&job_id).await)
 }
 
 #[handler]
 async fn post_heartbeat(Data(api): Shared<'_>, body: Body) -> Response {
-    answer(api.heartbeat(body).await)
+    respond(api.heartbeat(body).await)
 }
 
 #[handler]
 async fn get_overview(Data(api): Shared<'_>, Query(start): Query<PageStart>) -> Response {
-    answer(api.overview(start).await)
+    respond(api.overview(start).await)
 }
 
 #[handler]
 async fn post_drain(Data(api): Shared<'_>, body: Body) -> Response {
-    let started = match read_body(body).await {
+    respond(match read_body(body).await {
         Ok(bytes) => api.start_drain(&bytes).await,
-        Err(refusal) => Err(refusal),
-    };
-    answer(started)
+        Err(malformed) => Err(malformed.into()),
+    })
 }
 
 #[handler]
 async fn get_drains(Data(api): Shared<'_>) -> Response {
-    answer(api.list_drains().await)
+    respond(api.list_drains().await)
 }
 
 #[handler]
 async fn get_drain(Data(api): Shared<'_>, Path(drain_id): Path<String>) -> Response {
-    answer(api.show_drain(&drain_id).await)
+    respond(api.show_drain(&drain_id).await)
 }
 
 #[handler]
@@ -62,22 +61,22 @@
     Data(api): Shared<'_>,
     Path((drain_id, action)): Path<(String, String)>,
 ) -> Response {
-    answer(api.change_drain(&drain_id, &action).await)
+    respond(api.change_drain(&drain_id, &action).await)
 }
 
 #[handler]
 async fn get_drain_budgets(Data(api): Shared<'_>) -> Response {
-    answer(api.list_budgets().await)
+    respond(api.list_budgets().await)
 }
 
 #[handler]
 async fn get_cold_start(Data(api): Shared<'_>) -> Response {
-    answer(api.cold_start().await)
+    respond(api.cold_start().await)
 }
 
 #[handler]
 fn get_health(Data(api): Shared<'_>) -> Response {
-    answer(api.health())
+    respond(api.health())
 }
 
 /// The routes of all endpoints.
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,10 +1,11 @@
-//! The client of the cloud.
+//! The client of the cloud. A read that fails is logged and gives `None`: its caller asks again later. A change gives
+//! its outcome, since one that may have been carried out must be repeated under its name.
 
 use crate::http::{Answer, CallError, Http};
 use crate::limits;
-use crate::protocol::cloud::{Catalog, MachineList, MachineNames, RentalRequest, FAILED};
-use crate::scheduler::model::{MachineType, Resources};
-use crate::scheduler::{ListedMachine, StoredMachine, WriteOutcome};
+use crate::protocol::cloud::{Catalog, MachineList, MachineNames, RentalRequest};
+use crate::scheduler::model::MachineType;
+use crate::scheduler::{ListedMachine, WriteOutcome};
 use reqwest::Method;
 use tracing::{debug, warn};
 
@@ -51,37 +52,28 @@
         let from = if from.is_empty() { String::new() } else { format!("from={from}&") };
         let page: MachineList =
             self.read(&format!("/rentals?{from}limit={}", limits::MACHINE_LIST_PAGE_SIZE)).await?;
-        let machines = page
-            .machines
-            .into_iter()
-            .map(|entry| ListedMachine {
-                failed: entry.status == FAILED,
-                age_s: entry.age_s,
-                machine: StoredMachine {
-                    name: entry.name,
-                    machine_type: entry.machine_type,
-                    zone: entry.zone,
-                    spot: entry.spot,
-                    address: entry.address,
-                    images: Default::default(),
-                },
-            })
-            .collect();
+        let machines = page.machines.into_iter().map(ListedMachine::from).collect();
         Some((machines, page.has_more))
     }
 
-    /// Rents machines; returns the outcome and the names of those rented. After an unknown outcome the same request name must be repeated.
+    /// Rents machines; returns the outcome and the names of those rented. After an unknown outcome the same request name
+    /// must be repeated.
     pub async fn rent(&self, rental: &RentalRequest<'_>) -> (WriteOutcome, Vec<String>) {
         let Ok(body) = serde_json::to_vec(rental) else { return (WriteOutcome::Refused, Vec::new()) };
         match self.call(Method::POST, "/rentals", Some(body)).await {
-            Ok(a) if a.status == 200 => match serde_json::from_slice::<MachineNames>(&a.body) {
-                Ok(names) => (WriteOutcome::Done, names.machines),
-                Err(_) => (WriteOutcome::Unknown, Vec::new()),
-            },
-            // Too many requests or trouble at the cloud: not carried out, worth another try.
-            Ok(a) if a.status == 429 || is_trouble(&a) => (WriteOutcome::Unknown, Vec::new()),
+            Ok(answer) if answer.status == 200 => {
+                match serde_json::from_slice::<MachineNames>(&answer.body) {
+                    Ok(names) => (WriteOutcome::Done, names.machines),
+                    // Machines were rented, and their names are to be asked for again.
+                    Err(_) => (WriteOutcome::Unknown, Vec::new()),
+                }
+            }
+            // Too many requests, or the cloud is unavailable: not carried out, and worth another try.
+            Ok(answer) if answer.status == 429 || is_unavailable(&answer) => {
+                (WriteOutcome::Unknown, Vec::new())
+            }
             Ok(_) => (WriteOutcome::Refused, Vec::new()),
-            Err(_) => (WriteOutcome::Unknown, Vec::new()),
+            Err(CallError::NotSent(_) | CallError::NoAnswer(_)) => (WriteOutcome::Unknown, Vec::new()),
         }
     }
 
@@ -91,30 +83,19 @@
             return WriteOutcome::Refused;
         };
         match self.call(Method::POST, "/rentals/delete", Some(body)).await {
-            Ok(a) if a.status == 200 => WriteOutcome::Done,
+            Ok(answer) if answer.status == 200 => WriteOutcome::Done,
             Ok(_) => WriteOutcome::Refused,
-            Err(_) => WriteOutcome::Unknown,
+            Err(CallError::NotSent(_) | CallError::NoAnswer(_)) => WriteOutcome::Unknown,
         }
     }
 }
 
-fn is_trouble(answer: &Answer) -> bool {
+/// Whether the cloud can't serve requests now. It refuses with the same status, and this text, where it has no machines.
+fn is_unavailable(answer: &Answer) -> bool {
     answer.status == 503 && !String::from_utf8_lossy(&answer.body).contains("no capacity")
 }
 
 /// The machine types of a catalog.
 pub fn types(catalog: &Catalog) -> Vec<MachineType> {
-    catalog
-        .machine_types
-        .iter()
-        .map(|entry| MachineType {
-            name: entry.name.clone(),
-            capacity: Resources::offered(entry.cpus, entry.gpus, entry.memory_gb),
-            price: entry.price,
-            spot_price: entry.spot_price,
-            boot_s: entry.boot_s,
-            fetch_gb_per_s: entry.fetch_gb_per_s,
-            zones: entry.zones.clone(),
-        })
-        .collect()
+    catalog.machine_types.iter().map(MachineType::from).collect()
 }
--- a/src/drains/endpoint.rs
+++ b/src/drains/endpoint.rs
@@ -1,17 +1,18 @@
-//! The operators' endpoint for drains: any node takes a request and answers once it is stored. Changes are
-//! conditional on the version that was read, so that two operators never overwrite one another unseen.
+//! The operators' endpoint for drains: any node takes a request and answers once it is stored. Changes are conditional
+//! on the version that was read, so that no operator overwrites another's change unseen.
 
 use super::records::{self, ledger_key, progress_prefix, request_key, summary_key};
-use super::view::{Action, DrainList, DrainView, TeamList, TeamView};
-use crate::api::{json, Api, Refusal};
+use super::view::{Action, DrainList, DrainView, TeamList, TeamView, UnknownAction};
+use crate::api::{json, Api, Conflict, Malformed, NotFound, Refusal, Unavailable};
 use crate::http::wall_ms;
 use crate::limits;
 use crate::protocol;
 use crate::protocol::records::MachineRecord;
 use crate::protocol::state_service::Record;
+use crate::settings::Team;
 use crate::storage::key_value_store::{compare_version, write_change, CommitOutcome};
 use crate::storage::keys;
-use dockpier_drain::ledger::{Ledger, LedgerRecord};
+use dockpier_drain::ledger::{Ledger, LedgerRecord, Totals};
 use dockpier_drain::progress::MachineEntry;
 use dockpier_drain::request::{DesiredState, DrainId, DrainRequest, Inventory, StoredRequest};
 use dockpier_drain::status::{DrainState, Summary};
@@ -20,28 +21,31 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// A change is tried again this often where another operator's came first.
-const TRIES: usize = 3;
+/// Attempts at a change where other operators' changes come first.
+const MAX_ATTEMPTS: usize = 3;
 
-impl Api {
-    fn drains_on(&self) -> Result<(), Refusal> {
-        let off = || Refusal::NotFound("draining is not turned on (operators' file, `draining`)".into());
-        self.settings.draining.enabled.then_some(()).ok_or_else(off)
-    }
+/// A request and the version of its key.
+struct VersionedRequest {
+    stored: StoredRequest,
+    version: u64,
+}
 
-    /// Takes a request. The same one again under its name is answered like the first.
+impl Api {
+    /// Starts a drain. The request is idempotent: the same one again under its name is answered with the drain's state.
+    ///
+    /// # Errors
+    /// The request is malformed, names what does not exist or another drain, or is not known to be stored.
     pub(crate) async fn start_drain(&self, body: &[u8]) -> Result<Response, Refusal> {
-        self.drains_on()?;
-        let request: DrainRequest = protocol::parse(body).map_err(Refusal::Malformed)?;
-        let _turn = self.admit_change()?;
-        self.may_ask(1)?;
+        self.check_draining_enabled()?;
+        let request: DrainRequest = protocol::parse(body).map_err(Malformed::from)?;
+        let _permit = self.admit_change()?;
+        self.spend_store_budget(1)?;
         if let Some(known) = self.read_request(&request.id).await? {
-            return self.known_drain(known.0, &request).await;
+            return self.known_drain(known.stored, &request).await;
         }
         let now = wall_ms();
-        request.check(now as f64 / 1_000.0).map_err(|e| Refusal::Malformed(e.to_string()))?;
-        let inventory = self.inventory().await?;
-        request.check_against(&inventory).map_err(|e| Refusal::Malformed(e.to_string()))?;
+        request.check(now as f64 / 1_000.0).map_err(Malformed::from)?;
+        request.check_against(&self.inventory().await?).map_err(Malformed::from)?;
         let stored =
             StoredRequest { request: request.clone(), accepted: now, desired_state: DesiredState::Run };
         match self.write_request(&stored, 0).await? {
@@ -49,30 +53,32 @@
                 info!(drain = %request.id, reason = request.reason, "drain accepted");
                 Ok(json(StatusCode::CREATED, &DrainView::new(stored, None, Vec::new())))
             }
-            // What can be read back is told, and nothing else.
-            _ => match self.read_request(&request.id).await? {
-                Some((known, _)) => self.known_drain(known, &request).await,
-                None => Err(Refusal::Later("not known whether it was stored".into())),
-            },
+            CommitOutcome::Conflict | CommitOutcome::Refused | CommitOutcome::Unknown => {
+                let known = self.read_request(&request.id).await?.ok_or(Unavailable::StoringUnknown)?;
+                self.known_drain(known.stored, &request).await
+            }
         }
     }
 
     async fn known_drain(&self, known: StoredRequest, request: &DrainRequest) -> Result<Response, Refusal> {
         if known.request != *request {
-            let why = format!("{} is the name of another drain", request.id);
-            return Err(Refusal::Conflict(why));
+            return Err(Conflict::NameTaken(request.id.clone()).into());
         }
         let summary = self.read_summary(&known.request.id).await?;
         Ok(json(StatusCode::OK, &DrainView::new(known, summary, Vec::new())))
     }
 
     /// Every drain, without its machines.
+    ///
+    /// # Errors
+    /// Drains are off, or the state service can't be asked now.
     pub(crate) async fn list_drains(&self) -> Result<Response, Refusal> {
-        self.drains_on()?;
-        self.may_ask(0)?;
+        self.check_draining_enabled()?;
+        self.spend_store_budget(0)?;
         let (requests, _) = self.store.list(records::REQUESTS).await?;
         let (summaries, _) = self.store.list(records::SUMMARIES).await?;
-        let summaries: BTreeMap<&str, &Record> = summaries.iter().map(|r| (r.key.as_str(), r)).collect();
+        let summaries: BTreeMap<&str, &Record> =
+            summaries.iter().map(|record| (record.key.as_str(), record)).collect();
         let readable: Vec<StoredRequest> = requests.iter().filter_map(records::read).collect();
         let unreadable = requests.len() - readable.len();
         let view = |stored: StoredRequest| {
@@ -83,84 +89,110 @@
     }
 
     /// One drain with its machines.
+    ///
+    /// # Errors
+    /// No drain has this name, its record can't be read, or the state service can't be asked now.
     pub(crate) async fn show_drain(&self, id: &str) -> Result<Response, Refusal> {
-        self.drains_on()?;
+        self.check_draining_enabled()?;
         let id = drain_id(id)?;
-        self.may_ask(0)?;
-        let (stored, _) = self.read_request(&id).await?.ok_or_else(|| unknown(&id))?;
+        self.spend_store_budget(0)?;
+        let stored = self.existing_request(&id).await?.stored;
         let summary = self.read_summary(&id).await?;
         let machines = self.read_machines(&id).await?;
         Ok(json(StatusCode::OK, &DrainView::new(stored, summary, machines)))
     }
 
     /// Pauses, resumes or cancels a drain.
+    ///
+    /// # Errors
+    /// There is no such drain or action, the drain has ended, or the state service takes no changes now.
     pub(crate) async fn change_drain(&self, id: &str, action: &str) -> Result<Response, Refusal> {
-        self.drains_on()?;
+        self.check_draining_enabled()?;
         let id = drain_id(id)?;
-        let unknown_action = || Refusal::NotFound(format!("no action is called {action}"));
-        let action = Action::of_path(action).ok_or_else(unknown_action)?;
-        let _turn = self.admit_change()?;
-        for _ in 0..TRIES {
-            self.may_ask(1)?;
-            let (mut stored, version) = self.read_request(&id).await?.ok_or_else(|| unknown(&id))?;
+        let action: Action = action.parse().map_err(|UnknownAction(name)| NotFound::DrainAction(name))?;
+        let _permit = self.admit_change()?;
+        for _ in 0..MAX_ATTEMPTS {
+            self.spend_store_budget(1)?;
+            let VersionedRequest { mut stored, version } = self.existing_request(&id).await?;
             let summary = self.read_summary(&id).await?;
-            if stored.desired_state != action.wish() {
-                allowed(&stored, summary.as_ref())?;
-                stored.desired_state = action.wish();
+            if stored.desired_state != action.desired_state() {
+                check_not_ended(&stored, summary.as_ref())?;
+                stored.desired_state = action.desired_state();
                 match self.write_request(&stored, version).await? {
                     CommitOutcome::Committed { .. } => {
                         info!(drain = %id, action = action.path(), "drain changed")
                     }
-                    // Another operator came first, or this very change was carried out after all.
+                    // Another operator's change came first, or this very change was carried out after all.
                     CommitOutcome::Conflict | CommitOutcome::Unknown => continue,
                     CommitOutcome::Refused => break,
                 }
             }
             return Ok(json(StatusCode::OK, &DrainView::new(stored, summary, Vec::new())));
         }
-        Err(Refusal::Later("state service takes no changes now".into()))
+        Err(Unavailable::StoreRefuses.into())
     }
 
     /// The teams' budgets and what is left of them.
+    ///
+    /// # Errors
+    /// Drains are off, or the state service can't be asked now.
     pub(crate) async fn list_budgets(&self) -> Result<Response, Refusal> {
-        self.drains_on()?;
-        self.may_ask(0)?;
+        self.check_draining_enabled()?;
+        self.spend_store_budget(0)?;
         let (ledgers, _) = self.store.list(records::LEDGERS).await?;
         let now = wall_ms();
-        let view = |team: &crate::settings::Team| {
+        let view = |team: &Team| {
             let key = ledger_key(&team.name);
-            let record: Option<LedgerRecord> =
-                ledgers.iter().find(|record| record.key == key).and_then(records::read);
-            let budget = self.settings.draining.budgets.of(&team.name);
-            let ledger = record.as_ref().map(Ledger::restore).unwrap_or_default();
-            let open = record.as_ref().map_or(0, |record| record.open);
-            let mut left = ledger.allowance(now, &budget);
-            left.tasks = left.tasks.saturating_sub(open);
-            let totals = dockpier_drain::ledger::Totals { open, ..ledger.totals(now, &budget) };
-            TeamView {
-                team: team.name.clone(),
-                budget,
-                totals,
-                left,
-                as_of: record.map(|record| record.as_of),
-            }
+            self.team_view(team, ledgers.iter().find(|record| record.key == key), now)
         };
         Ok(json(StatusCode::OK, &TeamList { teams: self.settings.teams.iter().map(view).collect() }))
     }
 
-    async fn read_request(&self, id: &DrainId) -> Result<Option<(StoredRequest, u64)>, Refusal> {
+    /// A team's budget beside its ledger, if one was written. `now` is the time of day in milliseconds.
+    fn team_view(&self, team: &Team, ledger: Option<&Record>, now: u64) -> TeamView {
+        let record: Option<LedgerRecord> = ledger.and_then(records::read);
+        let budget = self.settings.draining.budgets.of(&team.name);
+        let ledger = record.as_ref().map(Ledger::restore).unwrap_or_default();
+        let open = record.as_ref().map_or(0, |record| record.open);
+        let mut left = ledger.allowance(now, &budget);
+        left.tasks = left.tasks.saturating_sub(open);
+        TeamView {
+            team: team.name.clone(),
+            budget,
+            totals: Totals { open, ..ledger.totals(now, &budget) },
+            left,
+            as_of: record.map(|record| record.as_of),
+        }
+    }
+
+    fn check_draining_enabled(&self) -> Result<(), NotFound> {
+        match self.settings.draining.enabled {
+            true => Ok(()),
+            false => Err(NotFound::DrainingOff),
+        }
+    }
+
+    async fn existing_request(&self, id: &DrainId) -> Result<VersionedRequest, Refusal> {
+        Ok(self.read_request(id).await?.ok_or_else(|| NotFound::Drain(id.to_string()))?)
+    }
+
+    async fn read_request(&self, id: &DrainId) -> Result<Option<VersionedRequest>, Refusal> {
         let Some((value, version)) = self.store.get(&request_key(id), limits::STORE_TIMEOUT).await? else {
             return Ok(None);
         };
-        let malformed = |e: serde_json::Error| Refusal::Conflict(format!("unreadable record of {id}: {e}"));
-        Ok(Some((serde_json::from_value(value).map_err(malformed)?, version)))
+        let stored = serde_json::from_value(value)
+            .map_err(|source| Conflict::Unreadable { id: id.clone(), source })?;
+        Ok(Some(VersionedRequest { stored, version }))
     }
 
+    /// The leader's summary of a drain; `None` where there is none, or one that can't be read: the leader writes it
+    /// again.
     async fn read_summary(&self, id: &DrainId) -> Result<Option<Summary>, Refusal> {
         let found = self.store.get(&summary_key(id), limits::STORE_TIMEOUT).await?;
-        Ok(found.and_then(|(value, _)| serde_json::from_value(value).ok()))
+        Ok(found.and_then(|(value, _version)| serde_json::from_value(value).ok()))
     }
 
+    /// The machines of a drain; none where a part of them can't be read.
     async fn read_machines(&self, id: &DrainId) -> Result<Vec<MachineEntry>, Refusal> {
         let (found, _) = self.store.list(&progress_prefix(id)).await?;
         let chunks = records::parts(found.iter()).unwrap_or_default();
@@ -169,20 +201,19 @@
 
     async fn write_request(&self, stored: &StoredRequest, version: u64) -> Result<CommitOutcome, Refusal> {
         let key = request_key(&stored.request.id);
-        let bytes = serde_json::to_vec(stored).map_err(|e| Refusal::Malformed(e.to_string()))?;
+        let bytes = serde_json::to_vec(stored).map_err(Malformed::from)?;
         if bytes.len() > limits::value_bytes(self.store.max_value_bytes() as f64 / 1_024.0) {
-            let why = "target.machines: too many names for one record; drain fewer, or by type and zone";
-            return Err(Refusal::Malformed(why.into()));
+            return Err(Malformed::TooManyMachines.into());
         }
-        let change = write_change(&key, stored).map_err(|e| Refusal::Malformed(e.to_string()))?;
+        let change = write_change(&key, stored).map_err(Malformed::from)?;
         Ok(self.store.commit(vec![compare_version(&key, version)], vec![change]).await)
     }
 
-    /// What exists, as the state service and the cloud's catalog have it.
+    /// The machines that the state service has, the types of the cloud's catalog and the zones of the settings.
     async fn inventory(&self) -> Result<Inventory, Refusal> {
         let types = self.types.borrow().clone();
         if types.is_empty() {
-            return Err(Refusal::Later("machine types not known yet".into()));
+            return Err(Unavailable::NoCatalog.into());
         }
         let (fleet, _) = self.store.list(keys::MACHINE_RECORDS).await?;
         let machines = fleet.iter().filter_map(records::read::<Vec<MachineRecord>>).flatten();
@@ -194,20 +225,18 @@
     }
 }
 
-fn drain_id(id: &str) -> Result<DrainId, Refusal> {
-    DrainId::try_from(id.to_string()).map_err(|_| Refusal::NotFound(format!("no drain is called {id}")))
-}
-
-fn unknown(id: &DrainId) -> Refusal {
-    Refusal::NotFound(format!("no drain is called {id}"))
+fn drain_id(id: &str) -> Result<DrainId, NotFound> {
+    DrainId::try_from(id.to_string()).map_err(|_| NotFound::Drain(id.to_string()))
 }
 
-/// What has ended does not go on.
-fn allowed(stored: &StoredRequest, summary: Option<&Summary>) -> Result<(), Refusal> {
-    let finished = summary.is_some_and(|summary| summary.state == DrainState::Finished);
-    match (finished, stored.desired_state) {
-        (true, _) => Err(Refusal::Conflict(format!("{} is finished", stored.request.id))),
-        (_, DesiredState::Cancel) => Err(Refusal::Conflict(format!("{} is cancelled", stored.request.id))),
-        _ => Ok(()),
+/// A drain that has finished or was cancelled can't be changed any more.
+fn check_not_ended(stored: &StoredRequest, summary: Option<&Summary>) -> Result<(), Conflict> {
+    let id = &stored.request.id;
+    if summary.is_some_and(|summary| summary.state == DrainState::Finished) {
+        return Err(Conflict::Finished(id.clone()));
+    }
+    match stored.desired_state {
+        DesiredState::Cancel => Err(Conflict::Cancelled(id.clone())),
+        DesiredState::Run | DesiredState::Pause => Ok(()),
     }
 }
--- a/src/drains/mod.rs
+++ b/src/drains/mod.rs
@@ -1,6 +1,6 @@
 //! Drains outside the scheduler: their records in the state service, and the operators' endpoint.
 //!
-//! Any node takes a request and shows what is stored. The leader carries requests out and writes how far they are.
+//! Any node takes a request and shows the stored records. The leader carries requests out and writes their progress.
 
 pub mod endpoint;
 pub mod records;
--- a/src/drains/view.rs
+++ b/src/drains/view.rs
@@ -1,4 +1,4 @@
-//! What the operators' endpoint answers: read by people through the client, and by scripts.
+//! The JSON of the operators' endpoint, for the client and for scripts.
 
 use dockpier_drain::budget::Budget;
 use dockpier_drain::ledger::{Allowance, Totals};
@@ -6,16 +6,18 @@
 use dockpier_drain::request::{DesiredState, StoredRequest};
 use dockpier_drain::status::{DrainState, Summary, Wait};
 use serde::{Deserialize, Serialize};
+use std::str::FromStr;
+use thiserror::Error;
 
 /// A drain as operators see it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DrainView {
-    /// What was asked for, when, and what is wanted now.
+    /// The request, when it was accepted, and the state that is wanted now.
     #[serde(flatten)]
     pub stored: StoredRequest,
-    /// What the leader last said; `None`: no leader has taken it up yet.
+    /// The leader's summary; `None`: no leader has carried any of it out yet.
     pub summary: Option<Summary>,
-    /// What it waits for, in words.
+    /// What it waits for, as text.
     pub waits_for: Vec<String>,
     /// Its machines; only where one drain is shown.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -23,14 +25,14 @@
 }
 
 impl DrainView {
-    /// A drain with what the leader said of it.
+    /// A drain with the leader's summary of it.
     pub fn new(stored: StoredRequest, summary: Option<Summary>, machines: Vec<MachineEntry>) -> Self {
         let waits = summary.iter().flat_map(|summary| &summary.waits);
         let waits_for = waits.map(Wait::to_string).collect();
         DrainView { stored, summary, waits_for, machines }
     }
 
-    /// Whether it goes on, as far as is known.
+    /// Its state: finished once the leader has written so, otherwise as operators want it.
     pub fn state(&self) -> DrainState {
         match (self.stored.desired_state, self.summary.as_ref().map(|summary| summary.state)) {
             (_, Some(DrainState::Finished)) => DrainState::Finished,
@@ -60,11 +62,11 @@
 pub struct TeamView {
     /// The team.
     pub team: String,
-    /// What it has agreed to.
+    /// Its budget.
     pub budget: Budget,
-    /// What was planned, observed and lost.
+    /// The sums of the window.
     pub totals: Totals,
-    /// What is left.
+    /// What is left of the budget.
     pub left: Allowance,
     /// When the leader wrote it, in milliseconds of the time of day; `None`: nothing was ever written.
     pub as_of: Option<u64>,
@@ -77,14 +79,14 @@
     pub teams: Vec<TeamView>,
 }
 
-/// What an operator wants of a drain from now on.
+/// A change of a drain by an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// No further step.
+    /// Take no further step.
     Pause,
-    /// It goes on.
+    /// Go on with a paused drain.
     Resume,
-    /// It ends.
+    /// End the drain.
     Cancel,
 }
 
@@ -98,13 +100,8 @@
         }
     }
 
-    /// The action of a path.
-    pub fn of_path(path: &str) -> Option<Self> {
-        [Action::Pause, Action::Resume, Action::Cancel].into_iter().find(|action| action.path() == path)
-    }
-
-    /// The wish that it leaves.
-    pub fn wish(self) -> DesiredState {
+    /// The state that an operator wants with it.
+    pub fn desired_state(self) -> DesiredState {
         match self {
             Action::Pause => DesiredState::Pause,
             Action::Resume => DesiredState::Run,
@@ -112,3 +109,18 @@
         }
     }
 }
+
+/// No action has this name.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error("no action is called {0}")]
+pub struct UnknownAction(pub String);
+
+impl FromStr for Action {
+    type Err = UnknownAction;
+
+    fn from_str(path: &str) -> Result<Self, UnknownAction> {
+        let actions = [Action::Pause, Action::Resume, Action::Cancel];
+        let named = actions.into_iter().find(|action| action.path() == path);
+        named.ok_or_else(|| UnknownAction(path.to_string()))
+    }
+}
--- a/src/protocol/checkin.rs
+++ b/src/protocol/checkin.rs
@@ -1,5 +1,6 @@
-//! A worker's heartbeat as JSON. The rest of the code calls these types [`HeartbeatRequest`] and [`HeartbeatTask`]; they
-//! keep their own names here because serde writes them into the refusals of malformed heartbeats, which are to stay.
+//! A worker's heartbeat as JSON. The rest of the code calls these types [`HeartbeatRequest`] and [`HeartbeatTask`]. They
+//! have their own names here because serde writes a type's name into the refusals of malformed heartbeats, which must not
+//! change; `expecting` is no way around it, since it drops the number of fields from one of the texts.
 //!
 //! [`HeartbeatRequest`]: super::workers::HeartbeatRequest
 //! [`HeartbeatTask`]: super::workers::HeartbeatTask
@@ -23,16 +24,16 @@
     /// It is a spot machine.
     #[serde(rename = "driftwood", default)]
     pub spot: bool,
-    /// Rises each time the worker's lease has ended.
+    /// Rises each time the worker's lease has expired.
     #[serde(rename = "watch")]
     pub agent_epoch: u64,
     /// Rises with every heartbeat of an agent epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The highest token that the worker has seen.
+    /// The highest fencing token that the worker has seen.
     #[serde(rename = "helm", default)]
     pub token: u64,
-    /// Seconds until the cloud takes the machine away.
+    /// Seconds until the cloud preempts the machine.
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
     /// All tasks on the machine, exited ones included until they are forgotten.
@@ -49,7 +50,7 @@
     /// Tells one start of the task from another.
     #[serde(rename = "launch")]
     pub attempt: u64,
-    /// A state's word.
+    /// The task's state, as a word.
     pub status: String,
     /// Why an exited task ended, as a word.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,5 +1,7 @@
-//! What the cloud is asked and answers.
+//! Requests to the cloud and its responses.
 
+use crate::scheduler::model::{MachineType, Resources};
+use crate::scheduler::{ListedMachine, StoredMachine};
 use serde::{Deserialize, Serialize};
 
 /// The machine types that the cloud has.
@@ -42,10 +44,24 @@
     pub zones: Vec<String>,
 }
 
+impl From<&CatalogEntry> for MachineType {
+    fn from(entry: &CatalogEntry) -> Self {
+        MachineType {
+            name: entry.name.clone(),
+            capacity: Resources::offered(entry.cpus, entry.gpus, entry.memory_gb),
+            price: entry.price,
+            spot_price: entry.spot_price,
+            boot_s: entry.boot_s,
+            fetch_gb_per_s: entry.fetch_gb_per_s,
+            zones: entry.zones.clone(),
+        }
+    }
+}
+
 /// A request for machines.
 #[derive(Debug, Serialize)]
 pub struct RentalRequest<'a> {
-    /// Its name; the same name again rents nothing more.
+    /// Its name. The request is idempotent: the same name again rents nothing more.
     #[serde(rename = "charter")]
     pub request_id: &'a str,
     /// The type wanted.
@@ -81,7 +97,7 @@
     pub has_more: bool,
 }
 
-/// The state of a machine that stopped on its own.
+/// The status of a machine that stopped on its own.
 pub const FAILED: &str = "failed";
 
 /// A machine in the list.
@@ -102,9 +118,27 @@
     /// It is a spot machine.
     #[serde(rename = "driftwood", default)]
     pub spot: bool,
-    /// A state's word.
+    /// The machine's state, as a word.
     pub status: String,
     /// Seconds since it was asked for, as of the moment that the list describes.
     #[serde(default)]
     pub age_s: f64,
 }
+
+impl From<MachineListEntry> for ListedMachine {
+    fn from(entry: MachineListEntry) -> Self {
+        ListedMachine {
+            failed: entry.status == FAILED,
+            age_s: entry.age_s,
+            machine: StoredMachine {
+                name: entry.name,
+                machine_type: entry.machine_type,
+                zone: entry.zone,
+                spot: entry.spot,
+                address: entry.address,
+                // The cloud does not know which images a machine has fetched.
+                images: Default::default(),
+            },
+        }
+    }
+}
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,8 +1,9 @@
-//! What users send and are told.
+//! Users' submissions, and the states of jobs as users see them.
 
 use crate::limits;
 use crate::scheduler::model::{JobId, JobSpec, Kind, Priority, Resources};
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// A job as its user submits it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -13,7 +14,7 @@
     /// The class of jobs that it belongs to.
     #[serde(rename = "cargo")]
     pub class: String,
-    /// The team whose guarantee and limit apply.
+    /// The team whose quota applies.
     #[serde(rename = "crew")]
     pub team: String,
     /// How its tasks run.
@@ -94,7 +95,7 @@
     BestEffort,
 }
 
-/// How far a job has come.
+/// The state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
@@ -109,13 +110,13 @@
     Cancelled,
 }
 
-/// A job's state, as its user is told.
+/// A job's state, as its user sees it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobState {
     /// The job's id.
     #[serde(rename = "uid")]
     pub job_id: String,
-    /// How far it has come.
+    /// The job's state.
     pub status: JobStatus,
     /// Tasks that are done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -132,49 +133,87 @@
     }
 }
 
-/// The longest amount that is taken: anything longer is a mistake.
-const AMOUNT_MOST: f64 = 1e9;
+/// Amounts from here on are taken for mistakes.
+const MAX_AMOUNT: f64 = 1e9;
 
-impl Submission {
-    /// Checks what the types do not, and gives the domain's form. The error names the field as users know it.
-    pub fn check(&self) -> Result<JobSpec, String> {
-        let job_id = JobId::parse(&self.job_id).ok_or("uid: must look like job-000412")?;
-        self.check_names()?;
-        self.check_amounts()?;
-        self.check_places()?;
+/// Why a submission is refused although its types are right. The text names the field as users know it.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum InvalidSubmission {
+    /// The job's id has another form.
+    #[error("uid: must look like job-000412")]
+    JobId,
+    /// A name that is empty or too long.
+    #[error("{field}: must have 1 to {} bytes", limits::MAX_NAME_BYTES)]
+    Name {
+        /// The field.
+        field: &'static str,
+    },
+    /// An amount that is negative, too large or not a number.
+    #[error("{field}: must be an amount of 0 or more")]
+    Amount {
+        /// The field.
+        field: &'static str,
+    },
+    /// No task, or too many.
+    #[error("loads: must be 1 to {}", limits::MAX_JOB_TASKS)]
+    TaskCount,
+    /// An empty list of machine types, or one that is too long.
+    #[error("hulls: must name 1 to {} types, or be null", limits::MAX_JOB_MACHINE_TYPES)]
+    MachineTypeCount,
+    /// A machine type or zone whose name is empty or too long.
+    #[error("hulls, quay: names must not be empty or overlong")]
+    PlaceName,
+}
+
+impl TryFrom<&Submission> for JobSpec {
+    type Error = InvalidSubmission;
+
+    fn try_from(submission: &Submission) -> Result<Self, InvalidSubmission> {
+        let job_id = JobId::parse(&submission.job_id).ok_or(InvalidSubmission::JobId)?;
+        submission.check_names()?;
+        submission.check_amounts()?;
+        submission.check_places()?;
         Ok(JobSpec {
             job_id,
-            class: self.class.clone(),
-            team: self.team.clone(),
-            kind: self.kind.into(),
-            priority: self.priority.into(),
-            tasks: self.tasks,
-            resource_request: Resources::needed(self.cpus, self.gpus, self.memory_gb),
-            image: self.image.clone(),
-            image_gb: self.image_gb,
-            types: self.machine_types.clone(),
-            zone: self.zone.clone(),
-            one_zone: self.one_zone,
-            spread: self.spread,
-            spot: self.spot,
-            estimate_s: self.estimate_s,
-            checkpoint_s: self.checkpoint_s,
-            save_s: self.save_s,
-            deadline_s: self.deadline_s,
+            class: submission.class.clone(),
+            team: submission.team.clone(),
+            kind: submission.kind.into(),
+            priority: submission.priority.into(),
+            tasks: submission.tasks,
+            resource_request: Resources::needed(submission.cpus, submission.gpus, submission.memory_gb),
+            image: submission.image.clone(),
+            image_gb: submission.image_gb,
+            types: submission.machine_types.clone(),
+            zone: submission.zone.clone(),
+            one_zone: submission.one_zone,
+            spread: submission.spread,
+            spot: submission.spot,
+            estimate_s: submission.estimate_s,
+            checkpoint_s: submission.checkpoint_s,
+            save_s: submission.save_s,
+            deadline_s: submission.deadline_s,
         })
     }
+}
 
-    fn check_names(&self) -> Result<(), String> {
+impl Submission {
+    /// The job in the domain's form, with a refusal as text.
+    ///
+    /// # Errors
+    /// The text of [`InvalidSubmission`].
+    pub fn check(&self) -> Result<JobSpec, String> {
+        JobSpec::try_from(self).map_err(|error| error.to_string())
+    }
+
+    fn check_names(&self) -> Result<(), InvalidSubmission> {
         let names = [("cargo", &self.class), ("crew", &self.team), ("manifest", &self.image)];
-        for (field, name) in names {
-            if name.is_empty() || name.len() > limits::MAX_NAME_BYTES {
-                return Err(format!("{field}: must have 1 to {} bytes", limits::MAX_NAME_BYTES));
-            }
+        match names.into_iter().find(|(_, name)| !is_name(name)) {
+            Some((field, _)) => Err(InvalidSubmission::Name { field }),
+            None => Ok(()),
         }
-        Ok(())
     }
 
-    fn check_amounts(&self) -> Result<(), String> {
+    fn check_amounts(&self) -> Result<(), InvalidSubmission> {
         let amounts = [
             ("cores", self.cpus),
             ("gpus", self.gpus),
@@ -185,33 +224,33 @@
             ("stow_s", self.save_s),
             ("tide_s", self.deadline_s.unwrap_or(0.0)),
         ];
-        for (field, amount) in amounts {
-            if !(amount.is_finite() && (0.0..AMOUNT_MOST).contains(&amount)) {
-                return Err(format!("{field}: must be an amount of 0 or more"));
-            }
+        let is_amount = |amount: f64| amount.is_finite() && (0.0..MAX_AMOUNT).contains(&amount);
+        if let Some((field, _)) = amounts.into_iter().find(|(_, amount)| !is_amount(*amount)) {
+            return Err(InvalidSubmission::Amount { field });
         }
         if self.tasks == 0 || self.tasks > limits::MAX_JOB_TASKS {
-            return Err(format!("loads: must be 1 to {}", limits::MAX_JOB_TASKS));
+            return Err(InvalidSubmission::TaskCount);
         }
         Ok(())
     }
 
-    fn check_places(&self) -> Result<(), String> {
-        if self
-            .machine_types
-            .as_ref()
-            .is_some_and(|t| t.is_empty() || t.len() > limits::MAX_JOB_MACHINE_TYPES)
-        {
-            return Err(format!("hulls: must name 1 to {} types, or be null", limits::MAX_JOB_MACHINE_TYPES));
+    fn check_places(&self) -> Result<(), InvalidSubmission> {
+        let is_count = |types: &Vec<String>| (1..=limits::MAX_JOB_MACHINE_TYPES).contains(&types.len());
+        if !self.machine_types.as_ref().is_none_or(is_count) {
+            return Err(InvalidSubmission::MachineTypeCount);
         }
         let mut names = self.machine_types.iter().flatten().chain(&self.zone);
-        if names.any(|name| name.is_empty() || name.len() > limits::MAX_NAME_BYTES) {
-            return Err("hulls, quay: names must not be empty or overlong".into());
+        if !names.all(|name| is_name(name)) {
+            return Err(InvalidSubmission::PlaceName);
         }
         Ok(())
     }
 }
 
+fn is_name(name: &str) -> bool {
+    (1..=limits::MAX_NAME_BYTES).contains(&name.len())
+}
+
 impl From<JobKind> for Kind {
     fn from(kind: JobKind) -> Self {
         match kind {
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,14 +1,15 @@
-//! What workers report and are told.
+//! Workers' heartbeats, their responses, and commands to workers.
 
 pub use super::checkin::{Checkin as HeartbeatRequest, CheckinTask as HeartbeatTask};
 use crate::lease::renewal::LeaseRenewal;
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-impl HeartbeatTask {
-    fn status(&self) -> TaskStatus {
-        match (self.status.as_str(), self.reason.as_deref()) {
+impl From<&HeartbeatTask> for TaskStatus {
+    fn from(task: &HeartbeatTask) -> Self {
+        match (task.status.as_str(), task.reason.as_deref()) {
             ("fetching" | "waiting", _) => TaskStatus::Fetching,
             ("flushing", _) => TaskStatus::Saving,
             ("exited", Some("done")) => TaskStatus::Exited(ExitReason::Done),
@@ -20,49 +21,62 @@
             ("exited", Some("in_use")) => TaskStatus::Exited(ExitReason::Busy),
             ("exited", Some("unknown")) => TaskStatus::Exited(ExitReason::Unknown),
             ("exited", _) => TaskStatus::Exited(ExitReason::Error),
-            // A state we do not know still occupies its machine.
+            // A task in a state unknown to this version still occupies its machine.
             _ => TaskStatus::Running,
         }
     }
+}
+
+/// The name of a reported task is not a job's id and a task's number.
+#[derive(Debug, Error)]
+#[error("unreadable task {0}")]
+pub struct InvalidTaskName(String);
+
+impl TryFrom<&HeartbeatTask> for ReportedTask {
+    type Error = InvalidTaskName;
 
-    fn id(&self) -> Option<TaskId> {
-        let (job_id, task) = self.task.split_once('/')?;
-        Some(TaskId { job_id: JobId::parse(job_id)?, task: task.parse().ok()? })
+    fn try_from(task: &HeartbeatTask) -> Result<Self, InvalidTaskName> {
+        let id = task_id(&task.task).ok_or_else(|| InvalidTaskName(task.task.clone()))?;
+        Ok(ReportedTask { id, attempt: task.attempt, status: task.into() })
     }
 }
 
+/// A task of the form `job-000412/3`.
+fn task_id(name: &str) -> Option<TaskId> {
+    let (job_id, task) = name.split_once('/')?;
+    Some(TaskId { job_id: JobId::parse(job_id)?, task: task.parse().ok()? })
+}
+
 /// A heartbeat lists a task whose name can't be read. It cannot be taken at all: a list without that entry would
 /// seem to prove that a task is gone.
-#[derive(Debug, thiserror::Error)]
-#[error("unreadable task {task} in a report of {machine}")]
+#[derive(Debug, Error)]
+#[error("{source} in a report of {machine}")]
 pub struct UnreadableTask {
     /// The machine that reported it.
     pub machine: String,
-    /// What it was called.
-    pub task: String,
+    /// The name that can't be read.
+    pub source: InvalidTaskName,
 }
 
 impl TryFrom<HeartbeatRequest> for Heartbeat {
     type Error = UnreadableTask;
 
-    fn try_from(heartbeat_request: HeartbeatRequest) -> Result<Self, UnreadableTask> {
-        let mut tasks = Vec::with_capacity(heartbeat_request.tasks.len());
-        for task in &heartbeat_request.tasks {
-            let Some(id) = task.id() else {
-                return Err(UnreadableTask { machine: heartbeat_request.machine, task: task.task.clone() });
-            };
-            tasks.push(ReportedTask { id, attempt: task.attempt, status: task.status() });
-        }
+    fn try_from(request: HeartbeatRequest) -> Result<Self, UnreadableTask> {
+        let machine = request.machine;
+        let tasks = match request.tasks.iter().map(ReportedTask::try_from).collect() {
+            Ok(tasks) => tasks,
+            Err(source) => return Err(UnreadableTask { machine, source }),
+        };
         Ok(Heartbeat {
-            machine: heartbeat_request.machine,
-            address: heartbeat_request.address,
-            machine_type: heartbeat_request.machine_type,
-            zone: heartbeat_request.zone,
-            spot: heartbeat_request.spot,
-            agent_epoch: heartbeat_request.agent_epoch,
-            sequence: heartbeat_request.sequence,
-            token: heartbeat_request.token,
-            notice_s: heartbeat_request.notice_s.filter(|s| s.is_finite() && *s >= 0.0),
+            machine,
+            address: request.address,
+            machine_type: request.machine_type,
+            zone: request.zone,
+            spot: request.spot,
+            agent_epoch: request.agent_epoch,
+            sequence: request.sequence,
+            token: request.token,
+            notice_s: request.notice_s.filter(|seconds| seconds.is_finite() && *seconds >= 0.0),
             tasks,
         })
     }
@@ -122,19 +136,20 @@
     }
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Debug, Serialize)]
 pub struct HeartbeatResponse {
-    /// The token of the leader that it comes from.
+    /// The fencing token of the leader that it comes from.
     #[serde(rename = "helm")]
     pub token: u64,
-    /// What the worker is to do, in order.
+    /// Commands to the worker, in order.
     #[serde(rename = "signals")]
     pub commands: Vec<WorkerCommand>,
 }
 
 impl HeartbeatResponse {
-    /// An answer under a leader's token, which renews the worker's lease.
+    /// A response under a leader's fencing token. It renews the worker's lease, so the caller has to hold the proof that
+    /// it may.
     pub fn new<'a>(
         token: u64,
         _renewal: LeaseRenewal,
@@ -144,10 +159,10 @@
     }
 }
 
-/// The answer of a node that does not act for the controllers.
+/// The response of a node that does not answer heartbeats itself.
 #[derive(Debug, Serialize)]
 pub struct Redirect {
-    /// The node to report to instead, where it is known.
+    /// The node that does, where it is known.
     #[serde(rename = "harbormaster", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
@@ -155,13 +170,13 @@
 /// Commands sent straight to a worker's address.
 #[derive(Debug, Serialize)]
 pub struct DirectCommands {
-    /// The token of the leader that they come from.
+    /// The fencing token of the leader that they come from.
     #[serde(rename = "helm")]
     pub token: u64,
     /// The agent epoch of the worker that is meant.
     #[serde(rename = "watch")]
     pub agent_epoch: u64,
-    /// What the worker is to do, in order.
+    /// Commands to the worker, in order.
     #[serde(rename = "signals")]
     pub commands: Vec<WorkerCommand>,
 }
