--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: the daemon, and the operators' client beside it.
+//! The command line: one function a command. `serve` is the controller, the other commands are the operators' client.
 
 use crate::client::cold_start::ColdStartCommand;
 use crate::client::drains::DrainCommand;
@@ -35,44 +35,25 @@
     ColdStart(ColdStartCommand),
 }
 
-fn load(config: PathBuf, operator: Option<PathBuf>) -> Result<(Settings, Operator), SettingsError> {
-    let settings = Settings::load(&config)?;
-    let Some(file) = operator else { return Ok((settings, Operator::default())) };
-    let operator = Operator::load(&file)?;
-    operator.check_against(&settings, &file)?;
-    Ok((settings, operator))
-}
-
-/// `LOG_LEVEL` is the platform's; an unknown value falls back to `info` and is said so.
-fn start_logging() {
-    let wanted = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
-    let level = wanted.parse::<LevelFilter>();
-    tracing_subscriber::fmt()
-        .with_max_level(level.as_ref().copied().unwrap_or(LevelFilter::INFO))
-        .with_writer(std::io::stderr)
-        .with_ansi(false)
-        .without_time()
-        .init();
-    if level.is_err() {
-        tracing::warn!(wanted, "LOG_LEVEL is none of error, warn, info, debug, trace: using info");
-    }
-}
-
 /// Runs the program with the given arguments, the program's name first, and returns its exit code.
 pub fn run(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let arguments = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => arguments,
         Err(error) => {
-            // Printing can only fail when the stream is closed: nobody is left to tell.
+            // Printing fails only when the stream is closed: then there is no reader to inform.
             let _ = error.print();
             return ExitCode::from(error.exit_code().clamp(0, 255) as u8);
         }
     };
-    let (operator, config) = match arguments.command {
-        Command::Serve { operator, config } => (operator, config),
-        Command::Drain(command) => return drains::run(command),
-        Command::ColdStart(command) => return cold_start::run(command),
-    };
+    match arguments.command {
+        Command::Serve { operator, config } => serve(config, operator),
+        Command::Drain(command) => drains::run(command),
+        Command::ColdStart(command) => cold_start::run(command),
+    }
+}
+
+/// Exit code 2: the settings are refused; 1: the controller stopped with an error.
+fn serve(config: PathBuf, operator: Option<PathBuf>) -> ExitCode {
     let (settings, operator) = match load(config, operator) {
         Ok(loaded) => loaded,
         Err(error) => {
@@ -89,3 +70,26 @@
         }
     }
 }
+
+fn load(config: PathBuf, operator: Option<PathBuf>) -> Result<(Settings, Operator), SettingsError> {
+    let settings = Settings::load(&config)?;
+    let Some(file) = operator else { return Ok((settings, Operator::default())) };
+    let operator = Operator::load(&file)?;
+    operator.check_against(&settings, &file)?;
+    Ok((settings, operator))
+}
+
+/// The platform sets `LOG_LEVEL`; for an unknown value `info` counts, and a warning is logged.
+fn start_logging() {
+    let name = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
+    let level = name.parse::<LevelFilter>();
+    tracing_subscriber::fmt()
+        .with_max_level(level.as_ref().copied().unwrap_or(LevelFilter::INFO))
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .without_time()
+        .init();
+    if level.is_err() {
+        tracing::warn!(wanted = name, "LOG_LEVEL is none of error, warn, info, debug, trace: using info");
+    }
+}
