--- a/src/client/cold_start.rs
+++ b/src/client/cold_start.rs
@@ -5,10 +5,10 @@
 use crate::scheduler::cold_start::{ColdStartReport, Phase};
 use clap::Args;
 use reqwest::Method;
-use std::fmt::Write;
+use std::fmt::{self, Write};
 use std::process::ExitCode;
 
-/// What `dockpier cold-start` takes.
+/// The options of `dockpier cold-start`.
 #[derive(Debug, Args)]
 pub struct ColdStartCommand {
     #[command(flatten)]
@@ -26,47 +26,47 @@
 }
 
 fn render(report: &ColdStartReport) -> String {
-    let (machines, verdicts) = (&report.machines, &report.verdicts);
-    let phase = match report.phase {
-        Phase::Reconciling => "reconciling",
-        Phase::Restarting => "restarting what is missing",
-        Phase::Ended => "ended",
-    };
     let mut text = String::new();
     // Writing to a string never fails.
-    let _ = writeln!(text, "phase     {phase} (token {})", report.token);
-    let _ = writeln!(
-        text,
-        "machines  {} heard, {} gone, {} unheard {}",
-        machines.heard,
-        machines.gone,
-        machines.unheard,
-        report.unheard.join(" ")
-    );
-    let _ = writeln!(
+    let _ = write_report(&mut text, report);
+    text
+}
+
+fn write_report(text: &mut String, report: &ColdStartReport) -> fmt::Result {
+    let (machines, verdicts) = (&report.machines, &report.verdicts);
+    let (heard, gone, unheard) = (machines.heard, machines.gone, machines.unheard);
+    writeln!(text, "phase     {} (token {})", phase(report.phase), report.token)?;
+    writeln!(text, "machines  {heard} heard, {gone} gone, {unheard} unheard {}", report.unheard.join(" "))?;
+    writeln!(
         text,
         "tasks     {} running, {} finished and unrecorded, {} missing, {} can't be known yet",
         verdicts.running, verdicts.finished_unrecorded, verdicts.missing, verdicts.cannot_know_yet
-    );
-    let _ = writeln!(
+    )?;
+    writeln!(
         text,
         "          {} twice, {} finished already, {} of unknown jobs {}",
         verdicts.twice,
         verdicts.already_finished,
         verdicts.unknown_job,
         report.unknown_tasks.join(" ")
-    );
-    let _ = writeln!(text, "orders    {}, {} missing tasks without one", report.orders, report.not_ordered);
+    )?;
+    writeln!(text, "orders    {}, {} missing tasks without one", report.orders, report.not_ordered)?;
     if !report.waits_for.is_empty() {
-        let _ = writeln!(text, "waits for {}", report.waits_for);
+        writeln!(text, "waits for {}", report.waits_for)?;
     }
-    let seconds =
-        |ms: Option<u64>| ms.map_or("not yet".to_string(), |ms| format!("after {:.1} s", ms as f64 / 1e3));
-    let _ = writeln!(
-        text,
-        "reconciled {}, ended {}",
-        seconds(report.reconciled_after_ms),
-        seconds(report.ended_after_ms)
-    );
-    text
+    let (reconciled, ended) = (after(report.reconciled_after_ms), after(report.ended_after_ms));
+    writeln!(text, "reconciled {reconciled}, ended {ended}")
+}
+
+fn phase(phase: Phase) -> &'static str {
+    match phase {
+        Phase::Reconciling => "reconciling",
+        Phase::Restarting => "restarting what is missing",
+        Phase::Ended => "ended",
+    }
+}
+
+/// A time since the takeover, in milliseconds, as text.
+fn after(milliseconds: Option<u64>) -> String {
+    milliseconds.map_or("not yet".to_string(), |ms| format!("after {:.1} s", ms as f64 / 1e3))
 }
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -1,6 +1,6 @@
 //! Asks one node after the other until one answers, for a bounded time.
 
-use super::ClientError;
+use super::{ClientError, Effect, RefusalKind};
 use crate::http::{CallError, Http};
 use crate::limits;
 use reqwest::Method;
@@ -15,34 +15,40 @@
     patience: Duration,
 }
 
-/// What is known of a request that nobody answered with more than "later".
+/// Whether a request may have been carried out although no node answered it.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Sent {
-    /// It reached nobody, or was refused for now.
-    No,
+enum Delivery {
+    /// It reached no node, or was refused for now.
+    NotCarriedOut,
     /// It may have been carried out.
-    Perhaps,
+    Unknown,
 }
 
 impl Connection {
-    /// A connection to any of these nodes; commands give up after `patience`.
+    /// A connection to any of these nodes; requests are given up after `patience`.
+    ///
+    /// # Errors
+    /// The HTTP client can't be set up.
     pub fn new(nodes: Vec<SocketAddr>, patience: Duration) -> Result<Self, ClientError> {
-        let http = Http::new().map_err(|e| ClientError::Failed(format!("HTTP client: {e}")))?;
+        let http = Http::new().map_err(ClientError::HttpClient)?;
         Ok(Connection { http, nodes, patience })
     }
 
-    /// Asks until a node answers, and reads the answer.
+    /// Asks one node after the other until one answers with more than "later", and reads the response.
+    ///
+    /// # Errors
+    /// No node answers in time, or one refuses.
     pub async fn ask<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<T, ClientError> {
-        let begun = Instant::now();
-        let mut sent = Sent::No;
+        let started = Instant::now();
+        let mut delivery = Delivery::NotCarriedOut;
         let mut last = String::from("no node was asked");
         for node in self.nodes.iter().cycle() {
-            if begun.elapsed() >= self.patience {
+            if started.elapsed() >= self.patience {
                 break;
             }
             let url = format!("http://{node}{path}");
@@ -53,36 +59,39 @@
                 Ok(answer) => last = format!("{node}: {} {}", answer.status, error_of(&answer.body)),
                 Err(CallError::NotSent(why)) => last = format!("{node}: {why}"),
                 Err(CallError::NoAnswer(why)) => {
-                    sent = Sent::Perhaps;
+                    delivery = Delivery::Unknown;
                     last = format!("{node}: {why}");
                 }
             }
             tokio::time::sleep(limits::CLIENT_RETRY_INTERVAL).await;
         }
-        let changes = method != Method::GET;
-        let done = match (changes, sent) {
-            (false, _) => "",
-            (true, Sent::No) => " Nothing was changed.",
-            (true, Sent::Perhaps) => {
-                " It is not known whether it was taken: the same command again does nothing twice."
-            }
-        };
-        Err(ClientError::Unavailable(format!("no node answered ({last}).{done}")))
+        Err(ClientError::NoAnswer { last, effect: effect(&method, delivery) })
+    }
+}
+
+fn effect(method: &Method, delivery: Delivery) -> Effect {
+    if *method == Method::GET {
+        return Effect::ReadOnly;
+    }
+    match delivery {
+        Delivery::NotCarriedOut => Effect::Nothing,
+        Delivery::Unknown => Effect::Unknown,
     }
 }
 
+/// The reason in a refusal's body.
 fn error_of(body: &[u8]) -> String {
     let body: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     body["error"].as_str().unwrap_or("no reason given").to_string()
 }
 
 fn read<T: DeserializeOwned>(status: u16, body: &[u8]) -> Result<T, ClientError> {
+    let refused = |kind| Err(ClientError::Refused { kind, why: error_of(body) });
     match status {
-        200 | 201 => serde_json::from_slice(body)
-            .map_err(|e| ClientError::Failed(format!("an answer that can't be understood: {e}"))),
-        400 | 422 => Err(ClientError::BadInput(error_of(body))),
-        404 => Err(ClientError::NotFound(error_of(body))),
-        409 => Err(ClientError::Conflict(error_of(body))),
-        other => Err(ClientError::Failed(format!("unexpected answer {other}: {}", error_of(body)))),
+        200 | 201 => serde_json::from_slice(body).map_err(ClientError::Unreadable),
+        400 | 422 => refused(RefusalKind::BadInput),
+        404 => refused(RefusalKind::NotFound),
+        409 => refused(RefusalKind::Conflict),
+        status => Err(ClientError::UnexpectedStatus { status, why: error_of(body) }),
     }
 }
--- a/src/client/drains/render.rs
+++ b/src/client/drains/render.rs
@@ -1,16 +1,16 @@
-//! Drains as text for people.
+//! Drains as text for people. Its lines are part of the interface; scripts read the JSON.
 
 use crate::drains::view::{DrainList, DrainView, TeamList};
 use dockpier_drain::progress::{MachineDrainState, MachineEntry};
 use dockpier_drain::request::{DrainRequest, Target};
-use dockpier_drain::status::DrainState;
+use dockpier_drain::status::{DrainState, Summary};
 use std::fmt::Write;
 use std::time::{Duration, UNIX_EPOCH};
 
 /// Every drain in a line.
-pub fn list(list: &DrainList) -> String {
+pub fn list(drains: &DrainList) -> String {
     let mut text = String::new();
-    for view in &list.drains {
+    for view in &drains.drains {
         let counts = view.counts();
         let all = counts.waiting + counts.replacing + counts.cordoned + counts.returned + counts.gone;
         let done = counts.returned + counts.gone;
@@ -19,8 +19,9 @@
         // Writing to a string never fails.
         let _ = writeln!(text, "{id}  {}  {done} of {all} machines{first}", state(view));
     }
-    if list.unreadable > 0 {
-        let _ = writeln!(text, "{} records can't be read", list.unreadable);
+    if drains.unreadable > 0 {
+        // Writing to a string never fails.
+        let _ = writeln!(text, "{} records can't be read", drains.unreadable);
     }
     if text.is_empty() {
         text.push_str("no drains\n");
@@ -28,51 +29,59 @@
     text
 }
 
-/// One drain with all that is known of it.
+/// One drain with its summary and machines.
 pub fn drain(view: &DrainView) -> String {
-    let (request, counts) = (&view.stored.request, view.counts());
-    let mut text = String::new();
-    let mut line = |name: &str, value: String| {
-        let _ = writeln!(text, "{name:<12} {value}");
-    };
-    line("drain", request.id.to_string());
-    line("state", state(view).to_string());
-    line("machines", target(request));
-    line("reason", request.reason.clone());
-    line("accepted", time(view.stored.accepted));
+    let request = &view.stored.request;
+    let mut lines = Lines::default();
+    lines.add("drain", &request.id.to_string());
+    lines.add("state", state(view));
+    lines.add("machines", &target(request));
+    lines.add("reason", &request.reason);
+    lines.add("accepted", &time(view.stored.accepted));
     if let Some(deadline) = request.deadline {
-        line("deadline", time((deadline * 1_000.0) as u64));
+        lines.add("deadline", &time((deadline * 1_000.0) as u64));
     }
     match &view.summary {
-        None => line("progress", "no leader has taken it up yet".into()),
-        Some(summary) => {
-            line(
-                "progress",
-                format!(
-                    "{} waiting, {} being replaced, {} being emptied, {} returned ({} replaced), {} gone",
-                    counts.waiting,
-                    counts.replacing,
-                    counts.cordoned,
-                    counts.returned,
-                    counts.replaced,
-                    counts.gone
-                ),
-            );
-            view.waits_for.iter().for_each(|wait| line("waits for", wait.clone()));
-            if summary.never {
-                line("", "as things stand it can never finish: that is more than a whole budget".into());
-            }
-            if summary.late {
-                line("", "it will not be done by its deadline".into());
-            }
-            if let Some(estimate) = summary.estimate {
-                line("done about", time(estimate));
-            }
-            line("as of", time(summary.updated));
-        }
+        None => lines.add("progress", "no leader has taken it up yet"),
+        Some(summary) => progress(&mut lines, view, summary),
+    }
+    view.machines.iter().for_each(|entry| lines.add("", &machine(entry)));
+    lines.text
+}
+
+/// Lines of a name and a value.
+#[derive(Default)]
+struct Lines {
+    text: String,
+}
+
+impl Lines {
+    fn add(&mut self, name: &str, value: &str) {
+        // Writing to a string never fails.
+        let _ = writeln!(self.text, "{name:<12} {value}");
     }
-    view.machines.iter().for_each(|entry| line("", machine(entry)));
-    text
+}
+
+fn progress(lines: &mut Lines, view: &DrainView, summary: &Summary) {
+    let counts = &summary.counts;
+    lines.add(
+        "progress",
+        &format!(
+            "{} waiting, {} being replaced, {} being emptied, {} returned ({} replaced), {} gone",
+            counts.waiting, counts.replacing, counts.cordoned, counts.returned, counts.replaced, counts.gone
+        ),
+    );
+    view.waits_for.iter().for_each(|wait| lines.add("waits for", wait));
+    if summary.never {
+        lines.add("", "as things stand it can never finish: that is more than a whole budget");
+    }
+    if summary.late {
+        lines.add("", "it will not be done by its deadline");
+    }
+    if let Some(estimate) = summary.estimate {
+        lines.add("done about", &time(estimate));
+    }
+    lines.add("as of", &time(summary.updated));
 }
 
 /// Each team's budget in a line.
@@ -80,6 +89,7 @@
     let mut text = String::new();
     for view in &teams.teams {
         let (budget, totals, left) = (&view.budget, &view.totals, &view.left);
+        // Writing to a string never fails.
         let _ = writeln!(
             text,
             "{}: {} tasks at once, {:.1} replica-s and {:.1} work-s in {:.0} s; left {} tasks, {:.1} replica-s, {:.1} \
@@ -124,6 +134,7 @@
         Target::All {} => "all".into(),
     };
     if let Some(share) = request.share {
+        // Writing to a string never fails.
         let _ = write!(text, ", at most {:.0}% at a time", share * 100.0);
     }
     if request.replace {
@@ -149,6 +160,7 @@
     format!("{}: {state}", entry.machine)
 }
 
+/// A time of day, given in milliseconds since 1970.
 fn time(milliseconds: u64) -> String {
     humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_millis(milliseconds)).to_string()
 }
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! The command-line client of the operators: a thin layer over the endpoint of any node.
+//! The operators' command-line client: requests to the HTTP endpoints of any node. `drains` and `cold_start` are the
+//! commands, `connection` asks the nodes, `options` is what all commands share.
 //!
 //! Exit codes are part of the interface: see [`ExitStatus`].
 
@@ -6,18 +7,20 @@
 mod connection;
 pub mod drains;
 mod options;
-mod render;
 
+use dockpier_drain::request::{DrainId, RequestError};
+use std::fmt;
 use std::future::Future;
 use std::process::ExitCode;
+use std::time::SystemTimeError;
 use thiserror::Error;
 
 /// How a command ended, for scripts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command was carried out.
     Done = 0,
-    /// Something that nobody foresaw.
+    /// An error of the client itself, or a response that no node should send.
     Failed = 1,
     /// The request was wrong; nothing was done.
     BadInput = 2,
@@ -38,37 +41,144 @@
 /// Why a command did not do what was asked.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The request was wrong.
+    /// A field of the request is wrong.
+    #[error(transparent)]
+    Request(#[from] RequestError),
+    /// The deadline is no time.
+    #[error("deadline: {0}")]
+    Deadline(#[from] InvalidDeadline),
+    /// The request names no machines.
+    #[error("one of --machine, --type with --zone, or --all is needed")]
+    NoTarget,
+    /// A node refused the request.
+    #[error("{why}")]
+    Refused {
+        /// The kind of refusal, by its HTTP status.
+        kind: RefusalKind,
+        /// The node's reason.
+        why: String,
+    },
+    /// No node answered in time.
+    #[error("no node answered ({last}).{effect}")]
+    NoAnswer {
+        /// The last attempt: the node and what came of it.
+        last: String,
+        /// What the request may have changed.
+        effect: Effect,
+    },
+    /// A drain is stored, and no leader has judged it in time.
+    #[error("{id} is recorded, and will be carried out; so far {leadership}.")]
+    NotTakenUp {
+        /// The drain.
+        id: DrainId,
+        /// Who leads.
+        leadership: LeadershipState,
+    },
+    /// A response of an HTTP status that no node sends.
+    #[error("unexpected answer {status}: {why}")]
+    UnexpectedStatus {
+        /// The HTTP status.
+        status: u16,
+        /// The reason in the response.
+        why: String,
+    },
+    /// A response that can't be read.
+    #[error("an answer that can't be understood: {0}")]
+    Unreadable(#[source] serde_json::Error),
+    /// The request, or the output, can't be written as JSON.
     #[error("{0}")]
-    BadInput(String),
-    /// No drain has that name.
-    #[error("{0}")]
-    NotFound(String),
-    /// Nobody answered.
+    Json(#[source] serde_json::Error),
+    /// The HTTP client can't be set up.
+    #[error("HTTP client: {0}")]
+    HttpClient(#[source] reqwest::Error),
+}
+
+/// Why a deadline is no time.
+#[derive(Debug, Error)]
+pub enum InvalidDeadline {
+    /// A time from now on that can't be read.
     #[error("{0}")]
-    Unavailable(String),
-    /// It can't be done as things stand.
+    Duration(#[from] humantime::DurationError),
+    /// A time of day that can't be read.
     #[error("{0}")]
-    Conflict(String),
-    /// An answer that can't be understood.
+    Timestamp(#[from] humantime::TimestampError),
+    /// A time of day before 1970.
     #[error("{0}")]
-    Failed(String),
+    TooEarly(#[from] SystemTimeError),
+}
+
+/// The kinds of refusals that nodes send.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RefusalKind {
+    /// The request is wrong; nothing was done.
+    BadInput,
+    /// Nothing has that name.
+    NotFound,
+    /// It can't be done as things stand.
+    Conflict,
+}
+
+/// What a request that no node answered may have changed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Effect {
+    /// It only reads.
+    ReadOnly,
+    /// It reached no node, or was refused for now.
+    Nothing,
+    /// It may have been carried out.
+    Unknown,
+}
+
+impl fmt::Display for Effect {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Effect::ReadOnly => "",
+            Effect::Nothing => " Nothing was changed.",
+            Effect::Unknown => {
+                " It is not known whether it was taken: the same command again does nothing twice."
+            }
+        })
+    }
+}
+
+/// Who leads, as a node answered.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum LeadershipState {
+    /// The node of this name.
+    Leader(String),
+    /// No node.
+    NoLeader,
+}
+
+impl fmt::Display for LeadershipState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LeadershipState::Leader(node) => write!(f, "{node} leads and has not taken it up yet"),
+            LeadershipState::NoLeader => f.write_str("no node leads"),
+        }
+    }
 }
 
 impl ClientError {
-    /// The exit status that tells of it.
+    /// The exit status of a command that failed so.
     pub fn status(&self) -> ExitStatus {
         match self {
-            ClientError::BadInput(_) => ExitStatus::BadInput,
-            ClientError::NotFound(_) => ExitStatus::NotFound,
-            ClientError::Unavailable(_) => ExitStatus::Unavailable,
-            ClientError::Conflict(_) => ExitStatus::Conflict,
-            ClientError::Failed(_) => ExitStatus::Failed,
+            ClientError::Request(_) | ClientError::Deadline(_) | ClientError::NoTarget => {
+                ExitStatus::BadInput
+            }
+            ClientError::Refused { kind: RefusalKind::BadInput, .. } => ExitStatus::BadInput,
+            ClientError::Refused { kind: RefusalKind::NotFound, .. } => ExitStatus::NotFound,
+            ClientError::Refused { kind: RefusalKind::Conflict, .. } => ExitStatus::Conflict,
+            ClientError::NoAnswer { .. } | ClientError::NotTakenUp { .. } => ExitStatus::Unavailable,
+            ClientError::UnexpectedStatus { .. }
+            | ClientError::Unreadable(_)
+            | ClientError::Json(_)
+            | ClientError::HttpClient(_) => ExitStatus::Failed,
         }
     }
 }
 
-/// Carries a command out, prints what there is to say, and tells by the exit code how it ended.
+/// Runs a command to its end, prints its output or error, and returns the exit code.
 fn finish(command: impl Future<Output = Result<String, ClientError>>) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
--- a/src/client/options.rs
+++ b/src/client/options.rs
@@ -1,4 +1,4 @@
-//! What every command of the client takes: where it asks, and how it answers.
+//! The options of every command: the nodes to ask, and the form of the output.
 
 use super::connection::Connection;
 use super::ClientError;
@@ -22,10 +22,12 @@
 }
 
 impl ClientOptions {
+    /// A connection to the nodes of the options.
     pub(super) fn connect(&self) -> Result<Connection, ClientError> {
         Connection::new(self.nodes.clone(), Duration::from_secs(self.patience))
     }
 
+    /// The output for a value: JSON for scripts, otherwise `text`.
     pub(super) fn print<T: Serialize>(
         &self,
         value: &T,
@@ -34,7 +36,7 @@
         if !self.json {
             return Ok(text(value));
         }
-        let json = serde_json::to_string_pretty(value).map_err(|e| ClientError::Failed(e.to_string()))?;
+        let json = serde_json::to_string_pretty(value).map_err(ClientError::Json)?;
         Ok(json + "\n")
     }
 }
