--- a/crates/dockpier-drain/src/budget.rs
+++ b/crates/dockpier-drain/src/budget.rs
@@ -1,4 +1,4 @@
-//! Disruption budgets: what a team has agreed to within a sliding window.
+//! Disruption budgets: how much a team has agreed to lose within a sliding window.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a team has agreed to.
+/// The budget of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Budget {
     /// Tasks that may be disrupted at the same time.
@@ -84,7 +84,7 @@
 }
 
 impl Budget {
-    /// The budget of a team that has agreed to nothing: its tasks are let finish, and none is stopped.
+    /// The budget of a team that has agreed to no disruption: its tasks are let finish, and none is stopped.
     pub const NONE: Budget = Budget { tasks: 0, cost: Cost::NONE, window_s: 3_600.0 };
 
     fn check(&self) -> Result<(), BudgetError> {
@@ -94,7 +94,7 @@
         };
         amount("replica-s", self.cost.replica_s)?;
         amount("work-s", self.cost.work_s)?;
-        match self.window_s.is_finite() && self.window_s >= WINDOW_LEAST_S {
+        match self.window_s.is_finite() && self.window_s >= MIN_WINDOW_S {
             true => Ok(()),
             false => Err(BudgetError::Window),
         }
@@ -102,7 +102,7 @@
 }
 
 /// A shorter window would forget a disruption before it has ended.
-pub const WINDOW_LEAST_S: f64 = 60.0;
+pub const MIN_WINDOW_S: f64 = 60.0;
 
 /// Why a budget is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -114,11 +114,11 @@
         field: &'static str,
     },
     /// A window that is too short.
-    #[error("`window-s` must be {WINDOW_LEAST_S} or more")]
+    #[error("`window-s` must be {MIN_WINDOW_S} or more")]
     Window,
     /// A second budget for a team.
     #[error("team `{team}` has a budget already")]
-    Twice {
+    Duplicate {
         /// The team.
         team: String,
     },
@@ -134,11 +134,14 @@
 pub const ANY_TEAM: &str = "*";
 
 impl Budgets {
-    /// Adds what a team has agreed to.
+    /// Adds the budget of a team.
+    ///
+    /// # Errors
+    /// An amount or the window is not allowed, or the team has a budget already.
     pub fn add(&mut self, team: &str, budget: Budget) -> Result<(), BudgetError> {
         budget.check()?;
         if self.by_team.contains_key(team) {
-            return Err(BudgetError::Twice { team: team.to_string() });
+            return Err(BudgetError::Duplicate { team: team.to_string() });
         }
         self.by_team.insert(team.to_string(), budget);
         Ok(())
--- a/crates/dockpier-drain/src/ledger.rs
+++ b/crates/dockpier-drain/src/ledger.rs
@@ -1,8 +1,8 @@
 //! The ledger of a team: what is spent of its budget within the sliding window, what is reserved for stops under way,
 //! and what is left.
 //!
-//! A planned stop reserves its estimate before it is told, and is settled with what was observed. Losses that nobody
-//! planned count against the same budget. The window is kept in buckets; a bucket counts in full until the whole of
+//! A planned stop reserves its estimate before it is sent, and is settled with what was observed. Unplanned losses
+//! count against the same budget. The window is kept in buckets; a bucket counts in full until the whole of
 //! it has left the window, so that the ledger errs on the high side. So it does after a change of leader: a record
 //! does not tell which disruptions are open, so that their reservations stay spent, and what the new leader finds not
 //! running is counted anew.
@@ -44,16 +44,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DisruptionId(u64);
 
+/// A disruption that has not ended.
 #[derive(Debug, Clone, Copy)]
-struct Open {
+struct OpenDisruption {
+    /// When the bucket begins in which it is counted.
     bucket: u64,
+    /// When it began, in milliseconds of the time of day.
     since: u64,
-    planned: bool,
+    origin: Origin,
     /// A replica's time counts for as long as it lasts; a task of an array waits for its turn as any other.
     replica: bool,
+    /// What is reserved for it; nothing where it was not planned.
     estimate: Cost,
 }
 
+/// Whether a disruption was planned.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Origin {
+    /// By a stop whose estimate is reserved.
+    Planned,
+    /// A loss.
+    Unplanned,
+}
+
 /// What a team has left now.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Allowance {
@@ -94,14 +107,14 @@
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     buckets: VecDeque<Bucket>,
-    open: BTreeMap<DisruptionId, Open>,
+    open: BTreeMap<DisruptionId, OpenDisruption>,
     next: u64,
 }
 
 /// A ledger as it is stored.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LedgerRecord {
-    /// Up to when it tells everything, in milliseconds of the time of day.
+    /// Until when it is complete, in milliseconds of the time of day.
     pub as_of: u64,
     /// The buckets of the window.
     pub buckets: Vec<Bucket>,
@@ -128,16 +141,16 @@
         LedgerRecord { as_of: now, buckets, open: self.open.len() as u32 }
     }
 
-    /// Sets the estimate of a planned stop aside, before the stop is told.
+    /// Reserves the estimate of a planned stop, before the stop is sent. `replica`: the task is a service's replica.
     pub fn reserve(&mut self, now: u64, budget: &Budget, replica: bool, estimate: Cost) -> DisruptionId {
         let bucket = self.bucket(now, budget);
         bucket.reserved = bucket.reserved.plus(estimate);
         bucket.planned = bucket.planned.plus(estimate);
         let bucket = bucket.at;
-        self.begin(Open { bucket, since: now, planned: true, replica, estimate })
+        self.begin(OpenDisruption { bucket, since: now, origin: Origin::Planned, replica, estimate })
     }
 
-    /// The stop was not told after all.
+    /// Gives a reservation back: the stop was not sent after all.
     pub fn release(&mut self, id: DisruptionId) {
         let Some(open) = self.open.remove(&id) else { return };
         if let Some(bucket) = self.buckets.iter_mut().find(|b| b.at == open.bucket) {
@@ -146,33 +159,35 @@
         }
     }
 
-    /// Something was lost without a plan; a replica's time counts until it is settled.
+    /// Counts an unplanned loss; a replica's time counts until the disruption is settled.
     pub fn lose(&mut self, now: u64, budget: &Budget, replica: bool, lost: Cost) -> DisruptionId {
         let bucket = self.bucket(now, budget);
         bucket.unplanned = bucket.unplanned.plus(lost);
         let bucket = bucket.at;
-        self.begin(Open { bucket, since: now, planned: false, replica, estimate: Cost::NONE })
+        let (origin, estimate) = (Origin::Unplanned, Cost::NONE);
+        self.begin(OpenDisruption { bucket, since: now, origin, replica, estimate })
     }
 
-    /// The stop is told now: what is observed counts from here.
+    /// The stop is sent now: the observed time counts from here.
     pub fn told(&mut self, id: DisruptionId, now: u64) {
         if let Some(open) = self.open.get_mut(&id) {
             open.since = now;
         }
     }
 
-    /// The disruption is over: a replica serves again, a task runs again or is not wanted any more. `work` is what
+    /// Ends a disruption: a replica serves again, a task runs again or is not wanted any more. `work` is the run time that
     /// has to be repeated.
     pub fn settle(&mut self, id: DisruptionId, now: u64, work: Cost) {
         let Some(open) = self.open.remove(&id) else { return };
         let lasted = if open.replica { Cost::replica(seconds(open.since, now)) } else { Cost::NONE };
         let observed = lasted.plus(work);
         let Some(bucket) = self.buckets.iter_mut().find(|b| b.at == open.bucket) else { return };
-        if open.planned {
-            bucket.reserved = bucket.reserved.less(open.estimate);
-            bucket.observed = bucket.observed.plus(observed);
-        } else {
-            bucket.unplanned = bucket.unplanned.plus(observed);
+        match open.origin {
+            Origin::Planned => {
+                bucket.reserved = bucket.reserved.less(open.estimate);
+                bucket.observed = bucket.observed.plus(observed);
+            }
+            Origin::Unplanned => bucket.unplanned = bucket.unplanned.plus(observed),
         }
     }
 
@@ -208,7 +223,7 @@
         totals
     }
 
-    fn begin(&mut self, open: Open) -> DisruptionId {
+    fn begin(&mut self, open: OpenDisruption) -> DisruptionId {
         self.next += 1;
         let id = DisruptionId(self.next);
         self.open.insert(id, open);
@@ -242,6 +257,7 @@
     }
 }
 
+/// The seconds between two times in milliseconds; 0 where the second is earlier.
 fn seconds(from: u64, to: u64) -> f64 {
     to.saturating_sub(from) as f64 / 1_000.0
 }
@@ -252,7 +268,7 @@
 }
 
 /// What an open disruption has taken beyond its estimate.
-fn overrun(open: &Open, now: u64) -> Cost {
+fn overrun(open: &OpenDisruption, now: u64) -> Cost {
     match open.replica {
         true => Cost::replica(seconds(open.since, now) - open.estimate.replica_s),
         false => Cost::NONE,
--- a/crates/dockpier-drain/src/lib.rs
+++ b/crates/dockpier-drain/src/lib.rs
@@ -2,18 +2,18 @@
 //!
 //! The crate decides and does nothing else: what it is given is a view of the fleet, what it returns is a choice.
 //! It does no I/O and keeps no clock (times come with every call, in milliseconds of the time of day); only the
-//! solver watches its own time limit. The scheduler's scheduler holds the state, carries choices out under the rules that
-//! it keeps anyway, and writes the records.
+//! solver watches its own time limit. The scheduler holds the state, carries choices out under the rules that it
+//! enforces anyway, and writes the records.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`request`] | what operators ask for, checked |
-//! | [`budget`] | what a team has agreed to |
-//! | [`ledger`] | what of it is spent, reserved and left in the sliding window |
-//! | [`progress`] | how far each machine of a drain is |
+//! | [`request`] | operators' requests, checked |
+//! | [`budget`] | the disruption that a team has agreed to |
+//! | [`ledger`] | how much of a budget is spent, reserved and left in the sliding window |
+//! | [`progress`] | the state of each machine of a drain |
 //! | [`plan`] | which machines the next step may take |
-//! | [`stops`] | what may happen to a task on a cordoned machine |
-//! | [`status`] | what operators are told |
+//! | [`stops`] | whether a task on a cordoned machine may be stopped |
+//! | [`status`] | what operators see of a drain |
 
 #![deny(missing_docs)]
 
--- a/crates/dockpier-drain/src/plan.rs
+++ b/crates/dockpier-drain/src/plan.rs
@@ -10,7 +10,7 @@
 use good_lp::{constraint, microlp, variable, variables, Expression, Solution, SolverModel, WithTimeLimit};
 use std::collections::BTreeMap;
 
-/// Amounts of a machine, in thousandths (memory in MB).
+/// Amounts of a machine's resources: processor cores and GPUs in thousandths, memory in MB.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Amounts {
     /// Processor cores.
@@ -35,7 +35,7 @@
     }
 
     fn fits(&self, room: &Amounts) -> bool {
-        self.each().iter().zip(room.each()).all(|(need, has)| *need <= has)
+        self.each().iter().zip(room.each()).all(|(needed, free)| *needed <= free)
     }
 }
 
@@ -135,74 +135,113 @@
     },
 }
 
-/// Candidates beyond these wait for the next step, so that a solver's problem stays small.
-pub const CANDIDATES_MOST: usize = 200;
+/// Candidates of one step; those beyond are left to the next, so that the solver's problem stays small.
+pub const MAX_CANDIDATES: usize = 200;
 
-/// What a set of machines takes.
+/// What a set of machines takes together.
 #[derive(Clone, Default)]
-struct HeartbeatOutcome {
+struct Selection {
     machines: usize,
+    /// Machines of each drain.
     drains: BTreeMap<usize, usize>,
+    /// What each team loses.
     teams: BTreeMap<String, Cost>,
-    zones: BTreeMap<String, (Amounts, i64)>,
+    /// What each zone loses.
+    zones: BTreeMap<String, ZoneUse>,
 }
 
-impl HeartbeatOutcome {
-    /// Takes the machine if the limits allow it besides what is taken.
-    fn take(&mut self, candidate: &Candidate, limits: &Limits) -> Result<(), Option<Refusal>> {
+/// What a set of machines takes of a zone.
+#[derive(Clone, Copy, Default)]
+struct ZoneUse {
+    /// What has to move to its other machines.
+    moves: Amounts,
+    /// Reserved places that it loses.
+    places: i64,
+}
+
+/// Why a machine is not added to a selection.
+enum Excluded {
+    /// The step, or the machine's drain, is full.
+    StepFull,
+    /// It can't be added to what is selected.
+    Refused(Refusal),
+}
+
+impl Selection {
+    /// Adds the machine if the limits allow it besides what is selected.
+    fn add(&mut self, candidate: &Candidate, limits: &Limits) -> Result<(), Excluded> {
+        self.check_step(candidate, limits)?;
+        self.check_teams(candidate, limits).map_err(Excluded::Refused)?;
+        let zone_use = self.zone_use(candidate, limits).map_err(Excluded::Refused)?;
+        self.machines += 1;
+        *self.drains.entry(candidate.drain).or_default() += 1;
+        for (team, needs) in &candidate.teams {
+            let spent = self.teams.entry(team.clone()).or_default();
+            *spent = spent.plus(needs.cost);
+        }
+        self.zones.insert(candidate.zone.clone(), zone_use);
+        Ok(())
+    }
+
+    fn check_step(&self, candidate: &Candidate, limits: &Limits) -> Result<(), Excluded> {
         let of_drain = self.drains.get(&candidate.drain).copied().unwrap_or(0);
-        let most = limits.drains.get(candidate.drain).copied().unwrap_or(0);
-        if self.machines >= limits.machines || of_drain >= most {
-            return Err(None);
+        let max = limits.drains.get(candidate.drain).copied().unwrap_or(0);
+        match self.machines >= limits.machines || of_drain >= max {
+            true => Err(Excluded::StepFull),
+            false => Ok(()),
         }
+    }
+
+    fn check_teams(&self, candidate: &Candidate, limits: &Limits) -> Result<(), Refusal> {
         for (team, needs) in &candidate.teams {
             let left = limits.teams.get(team).copied().unwrap_or_default();
             let spent = self.teams.get(team).copied().unwrap_or_default();
             if needs.together > left.tasks || !spent.plus(needs.cost).fits(left.cost) {
-                return Err(Some(Refusal::Budget { team: team.clone(), needs: *needs, left }));
+                return Err(Refusal::Budget { team: team.clone(), needs: *needs, left });
             }
         }
-        let zone = limits.zones.get(&candidate.zone).copied().unwrap_or_default();
-        let (moved, places) = self.zones.get(&candidate.zone).copied().unwrap_or_default();
-        let moved = moved.plus(candidate.moves);
-        if candidate.moves != Amounts::default() && !moved.fits(&zone.free) {
-            return Err(Some(Refusal::NoRoom { zone: candidate.zone.clone() }));
+        Ok(())
+    }
+
+    /// What the selection takes of the candidate's zone with it.
+    fn zone_use(&self, candidate: &Candidate, limits: &Limits) -> Result<ZoneUse, Refusal> {
+        let room = limits.zones.get(&candidate.zone).copied().unwrap_or_default();
+        let before = self.zones.get(&candidate.zone).copied().unwrap_or_default();
+        let moves = before.moves.plus(candidate.moves);
+        if candidate.moves != Amounts::default() && !moves.fits(&room.free) {
+            return Err(Refusal::NoRoom { zone: candidate.zone.clone() });
         }
-        let places = places + candidate.places;
-        if candidate.places > 0 && places > zone.spare_places {
-            let (needs, left) = (candidate.places, zone.spare_places);
-            return Err(Some(Refusal::ReservedPlaces { zone: candidate.zone.clone(), needs, left }));
+        let places = before.places + candidate.places;
+        if candidate.places > 0 && places > room.spare_places {
+            let (needs, left) = (candidate.places, room.spare_places);
+            return Err(Refusal::ReservedPlaces { zone: candidate.zone.clone(), needs, left });
         }
-        self.machines += 1;
-        *self.drains.entry(candidate.drain).or_default() += 1;
-        for (team, needs) in &candidate.teams {
-            let spent = self.teams.entry(team.clone()).or_default();
-            *spent = spent.plus(needs.cost);
-        }
-        self.zones.insert(candidate.zone.clone(), (moved, places));
-        Ok(())
+        Ok(ZoneUse { moves, places })
     }
 }
 
 /// Why the machine can't be taken even alone; `None`: it can.
 pub fn refusal(candidate: &Candidate, limits: &Limits) -> Option<Refusal> {
     let alone = Limits { machines: 1, drains: vec![1; candidate.drain + 1], ..limits.clone() };
-    HeartbeatOutcome::default().take(candidate, &alone).err().flatten()
+    match Selection::default().add(candidate, &alone) {
+        Err(Excluded::Refused(refusal)) => Some(refusal),
+        Err(Excluded::StepFull) | Ok(()) => None,
+    }
 }
 
 /// Whether the limits allow all of these together.
 pub fn allowed(candidates: &[Candidate], chosen: &[usize], limits: &Limits) -> bool {
-    let mut taken = HeartbeatOutcome::default();
-    chosen.iter().all(|at| candidates.get(*at).is_some_and(|c| taken.take(c, limits).is_ok()))
+    let mut selection = Selection::default();
+    chosen.iter().all(|at| candidates.get(*at).is_some_and(|machine| selection.add(machine, limits).is_ok()))
 }
 
 /// The machines of the next step. Candidates come in the order in which they are preferred.
 pub fn choose(candidates: &[Candidate], limits: &Limits, time_limit_s: f64) -> Choice {
-    let candidates = &candidates[..candidates.len().min(CANDIDATES_MOST)];
+    let candidates = &candidates[..candidates.len().min(MAX_CANDIDATES)];
     let greedy = in_order(candidates, limits);
     let possible: Vec<usize> =
         (0..candidates.len()).filter(|at| refusal(&candidates[*at], limits).is_none()).collect();
-    if greedy.len() >= most(candidates, &possible, limits) {
+    if greedy.len() >= max_machines(candidates, &possible, limits) {
         return Choice { chosen: greedy, method: Method::InOrder };
     }
     match solve(candidates, &possible, limits, time_limit_s) {
@@ -213,16 +252,16 @@
     }
 }
 
-/// Takes machines one after the other.
+/// Adds machines one after the other, leaving out those that the limits exclude.
 fn in_order(candidates: &[Candidate], limits: &Limits) -> Vec<usize> {
-    let mut taken = HeartbeatOutcome::default();
-    (0..candidates.len()).filter(|at| taken.take(&candidates[*at], limits).is_ok()).collect()
+    let mut selection = Selection::default();
+    (0..candidates.len()).filter(|at| selection.add(&candidates[*at], limits).is_ok()).collect()
 }
 
-/// No choice has more machines than this.
-fn most(candidates: &[Candidate], possible: &[usize], limits: &Limits) -> usize {
+/// An upper bound on the machines of any choice.
+fn max_machines(candidates: &[Candidate], possible: &[usize], limits: &Limits) -> usize {
     let of_drain = |drain: usize| possible.iter().filter(|at| candidates[**at].drain == drain).count();
-    let drains = limits.drains.iter().enumerate().map(|(drain, most)| of_drain(drain).min(*most));
+    let drains = limits.drains.iter().enumerate().map(|(drain, max)| of_drain(drain).min(*max));
     drains.sum::<usize>().min(limits.machines)
 }
 
@@ -236,7 +275,7 @@
     variables! { vars: }
     let taken: Vec<_> = possible.iter().map(|_| vars.add(variable().binary())).collect();
     // Of equally large sets, the one whose machines come first.
-    let preference = |at: usize| 1.0 - at as f64 / (100.0 * CANDIDATES_MOST as f64);
+    let preference = |at: usize| 1.0 - at as f64 / (100.0 * MAX_CANDIDATES as f64);
     let objective: Expression = taken.iter().enumerate().map(|(at, x)| preference(at) * *x).sum();
     let sum = |amount: &dyn Fn(&Candidate) -> f64| -> Expression {
         let terms = possible.iter().zip(&taken).map(|(at, x)| (amount(&candidates[*at]), *x));
@@ -244,9 +283,9 @@
     };
     let mut problem = vars.maximise(objective).using(microlp).with_time_limit(time_limit_s);
     problem = problem.with(constraint!(sum(&|_| 1.0) <= limits.machines as f64));
-    for (drain, most) in limits.drains.iter().enumerate() {
+    for (drain, max) in limits.drains.iter().enumerate() {
         let of_drain = sum(&|c| f64::from(u8::from(c.drain == drain)));
-        problem = problem.with(constraint!(of_drain <= *most as f64));
+        problem = problem.with(constraint!(of_drain <= *max as f64));
     }
     for (team, left) in &limits.teams {
         let cost = |c: &Candidate| c.teams.get(team).map_or(Cost::NONE, |needs| needs.cost);
--- a/crates/dockpier-drain/src/progress.rs
+++ b/crates/dockpier-drain/src/progress.rs
@@ -1,10 +1,10 @@
-//! How far each machine of a drain is. A state is stored before anything is done on the strength of it, so that a
-//! new leader goes on where the last one stopped, and doing a step again does no harm.
+//! The state of each machine of a drain. A state is stored before any action that follows from it, so that a new leader
+//! goes on where the last one stopped; repeating a step does no harm.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How far a machine is.
+/// The state of a machine within its drain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineDrainState {
@@ -48,21 +48,29 @@
 
     /// Whether a machine may go from this state to another.
     pub fn may_become(&self, next: &MachineDrainState) -> bool {
-        use MachineDrainState::*;
-        match (self, next) {
-            (Waiting, Replacing { attempt: 1, machine: None } | Cordoned { replacement: None } | Gone) => {
-                true
-            }
-            (Replacing { attempt, .. }, Replacing { attempt: later, machine }) => {
-                later == attempt || *later == attempt + 1 && machine.is_none()
-            }
-            (Replacing { machine: Some(machine), .. }, Cordoned { replacement: Some(replacement) }) => {
-                machine == replacement
-            }
-            (Replacing { .. }, Gone) => true,
-            (Cordoned { replacement }, Returned { replacement: same }) => replacement == same,
-            (Cordoned { .. }, Gone) => true,
-            _ => false,
+        match self {
+            MachineDrainState::Waiting => match next {
+                MachineDrainState::Replacing { attempt, machine } => *attempt == 1 && machine.is_none(),
+                MachineDrainState::Cordoned { replacement } => replacement.is_none(),
+                MachineDrainState::Gone => true,
+                MachineDrainState::Waiting | MachineDrainState::Returned { .. } => false,
+            },
+            MachineDrainState::Replacing { attempt, machine: named } => match next {
+                MachineDrainState::Replacing { attempt: later, machine } => {
+                    later == attempt || *later == attempt + 1 && machine.is_none()
+                }
+                MachineDrainState::Cordoned { replacement } => named.is_some() && named == replacement,
+                MachineDrainState::Gone => true,
+                MachineDrainState::Waiting | MachineDrainState::Returned { .. } => false,
+            },
+            MachineDrainState::Cordoned { replacement } => match next {
+                MachineDrainState::Returned { replacement: same } => replacement == same,
+                MachineDrainState::Gone => true,
+                MachineDrainState::Waiting
+                | MachineDrainState::Replacing { .. }
+                | MachineDrainState::Cordoned { .. } => false,
+            },
+            MachineDrainState::Returned { .. } | MachineDrainState::Gone => false,
         }
     }
 
@@ -82,7 +90,7 @@
 pub struct MachineEntry {
     /// Its name.
     pub machine: String,
-    /// How far it is.
+    /// Its state.
     pub state: MachineDrainState,
 }
 
@@ -114,7 +122,15 @@
 #[derive(Debug, Clone, Default)]
 pub struct Progress {
     chunks: Vec<Chunk>,
-    places: BTreeMap<String, (usize, usize)>,
+    /// Where each machine's entry is, by the machine's name.
+    places: BTreeMap<String, EntryPlace>,
+}
+
+/// The place of an entry.
+#[derive(Debug, Clone, Copy)]
+struct EntryPlace {
+    chunk: usize,
+    within: usize,
 }
 
 /// Bytes of an entry in a record besides the names of the machine and of its replacement, the longest state's.
@@ -123,16 +139,16 @@
 const NAME_BYTES: usize = 40;
 
 impl Progress {
-    /// A drain of these machines of which nothing has happened, split so that each part stays within `value_most`
-    /// bytes whatever becomes of its machines.
-    pub fn of(machines: impl IntoIterator<Item = String>, value_most: usize) -> Self {
+    /// A drain of these machines, all waiting, split so that each part stays within `max_value_bytes` whatever states its
+    /// machines go through.
+    pub fn of(machines: impl IntoIterator<Item = String>, max_value_bytes: usize) -> Self {
         let mut chunks: Vec<Chunk> = Vec::new();
         let mut room = 0;
         for machine in machines {
             let bytes = ENTRY_BYTES + machine.len() + NAME_BYTES.max(machine.len());
             if chunks.is_empty() || bytes > room {
                 chunks.push(Chunk::default());
-                room = value_most.saturating_sub(ENTRY_BYTES);
+                room = max_value_bytes.saturating_sub(ENTRY_BYTES);
             }
             room = room.saturating_sub(bytes);
             if let Some(chunk) = chunks.last_mut() {
@@ -147,7 +163,7 @@
         let mut places = BTreeMap::new();
         for (at, chunk) in chunks.iter().enumerate() {
             for (within, entry) in chunk.machines.iter().enumerate() {
-                places.insert(entry.machine.clone(), (at, within));
+                places.insert(entry.machine.clone(), EntryPlace { chunk: at, within });
             }
         }
         Progress { chunks, places }
@@ -158,15 +174,16 @@
         &self.chunks
     }
 
-    /// How far a machine is; `None`: it is not of this drain.
+    /// The state of a machine; `None`: it is not of this drain.
     pub fn state(&self, machine: &str) -> Option<&MachineDrainState> {
-        let (chunk, within) = self.places.get(machine)?;
-        Some(&self.chunks.get(*chunk)?.machines.get(*within)?.state)
+        let place = self.places.get(machine)?;
+        Some(&self.chunks.get(place.chunk)?.machines.get(place.within)?.state)
     }
 
-    /// Takes a machine on, if that is a step that it may take. Returns the part that is to be stored again.
+    /// Moves a machine to its next state, if it may go there. Returns the part that is to be stored again; `None`: nothing
+    /// was changed.
     pub fn advance(&mut self, machine: &str, next: MachineDrainState) -> Option<usize> {
-        let (chunk, within) = *self.places.get(machine)?;
+        let EntryPlace { chunk, within } = *self.places.get(machine)?;
         let entry = self.chunks.get_mut(chunk)?.machines.get_mut(within)?;
         if !entry.state.may_become(&next) {
             return None;
--- a/crates/dockpier-drain/src/request.rs
+++ b/crates/dockpier-drain/src/request.rs
@@ -1,4 +1,4 @@
-//! What operators ask for: which machines, why, until when, and whether each is to be replaced.
+//! Operators' requests: which machines are drained, why, until when, and whether each is replaced.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -10,8 +10,8 @@
 #[serde(try_from = "String", into = "String")]
 pub struct DrainId(String);
 
-/// Longest name of a drain, so that every key that bears it is allowed.
-const ID_MOST: usize = 64;
+/// Longest name of a drain, so that every key that contains it is allowed.
+const MAX_ID_BYTES: usize = 64;
 
 impl DrainId {
     /// The name as text.
@@ -31,7 +31,7 @@
 
     fn try_from(id: String) -> Result<Self, RequestError> {
         let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-        match !id.is_empty() && id.len() <= ID_MOST && id.chars().all(plain) {
+        match !id.is_empty() && id.len() <= MAX_ID_BYTES && id.chars().all(plain) {
             true => Ok(DrainId(id)),
             false => Err(RequestError::new("id", "must be 1 to 64 lowercase letters, digits and hyphens")),
         }
@@ -100,8 +100,8 @@
     }
 }
 
-/// Longest reason, in bytes.
-const REASON_MOST: usize = 500;
+/// Longest reason.
+const MAX_REASON_BYTES: usize = 500;
 
 /// What exists, as far as the node that takes a request knows.
 #[derive(Debug, Clone, Default)]
@@ -116,9 +116,12 @@
 
 impl DrainRequest {
     /// Checks the request by itself. `now` is the time of day in seconds.
+    ///
+    /// # Errors
+    /// The first field that has a value that is not allowed.
     pub fn check(&self, now: f64) -> Result<(), RequestError> {
         let refuse = |field, why: &str| Err(RequestError::new(field, why));
-        if self.reason.trim().is_empty() || self.reason.len() > REASON_MOST {
+        if self.reason.trim().is_empty() || self.reason.len() > MAX_REASON_BYTES {
             return refuse("reason", "must be 1 to 500 bytes of text");
         }
         if self.share.is_some_and(|share| !(share > 0.0 && share <= 1.0)) {
@@ -135,11 +138,14 @@
             Target::Machines(names) if names.iter().collect::<BTreeSet<_>>().len() < names.len() => {
                 refuse("target.machines", "names a machine twice")
             }
-            _ => Ok(()),
+            Target::Machines(_) | Target::Kind { .. } | Target::All {} => Ok(()),
         }
     }
 
-    /// Checks that what it names exists.
+    /// Checks that the machines, type and zone that it names exist.
+    ///
+    /// # Errors
+    /// The first name that is not in the inventory.
     pub fn check_against(&self, inventory: &Inventory) -> Result<(), RequestError> {
         let unknown = |field, name: &str| Err(RequestError::new(field, format!("`{name}` is not known")));
         match &self.target {
@@ -164,13 +170,13 @@
         }
     }
 
-    /// How many of so many machines may be under way at the same time.
+    /// How many of the drain's `machines` may be under way at the same time; at least one.
     pub fn at_once(&self, machines: usize) -> usize {
         self.share.map_or(machines, |share| ((machines as f64 * share) as usize).max(1))
     }
 }
 
-/// What operators want of a drain now.
+/// The state that operators want a drain to be in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DesiredState {
@@ -182,14 +188,14 @@
     Cancel,
 }
 
-/// A drain as it is stored: what was asked, and what is wanted now.
+/// A drain as it is stored: the request, and the state that is wanted now.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredRequest {
-    /// What was asked.
+    /// The request.
     pub request: DrainRequest,
-    /// When it was taken, in milliseconds of the time of day.
+    /// When it was accepted, in milliseconds of the time of day.
     pub accepted: u64,
-    /// What is wanted.
+    /// The state that is wanted.
     #[serde(rename = "wish")]
     pub desired_state: DesiredState,
 }
--- a/crates/dockpier-drain/src/status.rs
+++ b/crates/dockpier-drain/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a drain: how far it is, what it waits for and since when, and when it will be done.
+//! What operators see of a drain: its state, what it waits for, and when it should be done.
 
 use crate::budget::Cost;
 use crate::ledger::Allowance;
@@ -70,7 +70,7 @@
         /// How many.
         tasks: usize,
     },
-    /// A stop was told and is not confirmed yet.
+    /// A stop was sent and is not confirmed yet.
     Stopping {
         /// The job.
         job: String,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Whether a drain goes on.
+/// The state of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainState {
@@ -134,10 +134,10 @@
     Finished,
 }
 
-/// What the leader writes of a drain, so that every node can show it.
+/// The leader's summary of a drain, stored so that every node can show it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Whether it goes on.
+    /// The drain's state.
     pub state: DrainState,
     /// How many machines are in which state.
     pub counts: Counts,
@@ -150,11 +150,11 @@
     /// When it should be done at the present pace, in milliseconds of the time of day.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub estimate: Option<u64>,
-    /// When this was written.
+    /// When this was written, in milliseconds of the time of day.
     pub updated: u64,
-    /// The token of the leader that wrote it.
+    /// The fencing token of the leader that wrote it.
     pub token: u64,
 }
 
-/// Reasons kept in a summary: the first ones tell enough, and a record has to fit a value.
+/// Reasons kept in a summary; more are left out, since a record has to fit a value of the state service.
 pub const WAITS_MOST: usize = 6;
--- a/crates/dockpier-drain/src/stops.rs
+++ b/crates/dockpier-drain/src/stops.rs
@@ -1,4 +1,4 @@
-//! What may happen to a task on a cordoned machine: it is let finish, stopped now, or left until something changes.
+//! Advice on a task of a cordoned machine: let it finish, stop it now, or wait until something changes.
 
 use crate::budget::Cost;
 use crate::ledger::Allowance;
@@ -64,11 +64,11 @@
     Wait(Wait),
 }
 
-/// Seconds that a task which saves may run on instead of being stopped, it would save, wait for its turn
-/// and fetch its image before it went on.
+/// A task of an array or gang that ends within so many seconds is let finish: stopped, it would save, wait for its turn and
+/// fetch its image before it went on.
 pub const FINISHES_SOON_S: f64 = 20.0;
 
-/// What may be done with the task now, given what its team has left.
+/// What may be done with the task now, given what is left of its team's budget.
 pub fn advise(task: &TaskView, left: &Allowance) -> Advice {
     if !task.runs {
         // One that waits for its image is about to run; one that saves is about to end.
--- a/crates/dockpier-drain/tests/ledger.rs
+++ b/crates/dockpier-drain/tests/ledger.rs
@@ -134,7 +134,7 @@
     assert_eq!(budgets.add("t", with(f64::NAN, 60.0)), Err(BudgetError::Amount { field: "replica-s" }));
     assert_eq!(budgets.add("t", with(1.0, 59.0)), Err(BudgetError::Window));
     assert_eq!(budgets.add("t", with(1.0, 60.0)), Ok(()));
-    assert_eq!(budgets.add("t", with(1.0, 60.0)), Err(BudgetError::Twice { team: "t".into() }));
+    assert_eq!(budgets.add("t", with(1.0, 60.0)), Err(BudgetError::Duplicate { team: "t".into() }));
     assert_eq!(budgets.of("u"), Budget::NONE);
     budgets.add(ANY_TEAM, with(7.0, 60.0)).unwrap();
     assert_eq!((budgets.of("u").cost.replica_s, budgets.of("t").cost.replica_s), (7.0, 1.0));
