--- a/crates/dockpier-drain/tests/planner.rs
+++ b/crates/dockpier-drain/tests/planner.rs
@@ -2,7 +2,9 @@
 
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::Allowance;
-use dockpier_drain::plan::*;
+use dockpier_drain::plan::{
+    allowed, choose, refusal, Amounts, Candidate, Expected, Limits, Method, Refusal, ZoneRoom,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/dockpier-reconcile/src/evidence.rs
+++ b/crates/dockpier-reconcile/src/evidence.rs
@@ -1,6 +1,7 @@
 //! Facts about machines and jobs, and how two of the same kind are joined.
 
 use serde::{Deserialize, Serialize};
+use std::cmp::Ordering;
 use std::collections::BTreeSet;
 use std::fmt;
 
@@ -19,11 +20,11 @@
     }
 }
 
-/// Tells reports of a machine apart: the agent epoch, then the sequence within it.
+/// The number of a machine's heartbeat: the agent epoch, then the sequence within it. A later heartbeat has a higher one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReportNumber(pub u64, pub u64);
 
-/// How far a reported task is.
+/// The state of a reported task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReportedState {
     /// It waits for its image, runs or saves.
@@ -41,15 +42,15 @@
     pub task: TaskKey,
     /// The attempt that it was started under.
     pub attempt: u64,
-    /// How far it is.
+    /// Its state.
     pub state: ReportedState,
 }
 
-/// What proves that a machine holds nothing any more.
+/// The proof that no task of a machine runs any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GoneBy {
-    /// Its lease can't run any more.
+    /// Its lease has expired.
     LeaseOver,
     /// The cloud has confirmed its deletion.
     CloudWord,
@@ -58,39 +59,42 @@
 /// What is known of a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MachineFact {
-    /// It may hold anything.
+    /// No heartbeat has come since the takeover: it may run any task.
     Unheard,
     /// Its newest heartbeat since the takeover.
     Heard {
-        /// Which report.
+        /// The heartbeat's number.
         number: ReportNumber,
-        /// When it came.
+        /// When it arrived, on the caller's clock.
         at: u64,
         /// The tasks that it lists.
         tasks: Vec<Reported>,
     },
-    /// It holds nothing any more.
+    /// None of its tasks runs any more.
     Gone(GoneBy),
 }
 
 impl MachineFact {
     /// The later of two facts about one machine; of the same heartbeat the first arrival counts.
     pub fn join(self, other: MachineFact) -> MachineFact {
-        use MachineFact::*;
+        use MachineFact::{Gone, Heard, Unheard};
         match (self, other) {
-            (Gone(a), Gone(b)) => Gone(a.max(b)),
-            (gone @ Gone(_), _) | (_, gone @ Gone(_)) => gone,
-            (Unheard, fact) | (fact, Unheard) => fact,
-            (Heard { number, at, tasks }, Heard { number: n, at: a, tasks: t }) => match number.cmp(&n) {
-                std::cmp::Ordering::Less => Heard { number: n, at: a, tasks: t },
-                std::cmp::Ordering::Equal => Heard { number, at: at.min(a), tasks },
-                std::cmp::Ordering::Greater => Heard { number, at, tasks },
+            (Gone(proof), Gone(other_proof)) => Gone(proof.max(other_proof)),
+            (gone @ Gone(_), Heard { .. } | Unheard) | (Heard { .. } | Unheard, gone @ Gone(_)) => gone,
+            (Unheard, fact @ (Heard { .. } | Unheard)) | (fact @ Heard { .. }, Unheard) => fact,
+            (
+                Heard { number, at, tasks },
+                Heard { number: other_number, at: other_at, tasks: other_tasks },
+            ) => match number.cmp(&other_number) {
+                Ordering::Less => Heard { number: other_number, at: other_at, tasks: other_tasks },
+                Ordering::Equal => Heard { number, at: at.min(other_at), tasks },
+                Ordering::Greater => Heard { number, at, tasks },
             },
         }
     }
 }
 
-/// What the store says of a job.
+/// What is known of a job from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobFact {
     /// It is live, with so many tasks of which these are finished. Whatever the order, more is finished later.
@@ -100,26 +104,27 @@
         /// Those that are recorded as finished.
         finished: BTreeSet<u32>,
     },
-    /// There is a record that can't be read: nothing may be concluded.
+    /// Its record can't be read: nothing may be concluded.
     Unreadable,
-    /// A reading that left at this time did not show it: it is over, or was never submitted.
+    /// A read that was sent at this time did not show it: it has ended, or was never submitted.
     Absent {
-        /// When the reading left.
+        /// When the read was sent, on the caller's clock.
         read: u64,
     },
 }
 
 impl JobFact {
-    /// The later of two facts about one job. A live job is absent once it is over, and never comes back.
+    /// The later of two facts about one job. A live job is absent once it has ended, and never comes back.
     pub fn join(self, other: JobFact) -> JobFact {
-        use JobFact::*;
+        use JobFact::{Absent, Live, Unreadable};
         match (self, other) {
-            (Absent { read: a }, Absent { read: b }) => Absent { read: a.max(b) },
-            (absent @ Absent { .. }, _) | (_, absent @ Absent { .. }) => absent,
-            (Unreadable, _) | (_, Unreadable) => Unreadable,
-            (Live { tasks, mut finished }, Live { tasks: t, finished: f }) => {
-                finished.extend(f);
-                Live { tasks: tasks.max(t), finished }
+            (Absent { read }, Absent { read: other_read }) => Absent { read: read.max(other_read) },
+            (absent @ Absent { .. }, Live { .. } | Unreadable)
+            | (Live { .. } | Unreadable, absent @ Absent { .. }) => absent,
+            (Unreadable, Live { .. } | Unreadable) | (Live { .. }, Unreadable) => Unreadable,
+            (Live { tasks, mut finished }, Live { tasks: other_tasks, finished: other_finished }) => {
+                finished.extend(other_finished);
+                Live { tasks: tasks.max(other_tasks), finished }
             }
         }
     }
--- a/crates/dockpier-reconcile/src/lib.rs
+++ b/crates/dockpier-reconcile/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a leader that finds everything running, or half of it, may conclude: stored jobs joined with what workers
-//! report and what is known to be gone, to one verdict on each task and the evidence that it rests on.
+//! Reconciliation after a takeover: the stored jobs, the workers' heartbeats and the machines that are known to be gone
+//! are joined to one verdict on each task, with its evidence.
 //!
-//! The join is one of versions: of a machine the newest heartbeat counts, and what is gone stays gone; of a job the latest
-//! reading of the store. So the same facts give the same verdicts in whatever order they come, repeated or late. The
-//! crate does no I/O and keeps no clock; times are the caller's.
+//! Facts are joined by version: of a machine the newest heartbeat counts, and a machine that is gone stays gone; of a job
+//! the latest read of the store counts. Invariant: the same facts give the same verdicts in any order, repeated or late.
+//! The crate does no I/O and keeps no clock; times are the caller's.
 
 #![deny(missing_docs)]
 
--- a/crates/dockpier-reconcile/src/verdict.rs
+++ b/crates/dockpier-reconcile/src/verdict.rs
@@ -1,18 +1,18 @@
-//! The verdict on each task.
+//! The verdict on each task, from all facts together.
 
-use crate::evidence::{Fact, JobFact, MachineFact, Reported, ReportedState, TaskKey};
+use crate::evidence::{Fact, JobFact, MachineFact, ReportedState, TaskKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is concluded of a task.
+/// The conclusion about a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// One machine reports it: it is let run.
+    /// One machine reports it: it goes on running.
     Running,
     /// A worker keeps its result, and the store does not have it: it is recorded, not run again.
     FinishedUnrecorded,
-    /// Nobody has it, and nobody can: it is ordered, once.
+    /// No machine runs it, and none can: it is started, once.
     Missing,
     /// Several machines report it: one of them goes on, the others are stopped.
     Twice,
@@ -20,24 +20,24 @@
     AlreadyFinished,
     /// Of a job that the store, read after the heartbeat, does not have: it is stopped.
     UnknownJob,
-    /// Something may yet show where it is: nothing is ordered, nothing is stopped.
+    /// A heartbeat or read to come may show where it is: it is neither started nor stopped.
     CannotKnowYet,
 }
 
-/// What a verdict rests on.
+/// The evidence of a verdict.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Evidence {
     /// The newest heartbeats of these machines.
     ReportedBy(BTreeSet<String>),
-    /// Every machine was heard without it, or is gone.
+    /// Every machine has sent a heartbeat without it, or is gone.
     NobodyHasIt {
-        /// Machines heard.
+        /// Machines that have sent a heartbeat.
         heard: usize,
         /// Machines gone.
         gone: usize,
     },
-    /// These machines have not been heard; the first few.
+    /// These machines have not sent a heartbeat; only the first few are named.
     Unheard(Vec<String>),
     /// The store has not been read since the heartbeat.
     StoreNotReadSince,
@@ -45,8 +45,8 @@
     RecordUnreadable,
 }
 
-/// Unheard machines that are named as evidence.
-const NAMED_MOST: usize = 5;
+/// Machines named as evidence of a verdict.
+const MAX_NAMED_MACHINES: usize = 5;
 
 /// How many tasks have which verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -83,7 +83,18 @@
     }
 }
 
-/// Everything that is known, joined.
+/// A task in a machine's newest heartbeat.
+#[derive(Debug, Clone, Copy)]
+struct Listing {
+    state: ReportedState,
+    /// When the heartbeat arrived.
+    at: u64,
+}
+
+/// The machines that list a task, by name.
+type Listings<'a> = BTreeMap<&'a str, Listing>;
+
+/// All facts, joined.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Reconciliation {
     machines: BTreeMap<String, MachineFact>,
@@ -91,7 +102,7 @@
 }
 
 impl Reconciliation {
-    /// Takes a fact in.
+    /// Joins a fact to those that are known.
     pub fn learn(&mut self, fact: Fact) {
         match fact {
             Fact::Machine(name, fact) => {
@@ -108,7 +119,7 @@
         }
     }
 
-    /// Machines that have not been heard and are not gone.
+    /// Machines that have not sent a heartbeat and are not gone.
     pub fn unheard(&self) -> impl Iterator<Item = &str> {
         let unheard = self.machines.iter().filter(|(_, fact)| **fact == MachineFact::Unheard);
         unheard.map(|(name, _)| name.as_str())
@@ -117,22 +128,19 @@
     /// The verdict on every unfinished task that is stored, and on every task that is reported.
     pub fn verdicts(&self) -> BTreeMap<TaskKey, (Verdict, Evidence)> {
         let reported = self.reported();
-        let nowhere = self.nowhere();
+        let unreported = self.judge_unreported();
         let mut verdicts = BTreeMap::new();
         for (job, fact) in &self.jobs {
             let JobFact::Live { tasks, finished } = fact else { continue };
             for task in (0..*tasks).filter(|task| !finished.contains(task)) {
                 let key = TaskKey { job: *job, task };
-                let verdict = match reported.get(&key) {
-                    Some(places) => judge_reported(places).unwrap_or_else(|| nowhere.clone()),
-                    None => nowhere.clone(),
-                };
-                verdicts.insert(key, verdict);
+                let judged = reported.get(&key).and_then(judge_stored);
+                verdicts.insert(key, judged.unwrap_or_else(|| unreported.clone()));
             }
         }
-        for (key, places) in &reported {
+        for (key, listings) in &reported {
             if !verdicts.contains_key(key) {
-                verdicts.extend(self.judge_stranger(*key, places).map(|verdict| (*key, verdict)));
+                verdicts.extend(self.judge_unstored(*key, listings).map(|verdict| (*key, verdict)));
             }
         }
         verdicts
@@ -145,21 +153,20 @@
         counts
     }
 
-    /// What each task's newest heartbeats say, by machine, with the time at which the heartbeat came.
-    fn reported(&self) -> BTreeMap<TaskKey, BTreeMap<&str, (Reported, u64)>> {
-        let mut reported: BTreeMap<TaskKey, BTreeMap<&str, (Reported, u64)>> = BTreeMap::new();
+    fn reported(&self) -> BTreeMap<TaskKey, Listings<'_>> {
+        let mut reported: BTreeMap<TaskKey, Listings<'_>> = BTreeMap::new();
         for (name, fact) in &self.machines {
             let MachineFact::Heard { at, tasks, .. } = fact else { continue };
             for task in tasks {
-                reported.entry(task.task).or_default().insert(name, (*task, *at));
+                reported.entry(task.task).or_default().insert(name, Listing { state: task.state, at: *at });
             }
         }
         reported
     }
 
-    /// The verdict on a task that no heartbeat lists.
-    fn nowhere(&self) -> (Verdict, Evidence) {
-        let unheard: Vec<String> = self.unheard().take(NAMED_MOST).map(str::to_string).collect();
+    /// The verdict on a stored task that no heartbeat lists.
+    fn judge_unreported(&self) -> (Verdict, Evidence) {
+        let unheard: Vec<String> = self.unheard().take(MAX_NAMED_MACHINES).map(str::to_string).collect();
         if !unheard.is_empty() {
             return (Verdict::CannotKnowYet, Evidence::Unheard(unheard));
         }
@@ -168,23 +175,15 @@
         (Verdict::Missing, Evidence::NobodyHasIt { heard, gone })
     }
 
-    /// The verdict on a reported task that is not among the stored unfinished ones; `None`: it has ended, and nobody
-    /// misses it.
-    fn judge_stranger(
-        &self,
-        key: TaskKey,
-        places: &BTreeMap<&str, (Reported, u64)>,
-    ) -> Option<(Verdict, Evidence)> {
-        let alive: BTreeMap<&str, u64> = places
-            .iter()
-            .filter(|(_, (task, _))| task.state == ReportedState::Alive)
-            .map(|(name, (_, at))| (*name, *at))
-            .collect();
-        let latest = alive.values().max()?;
-        let by = Evidence::ReportedBy(alive.keys().map(|name| name.to_string()).collect());
+    /// The verdict on a reported task that is not among the stored unfinished ones; `None`: it has ended on every
+    /// machine, so that nothing is to be done.
+    fn judge_unstored(&self, key: TaskKey, listings: &Listings<'_>) -> Option<(Verdict, Evidence)> {
+        let alive = listings.iter().filter(|(_, listing)| listing.state == ReportedState::Alive);
+        let latest = alive.map(|(_, listing)| listing.at).max()?;
+        let by = Evidence::ReportedBy(machines_in(listings, ReportedState::Alive));
         Some(match self.jobs.get(&key.job) {
             Some(JobFact::Live { .. }) => (Verdict::AlreadyFinished, by),
-            Some(JobFact::Absent { read }) if read > latest => (Verdict::UnknownJob, by),
+            Some(JobFact::Absent { read }) if *read > latest => (Verdict::UnknownJob, by),
             Some(JobFact::Absent { .. }) | None => (Verdict::CannotKnowYet, Evidence::StoreNotReadSince),
             Some(JobFact::Unreadable) => (Verdict::CannotKnowYet, Evidence::RecordUnreadable),
         })
@@ -192,19 +191,21 @@
 }
 
 /// The verdict on a stored task that heartbeats list; `None`: it has ended everywhere without a result.
-fn judge_reported(places: &BTreeMap<&str, (Reported, u64)>) -> Option<(Verdict, Evidence)> {
-    let of = |state: ReportedState| -> BTreeSet<String> {
-        let these = places.iter().filter(|(_, (task, _))| task.state == state);
-        these.map(|(name, _)| name.to_string()).collect()
-    };
-    let done = of(ReportedState::Done);
+fn judge_stored(listings: &Listings<'_>) -> Option<(Verdict, Evidence)> {
+    let done = machines_in(listings, ReportedState::Done);
     if !done.is_empty() {
         return Some((Verdict::FinishedUnrecorded, Evidence::ReportedBy(done)));
     }
-    let alive = of(ReportedState::Alive);
+    let alive = machines_in(listings, ReportedState::Alive);
     match alive.len() {
         0 => None,
         1 => Some((Verdict::Running, Evidence::ReportedBy(alive))),
         _ => Some((Verdict::Twice, Evidence::ReportedBy(alive))),
     }
 }
+
+/// The machines that list the task in this state.
+fn machines_in(listings: &Listings<'_>, state: ReportedState) -> BTreeSet<String> {
+    let in_state = listings.iter().filter(|(_, listing)| listing.state == state);
+    in_state.map(|(name, _)| name.to_string()).collect()
+}
--- a/crates/dockpier-reconcile/tests/verdicts.rs
+++ b/crates/dockpier-reconcile/tests/verdicts.rs
@@ -1,6 +1,9 @@
 //! The same facts give the same verdicts in every order; and the verdicts are right against a plain model.
 
-use dockpier_reconcile::*;
+use dockpier_reconcile::{
+    Evidence, Fact, GoneBy, JobFact, MachineFact, Reconciliation, ReportNumber, Reported, ReportedState,
+    TaskKey, Verdict,
+};
 use proptest::prelude::*;
 
 fn reported(job: u64, task: u32, attempt: u64, state: ReportedState) -> Reported {
@@ -90,7 +93,7 @@
 
 #[test]
 fn each_hard_case_has_its_verdict() {
-    use ReportedState::*;
+    use ReportedState::{Alive, Done, Ended};
     let all = learn([
         Fact::Job(1, live(6, &[5])),
         Fact::Job(3, JobFact::Unreadable),
