--- a/crates/dockpier-cold-start-report/src/main.rs
+++ b/crates/dockpier-cold-start-report/src/main.rs
@@ -1,6 +1,6 @@
-//! Measures cold starts: every controller is lost with all workers running, for less and for more than their lease.
-//! Virtual time, real scheduler, stand-ins for everything else. The figures are kept in a Parquet file; the table is made
-//! from that file.
+//! Measures cold starts: every controller is lost with all workers running, for less and for more than their lease. The
+//! scheduler is the real one, in virtual time; everything else is simulated. The figures are kept in a Parquet file, from
+//! which the table is made.
 
 mod measure;
 mod table;
@@ -24,7 +24,7 @@
     let arguments = Arguments::parse();
     let mut runs = Vec::new();
     for machines in &arguments.machines {
-        for away_s in [measure::SHORT_S, measure::LONG_S] {
+        for away_s in [measure::SHORT_OUTAGE_S, measure::LONG_OUTAGE_S] {
             for enabled in [false, true] {
                 runs.push(measure::cold_start(*machines, away_s, enabled));
             }
--- a/crates/dockpier-cold-start-report/src/table.rs
+++ b/crates/dockpier-cold-start-report/src/table.rs
@@ -1,7 +1,7 @@
 //! The figures as a Parquet file, and the table that is made from it.
 
 use crate::measure::Run;
-use parquet::data_type::{BoolType, DoubleType, Int64Type};
+use parquet::data_type::{BoolType, DataType, DoubleType, Int64Type};
 use parquet::errors::ParquetError;
 use parquet::file::properties::WriterProperties;
 use parquet::file::reader::{FileReader, SerializedFileReader};
@@ -19,7 +19,7 @@
     /// The file could not be written or read.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// Its content could not.
+    /// Its content could not be written or read.
     #[error("{0}")]
     Parquet(#[from] ParquetError),
     /// The table could not be put together.
@@ -43,47 +43,59 @@
 
 type RowGroup<'a> = SerializedRowGroupWriter<'a, File>;
 
-/// Writes the figures, a column each.
+/// Writes the figures, a column each, in the order of the schema.
+///
+/// # Errors
+/// The file can't be written.
 pub fn write(file: &Path, runs: &[Run]) -> Result<(), TableError> {
     let schema = Arc::new(parse_message_type(SCHEMA)?);
     let properties = Arc::new(WriterProperties::builder().build());
     let mut writer = SerializedFileWriter::new(File::create(file)?, schema, properties)?;
     let mut group = writer.next_row_group()?;
-    whole(&mut group, runs, |run| run.machines)?;
-    real(&mut group, runs, |run| run.away_s)?;
-    if let Some(mut column) = group.next_column()? {
-        let values: Vec<bool> = runs.iter().map(|run| run.enabled).collect();
-        column.typed::<BoolType>().write_batch(&values, None, None)?;
-        column.close()?;
-    }
-    real(&mut group, runs, |run| run.reconciled_s)?;
-    real(&mut group, runs, |run| run.services_s)?;
-    real(&mut group, runs, |run| run.whole_s)?;
-    whole(&mut group, runs, |run| run.orders)?;
-    whole(&mut group, runs, |run| run.peak_orders)?;
-    whole(&mut group, runs, |run| run.lost)?;
-    whole(&mut group, runs, |run| run.ran_twice)?;
-    whole(&mut group, runs, |run| run.changes)?;
+    integers(&mut group, runs, |run| run.machines)?;
+    reals(&mut group, runs, |run| run.away_s)?;
+    column::<BoolType>(&mut group, runs, |run| run.enabled)?;
+    times(&mut group, runs, |run| run.reconciled_s)?;
+    times(&mut group, runs, |run| run.services_s)?;
+    times(&mut group, runs, |run| run.whole_s)?;
+    integers(&mut group, runs, |run| run.orders)?;
+    integers(&mut group, runs, |run| run.peak_orders)?;
+    integers(&mut group, runs, |run| run.lost)?;
+    integers(&mut group, runs, |run| run.ran_twice)?;
+    integers(&mut group, runs, |run| run.changes)?;
     group.close()?;
     writer.close()?;
     Ok(())
 }
 
-fn whole(group: &mut RowGroup<'_>, runs: &[Run], of: impl Fn(&Run) -> i64) -> Result<(), TableError> {
-    let Some(mut column) = group.next_column()? else { return Ok(()) };
-    let values: Vec<i64> = runs.iter().map(of).collect();
-    column.typed::<Int64Type>().write_batch(&values, None, None)?;
-    Ok(column.close()?)
+fn integers(group: &mut RowGroup<'_>, runs: &[Run], of: impl Fn(&Run) -> i64) -> Result<(), TableError> {
+    column::<Int64Type>(group, runs, of)
+}
+
+fn reals(group: &mut RowGroup<'_>, runs: &[Run], of: impl Fn(&Run) -> f64) -> Result<(), TableError> {
+    column::<DoubleType>(group, runs, of)
+}
+
+/// Times that may be missing; one that is missing is written as not a number.
+fn times(group: &mut RowGroup<'_>, runs: &[Run], of: impl Fn(&Run) -> Option<f64>) -> Result<(), TableError> {
+    column::<DoubleType>(group, runs, |run| of(run).unwrap_or(f64::NAN))
 }
 
-fn real(group: &mut RowGroup<'_>, runs: &[Run], of: impl Fn(&Run) -> f64) -> Result<(), TableError> {
+fn column<T: DataType>(
+    group: &mut RowGroup<'_>,
+    runs: &[Run],
+    of: impl Fn(&Run) -> T::T,
+) -> Result<(), TableError> {
     let Some(mut column) = group.next_column()? else { return Ok(()) };
-    let values: Vec<f64> = runs.iter().map(of).collect();
-    column.typed::<DoubleType>().write_batch(&values, None, None)?;
+    let values: Vec<T::T> = runs.iter().map(of).collect();
+    column.typed::<T>().write_batch(&values, None, None)?;
     Ok(column.close()?)
 }
 
-/// The table of a file, for a page.
+/// The table of a file, in Markdown.
+///
+/// # Errors
+/// The file can't be read.
 pub fn read(file: &Path) -> Result<String, TableError> {
     let reader = SerializedFileReader::new(File::open(file)?)?;
     let mut text = String::new();
