--- a/crates/dockpier-drain-report/src/main.rs
+++ b/crates/dockpier-drain-report/src/main.rs
@@ -1,11 +1,12 @@
-//! Measures how long draining takes against the budgets, and writes an HTML report with plots. Virtual time, real
-//! scheduler, stand-ins for everything else: the figures are simulated, but for the planner's own time.
+//! Measures how long draining takes against the budgets, and writes an HTML report with plots. The scheduler is the real
+//! one, in virtual time; everything else is simulated. Only the planner's own time is real.
 
 mod measure;
 mod planner;
 mod report;
 
 use clap::Parser;
+use measure::Way;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -20,18 +21,23 @@
     out: PathBuf,
 }
 
-/// Fleets beyond this are emptied in two ways only.
-const ALL_WAYS_MOST: usize = 500;
+/// Fleets beyond this are replaced in two ways only: one machine after the other takes hours of virtual time, and every
+/// way takes minutes of real time.
+const MAX_MACHINES_OF_ALL_WAYS: usize = 500;
+
+fn ways(machines: usize) -> Vec<Way> {
+    if machines > MAX_MACHINES_OF_ALL_WAYS {
+        Way::OF_LARGE_FLEETS.to_vec()
+    } else {
+        Way::all().to_vec()
+    }
+}
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let mut runs = Vec::new();
     for machines in &arguments.machines {
-        // One machine after the other takes hours of virtual time beyond a few hundred, and every way minutes.
-        let ways = measure::Way::all().into_iter();
-        let large = *machines > ALL_WAYS_MOST;
-        let slow = |way: &measure::Way| large && !measure::Way::OF_LARGE_FLEETS.contains(way);
-        for way in ways.filter(|way| !slow(way)) {
+        for way in ways(*machines) {
             let run = measure::replace_fleet(*machines, way);
             println!("{run}");
             runs.push(run);
--- a/crates/dockpier-drain-report/src/measure.rs
+++ b/crates/dockpier-drain-report/src/measure.rs
@@ -1,14 +1,15 @@
-//! Replaces whole fleets, in steps under budgets and in the plain ways that steps are compared with.
+//! Replaces whole fleets: in steps within budgets, and in the simple ways that steps are compared with.
 
 use dockpier::scheduler::model::Kind;
 use dockpier::settings::{Draining, Operator};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
+use dockpier_drain::ledger::Ledger;
 use dockpier_drain::request::{DrainId, DrainRequest, Target};
 use dockpier_drain::status::DrainState;
 use dockpier_simulation::{job, Fleet, Layout};
 use std::fmt;
 
-/// How a fleet is emptied.
+/// How the machines of a fleet are replaced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Way {
     /// In steps, within a budget that allows this share of the replicas to be down at once.
@@ -20,7 +21,7 @@
 }
 
 impl Way {
-    /// The ways that are played with thousands of machines.
+    /// The ways that are measured on thousands of machines.
     pub const OF_LARGE_FLEETS: [Way; 2] = [Way::Budget(0.05), Way::AllAtOnce];
 
     /// The ways that are compared.
@@ -39,25 +40,36 @@
     }
 }
 
-/// What a run showed.
+/// How many machines were replaced at a time.
+#[derive(Debug, Clone, Copy)]
+pub struct CurvePoint {
+    /// Seconds since the beginning.
+    pub at_s: f64,
+    /// Machines replaced, or gone.
+    pub replaced: usize,
+}
+
+/// The figures of a run.
 #[derive(Debug, Clone)]
 pub struct Run {
     /// Machines of the fleet.
     pub machines: usize,
     /// Replicas on them.
     pub replicas: usize,
-    /// How it was emptied.
+    /// How they were replaced.
     pub way: Way,
-    /// Seconds until every machine was replaced; `None`: not within the time that was played.
+    /// Seconds until every machine was replaced; `None`: not within the run.
     pub took_s: Option<f64>,
-    /// Replica seconds: as estimated, as the leader observed them, and by the workers' records.
+    /// Replica seconds as estimated before the stops.
     pub planned_s: f64,
+    /// Replica seconds as the leader observed them, unplanned losses included.
     pub observed_s: f64,
+    /// Replica seconds by the workers' records.
     pub happened_s: f64,
     /// The most replicas down at once.
     pub at_once: usize,
-    /// Machines done over time, in seconds.
-    pub curve: Vec<(f64, usize)>,
+    /// Machines replaced over time.
+    pub curve: Vec<CurvePoint>,
     /// Seconds of real time that the run took.
     pub real_s: f64,
 }
@@ -81,28 +93,30 @@
     }
 }
 
-/// The longest that a run is played, in seconds of its own time.
-const LONGEST_S: f64 = 4.0 * 3_600.0;
-/// Between two looks at a run.
-const LOOK_S: f64 = 2.0;
+/// The longest that a run goes on, in seconds of virtual time.
+const MAX_RUN_S: f64 = 4.0 * 3_600.0;
+/// Interval between two readings of a run, in seconds of virtual time.
+const READING_INTERVAL_S: f64 = 2.0;
+/// The longest that the fleet is given until all replicas run, in seconds of virtual time: at first, and after machines
+/// were deleted by hand.
+const MAX_START_S: f64 = 600.0;
+const MAX_RESTART_S: f64 = 300.0;
+/// Replicas of a service.
+const SERVICE_REPLICAS: usize = 4;
 const TEAM: &str = "t";
 
 /// Machines of four slots in two zones, half of their slots taken by services of four replicas.
 fn layout(machines: usize, replicas: usize, way: Way) -> Layout {
-    let share = match way {
-        Way::Budget(share) => share,
-        Way::OneByOne | Way::AllAtOnce => 1.0,
+    let (share, at_once) = match way {
+        Way::Budget(share) => (share, (machines / 10).max(2)),
+        Way::OneByOne => (1.0, 1),
+        Way::AllAtOnce => (1.0, machines),
     };
     let tasks = ((replicas as f64 * share) as u32).max(1);
     let cost = Cost { replica_s: 1e9, work_s: 1e9 };
     let mut budgets = Budgets::default();
     // The budget of this layout is valid, and no team is named twice.
     let _ = budgets.add(TEAM, Budget { tasks, cost, window_s: 3_600.0 });
-    let at_once = match way {
-        Way::OneByOne => 1,
-        Way::Budget(_) => (machines / 10).max(2),
-        Way::AllAtOnce => machines,
-    };
     let base = Layout::default();
     Layout {
         machines: machines / 2,
@@ -117,53 +131,76 @@
 
 /// Replaces every machine of a fleet.
 pub fn replace_fleet(machines: usize, way: Way) -> Run {
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let replicas = machines * 2;
     let mut fleet = Fleet::new(layout(machines, replicas, way));
-    for id in 0..replicas / 4 {
-        fleet.submit(job(id as u64 + 1, TEAM, Kind::Service, 4));
+    for id in 0..replicas / SERVICE_REPLICAS {
+        fleet.submit(job(id as u64 + 1, TEAM, Kind::Service, SERVICE_REPLICAS as u32));
     }
-    fleet.run_until(600.0, |fleet| fleet.history.running_now() >= replicas);
+    fleet.run_until(MAX_START_S, |fleet| fleet.history.running_now() >= replicas);
     fleet.run(10.0);
-    let (from, lost_before) = (fleet.now(), fleet.history.replica_s(fleet.now(), LONGEST_S, |_| true));
-    let old = fleet.machine_names();
-    let mut run = Run {
+    let lost_before = lost_replica_s(&fleet);
+    let replacement = match way {
+        Way::AllAtOnce => replace_by_hand(&mut fleet, usize::MAX),
+        Way::OneByOne => replace_by_hand(&mut fleet, 1),
+        Way::Budget(_) => replace_in_steps(&mut fleet),
+    };
+    fleet.run(30.0);
+    let ledgers = ledger_totals(&fleet);
+    Run {
         machines,
         replicas,
         way,
-        took_s: None,
-        planned_s: 0.0,
-        observed_s: 0.0,
-        happened_s: 0.0,
-        at_once: 0,
-        curve: Vec::new(),
-        real_s: 0.0,
-    };
-    match way {
-        // Without budgets and holds: the machine is deleted under its tasks, as by hand.
-        Way::AllAtOnce | Way::OneByOne => by_hand(&mut fleet, &old, way, from, &mut run),
-        Way::Budget(_) => in_steps(&mut fleet, from, &mut run),
+        took_s: replacement.took_s,
+        planned_s: ledgers.planned_s,
+        observed_s: ledgers.observed_s,
+        happened_s: lost_replica_s(&fleet) - lost_before,
+        at_once: fleet.history.most_at_once(fleet.now(), |_| true),
+        curve: replacement.curve,
+        real_s: started.elapsed().as_secs_f64(),
     }
-    fleet.run(30.0);
+}
+
+/// Replica seconds lost so far, by the workers' records.
+fn lost_replica_s(fleet: &Fleet) -> f64 {
+    fleet.history.replica_s(fleet.now(), MAX_RUN_S, |_| true)
+}
+
+/// Replica seconds in the teams' ledgers.
+struct LedgerTotals {
+    planned_s: f64,
+    observed_s: f64,
+}
+
+fn ledger_totals(fleet: &Fleet) -> LedgerTotals {
+    let budget = Budget { window_s: MAX_RUN_S, ..Budget::NONE };
+    let mut sums = LedgerTotals { planned_s: 0.0, observed_s: 0.0 };
     for record in fleet.store.ledgers.values() {
-        let ledger = dockpier_drain::ledger::Ledger::restore(record);
-        let budget = Budget { window_s: LONGEST_S, ..Budget::NONE };
-        let totals = ledger.totals(fleet.day_ms(), &budget);
-        run.planned_s += totals.planned.replica_s;
-        run.observed_s += totals.observed.plus(totals.unplanned).replica_s;
+        let totals = Ledger::restore(record).totals(fleet.day_ms(), &budget);
+        sums.planned_s += totals.planned.replica_s;
+        sums.observed_s += totals.observed.plus(totals.unplanned).replica_s;
     }
-    run.happened_s = fleet.history.replica_s(fleet.now(), LONGEST_S, |_| true) - lost_before;
-    run.at_once = fleet.history.most_at_once(fleet.now(), |_| true);
-    run.real_s = begun.elapsed().as_secs_f64();
-    run
+    sums
+}
+
+fn seconds_since(fleet: &Fleet, time: u64) -> f64 {
+    (fleet.now() - time) as f64 / dockpier::limits::SECOND as f64
 }
 
-fn seconds(fleet: &Fleet, from: u64) -> f64 {
-    (fleet.now() - from) as f64 / dockpier::limits::SECOND as f64
+/// The course of a replacement.
+#[derive(Default)]
+struct Replacement {
+    /// Seconds until every machine was replaced; `None`: not within the run.
+    took_s: Option<f64>,
+    curve: Vec<CurvePoint>,
 }
 
-fn in_steps(fleet: &mut Fleet, from: u64, run: &mut Run) {
-    let Ok(id) = DrainId::try_from("all".to_string()) else { return };
+/// The scheduler drains the machines within the budgets.
+fn replace_in_steps(fleet: &mut Fleet) -> Replacement {
+    let mut replacement = Replacement::default();
+    // The name is valid.
+    let Ok(id) = DrainId::try_from("all".to_string()) else { return replacement };
+    let began_at = fleet.now();
     fleet.drain(DrainRequest {
         id,
         target: Target::All {},
@@ -172,27 +209,33 @@
         deadline: None,
         replace: true,
     });
-    while seconds(fleet, from) < LONGEST_S && run.took_s.is_none() {
-        fleet.run(LOOK_S);
+    while seconds_since(fleet, began_at) < MAX_RUN_S && replacement.took_s.is_none() {
+        fleet.run(READING_INTERVAL_S);
         let Some(summary) = fleet.store.summaries.values().next() else { continue };
-        run.curve.push((seconds(fleet, from), summary.counts.returned + summary.counts.gone));
+        let at_s = seconds_since(fleet, began_at);
+        replacement.curve.push(CurvePoint { at_s, replaced: summary.counts.returned + summary.counts.gone });
         if summary.state == DrainState::Finished {
-            run.took_s = Some(seconds(fleet, from));
+            replacement.took_s = Some(at_s);
         }
     }
+    replacement
 }
 
-/// One machine, or all, are given back with what is on them; the scheduler finds new ones by itself.
-fn by_hand(fleet: &mut Fleet, old: &[String], way: Way, from: u64, run: &mut Run) {
-    let together = if way == Way::OneByOne { 1 } else { old.len() };
-    let all = fleet.history.running_now();
-    for (done, machines) in old.chunks(together).enumerate() {
-        machines.iter().for_each(|name| fleet.kill_machine(name));
-        fleet.run_until(300.0, |fleet| fleet.history.running_now() >= all);
-        run.curve.push((seconds(fleet, from), (done + 1) * together));
-        if seconds(fleet, from) > LONGEST_S {
-            return;
+/// Machines are deleted under their tasks, so many at once, without budgets; the scheduler rents new ones by itself.
+fn replace_by_hand(fleet: &mut Fleet, at_once: usize) -> Replacement {
+    let mut replacement = Replacement::default();
+    let (began_at, machines) = (fleet.now(), fleet.machine_names());
+    let at_once = at_once.min(machines.len());
+    let replicas = fleet.history.running_now();
+    for (done, deleted) in machines.chunks(at_once).enumerate() {
+        deleted.iter().for_each(|name| fleet.kill_machine(name));
+        fleet.run_until(MAX_RESTART_S, |fleet| fleet.history.running_now() >= replicas);
+        let at_s = seconds_since(fleet, began_at);
+        replacement.curve.push(CurvePoint { at_s, replaced: (done + 1) * at_once });
+        if at_s > MAX_RUN_S {
+            return replacement;
         }
     }
-    run.took_s = Some(seconds(fleet, from));
+    replacement.took_s = Some(seconds_since(fleet, began_at));
+    replacement
 }
--- a/crates/dockpier-drain-report/src/planner.rs
+++ b/crates/dockpier-drain-report/src/planner.rs
@@ -14,11 +14,13 @@
     pub candidates: usize,
     /// The solver's limit in seconds.
     pub limit_s: f64,
-    /// The longest choice in milliseconds, and how many were made.
+    /// The longest time of a choice in milliseconds.
     pub longest_ms: f64,
+    /// Choices made.
     pub choices: usize,
-    /// How many the solver found, and how many were left to the order.
+    /// Choices by the solver.
     pub solved: usize,
+    /// Choices in order, since the solver found nothing better.
     pub greedy: usize,
     /// Machines chosen in all.
     pub chosen: usize,
@@ -41,6 +43,7 @@
     }
 }
 
+/// Choices for each size and limit.
 const CHOICES: usize = 40;
 
 /// Problems of different sizes, the same for every limit.
@@ -55,9 +58,9 @@
         Solve { candidates, limit_s, longest_ms: 0.0, choices: CHOICES, solved: 0, greedy: 0, chosen: 0 };
     for number in 0..CHOICES {
         let (machines, limits) = problem(candidates, number as u64 + 1);
-        let begun = Instant::now();
+        let started = Instant::now();
         let choice = choose(&machines, &limits, limit_s);
-        solve.longest_ms = solve.longest_ms.max(begun.elapsed().as_secs_f64() * 1_000.0);
+        solve.longest_ms = solve.longest_ms.max(started.elapsed().as_secs_f64() * 1_000.0);
         solve.solved += usize::from(choice.method == Method::Solver);
         solve.greedy += usize::from(choice.method == Method::Greedy);
         solve.chosen += choice.chosen.len();
@@ -68,9 +71,9 @@
 /// A problem drawn from its number: three teams, two zones, budgets for about a third of what there is.
 fn problem(candidates: usize, number: u64) -> (Vec<Candidate>, Limits) {
     let mut state = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let mut draw = |most: u64| {
+    let mut draw = |bound: u64| {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (state >> 33) % most
+        (state >> 33) % bound
     };
     let teams = ["t", "u", "v"];
     let zones = ["a", "b"];
