--- a/crates/dockpier-simulation/examples/transcript/election_lines.rs
+++ b/crates/dockpier-simulation/examples/transcript/election_lines.rs
@@ -4,7 +4,7 @@
 use dockpier::leadership::{Action, Leadership, Message};
 use dockpier::lease::cancellation_log::Attestation;
 use dockpier::scheduler::model::JobId;
-use dockpier::time::{whole_micros, Timestamp};
+use dockpier::time::{to_micros, Timestamp};
 use std::time::Duration;
 
 /// So many of the newest jobs are asked about.
@@ -43,7 +43,7 @@
 fn attestation(line: Line, attestation: &Attestation) -> Line {
     line.with("life", attestation.for_incarnation)
         .with("echo", attestation.echo)
-        .with("age", whole_micros(attestation.incarnation_age))
+        .with("age", to_micros(attestation.incarnation_age))
         .with("quiet", attestation.confirmations_suspended)
         .with("held", attestation.acknowledged)
         .with("last", attestation.last)
@@ -54,7 +54,7 @@
 pub fn queries(node: usize, now: Timestamp, leadership: &Leadership) -> Line {
     let followed = leadership.followed_leader(now);
     let age = Duration::from_secs(9);
-    let reported_age = |to| whole_micros(leadership.reported_state_age(now, to, age));
+    let reported_age = |to| to_micros(leadership.reported_state_age(now, to, age));
     Line::new("queries")
         .with("node", node)
         .with("leads", leadership.is_leader())
@@ -62,7 +62,7 @@
         .with("acts_until", leadership.authority_until(now))
         .optional("acts_with", leadership.authority(now))
         .optional("lease_keeper", leadership.keep_alive_token(now))
-        .with("block_lease", whole_micros(leadership.shard_lease(now)))
+        .with("block_lease", to_micros(leadership.shard_lease(now)))
         .with("autonomous_until", leadership.autonomous_until(now))
         .optional("leader_name", leadership.leader_name(now))
         .list(
--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -15,7 +15,7 @@
     Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
 };
 use dockpier::settings::{Operator, Team, Workers};
-use dockpier::time::{from_seconds, whole_micros, Timestamp};
+use dockpier::time::{from_seconds, to_micros, Timestamp};
 use dockpier_simulation::MACHINE_TYPE;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -171,9 +171,7 @@
     fn work(&mut self) {
         let jobs = &self.jobs;
         let runs = |id: TaskId| match jobs.get(&id.job_id) {
-            Some(job) if job.spec.kind != Kind::Service => {
-                whole_micros(from_seconds(job.spec.estimate_s / 3.0))
-            }
+            Some(job) if job.spec.kind != Kind::Service => to_micros(from_seconds(job.spec.estimate_s / 3.0)),
             _ => u64::MAX,
         };
         self.workers.values_mut().for_each(|worker| worker.work(self.now, LEASE, runs));
@@ -183,7 +181,7 @@
     fn report(&mut self, name: &str) -> Option<Command> {
         let now = self.now;
         let worker = self.workers.get_mut(name).filter(|worker| worker.reports(now))?;
-        worker.report_due = now + whole_micros(from_seconds(self.config.workers.report_s));
+        worker.report_due = now + to_micros(from_seconds(self.config.workers.report_s));
         let report = worker.report(now);
         if worker.node == LEADER {
             return Some(self.checkin(None, report));
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -10,7 +10,7 @@
 use dockpier::limits;
 use dockpier::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
-use dockpier::time::{whole_micros, Timestamp};
+use dockpier::time::{to_micros, Timestamp};
 use rand::Rng;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -145,7 +145,7 @@
             self.note(
                 Line::new("block-confirmed")
                     .with("node", node)
-                    .with("lease", whole_micros(lease))
+                    .with("lease", to_micros(lease))
                     .with("own", own),
             );
         }
--- a/crates/dockpier-simulation/src/cloud.rs
+++ b/crates/dockpier-simulation/src/cloud.rs
@@ -3,7 +3,7 @@
 use crate::layout::MACHINE_TYPE;
 use crate::{machine_name, Fleet, Worker};
 use dockpier::scheduler::{ListedMachine, StoredMachine, WriteOutcome};
-use dockpier::time::{from_seconds, whole_micros, Timestamp};
+use dockpier::time::{from_seconds, to_micros, Timestamp};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
         self.made += 1;
         let name = machine_name(self.made as u64);
         let interval = from_seconds(self.layout.report_s);
-        let spread = Duration::from_micros(whole_micros(interval) * (self.made as u64 % 10) / 10);
+        let spread = Duration::from_micros(to_micros(interval) * (self.made as u64 % 10) / 10);
         let mut up_at = self.now + boots;
         if !boots.is_zero() && self.never_boot > 0 {
             self.never_boot -= 1;
--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -15,7 +15,7 @@
 use crate::protocol::workers::{HeartbeatRequest, HeartbeatResponse};
 use crate::scheduler::model::Heartbeat;
 use crate::scheduler::{Command, TaskCommand};
-use crate::time::{whole_millis, Timestamp};
+use crate::time::{to_millis, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -326,7 +326,7 @@
         }
         self.routing.recent_heartbeats.push_back(now);
         commands.push(command);
-        let lease_ms = whole_millis(self.leadership.shard_lease(now)) as u32;
+        let lease_ms = to_millis(self.leadership.shard_lease(now)) as u32;
         self.peers.send(from, Payload::ShardHeartbeatAck { id, lease_ms });
     }
 
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -3,7 +3,7 @@
 use super::role::{Role, TakeoverProof};
 use super::{Action, Leadership, Message};
 use crate::limits::{self, lengthened};
-use crate::time::{whole_micros, Timestamp};
+use crate::time::{to_micros, Timestamp};
 use rand::Rng;
 use std::time::Duration;
 use tracing::{debug, info};
@@ -62,7 +62,7 @@
     }
 
     fn campaign(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let random_delay = self.rng.random_range(0..whole_micros(limits::CAMPAIGN_INTERVAL));
+        let random_delay = self.rng.random_range(0..to_micros(limits::CAMPAIGN_INTERVAL));
         self.next_campaign_at = now + limits::CAMPAIGN_INTERVAL + Duration::from_micros(random_delay);
         if !self.commitments.in_restart_grace(now) {
             self.commitments.give_vote(now, self.peers.local_node());
--- a/src/leadership/tests/mod.rs
+++ b/src/leadership/tests/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::lease::cancellation_log::CancellationBounds;
 use crate::limits::{self, SECOND};
-use crate::time::whole_micros;
+use crate::time::to_micros;
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::ops::Range;
@@ -50,5 +50,5 @@
 
 /// A random duration of whole microseconds.
 fn random_duration(rng: &mut SmallRng, range: Range<Duration>) -> Duration {
-    Duration::from_micros(rng.random_range(whole_micros(range.start)..whole_micros(range.end)))
+    Duration::from_micros(rng.random_range(to_micros(range.start)..to_micros(range.end)))
 }
--- a/src/limits/lease.rs
+++ b/src/limits/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::lengthened;
-use crate::time::{from_seconds, whole_micros};
+use crate::time::{from_seconds, to_micros};
 
 /// Added to every worker lease: how late a worker may observe that its lease has expired.
 pub const LEASE_MARGIN: Duration = Duration::from_secs(1);
@@ -36,7 +36,7 @@
 /// means that the route is lost. Leaseholders send a shard heartbeat once a second, and machines that all reported at once
 /// (after a network partition) next do so three quarters of an interval later at the earliest.
 pub fn route_silence_timeout(heartbeat_interval: Duration) -> Duration {
-    let three_quarters = Duration::from_micros(whole_micros(heartbeat_interval) / 4 * 3);
+    let three_quarters = Duration::from_micros(to_micros(heartbeat_interval) / 4 * 3);
     (three_quarters + Duration::from_millis(500)).max(Duration::from_millis(1_500))
 }
 /// This many machines that fall silent at the same time point to a fault of the controller's own connection.
--- a/src/peer/codec/heartbeat.rs
+++ b/src/peer/codec/heartbeat.rs
@@ -3,7 +3,7 @@
 use super::super::layout::{HeartbeatLine, TaskLine, MAX_BODY_LENGTH, NO_NOTICE};
 use super::{names, FrameError};
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
-use crate::time::{as_seconds, from_seconds, whole_micros};
+use crate::time::{as_seconds, from_seconds, to_micros};
 use std::time::Duration;
 use zerocopy::{FromBytes, IntoBytes};
 
@@ -55,7 +55,7 @@
 pub(super) fn write(heartbeat: &Heartbeat, body: &mut Vec<u8>) {
     let names = names_of(heartbeat);
     let lengths = names.map(|name| name.len().min(MAX_NAME) as u8);
-    let notice = heartbeat.notice_s.map_or(NO_NOTICE, |seconds| whole_micros(from_seconds(seconds)));
+    let notice = heartbeat.notice_s.map_or(NO_NOTICE, |seconds| to_micros(from_seconds(seconds)));
     let line = HeartbeatLine {
         agent_epoch: heartbeat.agent_epoch.into(),
         sequence: heartbeat.sequence.into(),
--- a/src/peer/codec/mod.rs
+++ b/src/peer/codec/mod.rs
@@ -4,7 +4,7 @@
 mod names;
 mod task_command;
 
-use crate::time::{whole_micros, Timestamp};
+use crate::time::{to_micros, Timestamp};
 pub use heartbeat::fits_frame;
 #[cfg(test)]
 pub(super) use heartbeat::status_of;
@@ -93,7 +93,7 @@
 }
 
 fn write_leadership(status: Status, message: Message, head: &mut Head) {
-    head.state_age = whole_micros(status.state_age).into();
+    head.state_age = to_micros(status.state_age).into();
     head.workers = status.workers.into();
     head.abilities = (if status.attests { ATTESTS } else { 0 }).into();
     let (kind, token, stamp) = match message {
@@ -121,7 +121,7 @@
 fn write_attestation(attestation: &Attestation, body: &mut Vec<u8>) {
     let line = AttestationLine {
         for_incarnation: attestation.for_incarnation.into(),
-        incarnation_age: whole_micros(attestation.incarnation_age).into(),
+        incarnation_age: to_micros(attestation.incarnation_age).into(),
         acknowledged: attestation.acknowledged.into(),
         last: attestation.last.into(),
         confirmations_suspended: attestation.confirmations_suspended.into(),
--- a/src/scheduler/cold_start/report.rs
+++ b/src/scheduler/cold_start/report.rs
@@ -6,7 +6,7 @@
 use crate::scheduler::messages::Effect;
 use crate::scheduler::model::MachineState;
 use crate::scheduler::Scheduler;
-use crate::time::{whole_millis, Timestamp};
+use crate::time::{to_millis, Timestamp};
 use dockpier_reconcile::{Counts, MachineFact};
 use serde::{Deserialize, Serialize};
 
@@ -115,7 +115,7 @@
     fn cold_start_report(&self) -> ColdStartReport {
         let cold_start = &self.cold_start;
         let started_at = cold_start.started_at.unwrap_or(self.now);
-        let ms_after_start = |at: Option<Timestamp>| at.map(|at| whole_millis(at.since(started_at)));
+        let ms_after_start = |at: Option<Timestamp>| at.map(|at| to_millis(at.since(started_at)));
         let phase = Phase::of(cold_start);
         let unreported = self.unreported_machines();
         let gone = self.lost_inherited_machines();
--- a/src/scheduler/drains/summary.rs
+++ b/src/scheduler/drains/summary.rs
@@ -2,7 +2,7 @@
 
 use super::drain::Drain;
 use crate::scheduler::Scheduler;
-use crate::time::{whole_millis, Timestamp};
+use crate::time::{to_millis, Timestamp};
 use dockpier_drain::budget::Budgets;
 use dockpier_drain::status::{DrainState, Summary, Wait, WAITS_MOST};
 
@@ -49,7 +49,7 @@
         let done = counts.returned + counts.gone;
         let done_since = done.checked_sub(self.done_when_first_seen).filter(|since| *since > 0)? as u64;
         let left = (counts.waiting + counts.replacing + counts.cordoned) as u64;
-        Some(day + whole_millis(now.since(self.first_seen_at)) / done_since * left)
+        Some(day + to_millis(now.since(self.first_seen_at)) / done_since * left)
     }
 }
 
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -3,7 +3,7 @@
 use crate::limits;
 use crate::scheduler::model::{Job, JobId, Kind, Priority};
 use crate::scheduler::Scheduler;
-use crate::time::{from_seconds, scaled, whole_micros, Timestamp};
+use crate::time::{from_seconds, scaled, to_micros, Timestamp};
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::Duration;
@@ -63,9 +63,8 @@
     /// The rank of a job that gains a class in each `interval` from `since` on. Age never lifts a job
     /// above critical services.
     fn aged_rank(&self, job: &Job, since: Timestamp, interval: Duration) -> u64 {
-        let age = whole_micros(self.now.since(since));
-        let rank =
-            job.spec.priority as u64 * RANKS_PER_CLASS + age * RANKS_PER_CLASS / whole_micros(interval);
+        let age = to_micros(self.now.since(since));
+        let rank = job.spec.priority as u64 * RANKS_PER_CLASS + age * RANKS_PER_CLASS / to_micros(interval);
         rank.min(CRITICAL_RANK - 1)
     }
 
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -11,7 +11,7 @@
 use super::model::{Machine, MachineState, PreviousRoute};
 use super::Scheduler;
 use crate::limits;
-use crate::time::{from_seconds, whole_micros, Timestamp};
+use crate::time::{from_seconds, to_micros, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tracing::info;
@@ -121,7 +121,7 @@
     /// machines that once arrived all together do so again.
     fn is_unreachable(&self, now: Timestamp, arrivals: Arrivals) -> bool {
         let mean_interval =
-            Duration::from_micros(whole_micros(self.heartbeat_interval) / arrivals.machines.max(1) as u64);
+            Duration::from_micros(to_micros(self.heartbeat_interval) / arrivals.machines.max(1) as u64);
         let silent_since = arrivals.latest.max(self.started_at);
         let timeout = limits::route_silence_timeout(self.heartbeat_interval);
         arrivals.machines >= limits::MIN_CORRELATED_SILENCE as usize
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::limits::SECOND;
-use crate::time::{whole_micros, Timestamp};
+use crate::time::{to_micros, Timestamp};
 use std::time::Duration;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(3);
@@ -30,7 +30,7 @@
 fn last_heartbeat_at(index: usize, outage: Duration, now: Timestamp) -> Timestamp {
     let phase = (index as u32 * 7_919 % 1_000) * HEARTBEAT_INTERVAL / 1_000;
     let heartbeat = |at: Timestamp| {
-        let whole_intervals = (at - phase).as_micros() / whole_micros(HEARTBEAT_INTERVAL);
+        let whole_intervals = (at - phase).as_micros() / to_micros(HEARTBEAT_INTERVAL);
         Timestamp::ZERO + whole_intervals as u32 * HEARTBEAT_INTERVAL + phase
     };
     let until = OUTAGE_START + outage;
@@ -61,7 +61,7 @@
     let mut first_after = Duration::MAX;
     let start = OUTAGE_START - OUTAGE_START.since(Timestamp::ZERO) / 2;
     let played = start.since(Timestamp::ZERO) + duration;
-    let steps = whole_micros(played) / whole_micros(limits::LEASE_EXPIRY_INTERVAL);
+    let steps = to_micros(played) / to_micros(limits::LEASE_EXPIRY_INTERVAL);
     for step in 0..steps as u32 {
         let now = start + step * limits::LEASE_EXPIRY_INTERVAL;
         let observed: Vec<ObservedMachine> = (0..machines)
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -13,7 +13,7 @@
 use super::model::{Job, Machine, MachineState, TerminationProof};
 use super::{autoscaler, Scheduler};
 use crate::limits;
-use crate::time::{whole_millis, Timestamp};
+use crate::time::{to_millis, Timestamp};
 use std::collections::BTreeSet;
 use tracing::info;
 
@@ -136,7 +136,7 @@
         let all_expired = self.now >= self.unrecorded_renewals_until() + worker_lease;
         self.reconciled = all_expired || !self.machines.values().any(Machine::is_unreconciled);
         if self.reconciled {
-            let after_ms = whole_millis(self.now.since(self.started_at));
+            let after_ms = to_millis(self.now.since(self.started_at));
             info!(after_ms, "all machines of earlier leaders reconciled");
             self.rounds.request();
             self.note_all_accounted_for();
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -4,7 +4,7 @@
 use super::quarantine::TaskFailure;
 use super::Scheduler;
 use crate::limits;
-use crate::time::whole_micros;
+use crate::time::to_micros;
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
@@ -97,8 +97,8 @@
         if earlier.count < limits::MIN_SPEED_SAMPLES {
             return;
         }
-        let is_slow = whole_micros(run_time) as f64
-            > limits::SLOW_FACTOR * whole_micros(earlier.total) as f64 / earlier.count as f64;
+        let is_slow = to_micros(run_time) as f64
+            > limits::SLOW_FACTOR * to_micros(earlier.total) as f64 / earlier.count as f64;
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.health.slow_tasks = if is_slow { machine.health.slow_tasks + 1 } else { 0 };
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -6,7 +6,7 @@
 use super::model::{JobId, TaskStatus};
 use super::Scheduler;
 use crate::limits;
-use crate::time::{whole_micros, Timestamp};
+use crate::time::{to_micros, Timestamp};
 use std::collections::BTreeMap;
 use tracing::info;
 
@@ -46,7 +46,7 @@
     /// Adds up what runs, and writes it to the log when that is due.
     pub(super) fn account(&mut self) {
         let elapsed = self.now.since(self.usage.counted_until.max(self.started_at));
-        let elapsed = i128::from(whole_micros(elapsed));
+        let elapsed = i128::from(to_micros(elapsed));
         self.usage.counted_until = self.now;
         for machine in self.machines.values() {
             let running = machine.tasks.iter().filter(|(_, task)| task.status == TaskStatus::Running);
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -6,7 +6,7 @@
     Change, ChangeLog, Comparison, Lease, Page, Record, Revision, Transaction, Value,
 };
 use crate::settings::StateLimits;
-use crate::time::{whole_millis, AtomicTimestamp, Timestamp};
+use crate::time::{to_millis, AtomicTimestamp, Timestamp};
 use crate::token_bucket::TokenBucket;
 use reqwest::Method;
 use serde::Deserialize;
@@ -241,7 +241,7 @@
     /// # Errors
     /// As [`KeyValueStore::get`].
     pub async fn create_lease(&self, duration: Duration) -> Result<u64, StoreError> {
-        let body = serde_json::json!({ "life_ms": whole_millis(duration) }).to_string().into_bytes();
+        let body = serde_json::json!({ "life_ms": to_millis(duration) }).to_string().into_bytes();
         let answer = self.call(Method::POST, "/grants", Some(body), limits::STORE_TIMEOUT).await?;
         match answer.status {
             200 => json::<Lease>(&answer).map(|granted| granted.lease),
@@ -281,7 +281,7 @@
         from: u64,
         wait: Duration,
     ) -> Result<Option<ChangeLog>, StoreError> {
-        let wait_ms = whole_millis(wait);
+        let wait_ms = to_millis(wait);
         let path = format!("/follow?prefix={prefix}&from={from}&wait_ms={wait_ms}");
         let timeout = if wait.is_zero() { limits::POLL_TIMEOUT } else { wait + limits::STORE_WATCH_MARGIN };
         let answer = self.call(Method::GET, &path, None, timeout).await?;
--- a/src/time.rs
+++ b/src/time.rs
@@ -43,7 +43,7 @@
     type Output = Timestamp;
 
     fn add(self, duration: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_add(whole_micros(duration)))
+        Timestamp(self.0.saturating_add(to_micros(duration)))
     }
 }
 
@@ -57,7 +57,7 @@
     type Output = Timestamp;
 
     fn sub(self, duration: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_sub(whole_micros(duration)))
+        Timestamp(self.0.saturating_sub(to_micros(duration)))
     }
 }
 
@@ -85,14 +85,14 @@
 }
 
 /// A duration in whole microseconds, the unit of frames between nodes; `u64::MAX` if it is longer than that.
-pub fn whole_micros(duration: Duration) -> u64 {
+pub fn to_micros(duration: Duration) -> u64 {
     let seconds = duration.as_secs().saturating_mul(1_000_000);
     seconds.saturating_add(u64::from(duration.subsec_micros()))
 }
 
 /// A duration in seconds, as rates and settings count them.
 pub fn as_seconds(duration: Duration) -> f64 {
-    whole_micros(duration) as f64 / 1e6
+    to_micros(duration) as f64 / 1e6
 }
 
 /// A duration of this many seconds, in whole microseconds; zero if it is negative.
@@ -102,10 +102,10 @@
 
 /// A duration times a factor, in whole microseconds.
 pub fn scaled(duration: Duration, factor: f64) -> Duration {
-    Duration::from_micros((whole_micros(duration) as f64 * factor) as u64)
+    Duration::from_micros((to_micros(duration) as f64 * factor) as u64)
 }
 
 /// A duration in whole milliseconds.
-pub fn whole_millis(duration: Duration) -> u64 {
-    whole_micros(duration) / 1_000
+pub fn to_millis(duration: Duration) -> u64 {
+    to_micros(duration) / 1_000
 }
--- a/tests/scheduler_rules/world.rs
+++ b/tests/scheduler_rules/world.rs
@@ -9,7 +9,7 @@
 use dockpier::scheduler::drains::LoadedDrains;
 use dockpier::scheduler::model::{Heartbeat, JobId, JobSpec};
 use dockpier::scheduler::{Command, Scheduler, StoredJob, StoredMachine, TaskCommand};
-use dockpier::time::{whole_micros, Timestamp};
+use dockpier::time::{to_micros, Timestamp};
 use dockpier_simulation::Store;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -196,5 +196,5 @@
 
 /// A random duration of whole microseconds.
 pub(super) fn random_duration(rng: &mut SmallRng, range: Range<Duration>) -> Duration {
-    Duration::from_micros(rng.random_range(whole_micros(range.start)..whole_micros(range.end)))
+    Duration::from_micros(rng.random_range(to_micros(range.start)..to_micros(range.end)))
 }
