--- a/crates/dockpier-simulation/examples/transcript/key_value_store.rs
+++ b/crates/dockpier-simulation/examples/transcript/key_value_store.rs
@@ -1,5 +1,6 @@
 //! A stand-in for the state service, as far as leadership uses it: epoch, lock, leases and live jobs.
 
+use dockpier::fencing_token::FencingToken;
 use dockpier::leadership::{Action, StoreResponse};
 use dockpier::protocol::records::Epoch;
 use dockpier::scheduler::model::JobId;
@@ -66,7 +67,7 @@
     fn take_over(
         &mut self,
         now: u64,
-        (token, version, over_lock): (u64, u64, bool),
+        (token, version, over_lock): (FencingToken, u64, bool),
         request: Request,
     ) -> StoreResponse {
         let at = self.epoch.as_ref().map_or(0, |(_, revision)| *revision);
--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -7,6 +7,7 @@
 use crate::worker::Worker;
 use crate::SECOND;
 use crate::{draw, effects, words};
+use dockpier::fencing_token::FencingToken;
 use dockpier::lease::shard::{Shard, ShardResponse};
 use dockpier::limits;
 use dockpier::scheduler::cold_start::JobReading;
@@ -100,7 +101,7 @@
     let team = |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     let report_s = draw::one_of(rng, &[0.5, 1.0, 2.0]);
     Config {
-        token: 1,
+        token: FencingToken(1),
         operator: Operator { reserve_services: 0, ..Operator::default() },
         workers: Workers { report_s, lease_s: 12.0, cancel_s: 60.0, gang_wait_s: 30.0, gang_peer_s: 6.0 },
         teams: ["t", "u", "v"].map(team).to_vec(),
--- a/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
@@ -98,13 +98,13 @@
     fn report_higher_token(&mut self) {
         let Some(worker) = self.workers.values_mut().next() else { return };
         let mut report = worker.report(self.now);
-        report.token = self.config.token + 1;
+        report.token = self.config.token.next();
         let command = self.checkin(None, report);
         self.decide(vec![command]);
     }
 
     fn change_leader(&mut self) {
-        self.config.token += 1;
+        self.config.token = self.config.token.next();
         self.out.write(self.now, Line::new("change-leader").with("token", self.config.token));
         self.core = Scheduler::new(self.config.clone(), Timestamp::from_micros(self.now));
         self.waiting.clear();
--- a/crates/dockpier-simulation/examples/transcript/network.rs
+++ b/crates/dockpier-simulation/examples/transcript/network.rs
@@ -9,6 +9,7 @@
 use crate::output::{Line, Transcript};
 use crate::SECOND;
 use clients::Worker;
+use dockpier::fencing_token::FencingToken;
 use dockpier::leadership::{Action, Leadership, Message, Status, StoreResponse};
 use dockpier::lease::cancellation_log::{Attestation, CancellationBounds};
 use dockpier::lease::shard::Shard;
@@ -52,7 +53,7 @@
     state_answered: Timestamp,
     live_due: Timestamp,
     /// The token that it last led with.
-    led: u64,
+    led: FencingToken,
     /// An earlier version, which attests nothing.
     old: bool,
 }
@@ -122,7 +123,7 @@
             down_until: None,
             state_answered: Timestamp::ZERO,
             live_due: Timestamp::ZERO,
-            led: 0,
+            led: FencingToken::NONE,
             old,
         }
     }
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -5,6 +5,7 @@
 use crate::output::Line;
 use crate::SECOND;
 use crate::{effects, words};
+use dockpier::fencing_token::FencingToken;
 use dockpier::leadership::FollowedLeader;
 use dockpier::lease::shard::ShardResponse;
 use dockpier::limits;
@@ -26,7 +27,7 @@
     node: usize,
     session: u64,
     sequence: u64,
-    token: u64,
+    token: FencingToken,
     lease_until: u64,
     report_due: u64,
     jobs: BTreeSet<JobId>,
@@ -39,7 +40,7 @@
             node: number % NODES,
             session: 1,
             sequence: 0,
-            token: 0,
+            token: FencingToken::NONE,
             lease_until: LEASE,
             report_due: 0,
             jobs: BTreeSet::new(),
@@ -151,7 +152,7 @@
         }
     }
 
-    fn leads(&self, node: usize, token: u64) -> bool {
+    fn leads(&self, node: usize, token: FencingToken) -> bool {
         self.is_up(node) && self.nodes[node].leadership.authority(self.local(node)) == Some(token)
     }
 
@@ -187,7 +188,7 @@
     }
 
     /// What a node answers a report with: the token, and the jobs whose tasks it stops.
-    fn answer(&mut self, node: usize, report: Heartbeat) -> Option<(u64, BTreeSet<JobId>)> {
+    fn answer(&mut self, node: usize, report: Heartbeat) -> Option<(FencingToken, BTreeSet<JobId>)> {
         let now = self.local(node);
         let keeps = self.keeps(node, &report);
         let known = keeps.as_ref().map_or("none".to_string(), |stops| stops.len().to_string());
@@ -217,9 +218,9 @@
     fn answered(
         &mut self,
         line: Line,
-        token: u64,
+        token: FencingToken,
         commands: Vec<TaskCommand>,
-    ) -> Option<(u64, BTreeSet<JobId>)> {
+    ) -> Option<(FencingToken, BTreeSet<JobId>)> {
         self.note(line.with("answer", token));
         effects::write_orders(self.out, self.now, &commands);
         let stopped = commands.iter().filter_map(|order| match order {
@@ -230,7 +231,12 @@
     }
 
     /// The leader that the node follows answers, or nobody does.
-    fn pass_on(&mut self, node: usize, report: Heartbeat, line: Line) -> Option<(u64, BTreeSet<JobId>)> {
+    fn pass_on(
+        &mut self,
+        node: usize,
+        report: Heartbeat,
+        line: Line,
+    ) -> Option<(FencingToken, BTreeSet<JobId>)> {
         let now = self.local(node);
         let followed = self.nodes[node].leadership.followed_leader(now);
         let reached = followed.filter(|leader| {
--- a/crates/dockpier-simulation/examples/transcript/worker.rs
+++ b/crates/dockpier-simulation/examples/transcript/worker.rs
@@ -1,6 +1,7 @@
 //! A worker that reports to one of several controllers: its tasks, its session and its lease.
 
 use crate::SECOND;
+use dockpier::fencing_token::FencingToken;
 use dockpier::scheduler::model::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
 use std::collections::BTreeMap;
@@ -37,7 +38,7 @@
     /// It neither reports nor takes commands until then.
     pub silent_until: u64,
     /// The highest token that it has been answered with.
-    pub token: u64,
+    pub token: FencingToken,
     /// Its session.
     pub session: u64,
     sequence: u64,
@@ -62,7 +63,7 @@
             node,
             report_due: up_at,
             silent_until: up_at,
-            token: 0,
+            token: FencingToken::NONE,
             session: 1,
             sequence: 0,
             answered_at: up_at,
@@ -126,7 +127,7 @@
     }
 
     /// A report was answered.
-    pub fn answered(&mut self, now: u64, token: u64, commands: &[TaskCommand]) {
+    pub fn answered(&mut self, now: u64, token: FencingToken, commands: &[TaskCommand]) {
         if now < self.silent_until || token < self.token {
             return;
         }
--- a/crates/dockpier-simulation/src/layout.rs
+++ b/crates/dockpier-simulation/src/layout.rs
@@ -1,5 +1,6 @@
 //! What a fleet is made of, and the settings that follow from it.
 
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits;
 use dockpier::scheduler::model::{JobId, JobSpec, Kind, Priority, Resources};
 use dockpier::scheduler::Config;
@@ -54,7 +55,7 @@
 
 pub(crate) fn config(layout: &Layout) -> Config {
     Config {
-        token: 1,
+        token: FencingToken(1),
         operator: layout.operator.clone(),
         workers: Workers {
             report_s: layout.report_s,
--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -199,7 +199,7 @@
             self.now += TICK;
             self.work();
         }
-        self.config.token += 1;
+        self.config.token = self.config.token.next();
         self.scheduler = Scheduler::new(self.config.clone(), self.now);
         self.load();
     }
--- a/crates/dockpier-simulation/src/worker.rs
+++ b/crates/dockpier-simulation/src/worker.rs
@@ -1,6 +1,7 @@
 //! A worker: carries out what it is told, and keeps to its lease.
 
 use crate::history::History;
+use dockpier::fencing_token::FencingToken;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::TaskCommand;
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
@@ -45,7 +46,7 @@
     pub(crate) next_report: Timestamp,
     up_at: Timestamp,
     sequence: u64,
-    token: u64,
+    token: FencingToken,
     answered_at: Timestamp,
     images: BTreeSet<u64>,
 }
@@ -72,7 +73,7 @@
             next_report: first,
             up_at,
             sequence: 0,
-            token: 0,
+            token: FencingToken(0),
             answered_at: up_at,
             images: BTreeSet::new(),
         }
@@ -145,7 +146,7 @@
     pub(crate) fn answered(
         &mut self,
         now: Timestamp,
-        token: u64,
+        token: FencingToken,
         task_commands: &[TaskCommand],
         history: &mut History,
     ) {
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -2,6 +2,7 @@
 //! The catalog's task belongs to the process; the others to one leadership, which aborts them when it ends.
 
 use crate::cloud::{self, Cloud};
+use crate::fencing_token::FencingToken;
 use crate::http::Clock;
 use crate::limits;
 use crate::node_events::{Event, Types};
@@ -102,7 +103,7 @@
     cloud: Cloud,
     events: mpsc::Sender<Event>,
     mut queue: mpsc::UnboundedReceiver<CloudRequest>,
-    token: u64,
+    token: FencingToken,
     rps: f64,
     gate: AuthorityGate,
 ) {
@@ -169,7 +170,7 @@
 pub(super) async fn list_machines(
     cloud: Cloud,
     events: mpsc::Sender<Event>,
-    token: u64,
+    token: FencingToken,
     allowed: CloudLimits,
 ) {
     let interval =
--- a/src/controller/drain_records.rs
+++ b/src/controller/drain_records.rs
@@ -3,6 +3,7 @@
 use super::record_writer::wait_before_retry;
 use super::Controller;
 use crate::drains::records;
+use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::node_events::Event;
 use crate::scheduler::drains::{DrainKey, DrainValue};
@@ -25,7 +26,7 @@
 
 /// Sends the operators' requests to the scheduler of this token, first all and then after each change. Owned by one
 /// leadership, which aborts it when it ends.
-pub(super) async fn follow_drains(store: KeyValueStore, events: mpsc::Sender<Event>, token: u64) {
+pub(super) async fn follow_drains(store: KeyValueStore, events: mpsc::Sender<Event>, token: FencingToken) {
     let mut revision = 0;
     loop {
         match records::load_requests(&store).await {
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -3,6 +3,7 @@
 
 use super::peer_links::PeerLinks;
 use super::Controller;
+use crate::fencing_token::FencingToken;
 use crate::fleet_limits::LimitWarnings;
 use crate::leadership::Status;
 use crate::limits;
@@ -71,7 +72,7 @@
     pub(super) fn log_usage(
         &mut self,
         now: Timestamp,
-        token: u64,
+        token: FencingToken,
         scheduler: &Scheduler,
         deployment: &Deployment,
     ) {
@@ -79,7 +80,7 @@
             return;
         }
         self.next_usage_log_at = now + USAGE_LOG_INTERVAL;
-        info!(token, "{}", scheduler.fleet_line());
+        info!(%token, "{}", scheduler.fleet_line());
         self.limit_warnings.judge(scheduler.machines.len(), deployment);
     }
 }
--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -6,6 +6,7 @@
 
 use super::ignored_frames::IgnoredFrame;
 use super::Controller;
+use crate::fencing_token::FencingToken;
 use crate::leadership::FollowedLeader;
 use crate::lease::renewal::{LeaseRenewal, RenewalCounts};
 use crate::lease::shard::{Shard, ShardHeartbeat, ShardResponse};
@@ -66,7 +67,7 @@
     /// A reply that renews a worker's lease.
     fn accept<'a>(
         &mut self,
-        token: u64,
+        token: FencingToken,
         renewal: LeaseRenewal,
         task_commands: impl IntoIterator<Item = &'a TaskCommand>,
     ) -> HeartbeatReply {
@@ -81,9 +82,9 @@
     }
 }
 
-fn log_lease_renewal(heartbeat: &Heartbeat, renewal: &LeaseRenewal, token: u64) {
+fn log_lease_renewal(heartbeat: &Heartbeat, renewal: &LeaseRenewal, token: FencingToken) {
     let Heartbeat { machine, agent_epoch, sequence, .. } = heartbeat;
-    debug!(machine, agent_epoch, sequence, token, basis = ?renewal.basis(), "lease renewed");
+    debug!(machine, agent_epoch, sequence, %token, basis = ?renewal.basis(), "lease renewed");
 }
 
 /// Replies to a worker.
@@ -142,8 +143,8 @@
     fn renewal_without_scheduler(
         &self,
         now: Timestamp,
-        authority: Option<u64>,
-    ) -> Option<(u64, LeaseRenewal)> {
+        authority: Option<FencingToken>,
+    ) -> Option<(FencingToken, LeaseRenewal)> {
         let loading = self.scheduler.as_ref().is_some_and(|scheduler| !scheduler.loaded);
         if let Some(token) = authority.filter(|_| loading) {
             return Some((token, LeaseRenewal::before_load()));
@@ -156,7 +157,7 @@
         &mut self,
         now: Timestamp,
         heartbeat: &Heartbeat,
-        token: u64,
+        token: FencingToken,
         renewal: LeaseRenewal,
     ) -> HeartbeatReply {
         let Some(stops) = self.keep_alive_stops(now, heartbeat) else {
@@ -336,7 +337,7 @@
         now: Timestamp,
         from: usize,
         id: u64,
-        token: Option<u64>,
+        token: Option<FencingToken>,
         cacheable: bool,
         task_commands: Vec<TaskCommand>,
     ) {
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -4,6 +4,7 @@
 use super::job_loading::{load, stored_job, Loaded};
 use super::record_writer::wait_before_retry;
 use crate::drains;
+use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::node_events::Event;
 use crate::protocol::state_service::{ChangeEvent, Record};
@@ -22,7 +23,7 @@
     pub(super) store: KeyValueStore,
     /// The controller's queue; when it is full, the watch waits.
     pub(super) events: mpsc::Sender<Event>,
-    pub(super) token: u64,
+    pub(super) token: FencingToken,
     /// Version of the leader's epoch, for removals of orphaned records.
     pub(super) epoch_version: u64,
     pub(super) record_versions: RecordVersions,
@@ -59,7 +60,7 @@
 struct Follower {
     store: KeyValueStore,
     events: mpsc::Sender<Event>,
-    token: u64,
+    token: FencingToken,
     /// The jobs that were sent to the scheduler and not removed since.
     known: BTreeSet<JobId>,
 }
@@ -82,7 +83,7 @@
                 Ok(Loaded { jobs, records, orphans, revision }) => {
                     self.known.extend(jobs.iter().map(|job| job.spec.job_id));
                     let (token, jobs_read, machine_records) = (self.token, jobs.len(), records.len());
-                    info!(token, epoch, revision, jobs_read, machine_records, "state read");
+                    info!(%token, epoch, revision, jobs_read, machine_records, "state read");
                     self.send(Command::Load { jobs, records }).await;
                     // Not aborted by an owner: see `sweep`.
                     tokio::spawn(sweep(self.store.clone(), orphans, epoch));
--- a/src/controller/leadership_actions.rs
+++ b/src/controller/leadership_actions.rs
@@ -5,6 +5,7 @@
 use super::drain_records::follow_drains;
 use super::job_watch::{follow_jobs, JobWatch};
 use super::{Controller, LeadershipTerm};
+use crate::fencing_token::FencingToken;
 use crate::leadership::{Action, Message, StoreResponse};
 use crate::node_events::Event;
 use crate::peer::Payload;
@@ -52,7 +53,7 @@
         self.peers.send(to, Payload::Leadership(status, message));
     }
 
-    fn take_over(&self, token: u64, version: u64, lock_condition: LockCondition) {
+    fn take_over(&self, token: FencingToken, version: u64, lock_condition: LockCondition) {
         let node = self.settings.node_name.clone();
         let epoch = Epoch { token, node, incarnation: self.incarnation };
         self.spawn_store_request(move |store| async move {
@@ -98,7 +99,7 @@
     }
 
     /// Starts a scheduler under the new token, and the tasks that serve it.
-    fn begin_leadership(&mut self, token: u64, version: u64) {
+    fn begin_leadership(&mut self, token: FencingToken, version: u64) {
         self.end_leadership();
         let now = self.clock.now();
         self.config.token = token;
@@ -113,7 +114,7 @@
         self.spawn_leadership_tasks(token, version);
     }
 
-    fn spawn_leadership_tasks(&mut self, token: u64, version: u64) {
+    fn spawn_leadership_tasks(&mut self, token: FencingToken, version: u64) {
         let (cloud_requests, queue) = mpsc::unbounded_channel();
         self.term.cloud_requests = Some(cloud_requests);
         let (store, cloud, events) =
@@ -146,7 +147,7 @@
         if let Some(mut scheduler) = self.scheduler.take() {
             scheduler.write_usage();
         }
-        self.config.token = 0;
+        self.config.token = FencingToken::NONE;
         self.redirect_pending_replies();
     }
 }
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -7,6 +7,7 @@
 use super::{Clients, Controller, LeadershipTerm};
 use crate::api::{self, Api, ApiSettings};
 use crate::cloud::Cloud;
+use crate::fencing_token::FencingToken;
 use crate::http::{Clock, Http};
 use crate::leadership::Leadership;
 use crate::lease::cancellation_log::CancellationBounds;
@@ -216,7 +217,7 @@
         _ => limits::longest_autonomy(workers.cancel_s, workers.lease_s),
     };
     Config {
-        token: 0,
+        token: FencingToken::NONE,
         operator,
         workers: workers.clone(),
         teams: deployment.teams.clone(),
--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -2,6 +2,7 @@
 
 use super::role::Role;
 use super::Leadership;
+use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -15,7 +16,7 @@
     }
 
     /// The fencing token that this node may act with at this moment.
-    pub fn authority(&self, now: Timestamp) -> Option<u64> {
+    pub fn authority(&self, now: Timestamp) -> Option<FencingToken> {
         let term = self.role.term()?;
         (now < self.authority_until(now)).then_some(term.token)
     }
@@ -28,7 +29,7 @@
     }
 
     /// The fencing token under which this node may keep workers alive, without commands.
-    pub fn keep_alive_token(&self, now: Timestamp) -> Option<u64> {
+    pub fn keep_alive_token(&self, now: Timestamp) -> Option<FencingToken> {
         let Role::KeepAlive { token } = self.role else { return None };
         (now + limits::AUTHORITY_MARGIN < self.keep_alive_until(now)).then_some(token)
     }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -2,6 +2,7 @@
 
 use super::role::{Role, TakeoverProof};
 use super::{Action, Leadership, Message};
+use crate::fencing_token::FencingToken;
 use crate::limits::{self, lengthened};
 use crate::time::{to_micros, Timestamp};
 use rand::Rng;
@@ -56,7 +57,7 @@
     /// Whether the key-value store is lost to all nodes in contact, and keep-alive mode would last for a grant's time.
     fn may_enter_keep_alive(&self, now: Timestamp) -> bool {
         self.is_store_lost()
-            && self.highest_token > 0
+            && self.highest_token > FencingToken::NONE
             && !self.peer_has_state(now)
             && now + limits::GRANT_DURATION < self.cancellations.keep_alive_until()
     }
@@ -121,7 +122,7 @@
     /// Without the key-value store nobody can see that both proofs of a former leader have ended. But a leader that acts
     /// by its lock lease alone counts no worker lease as expired meanwhile.
     fn enter_keep_alive(&mut self, now: Timestamp) {
-        info!(token = self.highest_token, "keep-alive mode started: no leader and no key-value store");
+        info!(token = %self.highest_token, "keep-alive mode started: no leader and no key-value store");
         self.campaigning = false;
         self.role = Role::KeepAlive { token: self.highest_token };
         self.peers.clear_grants();
@@ -130,10 +131,10 @@
 
     /// Sends the takeover transaction. `version`: of the epoch record that it replaces.
     pub(super) fn start_takeover(&mut self, version: u64, proof: TakeoverProof, actions: &mut Vec<Action>) {
-        let token = self.lock.epoch_token().max(self.highest_token) + 1;
+        let token = self.lock.epoch_token().max(self.highest_token).next();
         self.campaigning = false;
         self.role = Role::TakingOver { token, proof };
-        info!(token, by = ?proof, "takeover started");
+        info!(%token, by = ?proof, "takeover started");
         let ignore_lock = proof == TakeoverProof::PreviousIncarnation;
         actions.push(Action::TakeOver { token, version, ignore_lock });
     }
--- a/src/leadership/followed_leader.rs
+++ b/src/leadership/followed_leader.rs
@@ -1,5 +1,6 @@
 //! The leader that this node follows.
 
+use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::time::Timestamp;
 
@@ -9,7 +10,7 @@
     /// Its node number.
     pub node: usize,
     /// Its fencing token.
-    pub token: u64,
+    pub token: FencingToken,
     /// The send time of its last heartbeat, on its clock. A leaseholder's frames echo it, so that the leader can tell
     /// how old they are.
     pub heartbeat_stamp: Timestamp,
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -2,6 +2,7 @@
 
 use super::role::{Role, Term};
 use super::{Action, Leadership, Message};
+use crate::fencing_token::FencingToken;
 use crate::limits::{self, shortened};
 use crate::time::Timestamp;
 use tracing::{info, warn};
@@ -64,7 +65,7 @@
     /// Steps down in favour of a peer.
     pub(super) fn hand_over(
         &mut self,
-        token: u64,
+        token: FencingToken,
         successor: usize,
         now: Timestamp,
         actions: &mut Vec<Action>,
@@ -96,11 +97,11 @@
 
     /// A worker, a peer or the epoch record has shown a fencing token. A leader with a lower one steps down.
     #[must_use = "the actions are to be carried out"]
-    pub fn observe_token(&mut self, token: u64, now: Timestamp) -> Vec<Action> {
+    pub fn observe_token(&mut self, token: FencingToken, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
         self.highest_token = self.highest_token.max(token);
         if self.role.term().is_some_and(|term| term.token < token) {
-            warn!(token, "higher fencing token observed");
+            warn!(%token, "higher fencing token observed");
             self.step_down(now, &mut actions);
         }
         actions
--- a/src/leadership/interface.rs
+++ b/src/leadership/interface.rs
@@ -1,6 +1,7 @@
 //! What goes into leadership and what comes out: messages of the peers, responses of the key-value store, and actions
 //! that the controller's event loop carries out.
 
+use crate::fencing_token::FencingToken;
 use crate::lease::cancellation_log::Attestation;
 use crate::protocol::records::Epoch;
 use crate::scheduler::model::JobId;
@@ -26,14 +27,14 @@
     /// Sent by every node to all others. Asks for a grant if the sender leads or is in keep-alive mode.
     Heartbeat {
         /// Fencing token of a leader or of a node in keep-alive mode; zero: of neither.
-        token: u64,
+        token: FencingToken,
         /// Send time on the sender's clock.
         sent: Timestamp,
     },
     /// A grant in answer to a heartbeat with a token.
     Grant {
         /// The token of the heartbeat.
-        token: u64,
+        token: FencingToken,
         /// The send time of the heartbeat, on the receiver's clock.
         echo: Timestamp,
     },
@@ -50,7 +51,7 @@
     /// The leader steps down and names its successor.
     Release {
         /// Its fencing token.
-        token: u64,
+        token: FencingToken,
         /// Number of the node that should lead next.
         successor: usize,
     },
@@ -69,7 +70,7 @@
     /// `ignore_lock`, the lock is absent.
     TakeOver {
         /// Fencing token of the new epoch.
-        token: u64,
+        token: FencingToken,
         /// Version of the present epoch record; zero: there is none.
         version: u64,
         /// Take the lock although it is held.
@@ -88,7 +89,7 @@
     /// This node leads from now on.
     Elected {
         /// Its fencing token.
-        token: u64,
+        token: FencingToken,
         /// Version of its epoch record.
         version: u64,
     },
--- a/src/leadership/lock_observation.rs
+++ b/src/leadership/lock_observation.rs
@@ -2,6 +2,7 @@
 //!
 //! Owned by [`super::Leadership`].
 
+use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::protocol::records::Epoch;
 use crate::time::Timestamp;
@@ -58,8 +59,8 @@
     }
 
     /// Fencing token of the epoch; zero: there is none.
-    pub(super) fn epoch_token(&self) -> u64 {
-        self.epoch.as_ref().map_or(0, |record| record.epoch.token)
+    pub(super) fn epoch_token(&self) -> FencingToken {
+        self.epoch.as_ref().map_or(FencingToken::NONE, |record| record.epoch.token)
     }
 
     pub(super) fn is_locked(&self) -> bool {
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -2,6 +2,7 @@
 
 use super::role::Role;
 use super::{Action, AttestationOutcome, CancellationOutcome, FollowedLeader, Leadership, Message, Status};
+use crate::fencing_token::FencingToken;
 use crate::lease::cancellation_log::{Attestation, StoreAccess};
 use crate::limits;
 use crate::scheduler::model::JobId;
@@ -76,7 +77,7 @@
                 self.peers.observe_heartbeat(now, from);
                 self.cancellations.observe_heartbeat(from, incarnation, status.attests, sent);
                 self.attest(now, from, &mut actions);
-                if token > 0 {
+                if token > FencingToken::NONE {
                     self.handle_leader_heartbeat(now, from, token, sent, &mut actions);
                 }
             }
@@ -92,7 +93,7 @@
         &mut self,
         now: Timestamp,
         from: usize,
-        token: u64,
+        token: FencingToken,
         sent: Timestamp,
         actions: &mut Vec<Action>,
     ) {
@@ -122,7 +123,7 @@
         &mut self,
         now: Timestamp,
         node: usize,
-        token: u64,
+        token: FencingToken,
         heartbeat_stamp: Timestamp,
     ) {
         let same_term = self.followed.filter(|leader| (leader.node, leader.token) == (node, token));
@@ -133,7 +134,7 @@
             Some(FollowedLeader { node, token, heartbeat_stamp, last_heartbeat_at, reached_by_workers });
     }
 
-    fn handle_grant(&mut self, now: Timestamp, from: usize, token: u64, echo: Timestamp) {
+    fn handle_grant(&mut self, now: Timestamp, from: usize, token: FencingToken, echo: Timestamp) {
         // An echo from the future belongs to the clock of an earlier incarnation.
         if self.role.token_for_grants() == Some(token) && echo <= now {
             self.autonomous_until = self.autonomous_until(now);
@@ -170,7 +171,7 @@
         }
     }
 
-    fn handle_release(&mut self, now: Timestamp, from: usize, token: u64, successor: usize) {
+    fn handle_release(&mut self, now: Timestamp, from: usize, token: FencingToken, successor: usize) {
         if token >= self.highest_token {
             self.commitments.withdraw_grant_to(from);
         }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -26,6 +26,7 @@
 pub use followed_leader::FollowedLeader;
 pub use interface::{Action, AttestationOutcome, CancellationOutcome, Message, Status, StoreResponse};
 
+use crate::fencing_token::FencingToken;
 use crate::lease::cancellation_log::{CancellationBounds, CancellationLog};
 use crate::limits;
 use crate::time::Timestamp;
@@ -49,7 +50,7 @@
     /// The grant and the vote that this node has given.
     commitments: Commitments,
     /// The highest fencing token known.
-    highest_token: u64,
+    highest_token: FencingToken,
     /// The leader whose heartbeat arrived last.
     followed: Option<FollowedLeader>,
     /// Epoch and lock as last read.
@@ -96,7 +97,7 @@
             incarnation,
             role: Role::Follower,
             commitments: Commitments::new(local_node, now),
-            highest_token: 0,
+            highest_token: FencingToken::NONE,
             followed: None,
             lock: LockObservation::new(now),
             next_heartbeat_at: now,
@@ -161,7 +162,7 @@
         }
         if now >= self.next_heartbeat_at {
             self.next_heartbeat_at = now + limits::HEARTBEAT_INTERVAL;
-            let token = self.role.token_for_grants().unwrap_or(0);
+            let token = self.role.token_for_grants().unwrap_or(FencingToken::NONE);
             self.broadcast(Message::Heartbeat { token, sent: now }, &mut actions);
         }
         actions
--- a/src/leadership/role.rs
+++ b/src/leadership/role.rs
@@ -1,5 +1,6 @@
 //! What a node is at present: follower, candidate that takes over, node in keep-alive mode, or leader.
 
+use crate::fencing_token::FencingToken;
 use crate::time::Timestamp;
 /// The role of this node.
 #[derive(Debug, Clone, Copy)]
@@ -7,10 +8,10 @@
     /// It follows a leader, or looks for one.
     Follower,
     /// The takeover transaction is under way.
-    TakingOver { token: u64, proof: TakeoverProof },
+    TakingOver { token: FencingToken, proof: TakeoverProof },
     /// In a store outage without a leader: it keeps workers alive under the last token, by grants of a majority, and
     /// gives no commands.
-    KeepAlive { token: u64 },
+    KeepAlive { token: FencingToken },
     /// It leads.
     Leader(Term),
 }
@@ -19,7 +20,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Term {
     /// The fencing token.
-    pub(super) token: u64,
+    pub(super) token: FencingToken,
     /// Id of the lock lease; None: it has ended.
     pub(super) lease: Option<u64>,
     /// Until when the lock lease surely runs.
@@ -49,7 +50,7 @@
     }
 
     /// The token for which this node asks its peers for grants.
-    pub(super) fn token_for_grants(&self) -> Option<u64> {
+    pub(super) fn token_for_grants(&self) -> Option<FencingToken> {
         match self {
             Role::Leader(Term { token, .. }) | Role::KeepAlive { token } => Some(*token),
             Role::Follower | Role::TakingOver { .. } => None,
--- a/src/leadership/store_responses.rs
+++ b/src/leadership/store_responses.rs
@@ -58,7 +58,7 @@
             actions.push(Action::Release { lease: takeover.lease });
             return;
         }
-        info!(token, version = takeover.version, "leadership acquired");
+        info!(%token, version = takeover.version, "leadership acquired");
         let term = Term { token, lease: Some(takeover.lease), lease_until, elected_at: now };
         self.begin_term(now, term, takeover.version);
         actions.push(Action::Elected { token, version: takeover.version });
--- a/src/leadership/tests/cluster.rs
+++ b/src/leadership/tests/cluster.rs
@@ -5,6 +5,7 @@
 use super::network::Delivery;
 use super::workers::Worker;
 use super::{BOUNDS, NAMES, NODES};
+use crate::fencing_token::FencingToken;
 use crate::leadership::{Leadership, Status};
 use crate::lease::shard::Shard;
 use crate::scheduler::model::JobId;
@@ -86,9 +87,9 @@
     /// Responses that leaseholders and nodes in keep-alive mode gave without the leader.
     pub(super) autonomous_responses: u64,
     /// Fencing tokens of all leaders, in the order of their elections.
-    pub(super) elected_tokens: Vec<u64>,
+    pub(super) elected_tokens: Vec<FencingToken>,
     /// Which node and process acted with each token.
-    pub(super) process_by_token: BTreeMap<u64, (usize, u64)>,
+    pub(super) process_by_token: BTreeMap<FencingToken, (usize, u64)>,
     /// Steps in which a leader had authority.
     pub(super) led_steps: u64,
     /// Steps in which a node was in keep-alive mode.
--- a/src/leadership/tests/election_scenarios.rs
+++ b/src/leadership/tests/election_scenarios.rs
@@ -3,6 +3,7 @@
 use super::cluster::{Cluster, Suspension};
 use super::random_duration;
 use super::{MS, NODES};
+use crate::fencing_token::FencingToken;
 use crate::limits::SECOND;
 
 #[test]
@@ -79,7 +80,7 @@
     cluster.crash(leader, 300 * MS);
     cluster.run(1_500 * MS);
     assert_eq!(cluster.leader(), Some(leader));
-    assert_eq!(cluster.elected_tokens.last(), Some(&2));
+    assert_eq!(cluster.elected_tokens.last(), Some(&FencingToken(2)));
 }
 
 #[test]
--- a/src/leadership/tests/invariants.rs
+++ b/src/leadership/tests/invariants.rs
@@ -2,13 +2,14 @@
 
 use super::cluster::Cluster;
 use super::{AUTONOMY, NODES, WORKER_LEASE};
+use crate::fencing_token::FencingToken;
 use crate::limits::{self, lengthened};
 
 impl Cluster {
     /// Never two nodes with authority at once, nor two in keep-alive mode, and tokens rise.
     pub(super) fn check_leadership(&mut self) {
         let up: Vec<usize> = (0..NODES).filter(|node| self.nodes[*node].down_until.is_none()).collect();
-        let acting: Vec<(usize, u64)> = up
+        let acting: Vec<(usize, FencingToken)> = up
             .iter()
             .filter_map(|node| Some((*node, self.nodes[*node].leadership.authority(self.local_time(*node))?)))
             .collect();
--- a/src/leadership/tests/key_value_store.rs
+++ b/src/leadership/tests/key_value_store.rs
@@ -1,6 +1,7 @@
 //! A stand-in for the key-value store, as far as leadership uses it: epoch, lock, leases and live jobs.
 
 use super::NAMES;
+use crate::fencing_token::FencingToken;
 use crate::leadership::{Action, StoreResponse};
 use crate::limits;
 use crate::protocol::records::Epoch;
@@ -67,7 +68,7 @@
         }
     }
 
-    fn take_over(&mut self, now: Timestamp, token: u64, request: Request) -> StoreResponse {
+    fn take_over(&mut self, now: Timestamp, token: FencingToken, request: Request) -> StoreResponse {
         self.revision += 1;
         self.last_lease += 1;
         let lease = self.last_lease;
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -1,6 +1,7 @@
 //! What a leader accounts for of workers' leases, counted as the scheduler does (`Scheduler::expire`).
 
 use super::AUTONOMY;
+use crate::fencing_token::FencingToken;
 use crate::lease::shard::ShardHeartbeat;
 use crate::limits::lengthened;
 use crate::time::Timestamp;
@@ -27,7 +28,7 @@
 /// A leader's account of all workers' leases.
 #[derive(Default)]
 pub(super) struct LeaseLedger {
-    token: u64,
+    token: FencingToken,
     /// In true time.
     elected_at: Timestamp,
     /// Leases of workers without a later renewal are counted from then, on the leader's clock.
@@ -39,12 +40,12 @@
 }
 
 impl LeaseLedger {
-    pub(super) fn new(token: u64, elected_at: Timestamp, leader_time: Timestamp) -> Self {
+    pub(super) fn new(token: FencingToken, elected_at: Timestamp, leader_time: Timestamp) -> Self {
         let floor = leader_time + lengthened(AUTONOMY);
         LeaseLedger { token, elected_at, floor, ..LeaseLedger::default() }
     }
 
-    pub(super) fn token(&self) -> u64 {
+    pub(super) fn token(&self) -> FencingToken {
         self.token
     }
 
--- a/src/leadership/tests/parts.rs
+++ b/src/leadership/tests/parts.rs
@@ -1,6 +1,7 @@
 //! The parts of leadership by themselves: commitments, peers and the observation of the lock.
 
 use super::{NAMES, NODES};
+use crate::fencing_token::FencingToken;
 use crate::leadership::commitments::Commitments;
 use crate::leadership::lock_observation::LockObservation;
 use crate::leadership::peers::Peers;
@@ -23,7 +24,7 @@
     Peers::new(NAMES.map(String::from).to_vec(), LOCAL)
 }
 
-fn epoch(token: u64) -> Epoch {
+fn epoch(token: FencingToken) -> Epoch {
     Epoch { token, node: NAMES[1].into(), incarnation: 7 }
 }
 
@@ -137,25 +138,25 @@
 fn the_time_of_a_free_lock_starts_anew_with_another_epoch_or_a_lost_store() {
     let mut lock = LockObservation::new(START);
     let free_since = |lock: &LockObservation| lock.free().map(|free| (free.epoch_version, free.since));
-    lock.record_probe(NOW, Some((epoch(3), 11)), false);
-    lock.record_probe(NOW + SECOND, Some((epoch(3), 11)), false);
+    lock.record_probe(NOW, Some((epoch(FencingToken(3)), 11)), false);
+    lock.record_probe(NOW + SECOND, Some((epoch(FencingToken(3)), 11)), false);
     assert_eq!(free_since(&lock), Some((11, NOW)));
-    lock.record_probe(NOW + 2 * SECOND, Some((epoch(4), 12)), false);
+    lock.record_probe(NOW + 2 * SECOND, Some((epoch(FencingToken(4)), 12)), false);
     assert_eq!(free_since(&lock), Some((12, NOW + 2 * SECOND)));
     lock.forget_free();
     assert_eq!(free_since(&lock), None);
-    lock.record_probe(NOW + 3 * SECOND, Some((epoch(4), 12)), true);
+    lock.record_probe(NOW + 3 * SECOND, Some((epoch(FencingToken(4)), 12)), true);
     assert_eq!(free_since(&lock), None);
-    assert_eq!((lock.epoch_token(), lock.epoch_version()), (4, 12));
+    assert_eq!((lock.epoch_token(), lock.epoch_version()), (FencingToken(4), 12));
 }
 
 #[test]
 fn a_reading_with_an_earlier_epoch_record_is_recognized() {
     let mut lock = LockObservation::new(START);
     assert!(!lock.is_newer_than(None));
-    lock.record_own_epoch(epoch(5), 20);
+    lock.record_own_epoch(epoch(FencingToken(5)), 20);
     assert!(lock.is_newer_than(None));
-    assert!(lock.is_newer_than(Some(&(epoch(4), 19))));
-    assert!(!lock.is_newer_than(Some(&(epoch(5), 20))));
-    assert!(!lock.is_newer_than(Some(&(epoch(6), 21))));
+    assert!(lock.is_newer_than(Some(&(epoch(FencingToken(4)), 19))));
+    assert!(!lock.is_newer_than(Some(&(epoch(FencingToken(5)), 20))));
+    assert!(!lock.is_newer_than(Some(&(epoch(FencingToken(6)), 21))));
 }
--- a/src/leadership/tests/single_node.rs
+++ b/src/leadership/tests/single_node.rs
@@ -1,6 +1,7 @@
 //! One node alone: its answers to messages and responses that are hard to produce in the simulated cluster.
 
 use super::{BOUNDS, NAMES};
+use crate::fencing_token::FencingToken;
 use crate::leadership::{Action, Leadership, Message, Status, StoreResponse};
 use crate::lease::cancellation_log::CancellationBounds;
 use crate::limits::{self, lengthened, SECOND};
@@ -41,18 +42,24 @@
         1,
         7,
         Status::default(),
-        Message::Heartbeat { token: 5, sent: Timestamp::from_micros(9) },
+        Message::Heartbeat { token: FencingToken(5), sent: Timestamp::from_micros(9) },
     );
-    assert!(granted.contains(&Action::Send(1, Message::Grant { token: 5, echo: Timestamp::from_micros(9) })));
-    let epoch = Epoch { token: 5, node: "a".into(), incarnation: 1 };
+    assert!(granted.contains(&Action::Send(
+        1,
+        Message::Grant { token: FencingToken(5), echo: Timestamp::from_micros(9) }
+    )));
+    let epoch = Epoch { token: FencingToken(5), node: "a".into(), incarnation: 1 };
     let probed = StoreResponse::Probed { epoch: Some((epoch, 3)), locked: true };
     assert!(matches!(
         node.handle_store_response(now, probed)[..],
-        [Action::TakeOver { token: 6, ignore_lock: true, .. }]
+        [Action::TakeOver { token: FencingToken(6), ignore_lock: true, .. }]
     ));
     let committed = StoreResponse::TakeoverCommitted { lease: 1, version: 4, lease_sent: now };
-    assert_eq!(node.handle_store_response(now, committed), [Action::Elected { token: 6, version: 4 }]);
-    let grant = Message::Grant { token: 6, echo: now };
+    assert_eq!(
+        node.handle_store_response(now, committed),
+        [Action::Elected { token: FencingToken(6), version: 4 }]
+    );
+    let grant = Message::Grant { token: FencingToken(6), echo: now };
     assert_eq!(node.handle_message(now + Duration::from_micros(1), 2, 8, Status::default(), grant), []);
     let soon = now + SECOND;
     assert_eq!(
@@ -61,7 +68,7 @@
         "a node in keep-alive mode may keep workers alive beside it"
     );
     let later = now + lengthened(limits::GRANT_DURATION) + Duration::from_micros(1);
-    let grant = Message::Grant { token: 6, echo: later };
+    let grant = Message::Grant { token: FencingToken(6), echo: later };
     assert_eq!(node.handle_message(later, 2, 8, Status::default(), grant), []);
     assert!(node.autonomous_until(later + Duration::from_micros(1)) <= later, "its own vote counts again");
 }
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -5,6 +5,7 @@
 use super::network::Delivery;
 use super::random_duration;
 use super::{CANCELLATION_DEADLINE, MS, NODES, WORKER_LEASE};
+use crate::fencing_token::FencingToken;
 use crate::leadership::FollowedLeader;
 use crate::limits::{self, SECOND};
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
@@ -23,7 +24,7 @@
     /// When this agent epoch began, in true time.
     pub(super) agent_epoch_began_at: Timestamp,
     sequence: u64,
-    token: u64,
+    token: FencingToken,
     pub(super) lease_until: Timestamp,
     next_report_at: Timestamp,
     /// Jobs of which it has a task.
@@ -39,7 +40,7 @@
             agent_epoch: 1,
             agent_epoch_began_at: Timestamp::ZERO,
             sequence: 0,
-            token: 0,
+            token: FencingToken(0),
             lease_until: Timestamp::ZERO + WORKER_LEASE,
             next_report_at: Timestamp::ZERO,
             tasks: BTreeSet::new(),
@@ -77,12 +78,12 @@
 
 /// A response to a worker: the fencing token, and the jobs whose tasks it stops.
 struct WorkerResponse {
-    token: u64,
+    token: FencingToken,
     stopped: BTreeSet<JobId>,
 }
 
 impl WorkerResponse {
-    fn new(token: u64, task_commands: Vec<TaskCommand>) -> Self {
+    fn new(token: FencingToken, task_commands: Vec<TaskCommand>) -> Self {
         let stopped = task_commands.into_iter().filter_map(|command| match command {
             TaskCommand::Stop { id, .. } => Some(id.job_id),
             TaskCommand::Start { .. } | TaskCommand::Forget { .. } => None,
@@ -186,7 +187,7 @@
     }
 
     /// Whether the node runs and has authority under this token.
-    fn leads_with(&self, node: usize, token: u64) -> bool {
+    fn leads_with(&self, node: usize, token: FencingToken) -> bool {
         let authority = self.nodes[node].leadership.authority(self.local_time(node));
         self.is_running(node) && authority == Some(token)
     }
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -3,6 +3,7 @@
 use super::{
     AppliedAttestation, Attestation, CancellationBounds, CancellationLog, ConfirmOutcome, StoreAccess,
 };
+use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
@@ -50,7 +51,7 @@
         spot: false,
         agent_epoch: 1,
         sequence: 1,
-        token: 1,
+        token: FencingToken(1),
         notice_s: None,
         tasks: job_ids.iter().map(task).collect(),
     }
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -11,6 +11,7 @@
 //!
 //! The controller's heartbeat routing owns the [`Shard`] and is its only caller.
 
+use crate::fencing_token::FencingToken;
 use crate::lease::renewal::{LeaseRenewal, UnacknowledgedRenewals};
 use crate::limits;
 use crate::peer::RequestIds;
@@ -70,7 +71,7 @@
 #[must_use = "a renewal that was recorded should be sent"]
 pub enum ShardResponse {
     /// It responds itself, under this fencing token.
-    Renewed(u64, LeaseRenewal),
+    Renewed(FencingToken, LeaseRenewal),
     /// A repeated or overtaken heartbeat: no response is due.
     Duplicate,
     /// The heartbeat is for the leader, or for another node.
@@ -79,7 +80,7 @@
 
 impl ShardResponse {
     /// The fencing token that it responds with, if it does.
-    pub fn token(&self) -> Option<u64> {
+    pub fn token(&self) -> Option<FencingToken> {
         match self {
             ShardResponse::Renewed(token, _) => Some(*token),
             ShardResponse::Duplicate | ShardResponse::NotResponsible => None,
@@ -100,7 +101,7 @@
     /// Machines that are cached at most.
     max_cached: usize,
     /// Fencing token of the leader that this shard belongs to.
-    token: u64,
+    token: FencingToken,
     /// The shard lease: until then this node may respond itself; zero: none was granted under this token.
     lease_until: Timestamp,
     /// By machine.
@@ -124,7 +125,7 @@
     /// A leader with this fencing token was observed. A new leader starts the shard anew: until it acknowledges a shard
     /// heartbeat, no worker gets a response without it. Leases that an earlier leader granted may still keep workers
     /// alive elsewhere.
-    pub fn follow(&mut self, token: u64) {
+    pub fn follow(&mut self, token: FencingToken) {
         if token > self.token {
             *self = Shard {
                 token,
@@ -136,7 +137,7 @@
     }
 
     /// This node led under the token and no longer does: it may keep workers alive until then.
-    pub fn retain_after_leadership(&mut self, token: u64, until: Timestamp) {
+    pub fn retain_after_leadership(&mut self, token: FencingToken, until: Timestamp) {
         self.follow(token);
         self.lease_until = until;
     }
@@ -190,7 +191,7 @@
         &mut self,
         now: Timestamp,
         heartbeat: Heartbeat,
-        token: u64,
+        token: FencingToken,
         cacheable: bool,
     ) {
         if token != self.token {
--- a/src/lease/shard_tests.rs
+++ b/src/lease/shard_tests.rs
@@ -1,6 +1,7 @@
 //! Tests of `shard`: one leaseholder, its workers and its leader's acknowledgements.
 
 use super::{Shard, ShardResponse};
+use crate::fencing_token::FencingToken;
 use crate::limits::SECOND;
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::time::Timestamp;
@@ -22,7 +23,7 @@
         spot: false,
         agent_epoch: 1,
         sequence,
-        token: 4,
+        token: FencingToken(4),
         notice_s: None,
         tasks: (0..tasks).map(task).collect(),
     }
@@ -31,7 +32,7 @@
 /// A leaseholder whose lease runs from one second on.
 fn shard() -> Shard {
     let mut shard = Shard::new(8, 1);
-    shard.follow(4);
+    shard.follow(FencingToken(4));
     let heartbeat = shard.next_heartbeat(Timestamp::from_secs(1)).unwrap();
     assert_eq!(
         shard.respond(Timestamp::from_secs(1), &worker_heartbeat(1, 2), true),
@@ -42,14 +43,17 @@
         shard.respond(Timestamp::from_secs(1), &worker_heartbeat(1, 2), true),
         ShardResponse::NotResponsible
     );
-    shard.record_relayed_response(Timestamp::from_secs(1), worker_heartbeat(1, 2), 4, true);
+    shard.record_relayed_response(Timestamp::from_secs(1), worker_heartbeat(1, 2), FencingToken(4), true);
     shard
 }
 
 #[test]
 fn only_unchanged_heartbeats_are_renewed_without_the_leader() {
     let mut shard = shard();
-    assert_eq!(shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2, 2), true).token(), Some(4));
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2, 2), true).token(),
+        Some(FencingToken(4))
+    );
     assert_eq!(
         shard.respond(Timestamp::from_secs(3), &worker_heartbeat(3, 3), true),
         ShardResponse::NotResponsible,
@@ -69,7 +73,11 @@
     );
     // A worker that has seen a later leader's token would drop ours and stay here without a lease.
     assert_eq!(
-        shard.respond(Timestamp::from_secs(3), &Heartbeat { token: 5, ..worker_heartbeat(3, 2) }, true),
+        shard.respond(
+            Timestamp::from_secs(3),
+            &Heartbeat { token: FencingToken(5), ..worker_heartbeat(3, 2) },
+            true
+        ),
         ShardResponse::NotResponsible
     );
     shard.request_wake(&["m-1".into()]);
@@ -83,7 +91,10 @@
 #[test]
 fn without_a_leader_workers_are_kept_alive_until_the_shard_lease_ends() {
     let mut shard = shard();
-    assert_eq!(shard.respond(Timestamp::from_secs(3), &worker_heartbeat(2, 2), false).token(), Some(4));
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(3), &worker_heartbeat(2, 2), false).token(),
+        Some(FencingToken(4))
+    );
     // With a change it tries the other nodes once: perhaps they are in contact with the leader.
     assert_eq!(
         shard.respond(Timestamp::from_secs(3), &worker_heartbeat(3, 3), false),
@@ -91,8 +102,14 @@
     );
     // Behind a cut it waited for both of them, four seconds each, with a second's pause. Redirected again at
     // once, it would lose its lease.
-    assert_eq!(shard.respond(Timestamp::from_secs(14), &worker_heartbeat(4, 3), false).token(), Some(4));
-    assert_eq!(shard.respond(Timestamp::from_secs(17), &worker_heartbeat(5, 3), false).token(), Some(4));
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(14), &worker_heartbeat(4, 3), false).token(),
+        Some(FencingToken(4))
+    );
+    assert_eq!(
+        shard.respond(Timestamp::from_secs(17), &worker_heartbeat(5, 3), false).token(),
+        Some(FencingToken(4))
+    );
     // What changed meanwhile is relayed as soon as there is a leader.
     assert_eq!(
         shard.respond(Timestamp::from_secs(18), &worker_heartbeat(6, 3), true),
@@ -115,10 +132,10 @@
         ShardResponse::NotResponsible,
         "the leader decides while there is contact"
     );
-    assert_eq!(shard.respond(Timestamp::from_secs(8), &stranger, false).token(), Some(4));
+    assert_eq!(shard.respond(Timestamp::from_secs(8), &stranger, false).token(), Some(FencingToken(4)));
     // Its token must be ours: a worker with none, or an earlier one, has no tasks that this shard may keep alive.
     assert_eq!(
-        shard.respond(Timestamp::from_secs(8), &Heartbeat { token: 3, ..stranger }, false),
+        shard.respond(Timestamp::from_secs(8), &Heartbeat { token: FencingToken(3), ..stranger }, false),
         ShardResponse::NotResponsible
     );
     assert_eq!(shard.next_heartbeat(Timestamp::from_secs(9)).unwrap().machines, ["m-2"]);
@@ -138,7 +155,7 @@
         "not acknowledged"
     );
     shard.acknowledge(heartbeat.id, LEASE);
-    assert_eq!(shard.respond(late, &worker_heartbeat(4, 2), true).token(), Some(4));
+    assert_eq!(shard.respond(late, &worker_heartbeat(4, 2), true).token(), Some(FencingToken(4)));
     assert_eq!(
         shard.respond(Timestamp::from_secs(4) + LEASE, &worker_heartbeat(5, 2), true),
         ShardResponse::NotResponsible
@@ -166,8 +183,8 @@
 #[test]
 fn a_new_leader_starts_the_shard_without_lease_and_cache() {
     let mut shard = shard();
-    shard.follow(5);
-    let worker_heartbeat = |sequence| Heartbeat { token: 5, ..worker_heartbeat(sequence, 2) };
+    shard.follow(FencingToken(5));
+    let worker_heartbeat = |sequence| Heartbeat { token: FencingToken(5), ..worker_heartbeat(sequence, 2) };
     assert_eq!(
         shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2), false),
         ShardResponse::NotResponsible,
@@ -180,7 +197,7 @@
         ShardResponse::NotResponsible
     );
     // A late response of the last leader leaves nothing to renew.
-    shard.record_relayed_response(Timestamp::from_secs(2), worker_heartbeat(2), 4, true);
+    shard.record_relayed_response(Timestamp::from_secs(2), worker_heartbeat(2), FencingToken(4), true);
     assert_eq!(
         shard.respond(Timestamp::from_secs(2), &worker_heartbeat(3), true),
         ShardResponse::NotResponsible
@@ -207,7 +224,7 @@
     const MACHINES: usize = 6_000;
     const REPORT_INTERVAL: Duration = Duration::from_millis(2_500);
     let mut shard = Shard::new(2 * MACHINES, 1);
-    shard.follow(4);
+    shard.follow(FencingToken(4));
     let first = shard.next_heartbeat(Timestamp::from_secs(1)).unwrap();
     shard.acknowledge(first.id, 60 * SECOND);
     let name = |machine: usize| format!("machine-of-a-rather-long-name-in-a-zone-far-away-{machine:010}");
@@ -237,10 +254,10 @@
 #[test]
 fn an_acknowledgement_for_an_earlier_incarnation_is_ignored() {
     let mut earlier = Shard::new(8, 1);
-    earlier.follow(4);
+    earlier.follow(FencingToken(4));
     let acknowledged = earlier.next_heartbeat(Timestamp::from_secs(1)).unwrap().id;
     let mut shard = Shard::new(8, 90_000);
-    shard.follow(4);
+    shard.follow(FencingToken(4));
     let own = shard.next_heartbeat(Timestamp::from_secs(2)).unwrap().id;
     assert!(!shard.acknowledge(acknowledged, LEASE));
     assert_eq!(
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod cloud;
 pub mod controller;
 pub mod drains;
+pub mod fencing_token;
 pub mod fleet_limits;
 pub mod http;
 pub mod leadership;
--- a/src/node_events.rs
+++ b/src/node_events.rs
@@ -4,6 +4,7 @@
 //! This module lies below `api`, `controller` and `storage`, which all use it and not one another's messages. It
 //! holds no logic.
 
+use crate::fencing_token::FencingToken;
 use crate::leadership::StoreResponse;
 use crate::lease::renewal::RenewalCounts;
 use crate::peer::Received;
@@ -47,7 +48,7 @@
     /// The state service's response to a request of leadership.
     Store(StoreResponse),
     /// A command for the scheduler of this fencing token; dropped when another token is current.
-    Scheduler(u64, Command),
+    Scheduler(FencingToken, Command),
     /// The machine types were read.
     Types(Types),
 }
@@ -83,7 +84,7 @@
     /// The leader's name, if it is known.
     pub leader: Option<String>,
     /// The fencing token of this node's leadership; zero: it does not lead.
-    pub token: u64,
+    pub token: FencingToken,
     /// Lease renewals by this node, by their basis.
     #[serde(rename = "answers")]
     pub renewals: RenewalCounts,
--- a/src/peer/codec/heartbeat.rs
+++ b/src/peer/codec/heartbeat.rs
@@ -2,6 +2,7 @@
 
 use super::super::layout::{HeartbeatLine, TaskLine, MAX_BODY_LENGTH, NO_NOTICE};
 use super::{names, FrameError};
+use crate::fencing_token::FencingToken;
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::time::{as_seconds, from_seconds, to_micros};
 use std::time::Duration;
@@ -59,7 +60,7 @@
     let line = HeartbeatLine {
         agent_epoch: heartbeat.agent_epoch.into(),
         sequence: heartbeat.sequence.into(),
-        token: heartbeat.token.into(),
+        token: heartbeat.token.0.into(),
         notice: notice.into(),
         tasks: (heartbeat.tasks.len() as u32).into(),
         spot: heartbeat.spot.into(),
@@ -113,7 +114,7 @@
         spot: line.spot != 0,
         agent_epoch: line.agent_epoch.get(),
         sequence: line.sequence.get(),
-        token: line.token.get(),
+        token: FencingToken(line.token.get()),
         notice_s: (notice != NO_NOTICE).then_some(as_seconds(Duration::from_micros(notice))),
         tasks,
     })
--- a/src/peer/codec/mod.rs
+++ b/src/peer/codec/mod.rs
@@ -4,6 +4,7 @@
 mod names;
 mod task_command;
 
+use crate::fencing_token::FencingToken;
 use crate::time::{to_micros, Timestamp};
 pub use heartbeat::fits_frame;
 #[cfg(test)]
@@ -65,7 +66,7 @@
         }
         Payload::RelayedResponse { id, token, cacheable, task_commands } => {
             (head.kind, head.stamp) = (RELAYED_RESPONSE, (*id).into());
-            head.token = token.unwrap_or(0).into();
+            head.token = token.unwrap_or(FencingToken::NONE).0.into();
             head.workers = u32::from(*cacheable).into();
             for command in task_commands {
                 body.extend_from_slice(task_command::encode(command).as_bytes());
@@ -99,15 +100,15 @@
     let (kind, token, stamp) = match message {
         Message::Heartbeat { token, sent } => (LEADER_HEARTBEAT, token, sent),
         Message::Grant { token, echo } => (GRANT, token, echo),
-        Message::VoteRequest { sent } => (VOTE_REQUEST, 0, sent),
-        Message::Vote { echo } => (VOTE, 0, echo),
+        Message::VoteRequest { sent } => (VOTE_REQUEST, FencingToken::NONE, sent),
+        Message::Vote { echo } => (VOTE, FencingToken::NONE, echo),
         Message::Release { token, successor } => {
             head.successor = (successor as u32).into();
             (RELEASE, token, Timestamp::ZERO)
         }
     };
     head.kind = kind;
-    head.token = token.into();
+    head.token = token.0.into();
     head.stamp = stamp.as_micros().into();
 }
 
@@ -163,7 +164,7 @@
 
 /// The payload of a head whose kind [`body_length`] knows.
 fn read_payload(head: &Head, body: &[u8]) -> Result<Payload, FrameError> {
-    let token = head.token.get();
+    let token = FencingToken(head.token.get());
     // The number or the instant, see `write_payload`.
     let number = head.stamp.get();
     let stamp = Timestamp::from_micros(number);
@@ -184,7 +185,7 @@
             let lines = <[TaskCommandLine]>::ref_from_bytes(body).map_err(|_| FrameError::WrongLength)?;
             Payload::RelayedResponse {
                 id: number,
-                token: (token > 0).then_some(token),
+                token: (token > FencingToken::NONE).then_some(token),
                 cacheable: head.workers.get() != 0,
                 task_commands: lines.iter().map(task_command::decode).collect::<Result<_, _>>()?,
             }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -6,6 +6,7 @@
 mod request_ids;
 mod transport;
 
+use crate::fencing_token::FencingToken;
 use crate::time::Timestamp;
 pub use codec::{decode, encode, fits_frame};
 pub use error::FrameError;
@@ -39,7 +40,7 @@
         /// Number of the request that is answered.
         id: u64,
         /// The leader's fencing token; `None`: the sender may not act.
-        token: Option<u64>,
+        token: Option<FencingToken>,
         /// The leaseholder may answer the next unchanged heartbeats by itself.
         cacheable: bool,
         /// Commands for the worker.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -3,6 +3,7 @@
 use super::codec::status_of;
 use super::layout::Head;
 use super::*;
+use crate::fencing_token::FencingToken;
 use crate::scheduler::model::{JobId, ReportedTask, TaskId};
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -12,11 +13,11 @@
     let sender = Sender { node: 2, incarnation: 77 };
     let status = Status { state_age: Duration::from_micros(5), workers: 9, machines: 0, attests: true };
     for message in [
-        Message::Heartbeat { token: 4, sent: Timestamp::from_micros(11) },
-        Message::Grant { token: 4, echo: Timestamp::from_micros(11) },
+        Message::Heartbeat { token: FencingToken(4), sent: Timestamp::from_micros(11) },
+        Message::Grant { token: FencingToken(4), echo: Timestamp::from_micros(11) },
         Message::VoteRequest { sent: Timestamp::from_micros(3) },
         Message::Vote { echo: Timestamp::from_micros(3) },
-        Message::Release { token: 4, successor: 1 },
+        Message::Release { token: FencingToken(4), successor: 1 },
     ] {
         let bytes = encode(sender, 6, &Payload::Leadership(status, message));
         let Frame { node, incarnation, sequence, payload } = decode(&bytes).unwrap();
@@ -47,7 +48,7 @@
         spot: true,
         agent_epoch: 2,
         sequence: 88,
-        token: 41,
+        token: FencingToken(41),
         notice_s: Some(12.5),
         tasks: (0..9).map(|code| ReportedTask { id, attempt: 5, status: status_of(code).unwrap() }).collect(),
     };
@@ -69,13 +70,17 @@
     ];
     let reply = Payload::RelayedResponse {
         id: 9,
-        token: Some(41),
+        token: Some(FencingToken(41)),
         cacheable: true,
         task_commands: task_commands.clone(),
     };
     let reply = encode(sender, 2, &reply);
-    let Payload::RelayedResponse { id: 9, token: Some(41), cacheable: true, task_commands: back } =
-        decode(&reply).unwrap().payload
+    let Payload::RelayedResponse {
+        id: 9,
+        token: Some(FencingToken(41)),
+        cacheable: true,
+        task_commands: back,
+    } = decode(&reply).unwrap().payload
     else {
         panic!()
     };
--- a/src/protocol/checkin.rs
+++ b/src/protocol/checkin.rs
@@ -5,6 +5,7 @@
 //! [`HeartbeatRequest`]: super::workers::HeartbeatRequest
 //! [`HeartbeatTask`]: super::workers::HeartbeatTask
 
+use crate::fencing_token::FencingToken;
 use serde::{Deserialize, Serialize};
 
 /// A worker's heartbeat.
@@ -32,7 +33,7 @@
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "helm", default)]
-    pub token: u64,
+    pub token: FencingToken,
     /// Seconds until the cloud preempts the machine.
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
--- a/src/protocol/records.rs
+++ b/src/protocol/records.rs
@@ -1,6 +1,7 @@
 //! What is kept in the state service. Earlier versions read and write the same records, so no name here changes.
 
 use super::users::{JobStatus, Submission};
+use crate::fencing_token::FencingToken;
 use crate::scheduler::StoredMachine;
 use serde::{Deserialize, Serialize};
 
@@ -26,7 +27,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Epoch {
     /// The fencing token; it rises with every change of leader.
-    pub token: u64,
+    pub token: FencingToken,
     /// The name of the node that leads.
     pub node: String,
     /// The life of that node's process.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,6 +1,7 @@
 //! Workers' heartbeats, their responses, and commands to workers.
 
 pub use super::checkin::{Checkin as HeartbeatRequest, CheckinTask as HeartbeatTask};
+use crate::fencing_token::FencingToken;
 use crate::lease::renewal::LeaseRenewal;
 use crate::scheduler::model::{ExitReason, Heartbeat, JobId, ReportedTask, TaskId, TaskStatus};
 use crate::scheduler::TaskCommand;
@@ -141,7 +142,7 @@
 pub struct HeartbeatResponse {
     /// The fencing token of the leader that it comes from.
     #[serde(rename = "helm")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Commands to the worker, in order.
     #[serde(rename = "signals")]
     pub commands: Vec<WorkerCommand>,
@@ -151,7 +152,7 @@
     /// A response under a leader's fencing token. It renews the worker's lease, so the caller has to hold the proof that
     /// it may.
     pub fn new<'a>(
-        token: u64,
+        token: FencingToken,
         _renewal: LeaseRenewal,
         task_commands: impl IntoIterator<Item = &'a TaskCommand>,
     ) -> Self {
@@ -172,7 +173,7 @@
 pub struct DirectCommands {
     /// The fencing token of the leader that they come from.
     #[serde(rename = "helm")]
-    pub token: u64,
+    pub token: FencingToken,
     /// The agent epoch of the worker that is meant.
     #[serde(rename = "watch")]
     pub agent_epoch: u64,
--- a/src/scheduler/cold_start/report.rs
+++ b/src/scheduler/cold_start/report.rs
@@ -2,6 +2,7 @@
 
 use super::evidence::machine_fact;
 use super::ColdStart;
+use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::scheduler::messages::Effect;
 use crate::scheduler::model::MachineState;
@@ -58,7 +59,7 @@
     /// How far it is.
     pub phase: Phase,
     /// The leader's fencing token.
-    pub token: u64,
+    pub token: FencingToken,
     /// When the leader had loaded the stored state, in milliseconds of the time of day.
     pub began_ms: u64,
     /// When this was written, in milliseconds of the time of day.
--- a/src/scheduler/drains/summary.rs
+++ b/src/scheduler/drains/summary.rs
@@ -1,6 +1,7 @@
 //! Summaries: what operators are told of each drain.
 
 use super::drain::Drain;
+use crate::fencing_token::FencingToken;
 use crate::scheduler::Scheduler;
 use crate::time::{to_millis, Timestamp};
 use dockpier_drain::budget::Budgets;
@@ -27,7 +28,7 @@
 
 impl Drain {
     /// `day`: the time of day in milliseconds.
-    fn summarize(&self, day: u64, now: Timestamp, token: u64, budgets: &Budgets) -> Summary {
+    fn summarize(&self, day: u64, now: Timestamp, token: FencingToken, budgets: &Budgets) -> Summary {
         let state = self.state();
         let mut waits = match state {
             DrainState::Finished | DrainState::Cancelled => Vec::new(),
@@ -40,7 +41,16 @@
         let deadline = self.stored.request.deadline.map(|deadline| (deadline * 1_000.0) as u64);
         let will_be_late = |deadline: u64| day > deadline || estimate.is_some_and(|done| done > deadline);
         let late = state == DrainState::Running && deadline.is_some_and(will_be_late);
-        Summary { state, counts: self.progress.counts(), waits, never, late, estimate, updated: day, token }
+        Summary {
+            state,
+            counts: self.progress.counts(),
+            waits,
+            never,
+            late,
+            estimate,
+            updated: day,
+            token: token.0,
+        }
     }
 
     /// When the rest is done at the pace seen so far, in milliseconds of the time of day.
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -1,6 +1,7 @@
 //! Machines weighed by groups against every machine weighed by itself.
 
 use super::*;
+use crate::fencing_token::FencingToken;
 use crate::scheduler::model::{
     JobSpec, Kind, MachineState, MachineType, Placement, Priority, Resources, TaskId, TaskStatus,
 };
@@ -15,7 +16,7 @@
 fn config() -> Config {
     let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     Config {
-        token: 1,
+        token: FencingToken(1),
         operator: Operator::default(),
         workers: Workers {
             report_s: 1.0,
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -22,6 +22,7 @@
     TerminationProof,
 };
 use super::{Effect, HeartbeatOutcome, PendingHeartbeat, Scheduler};
+use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::time::{from_seconds, Timestamp};
 use std::collections::BTreeSet;
@@ -32,7 +33,7 @@
 
 impl Machine {
     /// Whether a periodic heartbeat tells nothing that the last one did not.
-    fn is_unchanged_by(&self, heartbeat: &Heartbeat, token: u64) -> bool {
+    fn is_unchanged_by(&self, heartbeat: &Heartbeat, token: FencingToken) -> bool {
         heartbeat.agent_epoch == self.heartbeats.newest.agent_epoch
             && heartbeat.sequence > self.heartbeats.newest.sequence
             && heartbeat.token == token
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -6,6 +6,7 @@
 use super::cold_start::{ColdStartReport, JobReading};
 use super::drains::{DrainKey, DrainValue, LoadedDrains};
 use super::model::{Heartbeat, JobId, JobSpec, MachineType, StoredMachine, TaskCommand};
+use crate::fencing_token::FencingToken;
 use crate::lease::renewal::LeaseRenewal;
 use crate::settings::{Operator, Team, Workers};
 use crate::time::Timestamp;
@@ -17,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Fencing token of this leader.
-    pub token: u64,
+    pub token: FencingToken,
     /// The operators' settings.
     pub operator: Operator,
     /// Timing of the workers.
@@ -290,5 +291,5 @@
     /// The report of the cold start is to be stored.
     WriteColdStart(Box<ColdStartReport>),
     /// A worker has seen this higher fencing token: another node leads.
-    Deposed(u64),
+    Deposed(FencingToken),
 }
--- a/src/scheduler/model/heartbeat.rs
+++ b/src/scheduler/model/heartbeat.rs
@@ -1,6 +1,7 @@
 //! Heartbeats of workers, and what the leader keeps of each machine's heartbeats.
 
 use super::{TaskId, TaskStatus};
+use crate::fencing_token::FencingToken;
 use crate::time::Timestamp;
 
 /// Orders the heartbeats of one worker: by agent epoch first, then by sequence.
@@ -39,7 +40,7 @@
     /// See [`HeartbeatNumber::sequence`].
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
-    pub token: u64,
+    pub token: FencingToken,
     /// Seconds until the cloud recalls the machine, if it has given notice.
     pub notice_s: Option<f64>,
     /// All tasks that the worker holds, and exited ones that it has not been told to forget.
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -68,7 +68,7 @@
     /// The fencing token is in it, so that no two leaders use one twice.
     pub(super) fn next_attempt(&mut self) -> u64 {
         self.attempts += 1;
-        (self.config.token << 32) | self.attempts
+        (self.config.token.0 << 32) | self.attempts
     }
 
     /// Reserves resources on a machine. The start is sent in the response to the machine's next heartbeat.
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -1,6 +1,7 @@
 //! Whether a machine receives the responses to its heartbeats. Called by `heartbeats` with each periodic heartbeat.
 
 use super::model::{CommandTracker, Heartbeat, TaskCommand, TaskStatus};
+use crate::fencing_token::FencingToken;
 
 impl CommandTracker {
     /// Counts heartbeats in a row that show no effect of the response before them.
@@ -8,7 +9,12 @@
     /// A machine whose heartbeats arrive may be unreachable one way: no response and no command arrives there. That
     /// shows when its heartbeats bear no trace of anything in the responses before them. `agent_epoch` is that of the
     /// heartbeat before this one; `token` is the leader's fencing token.
-    pub(super) fn assess_reachability(&mut self, agent_epoch: u64, heartbeat: &Heartbeat, token: u64) {
+    pub(super) fn assess_reachability(
+        &mut self,
+        agent_epoch: u64,
+        heartbeat: &Heartbeat,
+        token: FencingToken,
+    ) {
         if heartbeat.agent_epoch > agent_epoch {
             // The worker's lease ended although it was sent responses, unless none was sent for as long as a lease.
             let lease_ended_despite_commands = agent_epoch > 0 && !self.unacknowledged.is_empty();
--- a/src/scheduler/reachability_tests.rs
+++ b/src/scheduler/reachability_tests.rs
@@ -2,11 +2,12 @@
 
 use super::super::model::{ExitReason, JobId, ReportedTask, TaskId};
 use super::*;
+use crate::fencing_token::FencingToken;
 
 const TOKEN: u64 = 40;
 const TASK: TaskId = TaskId { job_id: JobId(1), task: 0 };
 
-fn heartbeat(agent_epoch: u64, token: u64, status: Option<TaskStatus>) -> Heartbeat {
+fn heartbeat(agent_epoch: u64, token: FencingToken, status: Option<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "m-000001".into(),
         address: String::new(),
@@ -24,7 +25,7 @@
 /// Heartbeats without acknowledgement after a response with this command and then a heartbeat that lists this.
 fn unacknowledged_after(command: TaskCommand, status: Option<TaskStatus>) -> u32 {
     let mut commands = CommandTracker { unacknowledged: vec![command], ..CommandTracker::default() };
-    commands.assess_reachability(1, &heartbeat(1, TOKEN, status), TOKEN);
+    commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), status), FencingToken(TOKEN));
     assert!(commands.unacknowledged.is_empty(), "each response is judged once");
     commands.unacknowledged_heartbeats
 }
@@ -62,17 +63,17 @@
 #[test]
 fn first_response_is_acknowledged_by_the_fencing_token() {
     let mut commands = CommandTracker { token_unacknowledged: true, ..CommandTracker::default() };
-    commands.assess_reachability(1, &heartbeat(1, TOKEN - 1, None), TOKEN);
+    commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN - 1), None), FencingToken(TOKEN));
     assert_eq!(commands.unacknowledged_heartbeats, 1);
     commands.token_unacknowledged = true;
-    commands.assess_reachability(1, &heartbeat(1, TOKEN, None), TOKEN);
+    commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
     assert_eq!(commands.unacknowledged_heartbeats, 0);
 }
 
 #[test]
 fn heartbeat_after_an_empty_response_proves_nothing() {
     let mut commands = CommandTracker { unacknowledged_heartbeats: 2, ..CommandTracker::default() };
-    commands.assess_reachability(1, &heartbeat(1, TOKEN, None), TOKEN);
+    commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
     assert_eq!(commands.unacknowledged_heartbeats, 2);
 }
 
@@ -82,7 +83,11 @@
     for (agent_epoch, expected) in [(0, 0), (1, 1)] {
         let mut commands =
             CommandTracker { unacknowledged: vec![start.clone()], ..CommandTracker::default() };
-        commands.assess_reachability(agent_epoch, &heartbeat(2, TOKEN, None), TOKEN);
+        commands.assess_reachability(
+            agent_epoch,
+            &heartbeat(2, FencingToken(TOKEN), None),
+            FencingToken(TOKEN),
+        );
         assert_eq!(commands.unacknowledged_heartbeats, expected, "after epoch {agent_epoch}");
     }
 }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -7,6 +7,7 @@
 
 use super::model::{Job, JobId, Kind, Machine};
 use super::{Effect, Scheduler, StoredMachine, WriteOutcome};
+use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::time::Timestamp;
 use crate::token_bucket::TokenBucket;
@@ -73,7 +74,7 @@
 
 impl Records {
     /// A key that no record has, and that is not `reserved`.
-    fn new_key(&mut self, token: u64, reserved: &str) -> String {
+    fn new_key(&mut self, token: FencingToken, reserved: &str) -> String {
         loop {
             self.keys_made += 1;
             let key = format!("{token}-{}", self.keys_made);
@@ -84,7 +85,7 @@
     }
 
     /// The record that the machine is in, else the last one with room, else a new key.
-    fn key_for(&mut self, machine: &str, max_machines: usize, token: u64) -> String {
+    fn key_for(&mut self, machine: &str, max_machines: usize, token: FencingToken) -> String {
         if let Some(key) = self.key_of_machine.get(machine) {
             return key.clone();
         }
--- a/src/scheduler/records_tests.rs
+++ b/src/scheduler/records_tests.rs
@@ -1,6 +1,7 @@
 //! Which record a machine is in, and which records are due.
 
 use super::{Record, Records, Urgency};
+use crate::fencing_token::FencingToken;
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -23,16 +24,16 @@
     let mut records = Records::default();
     insert(&mut records, "7-1", Record::new(machines(&["a"]), Urgency::Written, Timestamp::ZERO));
     insert(&mut records, "7-2", Record::new(machines(&["b", "c"]), Urgency::Written, Timestamp::ZERO));
-    assert_eq!(records.key_for("c", MAX_MACHINES, TOKEN), "7-2");
-    assert_eq!(records.key_for("d", MAX_MACHINES, TOKEN), "7-1");
+    assert_eq!(records.key_for("c", MAX_MACHINES, FencingToken(TOKEN)), "7-2");
+    assert_eq!(records.key_for("d", MAX_MACHINES, FencingToken(TOKEN)), "7-1");
 }
 
 #[test]
 fn a_new_key_is_neither_in_use_nor_reserved() {
     let mut records = Records::default();
     insert(&mut records, "7-1", Record::new(machines(&["a", "b"]), Urgency::Written, Timestamp::ZERO));
-    assert_eq!(records.new_key(TOKEN, "7-2"), "7-3");
-    assert_eq!(records.key_for("c", MAX_MACHINES, TOKEN), "7-4");
+    assert_eq!(records.new_key(FencingToken(TOKEN), "7-2"), "7-3");
+    assert_eq!(records.key_for("c", MAX_MACHINES, FencingToken(TOKEN)), "7-4");
 }
 
 #[test]
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -1,6 +1,7 @@
 //! Machines of four slots whose workers report once a second.
 
 use crate::common;
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{
@@ -25,7 +26,7 @@
     config: Config,
     now: Timestamp,
     sequence: u64,
-    token: u64,
+    token: FencingToken,
     /// Machines that are there and report.
     pub machines: BTreeSet<usize>,
     tasks: BTreeMap<usize, BTreeMap<TaskId, Running>>,
@@ -72,7 +73,7 @@
             config,
             now: Timestamp::from_secs(1),
             sequence: 0,
-            token: 1,
+            token: FencingToken(1),
             machines: (0..machines).collect(),
             tasks: BTreeMap::new(),
             unreachable: BTreeSet::new(),
@@ -189,7 +190,7 @@
 
     /// The next leader knows the machines' records, and no jobs.
     pub fn change_leader(&mut self) {
-        self.token += 1;
+        self.token = self.token.next();
         self.now += 4 * SECOND;
         self.scheduler = Scheduler::new(Config { token: self.token, ..self.config.clone() }, self.now);
         let machine = |machine: &usize| StoredMachine {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! What the tests of the scheduler share.
 
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::Config;
@@ -9,7 +10,7 @@
 /// A leader of one team without limits, in two zones, with no leaseholders and nothing scarce.
 pub fn config() -> Config {
     Config {
-        token: 1,
+        token: FencingToken(1),
         operator: Operator::default(),
         workers: Workers {
             report_s: 1.0,
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::spec;
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits::{self, SECOND};
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{
@@ -122,7 +123,7 @@
                 spot: false,
                 agent_epoch: 1,
                 sequence: self.sequence,
-                token: 1,
+                token: FencingToken(1),
                 notice_s: None,
                 tasks,
             };
@@ -294,7 +295,7 @@
 /// it is it would be refused for ever. No machine may be missing from all records meanwhile.
 #[test]
 fn a_record_that_is_too_large_is_split_and_the_new_ones_are_written_first() {
-    let config = Config { token: 2, zones: vec!["a".into()], ..common::config() };
+    let config = Config { token: FencingToken(2), zones: vec!["a".into()], ..common::config() };
     let most = config.record_machines;
     let mut scheduler = Scheduler::new(config, Timestamp::from_secs(1));
     let old = (0..3 * most).map(known).collect::<Vec<_>>();
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::spec;
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{
@@ -17,7 +18,7 @@
     scheduler: Scheduler,
     now: Timestamp,
     sequence: u64,
-    token: u64,
+    token: FencingToken,
     silent: BTreeSet<usize>,
     notice: BTreeMap<usize, f64>,
     on: BTreeMap<usize, BTreeMap<TaskId, (u64, TaskStatus)>>,
@@ -57,7 +58,7 @@
             scheduler: Scheduler::new(config, Timestamp::from_secs(1)),
             now: Timestamp::from_secs(1),
             sequence: 0,
-            token: 1,
+            token: FencingToken(1),
             silent: BTreeSet::new(),
             notice: BTreeMap::new(),
             on: BTreeMap::new(),
@@ -172,7 +173,7 @@
 
     /// The next leader, which knows what is stored and no more.
     fn change_leader(&mut self) {
-        self.token += 1;
+        self.token = self.token.next();
         let config = Config { token: self.token, ..self.scheduler.config.clone() };
         self.scheduler = Scheduler::new(config, self.now);
         let known = |machine| StoredMachine {
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -3,6 +3,7 @@
 
 use super::common::{self, spec};
 use super::stand_ins::{heartbeat, machine_types, outcome};
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand, WriteOutcome};
@@ -121,7 +122,7 @@
         let reply = *sequence + if machine == "m-000001" { 0 } else { 1_000 };
         let tasks = self.running.get(machine).into_iter().flatten();
         let tasks = tasks.map(|(id, attempt)| (*id, *attempt, TaskStatus::Running));
-        let heartbeat = heartbeat(machine, *sequence, u64::from(*sequence > 1), tasks);
+        let heartbeat = heartbeat(machine, *sequence, FencingToken(u64::from(*sequence > 1)), tasks);
         (reply, heartbeat)
     }
 
--- a/tests/leases/interleavings/worker.rs
+++ b/tests/leases/interleavings/worker.rs
@@ -2,6 +2,7 @@
 
 use super::{LEASE, REPORT};
 use crate::stand_ins::heartbeat;
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{ExitReason, Heartbeat, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
@@ -12,7 +13,7 @@
 #[derive(Default)]
 pub(super) struct Worker {
     pub(super) sequence: u64,
-    pub(super) token: u64,
+    pub(super) token: FencingToken,
     pub(super) tasks: BTreeMap<TaskId, (u64, TaskStatus)>,
     /// Sequence and time of the heartbeat that it waits for.
     pub(super) waits: Option<(u64, Timestamp)>,
@@ -56,7 +57,7 @@
             self.report_due = now + SECOND;
             return;
         };
-        self.token = 1;
+        self.token = FencingToken(1);
         self.lease_until = self.lease_until.max(sent + LEASE);
         let changed = self.take(task_commands);
         self.report_due = if changed { now + SECOND / 2 } else { sent + REPORT };
--- a/tests/leases/interleavings/world.rs
+++ b/tests/leases/interleavings/world.rs
@@ -5,6 +5,7 @@
 use super::{ANSWER_PATIENCE, CANCELLED, EMPTY, LEASE, LESSEE, REPLICA, REPORT, SHARD_LEASE, WATCHED};
 use crate::common::{self, spec};
 use crate::stand_ins::{machine_types, outcome};
+use dockpier::fencing_token::FencingToken;
 use dockpier::lease::shard::{Shard, ShardHeartbeat, ShardResponse};
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{Heartbeat, Kind, Priority};
@@ -48,7 +49,7 @@
             under_way: Vec::new(),
             started_elsewhere: None,
         };
-        world.shard.follow(1);
+        world.shard.follow(FencingToken(1));
         world.leader(vec![machine_types(), Command::Load { jobs: vec![], records: vec![] }]);
         (0..3).for_each(|_| world.exchange());
         for job_id in [REPLICA.job_id, CANCELLED] {
@@ -119,7 +120,7 @@
             Message::Reply { heartbeat, renews, keep, task_commands } => {
                 let sequence = heartbeat.sequence;
                 if renews {
-                    self.shard.record_relayed_response(self.now, heartbeat, 1, keep);
+                    self.shard.record_relayed_response(self.now, heartbeat, FencingToken(1), keep);
                 }
                 self.send(Message::Answer { sequence, task_commands: renews.then_some(task_commands) });
             }
@@ -212,7 +213,7 @@
     }
 
     fn answer_empty(&mut self, task_commands: &[TaskCommand]) {
-        self.empty.token = 1;
+        self.empty.token = FencingToken(1);
         self.empty.take(task_commands);
         if self.empty.tasks.contains_key(&REPLICA) {
             self.started_elsewhere.get_or_insert(self.now);
--- a/tests/leases/stand_ins.rs
+++ b/tests/leases/stand_ins.rs
@@ -1,5 +1,6 @@
 //! A state service that takes every record, a cloud that rents and deletes nothing, and reports.
 
+use dockpier::fencing_token::FencingToken;
 use dockpier::scheduler::model::*;
 use dockpier::scheduler::{Command, Effect, WriteOutcome};
 
@@ -36,7 +37,7 @@
 pub fn heartbeat(
     machine: &str,
     sequence: u64,
-    token: u64,
+    token: FencingToken,
     tasks: impl Iterator<Item = (TaskId, u64, TaskStatus)>,
 ) -> Heartbeat {
     Heartbeat {
--- a/tests/pinned_state/cold_start_records.rs
+++ b/tests/pinned_state/cold_start_records.rs
@@ -1,6 +1,7 @@
 //! The report of a cold start in the state service, written and read.
 
 use crate::golden;
+use dockpier::fencing_token::FencingToken;
 use dockpier::scheduler::cold_start::{ColdStartReport, MachineCounts, Phase};
 use dockpier::storage::keys;
 use dockpier_reconcile::{Counts, Evidence, Verdict};
@@ -16,7 +17,7 @@
     };
     ColdStartReport {
         phase,
-        token: 41,
+        token: FencingToken(41),
         began_ms: 1_764_645_000_000,
         updated_ms: 1_764_645_012_345,
         reconciled_after_ms: (!waiting).then_some(8_123),
--- a/tests/pinned_state/job_records.rs
+++ b/tests/pinned_state/job_records.rs
@@ -2,6 +2,7 @@
 
 use crate::domain::{full_submission, machine_records, plain_submission};
 use crate::golden;
+use dockpier::fencing_token::FencingToken;
 use dockpier::protocol::cloud::{Catalog, CatalogEntry};
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
 use dockpier::protocol::users::{JobKind, JobPriority, JobStatus, Submission};
@@ -12,7 +13,7 @@
 const FILE: &str = "job-records.txt";
 
 fn epoch() -> Epoch {
-    Epoch { token: 41, node: "berth-2".into(), incarnation: 77 }
+    Epoch { token: FencingToken(41), node: "berth-2".into(), incarnation: 77 }
 }
 
 /// A job of each kind and priority.
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -2,6 +2,7 @@
 
 use crate::golden;
 use crate::node_api::machine_type;
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits;
 use dockpier::scheduler::model::{Heartbeat, JobId, JobSpec, Kind, Priority, Resources};
 use dockpier::scheduler::overview::PageStart;
@@ -14,7 +15,7 @@
 
 fn config() -> Config {
     Config {
-        token: 41,
+        token: FencingToken(41),
         operator: Operator::default(),
         workers: Workers {
             report_s: 1.0,
@@ -80,7 +81,7 @@
         spot: false,
         agent_epoch: 1,
         sequence,
-        token: 41,
+        token: FencingToken(41),
         notice_s: None,
         tasks: Vec::new(),
     };
--- a/tests/pinned_state/node_api.rs
+++ b/tests/pinned_state/node_api.rs
@@ -4,6 +4,7 @@
 use crate::golden::masked;
 use crate::standins::{self, State};
 use dockpier::api::{routes, Api, ApiSettings};
+use dockpier::fencing_token::FencingToken;
 use dockpier::http::{Clock, Http};
 use dockpier::lease::renewal::RenewalCounts;
 use dockpier::limits::Capacity;
@@ -133,7 +134,7 @@
     NodeView {
         node: "berth-2".into(),
         leader: (!follows).then(|| "berth-2".into()),
-        token: 41,
+        token: FencingToken(41),
         renewals: RenewalCounts::default(),
         frames_ignored: FrameCounts::default(),
         scheduler: (!follows).then(|| overview(start)),
@@ -177,7 +178,7 @@
     let task = || "job-000412/3".to_string();
     match checkin.machine.as_str() {
         "m-000001" => HeartbeatReply::Accepted(HeartbeatResponse {
-            token: 41,
+            token: FencingToken(41),
             commands: vec![
                 WorkerCommand::Start { task: task(), attempt: 6 },
                 WorkerCommand::Stop { task: task(), attempt: 5, grace_s: 4.5 },
--- a/tests/pinned_state/store_requests.rs
+++ b/tests/pinned_state/store_requests.rs
@@ -3,6 +3,7 @@
 use crate::canned_node::{Canned, CannedNode};
 use crate::golden;
 use crate::node_api::store;
+use dockpier::fencing_token::FencingToken;
 use dockpier::protocol::records::Epoch;
 use dockpier::storage::key_value_store::{
     compare_version, remove_change, write_change, CommitOutcome, KeyValueStore,
@@ -40,7 +41,7 @@
 }
 
 fn epoch(token: u64) -> Epoch {
-    Epoch { token, node: "berth-2".into(), incarnation: 77 }
+    Epoch { token: FencingToken(token), node: "berth-2".into(), incarnation: 77 }
 }
 
 async fn read(store: &KeyValueStore) {
--- a/tests/pinned_wire/state_requests.rs
+++ b/tests/pinned_wire/state_requests.rs
@@ -3,6 +3,7 @@
 use crate::on_runtime;
 use crate::transcript::Transcript;
 use crate::wire::{nobody, StandIn};
+use dockpier::fencing_token::FencingToken;
 use dockpier::http::{Clock, Http};
 use dockpier::protocol::records::Epoch;
 use dockpier::protocol::state_service::{Change, ChangeLog, Record};
@@ -215,7 +216,7 @@
 fn takeovers_go_out_with_the_same_bytes() {
     on_runtime(async {
         let mut transcript = Transcript::default();
-        let epoch = Epoch { token: 41, node: "berth-2".into(), incarnation: u64::MAX };
+        let epoch = Epoch { token: FencingToken(41), node: "berth-2".into(), incarnation: u64::MAX };
         for (over_lock, status) in [(false, 200), (true, 200), (false, 409), (false, 503)] {
             let service = StandIn::start(move |request| match request.first_line() {
                 "POST /grants HTTP/1.1" => (200, r#"{"permit":7}"#.into()),
--- a/tests/pinned_wire/worker_orders.rs
+++ b/tests/pinned_wire/worker_orders.rs
@@ -5,6 +5,7 @@
 use crate::transcript::{object, Transcript};
 use crate::wire::{nobody, StandIn};
 use crate::{on_runtime, spell};
+use dockpier::fencing_token::FencingToken;
 use dockpier::http::Http;
 use dockpier::lease::renewal::LastRenewal;
 use dockpier::protocol::workers::{
@@ -40,11 +41,19 @@
 
 /// An answer to a check-in under a token.
 pub fn answer(token: u64, orders: &[TaskCommand]) -> HeartbeatResponse {
-    HeartbeatResponse::new(token, LastRenewal::default().record(Timestamp::from_micros(1)), orders)
+    HeartbeatResponse::new(
+        FencingToken(token),
+        LastRenewal::default().record(Timestamp::from_micros(1)),
+        orders,
+    )
 }
 
 fn direct(token: u64, session: u64, orders: &[TaskCommand]) -> DirectCommands {
-    DirectCommands { token, agent_epoch: session, commands: orders.iter().map(WorkerCommand::from).collect() }
+    DirectCommands {
+        token: FencingToken(token),
+        agent_epoch: session,
+        commands: orders.iter().map(WorkerCommand::from).collect(),
+    }
 }
 
 #[test]
--- a/tests/scale/fleet.rs
+++ b/tests/scale/fleet.rs
@@ -2,6 +2,7 @@
 //! they are sent, writes to the key-value store succeed at once, and both are counted.
 
 use crate::common;
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{
     ExitReason, Heartbeat, JobId, JobSpec, Kind, MachineType, Priority, ReportedTask, Resources, TaskId,
@@ -33,7 +34,7 @@
     pub now: Timestamp,
     pub sequence: u64,
     /// The fencing token that workers have seen.
-    pub token: u64,
+    pub token: FencingToken,
     pub machines: usize,
     pub running: BTreeMap<String, BTreeMap<TaskId, u64>>,
     /// Machines whose heartbeats arrive and that no response reaches.
@@ -115,7 +116,7 @@
             scheduler: Scheduler::new(config, Timestamp::from_secs(1)),
             now: Timestamp::from_secs(1),
             sequence: 0,
-            token: 1,
+            token: FencingToken(1),
             machines,
             running: BTreeMap::new(),
             unreachable: BTreeSet::new(),
@@ -236,7 +237,7 @@
             agent_epoch: 1,
             sequence: self.sequence,
             // The first heartbeat of all states no token yet.
-            token: if self.sequence > 1 { self.token } else { 0 },
+            token: if self.sequence > 1 { self.token } else { FencingToken(0) },
             notice_s: None,
             tasks,
         };
--- a/tests/scale/six_thousand_machines.rs
+++ b/tests/scale/six_thousand_machines.rs
@@ -1,6 +1,7 @@
 //! Six thousand machines: scale out, takeover by a new leader, and the overview.
 
 use crate::fleet::{machine_type, recorded, spec, Fleet};
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{Kind, Priority};
 use dockpier::scheduler::overview::PageStart;
@@ -27,14 +28,15 @@
 #[test]
 fn a_new_leader_takes_over_six_thousand_machines_without_a_write() {
     let mut fleet = Fleet::new(6_000);
-    fleet.scheduler = Scheduler::new(Config { token: 2, ..fleet.scheduler.config.clone() }, fleet.now);
+    fleet.scheduler =
+        Scheduler::new(Config { token: FencingToken(2), ..fleet.scheduler.config.clone() }, fleet.now);
     let machines: Vec<_> = (0..6_000).map(recorded).collect();
     let records =
         machines.chunks(12).enumerate().map(|(i, part)| (format!("1-{i}"), part.to_vec())).collect();
     let types = Command::Types(vec![machine_type(&fleet.scheduler.config)]);
     fleet.step(vec![types, Command::Load { jobs: vec![], records }]);
     let (writes, begun) = (fleet.machine_writes, fleet.now);
-    fleet.token = 2;
+    fleet.token = FencingToken(2);
     (0..3).for_each(|_| fleet.heartbeat());
     assert_eq!((fleet.machine_writes, fleet.deleted.len()), (writes, 0));
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 1));
--- a/tests/scheduler_rules/effects.rs
+++ b/tests/scheduler_rules/effects.rs
@@ -4,6 +4,7 @@
 use super::settings::{LEASE_S, STEP};
 use super::worker::Worker;
 use super::world::World;
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::{Command, Effect, StoredJob, WriteOutcome};
@@ -131,7 +132,7 @@
                         via: [None, Some(0), Some(1)][self.machines_made as usize % 3],
                         agent_epoch: 1,
                         sequence: 0,
-                        token: 0,
+                        token: FencingToken(0),
                         lease_until: up_at + from_seconds(LEASE_S),
                         next_report: up_at,
                         waits_until: Timestamp::ZERO,
--- a/tests/scheduler_rules/messages.rs
+++ b/tests/scheduler_rules/messages.rs
@@ -4,6 +4,7 @@
 use super::settings::{LEASE_S, STEP};
 use super::worker::Running;
 use super::world::{random_duration, World};
+use dockpier::fencing_token::FencingToken;
 use dockpier::lease::shard::ShardResponse;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{ExitReason, Heartbeat, Kind, ReportedTask, TaskId, TaskStatus};
@@ -29,7 +30,7 @@
             std::mem::take(&mut self.held_orders).into_iter().partition(|(at, ..)| *at <= self.now);
         self.held_orders = held;
         for (_, name, token, agent_epoch, task_commands) in
-            Vec::<(Timestamp, String, u64, u64, Vec<TaskCommand>)>::into_iter(due)
+            Vec::<(Timestamp, String, FencingToken, u64, Vec<TaskCommand>)>::into_iter(due)
         {
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             let reached = !worker.dead && self.now >= worker.up_at && self.now < worker.lease_until;
@@ -139,7 +140,7 @@
             } else if let Some(at) = hold {
                 self.held.push((at, None, heartbeat));
             } else {
-                let reply = (self.token << 40) | (self.version << 20) | (self.replies.len() as u64 + 1);
+                let reply = (self.token.0 << 40) | (self.version << 20) | (self.replies.len() as u64 + 1);
                 self.version += 1;
                 if let Some(node) = via {
                     let leaseholder = &mut self.leaseholders[node];
--- a/tests/scheduler_rules/settings.rs
+++ b/tests/scheduler_rules/settings.rs
@@ -1,6 +1,7 @@
 //! Configuration of the scheduler under test, the deployments that a world can play in, and drawn jobs.
 
 use super::common;
+use dockpier::fencing_token::FencingToken;
 use dockpier::scheduler::model::{JobSpec, Kind, MachineType, Priority, Resources};
 use dockpier::scheduler::Config;
 use dockpier::settings::{ColdStartSettings, Draining, Operator, Team, Workers};
@@ -98,7 +99,7 @@
     }
 }
 
-pub(super) fn config(token: u64, deployment: &Deployment) -> Config {
+pub(super) fn config(token: FencingToken, deployment: &Deployment) -> Config {
     Config {
         token,
         workers: Workers {
--- a/tests/scheduler_rules/worker.rs
+++ b/tests/scheduler_rules/worker.rs
@@ -2,6 +2,7 @@
 //! checked against the rules.
 
 use super::world::World;
+use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{ExitReason, Kind, TaskId};
 use dockpier::scheduler::TaskCommand;
@@ -35,7 +36,7 @@
     pub(super) via: Option<usize>,
     pub(super) agent_epoch: u64,
     pub(super) sequence: u64,
-    pub(super) token: u64,
+    pub(super) token: FencingToken,
     pub(super) lease_until: Timestamp,
     pub(super) next_report: Timestamp,
     /// Until then it waits for the answer to its last heartbeat, and sends none.
--- a/tests/scheduler_rules/world.rs
+++ b/tests/scheduler_rules/world.rs
@@ -5,6 +5,7 @@
 use super::messages::Awaited;
 use super::settings::{config, job, types, Deployment, STEP};
 use super::worker::Worker;
+use dockpier::fencing_token::FencingToken;
 use dockpier::lease::shard::Shard;
 use dockpier::scheduler::drains::LoadedDrains;
 use dockpier::scheduler::model::{Heartbeat, JobId, JobSpec};
@@ -21,7 +22,7 @@
     pub(super) rng: SmallRng,
     pub(super) now: Timestamp,
     pub(super) scheduler: Scheduler,
-    pub(super) token: u64,
+    pub(super) token: FencingToken,
     pub(super) deployment: Deployment,
     pub(super) workers: BTreeMap<String, Worker>,
     pub(super) leaseholders: Vec<Leaseholder>,
@@ -43,7 +44,7 @@
     /// Heartbeats that arrive late, when, and at which controller.
     pub(super) held: Vec<(Timestamp, Option<usize>, Heartbeat)>,
     /// Direct commands that arrive late: when, where, under which token and agent epoch.
-    pub(super) held_orders: Vec<(Timestamp, String, u64, u64, Vec<TaskCommand>)>,
+    pub(super) held_orders: Vec<(Timestamp, String, FencingToken, u64, Vec<TaskCommand>)>,
     /// The last reports of each worker, for a copy of them to arrive anywhere.
     pub(super) reported: BTreeMap<String, Vec<Heartbeat>>,
     pub(super) orders_of_former_leaders: u64,
@@ -66,8 +67,8 @@
         World {
             rng: SmallRng::seed_from_u64(seed),
             now: Timestamp::from_secs(1),
-            scheduler: Scheduler::new(config(1, &deployment), Timestamp::from_secs(1)),
-            token: 1,
+            scheduler: Scheduler::new(config(FencingToken(1), &deployment), Timestamp::from_secs(1)),
+            token: FencingToken(1),
             workers: BTreeMap::new(),
             leaseholders: (0..LEASEHOLDERS)
                 .map(|i| Leaseholder { shard: Shard::new(64, i as u64), cut_until: Timestamp::ZERO })
@@ -126,7 +127,7 @@
 
     /// The leader is gone; the next one knows what the state service holds, and no more.
     pub(super) fn change_leader(&mut self, away: Duration) {
-        self.token += 1;
+        self.token = self.token.next();
         self.now += away;
         self.scheduler = Scheduler::new(config(self.token, &self.deployment), self.now);
         self.later.clear();
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -2,6 +2,7 @@
 //! (`tests/golden`, written by its own code) are read here, and what is sent here is laid out as production
 //! reads it.
 
+use dockpier::fencing_token::FencingToken;
 use dockpier::leadership::{Message, Status};
 use dockpier::lease::cancellation_log::Attestation;
 use dockpier::peer::{decode, encode, Frame, Payload, Sender};
@@ -57,7 +58,7 @@
         spot: true,
         agent_epoch: 2,
         sequence: 88,
-        token: 41,
+        token: FencingToken(41),
         notice_s: Some(12.5),
         tasks: statuses.into_iter().map(|status| ReportedTask { id, attempt: 5, status }).collect(),
     };
@@ -69,14 +70,20 @@
     let machines = vec!["m-1".to_string(), "m-22".to_string()];
     let leadership = |message| Payload::Leadership(status, message);
     vec![
-        ("heartbeat", leadership(Message::Heartbeat { token: 4, sent: Timestamp::from_micros(11) })),
-        ("grant", leadership(Message::Grant { token: 4, echo: Timestamp::from_micros(11) })),
+        (
+            "heartbeat",
+            leadership(Message::Heartbeat { token: FencingToken(4), sent: Timestamp::from_micros(11) }),
+        ),
+        ("grant", leadership(Message::Grant { token: FencingToken(4), echo: Timestamp::from_micros(11) })),
         ("promise-request", leadership(Message::VoteRequest { sent: Timestamp::from_micros(3) })),
         ("promise", leadership(Message::Vote { echo: Timestamp::from_micros(3) })),
-        ("release", leadership(Message::Release { token: 4, successor: 1 })),
+        ("release", leadership(Message::Release { token: FencingToken(4), successor: 1 })),
         ("summary", Payload::Summary(vec![(412, 3, 1), (413, 0, 0)])),
         ("report", Payload::RelayedHeartbeat { id: 9, stamp: Timestamp::from_micros(11), heartbeat }),
-        ("reply", Payload::RelayedResponse { id: 9, token: Some(41), cacheable: true, task_commands }),
+        (
+            "reply",
+            Payload::RelayedResponse { id: 9, token: Some(FencingToken(41)), cacheable: true, task_commands },
+        ),
         ("wake", Payload::WakeRequest(machines.clone())),
         (
             "heard",
