--- a/crates/dockpier-drain/src/ledger.rs
+++ b/crates/dockpier-drain/src/ledger.rs
@@ -2,10 +2,10 @@
 //! and what is left.
 //!
 //! A planned stop reserves its estimate before it is sent, and is settled with what was observed. Unplanned losses
-//! count against the same budget. The window is kept in buckets; a bucket counts in full until the whole of
-//! it has left the window, so that the ledger errs on the high side. So it does after a change of leader: a record
-//! does not tell which disruptions are open, so that their reservations stay spent, and what the new leader finds not
-//! running is counted anew.
+//! count against the same budget. The window is kept in buckets; a bucket counts in full until all of it
+//! has left the window, so that the ledger errs on the high side. So it does after a change of leader: a record does not
+//! tell which disruptions are open, so that their reservations stay spent, and tasks that the new leader finds not running
+//! are counted again.
 
 use crate::budget::{Budget, Cost};
 use serde::{Deserialize, Serialize};
@@ -132,7 +132,7 @@
     pub fn record(&mut self, now: u64, budget: &Budget) -> LedgerRecord {
         self.forget(now, budget);
         let mut buckets: Vec<Bucket> = self.buckets.iter().copied().collect();
-        // What open disruptions have taken beyond their estimates would be lost with this process.
+        // What open disruptions cost beyond their estimates is in memory only until it is added here.
         for open in self.open.values() {
             if let Some(bucket) = buckets.iter_mut().find(|b| b.at == open.bucket) {
                 bucket.unplanned = bucket.unplanned.plus(overrun(open, now));
@@ -267,7 +267,7 @@
     bucket.at + bucket.length + (budget.window_s * 1_000.0) as u64 > now
 }
 
-/// What an open disruption has taken beyond its estimate.
+/// The cost of an open disruption beyond its estimate.
 fn overrun(open: &OpenDisruption, now: u64) -> Cost {
     match open.replica {
         true => Cost::replica(seconds(open.since, now) - open.estimate.replica_s),
--- a/crates/dockpier-drain/src/plan.rs
+++ b/crates/dockpier-drain/src/plan.rs
@@ -107,7 +107,7 @@
     pub method: Method,
 }
 
-/// Why a machine can't be taken.
+/// Why a step can't take a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Refusal {
     /// A team's budget does not cover it.
@@ -248,7 +248,7 @@
         Some(chosen) if chosen.len() > greedy.len() && allowed(candidates, &chosen, limits) => {
             Choice { chosen, method: Method::Solver }
         }
-        _ => Choice { chosen: greedy, method: Method::Greedy },
+        Some(_) | None => Choice { chosen: greedy, method: Method::Greedy },
     }
 }
 
@@ -273,12 +273,12 @@
     time_limit_s: f64,
 ) -> Option<Vec<usize>> {
     variables! { vars: }
-    let taken: Vec<_> = possible.iter().map(|_| vars.add(variable().binary())).collect();
+    let chosen: Vec<_> = possible.iter().map(|_| vars.add(variable().binary())).collect();
     // Of equally large sets, the one whose machines come first.
     let preference = |at: usize| 1.0 - at as f64 / (100.0 * MAX_CANDIDATES as f64);
-    let objective: Expression = taken.iter().enumerate().map(|(at, x)| preference(at) * *x).sum();
+    let objective: Expression = chosen.iter().enumerate().map(|(at, x)| preference(at) * *x).sum();
     let sum = |amount: &dyn Fn(&Candidate) -> f64| -> Expression {
-        let terms = possible.iter().zip(&taken).map(|(at, x)| (amount(&candidates[*at]), *x));
+        let terms = possible.iter().zip(&chosen).map(|(at, x)| (amount(&candidates[*at]), *x));
         terms.filter(|(amount, _)| *amount != 0.0).map(|(amount, x)| amount * x).sum()
     };
     let mut problem = vars.maximise(objective).using(microlp).with_time_limit(time_limit_s);
@@ -302,6 +302,6 @@
         problem = problem.with(constraint!(places <= zone.spare_places.max(0) as f64));
     }
     let solution = problem.solve().ok()?;
-    let chosen = possible.iter().zip(&taken).filter(|(_, x)| solution.value(**x) > 0.5);
+    let chosen = possible.iter().zip(&chosen).filter(|(_, x)| solution.value(**x) > 0.5);
     Some(chosen.map(|(at, _)| *at).collect())
 }
--- a/crates/dockpier-drain/src/status.rs
+++ b/crates/dockpier-drain/src/status.rs
@@ -60,7 +60,7 @@
         /// Its job.
         job: String,
     },
-    /// Not every machine of a gang can be told to stop at once.
+    /// Not every machine of a gang can be sent a stop at once.
     GangUnreachable {
         /// The gang.
         job: String,
--- a/crates/dockpier-drain/src/stops.rs
+++ b/crates/dockpier-drain/src/stops.rs
@@ -11,7 +11,7 @@
     Replica,
     /// A task of an array.
     Array,
-    /// A task of a gang, which is stopped whole or not at all.
+    /// A task of a gang: all of its tasks are stopped, or none.
     Gang,
 }
 
@@ -40,7 +40,7 @@
     pub job_whole: bool,
     /// Tasks of its gang.
     pub gang_tasks: u32,
-    /// All machines of its gang can be told at once.
+    /// All machines of its gang can be reached at once.
     pub gang_reachable: bool,
     /// The drain's deadline has passed.
     pub late: bool,
--- a/crates/dockpier-drain/tests/ledger.rs
+++ b/crates/dockpier-drain/tests/ledger.rs
@@ -47,7 +47,7 @@
 
     /// Never less is counted as spent than what really happened within the window, and never more is left.
     #[test]
-    fn the_ledger_never_counts_less_than_what_happened(steps in proptest::collection::vec(step(), 1..60)) {
+    fn spent_is_never_below_the_disruption_within_the_window(steps in proptest::collection::vec(step(), 1..60)) {
         let (mut ledger, mut now) = (Ledger::default(), BEGINS);
         let mut known: Vec<Known> = Vec::new();
         let mut settled_by_change = 0.0;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn budgets_are_refused_with_the_name_of_what_is_wrong() {
+fn refused_budgets_name_the_amount() {
     let mut budgets = Budgets::default();
     let with =
         |replica_s: f64, window_s: f64| Budget { tasks: 1, cost: Cost { replica_s, work_s: 0.0 }, window_s };
--- a/crates/dockpier-drain/tests/planner.rs
+++ b/crates/dockpier-drain/tests/planner.rs
@@ -78,7 +78,7 @@
     }
 
     #[test]
-    fn what_is_refused_alone_is_never_chosen(
+    fn machines_that_are_refused_alone_are_never_chosen(
         candidates in proptest::collection::vec(candidate(3), 0..20),
         limits in limits(3),
     ) {
@@ -101,7 +101,7 @@
 
 /// Two machines of the second kind fit where the first one alone would take all: order alone does not find them.
 #[test]
-fn the_solver_finds_more_than_the_order_does() {
+fn the_solver_chooses_more_machines_than_the_given_order() {
     let machine = |replica_s: f64| Candidate {
         zone: "a".into(),
         teams: [("t".to_string(), Expected { together: 1, cost: Cost::replica(replica_s) })].into(),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_zone_gives_up_no_more_places_and_takes_no_more_than_it_can() {
+fn choices_keep_each_zones_reserved_places_and_free_room() {
     let machine = |places, moves| Candidate {
         zone: "a".into(),
         places,
--- a/crates/dockpier-drain/tests/requests.rs
+++ b/crates/dockpier-drain/tests/requests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_request_is_refused_with_the_field_that_is_wrong() {
+fn refused_requests_name_the_field() {
     let cases: [Case; 10] = [
         (|b| b["id"] = json!("Upper"), "id"),
         (|b| b["id"] = json!(""), "id"),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn parts_of_a_record_stay_within_a_value_whatever_becomes_of_their_machines() {
+fn record_parts_stay_within_the_value_size_in_every_machine_state() {
     let names: Vec<String> = (0..4_000).map(|i| format!("m-{i:06}")).collect();
     let mut progress = Progress::of(names.clone(), 2_048);
     for name in &names {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_machine_takes_only_the_steps_that_there_are() {
+fn machines_make_only_allowed_transitions() {
     let named = |name: &str| Some(name.to_string());
     let mut progress = Progress::of(["m".to_string()], 4_096);
     let mut try_step = |state| progress.advance("m", state).is_some();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn what_may_happen_to_a_task_is_a_table() {
+fn advice_follows_from_the_task_and_what_is_left_of_its_budget() {
     let left = Allowance { tasks: 3, cost: Cost { replica_s: 10.0, work_s: 50.0 } };
     let of = |kind, change: fn(&mut TaskView)| {
         let mut view = task(kind);
@@ -137,7 +137,7 @@
 
 /// Records outlive versions: what is stored reads the same.
 #[test]
-fn records_keep_their_form() {
+fn stored_records_keep_their_form() {
     let budget = Budget { tasks: 1, cost: Cost::replica(9.0), window_s: 80.0 };
     let mut ledger = Ledger::default();
     ledger.lose(1_000_000, &budget, true, Cost::replica(1.5));
--- a/crates/dockpier-reconcile/tests/verdicts.rs
+++ b/crates/dockpier-reconcile/tests/verdicts.rs
@@ -60,7 +60,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn order_repeats_and_lateness_change_no_verdict(
+    fn verdicts_do_not_depend_on_order_or_repetition_of_facts(
         facts in proptest::collection::vec(fact(), 0..14),
         shuffled in any::<prop::sample::Index>(),
         again in proptest::collection::vec(any::<prop::sample::Index>(), 0..6),
@@ -79,7 +79,7 @@
 
     /// Missing is concluded only where nothing is unheard and nobody reports it alive or done.
     #[test]
-    fn nothing_is_missing_that_somebody_may_have(facts in proptest::collection::vec(fact(), 0..14)) {
+    fn tasks_are_missing_only_when_no_machine_can_have_them(facts in proptest::collection::vec(fact(), 0..14)) {
         let all = learn(facts);
         let unheard = all.unheard().count();
         for (task, (verdict, evidence)) in all.verdicts() {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn each_hard_case_has_its_verdict() {
+fn each_kind_of_evidence_has_its_verdict() {
     use ReportedState::{Alive, Done, Ended};
     let all = learn([
         Fact::Job(1, live(6, &[5])),
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -32,7 +32,7 @@
     pub teams: Vec<Team>,
     /// The zones.
     pub zones: Vec<String>,
-    /// Whether drains are taken, and the teams' budgets.
+    /// Whether drains are accepted, and the teams' budgets.
     pub draining: Draining,
 }
 
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -1,5 +1,5 @@
 //! Users' requests: submissions, polls, cancellations. Each is decided by a transaction on the key-value store; after an
-//! unknown outcome the user is only told what can be read back.
+//! unknown outcome the response is what can be read back.
 
 use super::refusal::{json, Impossible, Malformed, NotFound, Refusal, Unavailable};
 use super::{read_body, Api};
@@ -175,8 +175,8 @@
         Ok(Some(state))
     }
 
-    /// A user is told of a cancellation only once every controller that may act without asking the state service has
-    /// it (`lease::cancellation_log`).
+    /// A cancellation is confirmed to its user only once every controller that may act without asking the state service
+    /// has it (`lease::cancellation_log`).
     async fn confirm_cancellation(&self, job_id: JobId, state: &JobState) -> Result<(), Unavailable> {
         if state.status != JobStatus::Cancelled {
             return Ok(());
--- a/src/protocol/records.rs
+++ b/src/protocol/records.rs
@@ -1,4 +1,5 @@
-//! What is kept in the state service. Earlier versions read and write the same records, so no name here changes.
+//! Records in the state service. Earlier versions of the program read and write the same records, so no serde name here
+//! may change.
 
 use super::users::{JobStatus, Submission};
 use crate::scheduler::StoredMachine;
@@ -7,42 +8,42 @@
 /// `live/<job id>`: a job as submitted, and when, so that its age outlives a change of leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LiveRecord {
-    /// What its user sent.
+    /// The submission as its user sent it.
     #[serde(flatten)]
     pub submission: Submission,
-    /// Milliseconds of the time of day.
+    /// When it was accepted, in milliseconds since 1970; 0: not known.
     #[serde(default)]
     pub accepted_ms: u64,
 }
 
 impl LiveRecord {
-    /// How many tasks the job of a stored record has, also of one that can't be read as a whole.
+    /// The number of tasks of a stored job, also where the rest of its record can't be read; 0 where it has none.
     pub fn tasks_of(stored: &serde_json::Value) -> u32 {
         stored.get("loads").and_then(serde_json::Value::as_u64).unwrap_or(0) as u32
     }
 }
 
-/// `leader/epoch`: who leads, and with which token.
+/// `leader/epoch`: the leader and its fencing token.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Epoch {
     /// The fencing token; it rises with every change of leader.
     pub token: u64,
     /// The name of the node that leads.
     pub node: String,
-    /// The life of that node's process.
+    /// The incarnation of that node's process.
     pub incarnation: u64,
 }
 
 /// `over/<job id>`: how a job ended.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// Done or cancelled.
+    /// The final state: done or cancelled.
     pub status: JobStatus,
     /// How many tasks the job had.
     pub tasks: u32,
 }
 
-/// `fleet/machines/<key>` holds a list of these: machines that may have been given tasks.
+/// `fleet/machines/<key>` holds a list of these: machines that may have been assigned tasks.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// The machine's name.
@@ -59,7 +60,7 @@
     pub spot: bool,
     /// Where its worker takes direct commands.
     pub address: String,
-    /// Images that it has fetched, as far as the leader saw.
+    /// Images that it has fetched, as far as the leader knows.
     #[serde(default)]
     pub images: Vec<String>,
 }
--- a/src/protocol/state_service.rs
+++ b/src/protocol/state_service.rs
@@ -1,4 +1,4 @@
-//! What the state service is asked and answers.
+//! Requests to the state service and its responses.
 
 use serde::{Deserialize, Serialize};
 
@@ -61,7 +61,7 @@
         key: String,
         /// The value.
         value: serde_json::Value,
-        /// The lease that the key hangs on: it is removed when that ends.
+        /// The lease that the key is attached to: the key is removed when the lease expires.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -87,18 +87,18 @@
     }
 }
 
-/// Changes that are made together, if all conditions hold.
+/// A compare-and-swap: changes that are made together, if all conditions hold.
 #[derive(Debug, Serialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// The conditions.
     #[serde(rename = "when")]
     pub conditions: Vec<Comparison>,
-    /// What is changed then.
+    /// The changes.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
 }
 
-/// The answer to a transaction that was carried out.
+/// The response to a transaction that was carried out.
 #[derive(Debug, Deserialize)]
 pub struct Revision {
     /// The version of every key that it changed.
@@ -106,7 +106,7 @@
     pub revision: u64,
 }
 
-/// The answer to a request for a lease.
+/// The response to a request for a lease.
 #[derive(Debug, Deserialize)]
 pub struct Lease {
     /// The lease's number.
@@ -114,7 +114,7 @@
     pub lease: u64,
 }
 
-/// What changed under a prefix after a revision.
+/// The changes under a prefix after a revision.
 #[derive(Debug, Deserialize)]
 pub struct ChangeLog {
     /// The revision up to which it goes.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -47,8 +47,8 @@
     Some(TaskId { job_id: JobId::parse(job_id)?, task: task.parse().ok()? })
 }
 
-/// A heartbeat lists a task whose name can't be read. It cannot be taken at all: a list without that entry would
-/// seem to prove that a task is gone.
+/// A heartbeat lists a task whose name can't be read. It is refused as a whole: a list without that entry would
+/// seem to prove that the task has ended.
 #[derive(Debug, Error)]
 #[error("{source} in a report of {machine}")]
 pub struct UnreadableTask {
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings (S-expressions), checked: every mistake is refused with its line.
+//! The operators' file (S-expressions), read and checked: a refusal names the line of the entry.
 
 use super::{read, Settings, SettingsError};
 use dockpier_drain::budget::{Budget, BudgetError, Budgets, Cost, ANY_TEAM};
@@ -6,7 +6,7 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// What the operators set themselves; each key has a default. Seconds, tasks or shares as named.
+/// The operators' settings. Every key has a default; times are in seconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operator {
     /// Least time between two changes of a job's width.
@@ -15,12 +15,12 @@
     pub aging_s: f64,
     /// For how many critical services, each as wide as the widest there is, room is kept free.
     pub reserve_services: u32,
-    /// An ordinary machine without tasks is returned after this.
+    /// Time after which an ordinary machine without tasks is returned.
     pub idle_s: f64,
     /// The same for a spot machine.
     pub idle_spot_s: f64,
-    /// Work that may use spot machines has ordinary ones rented for it only after waiting this long
-    /// while every spot offer is refused: an ordinary machine costs several times as much.
+    /// While every spot offer is refused, ordinary machines are rented for work that may use spot machines only after it
+    /// has waited this long: an ordinary machine costs several times as much.
     pub spot_patience_s: f64,
     /// Planned draining of machines.
     pub draining: Draining,
@@ -31,9 +31,10 @@
 /// Cold start: off unless the operators' file turns it on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStartSettings {
-    /// Whether unknown tasks are kept until the store was asked, missing ones ordered at a pace, and a report written.
+    /// Whether unknown tasks go on until the store was read, missing ones are started at a limited pace, and a report is
+    /// written.
     pub enabled: bool,
-    /// Inherited tasks ordered in a second.
+    /// Inherited tasks that are started in a second.
     pub pace: f64,
 }
 
@@ -46,26 +47,38 @@
 /// Planned draining of machines: off unless the operators' file turns it on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Draining {
-    /// Whether drains are taken and carried out.
+    /// Whether drains are accepted and carried out.
     pub enabled: bool,
-    /// Machines under way at the same time, of all drains together.
+    /// The most machines under way at the same time, of all drains together.
     pub machines_at_once: u32,
-    /// What each team has agreed to.
+    /// The teams' budgets.
     pub budgets: Budgets,
-    /// The lines on which teams are named, to tell of one that does not exist.
-    named: Vec<(String, usize)>,
+    /// Where budgets stand in the file: whether their teams exist is known only beside the platform's settings.
+    budget_lines: Vec<BudgetLine>,
+}
+
+/// The line of a team's budget, counted from 1.
+#[derive(Debug, Clone, PartialEq)]
+struct BudgetLine {
+    team: String,
+    line: usize,
 }
 
 impl Draining {
-    /// Turned on with these budgets.
+    /// Draining turned on with these budgets.
     pub fn within(budgets: Budgets, machines_at_once: u32) -> Self {
-        Draining { enabled: true, machines_at_once, budgets, named: Vec::new() }
+        Draining { enabled: true, machines_at_once, budgets, budget_lines: Vec::new() }
     }
 }
 
 impl Default for Draining {
     fn default() -> Self {
-        Draining { enabled: false, machines_at_once: 4, budgets: Budgets::default(), named: Vec::new() }
+        Draining {
+            enabled: false,
+            machines_at_once: 4,
+            budgets: Budgets::default(),
+            budget_lines: Vec::new(),
+        }
     }
 }
 
@@ -194,7 +207,8 @@
         match items.as_slice() {
             [key, team, amounts @ ..] if key.value().as_symbol() == Some("drain-budget") => {
                 let team = team.value().as_str().ok_or(EntryError::BudgetWithoutTeam)?;
-                self.draining.named.push((team.to_string(), entry.span().start().line()));
+                let line = entry.span().start().line();
+                self.draining.budget_lines.push(BudgetLine { team: team.to_string(), line });
                 Ok(self.draining.budgets.add(team, budget(amounts)?)?)
             }
             _ => {
@@ -235,9 +249,9 @@
     /// The first budget of a team that does not exist, with its line; `file` is named in it.
     pub fn check_against(&self, settings: &Settings, file: &Path) -> Result<(), SettingsError> {
         let exists = |team: &str| settings.deployment.teams.iter().any(|known| known.name == team);
-        let unknown = self.draining.named.iter().find(|(team, _)| team != ANY_TEAM && !exists(team));
-        match unknown {
-            Some((team, line)) => Err(SettingsError::Line {
+        let is_unknown = |budget: &&BudgetLine| budget.team != ANY_TEAM && !exists(&budget.team);
+        match self.draining.budget_lines.iter().find(is_unknown) {
+            Some(BudgetLine { team, line }) => Err(SettingsError::Line {
                 file: file.into(),
                 line: *line,
                 source: EntryError::UnknownTeam { team: team.clone() },
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -108,7 +108,7 @@
     pub report_s: f64,
     /// A worker's lease: its tasks end when no heartbeat sent within this time was answered.
     pub lease_s: f64,
-    /// Tasks of a cancelled job must have ended this long after its user was told.
+    /// Tasks of a cancelled job must have ended this long after the cancellation was confirmed to its user.
     pub cancel_s: f64,
     /// How long a task of a gang waits for the others.
     #[serde(default = "Workers::gang_wait_s")]
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -11,7 +11,7 @@
     "state":{"rps":150,"write_rps":40,"value_kb":8,"txn_ops":12},"cloud":{"rps":2,"list_lag_s":8}}}"#;
 
 #[test]
-fn operator_file_names_the_line() {
+fn refused_entries_of_the_operators_file_name_their_line() {
     let file = Path::new("op.scm");
     let good = Operator::parse("((rescale-gap-s 4)\n (reserve-services 3))", file).unwrap();
     assert_eq!((good.rescale_gap_s, good.reserve_services, good.idle_s), (4.0, 3, 25.0));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn settings_name_the_field() {
+fn refused_settings_name_their_field() {
     let text = SETTINGS;
     let file = Path::new("s.json");
     assert!(Settings::parse(text, file).is_ok());
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn budgets_of_the_operator_file_are_refused_with_their_line() {
+fn refused_budgets_of_the_operators_file_name_their_line() {
     let file = Path::new("op.scm");
     let good = "((draining 1)\n (drain-budget \"t\" (tasks 2) (replica-s 60) (work-s 600) (window-s 900))\n \
         (drain-budget \"*\" (tasks 1)))";
