--- a/src/scheduler/autoscaler/machine_list.rs
+++ b/src/scheduler/autoscaler/machine_list.rs
@@ -1,5 +1,5 @@
-//! The cloud's list of machines: which of them are adopted, failed or taken. The list lags, so it is only ever a hint;
-//! a machine is gone only when the cloud has confirmed its deletion.
+//! The cloud's list of machines: which of them are adopted, failed or taken. The list lags, so it is only ever a
+//! hint; a machine is gone only when the cloud has confirmed its deletion.
 
 use crate::limits;
 use crate::scheduler::model::{Machine, MachineState};
--- a/src/scheduler/autoscaler/mod.rs
+++ b/src/scheduler/autoscaler/mod.rs
@@ -1,8 +1,8 @@
 //! Autoscaler: scale out by the queue, scale in what is idle, lost or emptied. Owns rentals and deletions under way,
 //! and which machines are gone.
 //!
-//! `scaling_plan` decides what is rented, `consolidation` which machines are emptied, `machine_list` reads the cloud's
-//! list of machines.
+//! `scaling_plan` decides what is rented, `consolidation` which machines are emptied, `machine_list` reads the
+//! cloud's list of machines.
 
 mod machine_list;
 mod offer;
@@ -90,8 +90,8 @@
         self.fleet.refused.get(offer).is_some_and(|backoff| self.now < backoff.until)
     }
 
-    /// Scale in: deletes machines that have been idle for long enough, except those in `kept`, and those that are to be
-    /// replaced as soon as they are idle.
+    /// Scale in: deletes machines that have been idle for long enough, except those in `kept`, and those that are to
+    /// be replaced as soon as they are idle.
     pub(super) fn delete_idle(&mut self, kept: &BTreeSet<String>) {
         let now = self.now;
         let idle_after = limits::micros(self.config.operator.idle_s);
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Machines that fixed work does not need, emptiest first, as far as the other machines have room for what runs on
-    /// them and for what waits.
+    /// Machines that fixed work does not need, emptiest first, as far as the other machines have room for what runs
+    /// on them and for what waits.
     fn consolidation_targets(&self) -> Vec<String> {
         // Without critical services nothing is held back for them, and ordinary machines are needed only for work
         // that may not use spot machines: a deployment of arrays alone kept its ordinary machines for ever.
--- a/src/scheduler/drains/destination.rs
+++ b/src/scheduler/drains/destination.rs
@@ -9,6 +9,7 @@
 
 /// A place that a replica may move to.
 pub(super) struct Destination {
+    /// Name of the machine.
     pub machine: String,
     /// Estimate of how long the replica is down, in seconds.
     pub down_s: f64,
@@ -16,6 +17,7 @@
 
 /// Room that a replica may take where it goes.
 pub(super) struct MoveCapacity {
+    /// Room that is reserved for other replicas.
     pub reserved: ReservedCapacity,
     /// Places for critical services in each zone beyond the headroom.
     pub spare_places: BTreeMap<String, i64>,
@@ -33,8 +35,8 @@
 }
 
 impl Scheduler {
-    /// For how long a replica is down that is stopped and started on this machine, in seconds; None: on one without its
-    /// image. The stop and the start each wait for a heartbeat, the fetch takes its time, give or take.
+    /// For how long a replica is down that is stopped and started on this machine, in seconds; None: on one without
+    /// its image. The stop and the start each wait for a heartbeat, the fetch takes its time, give or take.
     pub(super) fn down_s(&self, job: &Job, on: Option<&Machine>) -> f64 {
         let heartbeats_s = 2.0 * 1.25 * self.config.workers.report_s + limits::MOVE_MARGIN_S;
         let is_warm = on.is_some_and(|machine| machine.image_cache.images.contains(&job.spec.image));
--- a/src/scheduler/drains/disruption.rs
+++ b/src/scheduler/drains/disruption.rs
@@ -35,8 +35,8 @@
             .collect()
     }
 
-    /// An earlier leader's records do not tell which replicas were down when it ended: those that an inherited service
-    /// lacks count as down since the record of its team was written.
+    /// An earlier leader's records do not tell which replicas were down when it ended: those that an inherited
+    /// service lacks count as down since the record of its team was written.
     fn count_missed_disruption(&mut self, serving: &BTreeSet<TaskId>) {
         let day = self.day_ms();
         let mut missed: Vec<(TaskId, Cost)> = Vec::new();
--- a/src/scheduler/drains/drain.rs
+++ b/src/scheduler/drains/drain.rs
@@ -54,13 +54,17 @@
 /// A drain as the leader knows it. Times are in microseconds.
 #[derive(Debug)]
 pub(super) struct Drain {
+    /// What operators ask for.
     pub stored: StoredRequest,
+    /// How far each machine is.
     pub progress: Progress,
     /// One for each chunk of the progress.
     pub chunk_writes: Vec<WriteState>,
     /// Whether its machines are determined.
     pub is_resolved: bool,
+    /// What operators are told, once it was determined.
     pub summary: Option<Summary>,
+    /// How far the summary is stored.
     pub summary_write: WriteState,
     /// When the summary was last sent.
     pub summary_sent_at: u64,
@@ -116,6 +120,7 @@
         self.is_resolved && !self.is_finished() && self.stored.desired_state == DesiredState::Run
     }
 
+    /// What operators are told of its state.
     pub(super) fn state(&self) -> DrainState {
         if self.is_finished() {
             return DrainState::Finished;
--- a/src/scheduler/drains/eviction.rs
+++ b/src/scheduler/drains/eviction.rs
@@ -24,7 +24,9 @@
 
 /// A cordoned machine of a drain that goes on.
 pub(super) struct Cordoned {
+    /// The drain.
     pub drain: DrainId,
+    /// Name of the machine.
     pub machine: String,
     /// Whether the drain's deadline has passed.
     is_late: bool,
@@ -233,8 +235,8 @@
     }
 }
 
-/// How long a task runs on by its owner's estimate, in seconds. One that has run for longer may do so for long: half as
-/// long again.
+/// How long a task runs on by its owner's estimate, in seconds. One that has run for longer may do so for long: half
+/// as long again.
 fn remaining_s(estimate_s: f64, ran_s: f64) -> f64 {
     if ran_s < estimate_s {
         estimate_s - ran_s
--- a/src/scheduler/drains/reservations.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -11,6 +11,7 @@
 /// The place of a replica on its way to another machine.
 #[derive(Debug, Clone)]
 pub(super) struct ReservedPlace {
+    /// Name of the machine.
     pub machine: String,
     /// When its stop was requested, in microseconds.
     pub since: u64,
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Replicas that have ended on the machine that they leave start on the place reserved for them. One whose place is
-    /// gone is placed by the elastic pass.
+    /// Replicas that have ended on the machine that they leave start on the place reserved for them. One whose place
+    /// is gone is placed by the elastic pass.
     pub(in crate::scheduler) fn place_moved_replicas(&mut self, capacity: &mut FreeCapacity) {
         let moves: Vec<(TaskId, ReservedPlace)> =
             self.drains.moves.iter().map(|(id, place)| (*id, place.clone())).collect();
--- a/src/scheduler/drains/stops.rs
+++ b/src/scheduler/drains/stops.rs
@@ -11,7 +11,9 @@
 
 /// A stop that a team's budget allows.
 pub(super) struct PlannedStop {
+    /// The task.
     pub task: TaskId,
+    /// Its team, whose budget the stop takes from.
     pub team: String,
     /// The machine that a replica moves to.
     pub destination: Option<String>,
@@ -24,8 +26,11 @@
 /// A stop whose estimate is being stored.
 #[derive(Debug, Clone)]
 pub(super) struct PendingStop {
+    /// The reservation in the team's ledger.
     pub disruption: DisruptionId,
+    /// The drain.
     pub drain: DrainId,
+    /// The task.
     pub task: TaskId,
     /// The machine that the task leaves.
     pub machine: String,
@@ -38,7 +43,9 @@
 /// A task whose disruption is not settled.
 #[derive(Debug, Clone)]
 pub(super) struct OpenDisruption {
+    /// The team of the task.
     pub team: String,
+    /// The disruption in the team's ledger.
     pub id: DisruptionId,
 }
 
--- a/src/scheduler/drains/summary.rs
+++ b/src/scheduler/drains/summary.rs
@@ -6,8 +6,8 @@
 use dockpier_drain::status::{DrainState, Summary, Wait, WAITS_MOST};
 
 impl Scheduler {
-    /// Brings the summaries up to date. One that has changed is to be stored; when it was written is no change, nor is
-    /// a little more or less time to go.
+    /// Brings the summaries up to date. One that has changed is to be stored; when it was written is no change, nor
+    /// is a little more or less time to go.
     pub(super) fn update_summaries(&mut self) {
         let (day, now, token) = (self.day_ms(), self.now, self.config.token);
         let budgets = &self.config.operator.draining.budgets;
--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -102,8 +102,8 @@
         Ok(tasks)
     }
 
-    /// How many pending tasks the job may start by its width. Width that it has lost is restored without regard to the
-    /// rescale gap; growth beyond it waits for the gap to pass.
+    /// How many pending tasks the job may start by its width (figure 3). Width that it has lost is restored without
+    /// regard to the rescale gap; growth beyond it waits for the gap to pass.
     fn missing_tasks(&self, job: &Job, pass: Pass) -> u32 {
         let placed = job.placements.len() as u32;
         let may_grow = placed == 0 || pass == Pass::Leftover || !self.is_in_rescale_gap(job);
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Exception 2 of `docs/design.md`: the replicas of a service that are left may preempt. Other jobs have what they
-    /// start with.
+    /// Exception 2 of `docs/design.md`: the replicas of a service that are left may preempt. Other jobs have what
+    /// they start with.
     fn admission_after_placement(&mut self, job_id: JobId) -> Admission {
         let Some(job) = self.jobs.get(&job_id).filter(|job| !job.progress.pending.is_empty()) else {
             return Admission::Settled;
@@ -177,7 +177,8 @@
         }
     }
 
-    /// Preempts lower tasks for what the job lacks of its minimum width.
+    /// Preempts lower tasks for what the job lacks of its minimum width (figure 2), for a service also for one
+    /// replica alone (exception 2 of `docs/design.md`).
     fn preempt_for_minimum(&mut self, job_id: JobId, capacity: &mut FreeCapacity, steps: &mut usize) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let placed = job.placements.len() as u32;
@@ -185,7 +186,7 @@
         let is_service = job.spec.kind == Kind::Service;
         match self.preempt_for(job_id, missing, capacity, steps) {
             Preemption::UnderWay => {}
-            // Each replica serves by itself: one is better than none.
+            // Each replica serves by itself.
             Preemption::Impossible if is_service && missing > 1 => {
                 let _second_attempt = self.preempt_for(job_id, 1, capacity, steps);
             }
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -16,8 +16,8 @@
 /// Whether a task may go where its image would be fetched beside another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::scheduler) enum SharedFetch {
-    /// Images that are fetched at the same time share the rate: fetched one after the other, the first is there sooner
-    /// and the last no later (exception 6 of `docs/design.md`).
+    /// Images that are fetched at the same time share the rate: fetched one after the other, the first is there
+    /// sooner and the last no later (exception 6 of `docs/design.md`).
     Avoid,
     /// It may.
     Allow,
@@ -44,7 +44,8 @@
 }
 
 impl Scheduler {
-    /// Names of machines for the tasks of the request, the best first; one entry for each task that found room.
+    /// Names of machines for the tasks of the request, the best first; one entry for each task that found room. What
+    /// figure 2 of the paper counts as free slots are places that fit a task here.
     pub(in crate::scheduler) fn find_machines(
         &self,
         request: PlacementRequest<'_>,
@@ -100,7 +101,9 @@
         by_zone
     }
 
-    /// Filter: whether the job may use the machine now, its room aside.
+    /// Filter: whether the job may use the machine now, its room aside. A consolidation target is closed to work that
+    /// may use spot machines (exception 3 of `docs/design.md`), a replacement keeps its room for what moves off the
+    /// machine that it stands for, and a quarantined machine takes services only.
     fn passes_filter(&self, job: &Job, machine: &Machine) -> bool {
         // A job under suspicion would have nowhere else to go.
         let failed_here = !job.is_suspected() && job.failure_history.machines.contains(&machine.name);
--- a/src/scheduler/elastic/equivalence_class.rs
+++ b/src/scheduler/elastic/equivalence_class.rs
@@ -1,8 +1,8 @@
 //! Equivalence classes of machines with room, so that a job need not look at each of thousands.
 //!
 //! Of machines that differ in nothing but their names and images the first ones by name are taken first. So a job for
-//! so many tasks never uses more than so many of a class: of those with its image, and of those without. Machines that
-//! change within a round, or that fetch an image, are in no class and evaluated one by one.
+//! so many tasks never uses more than so many of a class: of those with its image, and of those without. Machines
+//! that change within a round, or that fetch an image, are in no class and evaluated one by one.
 
 use crate::scheduler::model::{Job, Kind, Machine, Resources, TaskStatus};
 use crate::scheduler::Scheduler;
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -1,5 +1,5 @@
-//! The elastic pass of the paper (figures 2 and 3) with the changes of `docs/design.md`. Owns the rounds of decisions:
-//! which job gets what of the free capacity, and which tasks are preempted.
+//! The elastic pass of the paper (figures 2 and 3) with the changes of `docs/design.md`. Owns the rounds of
+//! decisions: which job gets what of the free capacity, and which tasks are preempted.
 //!
 //! Jobs are taken by aged priority, earlier first. One that waits starts at the smaller of its
 //! maximum width and the free slots, if that reaches its minimum. Otherwise lower jobs outside the
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption for a job that cannot start: the paper's shrink (figure 2). Decides whether tasks of other jobs stop for
-//! it, and asks them to.
+//! Preemption for a job that cannot start: the paper's shrink (figure 2). Decides whether tasks of other jobs stop
+//! for it, and asks them to.
 
 use super::candidates::{PlacementRequest, SharedFetch};
 use super::capacity::FreeCapacity;
@@ -22,13 +22,14 @@
 /// Tasks to stop, and the machines that the newcomer then uses.
 struct PreemptionPlan {
     victims: Vec<Victim>,
+    /// Names of machines, one for each task.
     targets: Vec<String>,
 }
 
 impl Scheduler {
-    /// Stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots. Room of stops under
-    /// way counts as found, so that no two preemptions are made for it; so does room whose machine is fetching an image
-    /// for another job.
+    /// Figure 2: stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots. Room of
+    /// stops under way counts as found, so that no two preemptions are made for it; so does room whose machine is
+    /// fetching an image for another job.
     pub(super) fn preempt_for(
         &mut self,
         job_id: JobId,
@@ -67,6 +68,7 @@
             || self.within_guarantee(&job.spec.team, &job.spec.resource_request, &capacity.team_usage)
     }
 
+    /// Victims that make room for the newcomer, and where; None: all that may be preempted are not enough.
     fn plan_preemption(
         &self,
         newcomer: PlacementRequest<'_>,
@@ -74,8 +76,8 @@
         after_stops: &FreeCapacity,
         steps: &mut usize,
     ) -> Option<PreemptionPlan> {
-        // Exception 4 of `docs/design.md`: a critical job that cannot start goes on where the design stops. A swarm of
-        // lower jobs pinned at one task each would otherwise keep it out until a machine has booted.
+        // Exception 4 of `docs/design.md`: a critical job that cannot start goes on where the design stops. A swarm
+        // of lower jobs pinned at one task each would otherwise keep it out until a machine has booted.
         let stages: &[Protection] = match newcomer.job.spec.priority {
             Priority::Critical => &[Protection::GapAndMinimum, Protection::Minimum, Protection::None],
             Priority::Low | Priority::Normal | Priority::High => &[Protection::GapAndMinimum],
@@ -93,6 +95,8 @@
         })
     }
 
+    /// Asks the victims to stop: a rescaling event of their jobs. The room counts once the workers confirm (paper,
+    /// 3.1).
     fn preempt(&mut self, newcomer: JobId, plan: PreemptionPlan, capacity: &mut FreeCapacity) {
         let now = self.now;
         for Victim { machine, task } in plan.victims {
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -17,8 +17,8 @@
     /// Every job ages from its arrival: were only waiting ones to age, a newcomer would pass earlier jobs
     /// that still grow, and a job short of its width would yield after an earlier one that has all.
     ///
-    /// A job of which nothing has begun for long ages fastest, so that the widest are not put off for ever (exception 5
-    /// of `docs/design.md`).
+    /// A job of which nothing has begun for long ages fastest, so that the widest are not put off for ever (exception
+    /// 5 of `docs/design.md`).
     pub(in crate::scheduler) fn rank(&self, job: &Job) -> u64 {
         let rank = self.regular_rank(job, self.relative_size(job));
         if job.has_started() || job.spec.priority == Priority::Critical {
@@ -30,8 +30,8 @@
     /// The rank without exception 5. A deadline makes a job age faster, by one class until it falls due; one that is
     /// late already leaves the room to those that can still be in time.
     ///
-    /// Either rate goes by the work that is left, `size` (exception 7 of `docs/design.md`): when more waits than can be
-    /// served, first come first served makes all alike late, and the short ones are the many.
+    /// Either rate goes by the work that is left, `size` (exception 7 of `docs/design.md`): when more waits than can
+    /// be served, first come first served makes all alike late, and the short ones are the many.
     pub(super) fn regular_rank(&self, job: &Job, size: f64) -> u64 {
         if job.spec.priority == Priority::Critical {
             return CRITICAL_RANK;
@@ -66,8 +66,8 @@
         rank.min(CRITICAL_RANK - 1)
     }
 
-    /// The order in which jobs are preempted (figure 2): lowest class with its age first, the latest first on ties. The
-    /// work that is left does not count here: it would make the long jobs feed all others.
+    /// The order in which jobs are preempted (figure 2): lowest class with its age first, the latest first on ties.
+    /// The work that is left does not count here: it would make the long jobs feed all others.
     pub(super) fn preemption_order(&self) -> Arc<[JobId]> {
         let placed = self.jobs.values().filter(|job| !job.terminated && !job.placements.is_empty());
         let mut order: Vec<_> = placed
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -1,4 +1,4 @@
-//! Machines weighed by groups against every machine weighed by itself.
+//! Machines evaluated by equivalence classes against every machine evaluated by itself.
 
 use super::*;
 use crate::scheduler::model::{
@@ -81,7 +81,7 @@
     let mut scheduler = Scheduler::new(config, limits::SECOND);
     let load = Command::Load { jobs: vec![], records: vec![] };
     drop(scheduler.step(limits::SECOND, vec![Command::Types(types), load]));
-    // Everybody has the first image of some fleets.
+    // All machines of some fleets have the first image.
     let popular = rng.random_bool(0.5);
     for number in 0..machines {
         let zone = zones[rng.random_range(0..3)].clone();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn groups_lead_to_the_same_machines_as_a_look_at_each() {
+fn equivalence_classes_lead_to_the_same_machines_as_evaluating_each() {
     let mut found_any = 0;
     for seed in 0..60 {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -139,22 +139,22 @@
         }
         let order: Vec<JobId> = scheduler.jobs.keys().copied().collect();
         let mut steps = 0;
-        let mut grouped = scheduler.free_capacity(&order, &mut steps);
+        let mut by_class = scheduler.free_capacity(&order, &mut steps);
         for job_id in order {
-            let mut each = grouped.clone();
+            let mut each = by_class.clone();
             let names: Vec<String> = each.available.keys().cloned().collect();
             names.iter().for_each(|name| each.classes.remove(name));
             let job = &scheduler.jobs[&job_id];
             let (tasks, avoid) = (rng.random_range(1..job.spec.tasks + 1), rng.random_bool(0.5));
             let shared_fetch = if avoid { SharedFetch::Avoid } else { SharedFetch::Allow };
             let request = PlacementRequest { job, tasks, shared_fetch };
-            let found = scheduler.find_machines(request, &grouped, &mut steps);
+            let found = scheduler.find_machines(request, &by_class, &mut steps);
             let found_in_each = scheduler.find_machines(request, &each, &mut steps);
             assert_eq!(found, found_in_each, "seed {seed}, {job_id}");
             found_any += usize::from(!found.is_empty());
             let needs = job.spec.resource_request;
             for name in found.iter().take(rng.random_range(0..8)) {
-                grouped.take(&scheduler.machines[name], &needs);
+                by_class.take(&scheduler.machines[name], &needs);
             }
         }
     }
--- a/src/scheduler/elastic/victims.rs
+++ b/src/scheduler/elastic/victims.rs
@@ -1,4 +1,5 @@
-//! The search for tasks to preempt: whose, which and how many. It only names them; `preemption` stops them.
+//! The search for tasks to preempt (figure 2): whose, which and how many. It only names them; `preemption` stops
+//! them.
 
 use super::candidates::PlacementRequest;
 use super::capacity::FreeCapacity;
@@ -19,7 +20,9 @@
 
 /// A task to preempt, and the machine that it is on.
 pub(super) struct Victim {
+    /// Name of the machine.
     pub machine: String,
+    /// The task.
     pub task: TaskId,
 }
 
@@ -39,7 +42,7 @@
     NotEnough,
 }
 
-/// A search for the fewest victims that make room for a newcomer.
+/// A search for victims that make room for a newcomer.
 pub(super) struct VictimSearch<'a> {
     scheduler: &'a Scheduler,
     newcomer: PlacementRequest<'a>,
@@ -60,8 +63,8 @@
         VictimSearch { scheduler, newcomer, protection, capacity, victims: Vec::new() }
     }
 
-    /// Takes victims from the jobs in this order, the newest task of each first, until there is room for the newcomer.
-    /// Returns those found and the capacity once they have ended, also if that is not enough.
+    /// Takes victims from the jobs in this order, the newest task of each first, until there is room for the
+    /// newcomer. Returns those found and the capacity once they have ended, also if that is not enough.
     pub(super) fn run(mut self, order: &[JobId], steps: &mut usize) -> (Vec<Victim>, FreeCapacity) {
         for job in order.iter().filter_map(|job_id| self.scheduler.jobs.get(job_id)) {
             *steps += 1;
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -1,5 +1,5 @@
-//! Gang scheduling: tasks that run together or not at all. They find one another by their attempt number, wait for one
-//! another, start together and end together. Owns the stage of a gang and what each stage calls for; the section
+//! Gang scheduling: tasks that run together or not at all. They find one another by their attempt number, wait for
+//! one another, start together and end together. Owns the stage of a gang and what each stage calls for; the section
 //! "Gangs" of `docs/design.md` has the rules.
 
 use super::elastic::{FreeCapacity, PlacementRequest, SharedFetch};
@@ -20,8 +20,8 @@
         /// The attempt that the rest may join.
         attempt: u64,
     },
-    /// A task has terminated after it ran, or was asked to stop, or gave up waiting: the attempt has ended, and the next
-    /// one begins when each of its tasks has provably terminated.
+    /// A task has terminated after it ran, or was asked to stop, or gave up waiting: the attempt has ended, and the
+    /// next one begins when each of its tasks has provably terminated.
     Ended,
 }
 
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Places all missing tasks, or none. A gang that finds no room for them in time is stopped, so that its places do
-    /// not idle until the workers give up by themselves.
+    /// Places all missing tasks, or none. A gang that finds no room for them in time is stopped, so that its places
+    /// do not idle until the workers give up by themselves.
     fn complete_gang(&mut self, job_id: JobId, attempt: u64, capacity: &mut FreeCapacity, steps: &mut usize) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let missing = job.progress.pending.len() as u32;
@@ -89,8 +89,8 @@
         self.wait(job_id, PendingReason::GangIncomplete);
     }
 
-    /// The remaining tasks would only notice by themselves, up to `gang_peer_s` later. Tasks that were asked to save are
-    /// left to it: the first that has saved keeps the progress of all.
+    /// The remaining tasks would only notice by themselves, up to `gang_peer_s` later. Tasks that were asked to save
+    /// are left to it: the first that has saved keeps the progress of all.
     fn end_gang_attempt(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let may_save = |stop: StopRequest| stop.grace_s > 0.0 && !stop.is_overdue(self.now);
@@ -101,8 +101,9 @@
         self.wait(job_id, PendingReason::LastAttemptNotEnded);
     }
 
-    /// A machine of the gang is about to go. A gang saves together or not at all: every machine is asked at once, with
-    /// the time to save and to wait for the others. Asked one after the other, or one alone, the save would fail.
+    /// A machine of the gang is about to go. A gang saves together or not at all: every machine is asked at once,
+    /// with the time to save and to wait for the others. Asked one after the other, or one alone, the save would
+    /// fail.
     pub(super) fn stop_gang(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get(&job_id).filter(|job| job.spec.kind == Kind::Gang) else { return };
         let grace_s = if self.is_reachable_everywhere(job) {
@@ -124,9 +125,9 @@
     }
 
     /// In how many seconds the machine's next heartbeat is due, whose response bears a start. A leaseholder passes on
-    /// which heartbeats it responded to up to `SHARD_HEARTBEAT_INTERVAL` later: a machine that seems due within that may
-    /// just have sent one, and its next comes an interval later. Where heartbeats are hardly rarer than that, machines
-    /// cannot be told apart by it.
+    /// which heartbeats it responded to up to `SHARD_HEARTBEAT_INTERVAL` later: a machine that seems due within that
+    /// may just have sent one, and its next comes an interval later. Where heartbeats are hardly rarer than that,
+    /// machines cannot be told apart by it.
     pub(super) fn heartbeat_due_s(&self, machine: &Machine) -> i64 {
         let heartbeat_interval = limits::micros(self.config.workers.report_s);
         if heartbeat_interval <= 2 * limits::SHARD_HEARTBEAT_INTERVAL {
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -4,7 +4,8 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// What a place for a critical task must hold: the most that one of them requests. None: there are no critical jobs.
+    /// What a place for a critical task must hold: the most that one of them requests. None: there are no critical
+    /// jobs.
     pub(super) fn critical_place(&self) -> Option<Resources> {
         self.largest_request(|job| job.spec.priority == Priority::Critical)
     }
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -1,4 +1,5 @@
-//! Placements of tasks: reserved, asked to stop, and removed when the task is provably gone.
+//! Placements of tasks: reserved, asked to stop, and removed when the task has provably terminated. Owns their
+//! removal: nothing else makes a task pending again.
 //!
 //! A task is pending only while it is provably on no machine. So every removal of a placement takes a
 //! [`TerminationProof`].
@@ -56,7 +57,7 @@
         )
     }
 
-    /// Forgets a job that is terminated and of which nothing is placed any more.
+    /// Removes a job that is terminated and of which nothing is placed any more.
     pub(super) fn remove_if_terminated(&mut self, job_id: JobId) {
         if self.jobs.get(&job_id).is_some_and(|job| job.terminated && job.placements.is_empty()) {
             self.jobs.remove(&job_id);
@@ -90,7 +91,8 @@
         self.request_wake(name);
     }
 
-    /// Asks the task to stop within `grace_s` seconds. A later request with a shorter grace period replaces the first.
+    /// Asks the task to stop within `grace_s` seconds. A later request with a shorter grace period replaces the
+    /// first.
     pub(super) fn stop(&mut self, name: &str, id: TaskId, grace_s: f64) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -108,7 +110,8 @@
         }
     }
 
-    /// The task is provably not on this machine any more.
+    /// Removes the placement of a task that is provably not on this machine any more. The task is pending again
+    /// unless it has succeeded or its job has terminated.
     pub(super) fn remove_placement(&mut self, name: &str, id: TaskId, proof: TerminationProof) {
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
         if let Some(names) = job.placements.get_mut(&id.task) {
@@ -125,7 +128,7 @@
         self.remove_if_terminated(id.job_id);
     }
 
-    /// All tasks are provably not on this machine any more.
+    /// Removes all placements of a machine that provably holds no task any more.
     pub(super) fn release_machine(&mut self, name: &str, proof: TerminationProof) {
         self.record_lost_work(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,5 +1,5 @@
-//! Quota of teams: what their tasks use, their limits and their guarantees (section "Teams" of `docs/design.md`). Owns
-//! the count of use in a round.
+//! Quota of teams: what their tasks use, their limits and their guarantees (section "Teams" of `docs/design.md`).
+//! Owns the count of use in a round.
 
 use super::model::{Job, JobId, Machine, Resources};
 use super::Scheduler;
@@ -101,9 +101,9 @@
         usage
     }
 
-    /// A machine of an earlier leader's that has sent no heartbeat here may be full of any team's tasks, and so may one
-    /// that reports tasks of jobs that are over and unknown here. Each counts in full against every team: only
-    /// to wait until all had reported kept every team of a fleet without work behind one machine that had died.
+    /// A machine of an earlier leader's that has sent no heartbeat here may be full of any team's tasks, and so may
+    /// one that reports tasks of jobs that are over and unknown here. Each counts in full against every team: only to
+    /// wait until all had reported kept every team of a fleet without work behind one machine that had died.
     fn may_hold_unknown_tasks(&self, machine: &Machine) -> bool {
         let is_unreconciled = !self.reconciled && machine.inherited && !machine.reconciled;
         is_unreconciled || machine.reported.has_unknown()
--- a/src/scheduler/scaling_plan.rs
+++ b/src/scheduler/scaling_plan.rs
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Puts as much of the demand as fits on these machines: those in use first, and of them the ones with least room.
+    /// Puts as much of the demand as fits on these machines: those in use first, and of them the ones with least
+    /// room.
     fn fill(&mut self, demand: &mut Demand<'_>) {
         self.0.retain(|group| group.count > 0);
         let mut fitting: Vec<usize> =
@@ -148,8 +149,8 @@
 }
 
 impl Scheduler {
-    /// Begins a plan. Machines in an unreachable zone, booting or not, are of no use until it is back, so that none is
-    /// counted on or rented there.
+    /// Begins a plan. Machines in an unreachable zone, booting or not, are of no use until it is back, so that none
+    /// is counted on or rented there.
     pub(super) fn begin_plan(&mut self) {
         let counts = self.coming_counts();
         let mut coming = ComingMachines::default();
@@ -195,8 +196,8 @@
         counts
     }
 
-    /// Goes on within a budget of decision steps; rents and deletes machines when all jobs are planned. Returns whether
-    /// they are.
+    /// Goes on within a budget of decision steps; rents and deletes machines when all jobs are planned. Returns
+    /// whether they are.
     pub(super) fn continue_plan(&mut self) -> bool {
         let Some(mut plan) = self.fleet.plan.take() else { return true };
         let mut steps = 0;
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -96,8 +96,8 @@
     }
 }
 
-/// Best-fit bin packing: what a task of the job would leave of the room. The fullest machines are filled first, so that
-/// others empty. A GPU counts as much as a thousand processors.
+/// Best-fit bin packing: what a task of the job would leave of the room. The fullest machines are filled first, so
+/// that others empty. A GPU counts as much as a thousand processors.
 pub fn remainder(job: &Job, room: &Resources) -> i64 {
     let left = room.minus(&job.spec.resource_request);
     left.gpus * 1000 + left.cpus
