--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -3,6 +3,7 @@
 use super::candidates::{PlacementRequest, SharedFetch};
 use super::capacity::FreeCapacity;
 use super::preemption::Preemption;
+use super::Round;
 use crate::limits;
 use crate::scheduler::model::{Job, JobId, Kind, PendingReason, TaskId};
 use crate::scheduler::quota::TeamUsage;
@@ -36,28 +37,22 @@
     }
 
     /// Starts what can start of the job (figure 2, and figure 3 for one that runs), and preempts where it may.
-    pub(super) fn consider(
-        &mut self,
-        job_id: JobId,
-        pass: Pass,
-        capacity: &mut FreeCapacity,
-        steps: &mut usize,
-    ) {
+    pub(super) fn consider(&mut self, job_id: JobId, pass: Pass, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id).filter(|job| !job.progress.pending.is_empty()) else { return };
         if let Some(reason) = self.reason_not_to_start(job) {
             return self.wait(job_id, reason);
         }
-        // A gang starts only whole.
+        // A gang of which something is placed is completed or ended; it does not grow.
         if job.spec.kind == Kind::Gang && !job.placements.is_empty() {
-            return self.repair_gang(job_id, capacity, steps);
+            return self.repair_gang(job_id, round);
         }
-        let tasks = match self.tasks_to_start(job_id, pass, &capacity.team_usage) {
+        let tasks = match self.tasks_to_start(job_id, pass, &round.capacity.team_usage) {
             Ok(tasks) => tasks,
             Err(reason) => return self.wait(job_id, reason),
         };
-        match (self.admit(job_id, tasks, capacity, steps), pass) {
+        match (self.admit(job_id, tasks, round), pass) {
             (Admission::Settled, _) | (Admission::ShortOfRoom, Pass::Leftover) => {}
-            (Admission::ShortOfRoom, Pass::Regular) => self.preempt_for_minimum(job_id, capacity, steps),
+            (Admission::ShortOfRoom, Pass::Regular) => self.preempt_for_minimum(job_id, round),
         }
     }
 
@@ -120,26 +115,20 @@
     }
 
     /// Places up to `tasks` tasks of the job, if there is room for the fewest that it starts with (figure 2).
-    fn admit(
-        &mut self,
-        job_id: JobId,
-        tasks: u32,
-        capacity: &mut FreeCapacity,
-        steps: &mut usize,
-    ) -> Admission {
+    fn admit(&mut self, job_id: JobId, tasks: u32, round: &mut Round) -> Admission {
         let Some(job) = self.jobs.get(&job_id) else { return Admission::Settled };
         let placed = job.placements.len() as u32;
         let fewest = job.admission().min(placed + tasks);
         let request = PlacementRequest { job, tasks, shared_fetch: self.shared_fetch(job) };
-        let found = self.find_machines(request, capacity, steps);
+        let found = self.find_machines(request, &round.capacity, &mut round.steps);
         if found.is_empty() || placed + (found.len() as u32) < fewest {
             return Admission::ShortOfRoom;
         }
-        let running = placed.saturating_sub(capacity.stopping(job_id));
+        let running = placed.saturating_sub(round.capacity.stopping(job_id));
         self.widen(job_id, running + found.len() as u32);
         let attempt = self.next_attempt();
         for machine in found {
-            self.assign(job_id, &machine, attempt, capacity);
+            self.assign(job_id, &machine, attempt, &mut round.capacity);
         }
         self.admission_after_placement(job_id)
     }
@@ -179,16 +168,16 @@
 
     /// Preempts lower tasks for what the job lacks of its minimum width (figure 2), for a service also for one
     /// replica alone (exception 2 of `docs/design.md`).
-    fn preempt_for_minimum(&mut self, job_id: JobId, capacity: &mut FreeCapacity, steps: &mut usize) {
+    fn preempt_for_minimum(&mut self, job_id: JobId, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let placed = job.placements.len() as u32;
         let missing = job.minimum().saturating_sub(placed).max(1).min(job.progress.pending.len() as u32);
         let is_service = job.spec.kind == Kind::Service;
-        match self.preempt_for(job_id, missing, capacity, steps) {
+        match self.preempt_for(job_id, missing, round) {
             Preemption::UnderWay => {}
             // Each replica serves by itself.
             Preemption::Impossible if is_service && missing > 1 => {
-                let _second_attempt = self.preempt_for(job_id, 1, capacity, steps);
+                let _second_attempt = self.preempt_for(job_id, 1, round);
             }
             Preemption::Impossible => {}
         }
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -28,59 +28,68 @@
 use admission::Pass;
 use tracing::debug;
 
+/// A round under way.
+pub(in crate::scheduler) struct Round {
+    /// What its decisions have left.
+    pub capacity: FreeCapacity,
+    /// The decision steps that it has taken.
+    pub steps: usize,
+    /// The decision steps that it may take.
+    budget: usize,
+}
+
+impl Round {
+    fn is_out_of_budget(&self) -> bool {
+        self.steps >= self.budget
+    }
+}
+
 impl Scheduler {
     /// One round within its budget of decision steps. The next round goes on at the job that this one did not reach.
     pub fn round(&mut self) {
         self.update_mean_job_work();
         let order = self.round_order();
-        let mut steps = 0;
         self.note_unreconciled();
-        let mut capacity = self.free_capacity(&order, &mut steps);
-        self.reserve_for_moves(&mut capacity);
-        self.place_moved_replicas(&mut capacity);
-        // The look at every machine is the fixed price of a round; the budget is for the jobs.
-        let budget = steps + self.config.round_steps.max(limits::MIN_ROUND_JOBS * self.machines.len());
-        self.regular_pass(&order, budget, &mut capacity, &mut steps);
-        self.leftover_pass(order, budget, &mut capacity, &mut steps);
-        self.steps += steps as u64;
-        self.rounds.end(self.now, limits::round_pause(steps, self.config.cpu_share));
+        let mut round = self.begin_round(&order);
+        self.reserve_for_moves(&mut round.capacity);
+        self.place_moved_replicas(&mut round.capacity);
+        self.regular_pass(&order, &mut round);
+        self.leftover_pass(order, &mut round);
+        self.steps += round.steps as u64;
+        self.rounds.end(self.now, limits::round_pause(round.steps, self.config.cpu_share));
+    }
+
+    /// The look at every machine is the fixed price of a round; the budget is for the jobs.
+    fn begin_round(&self, order: &[JobId]) -> Round {
+        let mut steps = 0;
+        let capacity = self.free_capacity(order, &mut steps);
+        let steps_for_jobs = self.config.round_steps.max(limits::MIN_ROUND_JOBS * self.machines.len());
+        Round { capacity, steps, budget: steps + steps_for_jobs }
     }
 
     /// The paper's figures 2 and 3 for each job, from where the last round stopped.
-    fn regular_pass(
-        &mut self,
-        order: &[JobId],
-        budget: usize,
-        capacity: &mut FreeCapacity,
-        steps: &mut usize,
-    ) {
+    fn regular_pass(&mut self, order: &[JobId], round: &mut Round) {
         let resume_at = self.rounds.resume_at.take();
         let start = resume_at.and_then(|resume_at| order.iter().position(|job_id| *job_id == resume_at));
         for job_id in &order[start.unwrap_or(0)..] {
-            if *steps >= budget {
+            if round.is_out_of_budget() {
                 self.rounds.resume_at = Some(*job_id);
                 debug!(job = %job_id, "round out of budget, goes on here");
                 break;
             }
-            *steps += 1;
-            self.consider(*job_id, Pass::Regular, capacity, steps);
+            round.steps += 1;
+            self.consider(*job_id, Pass::Regular, round);
         }
     }
 
     /// Exception 1 of `docs/design.md`: what no job outside the rescale gap takes goes to those inside it.
-    fn leftover_pass(
-        &mut self,
-        order: Vec<JobId>,
-        budget: usize,
-        capacity: &mut FreeCapacity,
-        steps: &mut usize,
-    ) {
+    fn leftover_pass(&mut self, order: Vec<JobId>, round: &mut Round) {
         for job_id in order {
             let waits_in_gap = self.jobs.get(&job_id).is_some_and(|job| {
                 job.pending_reason == Some(PendingReason::RescaleGap) && !job.progress.pending.is_empty()
             });
-            if waits_in_gap && *steps < budget && !capacity.available.is_empty() {
-                self.consider(job_id, Pass::Leftover, capacity, steps);
+            if waits_in_gap && !round.is_out_of_budget() && !round.capacity.available.is_empty() {
+                self.consider(job_id, Pass::Leftover, round);
             }
         }
     }
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -4,6 +4,7 @@
 use super::candidates::{PlacementRequest, SharedFetch};
 use super::capacity::FreeCapacity;
 use super::victims::{Protection, Victim, VictimSearch};
+use super::Round;
 use crate::scheduler::model::{Job, JobId, Kind, PendingReason, Priority, Resources};
 use crate::scheduler::quota::TeamUsage;
 use crate::scheduler::Scheduler;
@@ -30,34 +31,28 @@
     /// Figure 2: stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots. Room of
     /// stops under way counts as found, so that no two preemptions are made for it; so does room whose machine is
     /// fetching an image for another job.
-    pub(super) fn preempt_for(
-        &mut self,
-        job_id: JobId,
-        missing: u32,
-        capacity: &mut FreeCapacity,
-        steps: &mut usize,
-    ) -> Preemption {
+    pub(super) fn preempt_for(&mut self, job_id: JobId, missing: u32, round: &mut Round) -> Preemption {
         let Some(job) = self.jobs.get(&job_id) else { return Preemption::Impossible };
         let request = job.spec.resource_request;
-        let after_stops = capacity.after_stops(&self.machines);
+        let after_stops = round.capacity.after_stops(&self.machines);
         let newcomer = PlacementRequest { job, tasks: missing, shared_fetch: SharedFetch::Allow };
-        let coming = self.find_machines(newcomer, &after_stops, steps);
+        let coming = self.find_machines(newcomer, &after_stops, &mut round.steps);
         if coming.len() as u32 >= missing {
-            capacity.take_on_each(&coming, &self.machines, &request);
+            round.capacity.take_on_each(&coming, &self.machines, &request);
             self.wait(job_id, PendingReason::StopsOrFetchUnderWay);
             return Preemption::UnderWay;
         }
-        if !self.may_preempt_any(job, capacity) {
+        if !self.may_preempt_any(job, &round.capacity) {
             self.wait(job_id, PendingReason::NothingToPreempt);
             return Preemption::Impossible;
         }
-        let order = capacity.preemption_order.get_or_insert_with(|| self.preemption_order()).clone();
-        let Some(plan) = self.plan_preemption(newcomer, &order, &after_stops, steps) else {
+        let order = round.capacity.preemption_order.get_or_insert_with(|| self.preemption_order()).clone();
+        let Some(plan) = self.plan_preemption(newcomer, &order, &after_stops, &mut round.steps) else {
             self.wait(job_id, PendingReason::PreemptionInsufficient);
             return Preemption::Impossible;
         };
-        capacity.take_on_each(&plan.targets, &self.machines, &request);
-        self.preempt(job_id, plan, capacity);
+        round.capacity.take_on_each(&plan.targets, &self.machines, &request);
+        self.preempt(job_id, plan, &mut round.capacity);
         self.wait(job_id, PendingReason::StopsUnderWay);
         Preemption::UnderWay
     }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -2,7 +2,7 @@
 //! one another, start together and end together. Owns the stage of a gang and what each stage calls for; the section
 //! "Gangs" of `docs/design.md` has the rules.
 
-use super::elastic::{FreeCapacity, PlacementRequest, SharedFetch};
+use super::elastic::{PlacementRequest, Round, SharedFetch};
 use super::model::{Job, JobId, Kind, Machine, PendingReason, StopRequest, TaskStatus};
 use super::Scheduler;
 use crate::limits;
@@ -47,10 +47,10 @@
     }
 
     /// Goes on with a gang of which some tasks are placed and some are pending.
-    pub(super) fn repair_gang(&mut self, job_id: JobId, capacity: &mut FreeCapacity, steps: &mut usize) {
+    pub(super) fn repair_gang(&mut self, job_id: JobId, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         match self.gang_stage(job) {
-            GangStage::Incomplete { attempt } => self.complete_gang(job_id, attempt, capacity, steps),
+            GangStage::Incomplete { attempt } => self.complete_gang(job_id, attempt, round),
             GangStage::Ended => self.end_gang_attempt(job_id),
             GangStage::Unplaced | GangStage::Complete => {}
         }
@@ -58,17 +58,21 @@
 
     /// Places all missing tasks, or none. A gang that finds no room for them in time is stopped, so that its places
     /// do not idle until the workers give up by themselves.
-    fn complete_gang(&mut self, job_id: JobId, attempt: u64, capacity: &mut FreeCapacity, steps: &mut usize) {
+    fn complete_gang(&mut self, job_id: JobId, attempt: u64, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let missing = job.progress.pending.len() as u32;
         let request = PlacementRequest { job, tasks: missing, shared_fetch: SharedFetch::Allow };
-        let is_within_limit = self.tasks_within_limit(job, &capacity.team_usage) >= missing;
-        let found = if is_within_limit { self.find_machines(request, capacity, steps) } else { Vec::new() };
+        let is_within_limit = self.tasks_within_limit(job, &round.capacity.team_usage) >= missing;
+        let found = if is_within_limit {
+            self.find_machines(request, &round.capacity, &mut round.steps)
+        } else {
+            Vec::new()
+        };
         if found.len() as u32 != missing {
             return self.await_room_for_gang(job_id);
         }
         for machine in found {
-            self.assign(job_id, &machine, attempt, capacity);
+            self.assign(job_id, &machine, attempt, &mut round.capacity);
         }
         // The next task that it loses has a time of its own.
         if let Some(job) = self.jobs.get_mut(&job_id) {
