--- a/src/scheduler/autoscaler/machine_list.rs
+++ b/src/scheduler/autoscaler/machine_list.rs
@@ -1,6 +1,7 @@
 //! The cloud's list of machines: which of them are adopted, failed or taken. The list lags, so it is only ever a
 //! hint; a machine is gone only when the cloud has confirmed its deletion.
 
+use super::DeletionReason;
 use crate::limits;
 use crate::scheduler::model::{Machine, MachineState};
 use crate::scheduler::{ListedMachine, Scheduler};
@@ -15,7 +16,7 @@
 
 impl Scheduler {
     /// The cloud's list of machines has arrived.
-    pub fn listed(&mut self, list: Vec<ListedMachine>) {
+    pub(in crate::scheduler) fn listed(&mut self, list: Vec<ListedMachine>) {
         let now = self.now;
         self.fleet.deleted.retain(|_, since| now < *since + limits::DELETED_MACHINE_RETENTION);
         let shown: BTreeSet<String> = list.iter().map(|listed| listed.machine.name.clone()).collect();
@@ -46,7 +47,7 @@
         let is_present =
             |name: &String| self.machines.get(name).is_some_and(|machine| !machine.lifecycle.deleting);
         let failed: Vec<String> = failed.filter(is_present).collect();
-        self.delete(failed, "failed");
+        self.delete(failed, DeletionReason::Failed);
     }
 
     /// The last leader had heard from them, and the list does not show them: most likely they were taken, and
@@ -65,7 +66,7 @@
             .filter(|machine| !shown.contains(&machine.name))
             .map(|machine| machine.name.clone())
             .collect();
-        self.delete(vanished, "held by the last leader and not listed");
+        self.delete(vanished, DeletionReason::Vanished);
     }
 
     /// Silent and missing from the lists for several lags: taken by the cloud.
@@ -85,6 +86,6 @@
                 taken.push(machine.name.clone());
             }
         }
-        self.delete(taken, "not listed any more");
+        self.delete(taken, DeletionReason::NotListed);
     }
 }
--- a/src/scheduler/autoscaler/mod.rs
+++ b/src/scheduler/autoscaler/mod.rs
@@ -4,9 +4,11 @@
 //! `scaling_plan` decides what is rented, `consolidation` which machines are emptied, `machine_list` reads the
 //! cloud's list of machines.
 
+mod deletion_reason;
 mod machine_list;
 mod offer;
 
+pub(super) use deletion_reason::DeletionReason;
 pub use offer::{InstanceOffer, Offer};
 
 use super::model::{JobSpec, Machine, MachineState, MachineType, TerminationProof};
@@ -66,7 +68,7 @@
 
 impl Scheduler {
     /// Scales out and in once per `AUTOSCALER_INTERVAL`; a plan that its budget did not suffice for goes on before.
-    pub fn fleet_round(&mut self) {
+    pub(super) fn fleet_round(&mut self) {
         if self.now < self.fleet.due {
             return;
         }
@@ -115,7 +117,7 @@
                 idle.push(machine.name.clone());
             }
         }
-        self.delete(idle, "idle");
+        self.delete(idle, DeletionReason::Idle);
     }
 
     /// Deletes machines that are lost or failed to boot, and those that the failure detector gives up.
@@ -132,25 +134,25 @@
                 lost.push(machine.name.clone());
             }
         }
-        self.delete(lost, "lost, silent, deaf or never up");
+        self.delete(lost, DeletionReason::Lost);
     }
 
     /// Asks the cloud to delete these machines.
-    pub(super) fn delete(&mut self, names: Vec<String>, why: &str) {
+    pub(super) fn delete(&mut self, names: Vec<String>, reason: DeletionReason) {
         for chunk in names.chunks(limits::MAX_MACHINES_PER_DELETION) {
             for name in chunk {
                 if let Some(machine) = self.machines.get_mut(name) {
-                    info!(machine = name, why, "return");
+                    info!(machine = name, why = reason.as_str(), "return");
                     machine.lifecycle.deleting = true;
                 }
-                self.decided(format!("return {name}: {why}"));
+                self.decided(format!("return {name}: {reason}"));
             }
             self.effects.push(Effect::Delete(chunk.to_vec()));
         }
     }
 
     /// The cloud has responded to a deletion. Its 200 is proof: the machine and everything on it are gone.
-    pub fn deleted(&mut self, names: Vec<String>, outcome: WriteOutcome) {
+    pub(super) fn deleted(&mut self, names: Vec<String>, outcome: WriteOutcome) {
         for name in names {
             match outcome {
                 WriteOutcome::Done => self.remove_machine(name),
@@ -186,7 +188,7 @@
     }
 
     /// The cloud has responded to a rental request.
-    pub fn rented(&mut self, request: u64, machines: Option<Vec<String>>, outcome: WriteOutcome) {
+    pub(super) fn rented(&mut self, request: u64, machines: Option<Vec<String>>, outcome: WriteOutcome) {
         if self.replacement_rented(request, &machines, outcome) {
             return;
         }
--- a/src/scheduler/drains/drain.rs
+++ b/src/scheduler/drains/drain.rs
@@ -1,5 +1,6 @@
 //! One drain: its request, how far its machines are, and how far its records are stored.
 
+use crate::scheduler::WriteOutcome;
 use dockpier_drain::progress::{Chunk, MachineDrainState, Progress};
 use dockpier_drain::request::{DesiredState, StoredRequest};
 use dockpier_drain::status::{DrainState, Summary, Wait};
@@ -45,9 +46,12 @@
     }
 
     /// The write has ended. What the state service has not confirmed is written again.
-    pub(super) fn end(&mut self, is_confirmed: bool) {
+    pub(super) fn end(&mut self, outcome: WriteOutcome) {
         self.in_flight = false;
-        self.has_changed |= !is_confirmed;
+        match outcome {
+            WriteOutcome::Done => {}
+            WriteOutcome::Refused | WriteOutcome::Unknown => self.has_changed = true,
+        }
     }
 }
 
--- a/src/scheduler/drains/eviction.rs
+++ b/src/scheduler/drains/eviction.rs
@@ -3,6 +3,7 @@
 use super::destination::{Destination, MoveCapacity};
 use super::stops::PlannedStop;
 use crate::limits;
+use crate::scheduler::autoscaler::DeletionReason;
 use crate::scheduler::model::{Job, Kind, Machine, MachineState, Placement, TaskId, TaskStatus};
 use crate::scheduler::Scheduler;
 use dockpier_drain::ledger::Allowance;
@@ -100,7 +101,7 @@
 
     fn delete_drained(&mut self, name: &str) {
         if self.machines.get(name).is_some_and(|machine| !machine.lifecycle.deleting) {
-            self.delete(vec![name.to_string()], "drained");
+            self.delete(vec![name.to_string()], DeletionReason::Drained);
         }
     }
 
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -188,18 +188,18 @@
 
     /// The state service has responded. What it has not confirmed is written again.
     pub(in crate::scheduler) fn drain_written(&mut self, key: &DrainKey, outcome: WriteOutcome) {
-        let is_confirmed = outcome == WriteOutcome::Done;
         if let Some(write) = self.write_state(key) {
-            write.end(is_confirmed);
+            write.end(outcome);
         }
         let DrainKey::Ledger(team) = key else { return };
         let Some(disruption) = self.drains.teams.get_mut(team) else { return };
         let stops = std::mem::take(&mut disruption.in_write);
-        if is_confirmed {
-            self.request_stops(team, stops);
-        } else {
+        match outcome {
+            WriteOutcome::Done => self.request_stops(team, stops),
             // Their estimates stay reserved, and the stops wait for the next write.
-            disruption.pending.splice(0..0, stops).for_each(drop);
+            WriteOutcome::Refused | WriteOutcome::Unknown => {
+                disruption.pending.splice(0..0, stops).for_each(drop);
+            }
         }
     }
 }
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -19,7 +19,7 @@
     /// Images that are fetched at the same time share the rate: fetched one after the other, the first is there
     /// sooner and the last no later (exception 6 of `docs/design.md`).
     Avoid,
-    /// It may.
+    /// A fetch may be shared.
     Allow,
 }
 
@@ -28,7 +28,7 @@
 pub(in crate::scheduler) struct PlacementRequest<'a> {
     /// The job.
     pub job: &'a Job,
-    /// Number of its tasks, the most that are assigned.
+    /// The most of its tasks that get a machine.
     pub tasks: u32,
     /// Whether a fetch may be shared.
     pub shared_fetch: SharedFetch,
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -46,7 +46,7 @@
 
 impl Scheduler {
     /// One round within its budget of decision steps. The next round goes on at the job that this one did not reach.
-    pub fn round(&mut self) {
+    pub(in crate::scheduler) fn round(&mut self) {
         self.update_mean_job_work();
         let order = self.round_order();
         self.note_unreconciled();
@@ -95,7 +95,7 @@
     }
 
     /// Notes why a job is pending, for operators.
-    pub fn wait(&mut self, job_id: JobId, reason: PendingReason) {
+    pub(in crate::scheduler) fn wait(&mut self, job_id: JobId, reason: PendingReason) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         if job.pending_reason != Some(reason) {
             debug!(job = %job_id, why = reason.as_str(), waiting = job.progress.pending.len(), "waits");
--- a/src/scheduler/elastic/victims.rs
+++ b/src/scheduler/elastic/victims.rs
@@ -7,7 +7,8 @@
 use crate::scheduler::scoring;
 use crate::scheduler::Scheduler;
 
-/// What protects the jobs that are shrunk.
+/// What protects the jobs that are shrunk. Only critical jobs get beyond the first stage (exception 4 of
+/// `docs/design.md`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Protection {
     /// The rescale gap, and their minimum width: the paper's rule.
--- a/src/scheduler/scaling_plan.rs
+++ b/src/scheduler/scaling_plan.rs
@@ -247,10 +247,10 @@
         allows_zone: impl Fn(&str) -> bool,
         may_use_spot: bool,
     ) -> Vec<PricedOffer> {
+        let is_open = |zone: &str| allows_zone(zone) && !self.failure_detector.zone_unreachable(zone);
         let mut offers = Vec::new();
         for machine_type in self.types.values().filter(|machine_type| allows_type(&machine_type.name)) {
-            let zones = machine_type.zones.iter();
-            for zone in zones.filter(|z| allows_zone(z) && !self.failure_detector.zone_unreachable(z)) {
+            for zone in machine_type.zones.iter().filter(|zone| is_open(zone)) {
                 let offer = |spot| InstanceOffer {
                     machine_type: machine_type.name.clone(),
                     zone: zone.clone(),
