--- a/src/scheduler/scaling_plan/mod.rs
+++ b/src/scheduler/scaling_plan/mod.rs
@@ -1,8 +1,8 @@
 //! Scale out: the queue and the headroom are packed into machines that are coming and, beyond that, into new ones.
-//! Owns the plan of what to rent.
-//!
-//! Machines that are not there yet are all alike but for their offer and the room left on them, so the plan
-//! counts them in groups: its cost follows the queue, not the number of machines under way.
+//! Owns the plan of what to rent. Its cost follows the queue, not the number of machines under way; see
+//! `coming_machines`.
+
+mod coming_machines;
 
 use super::autoscaler::{InstanceOffer, Rental};
 use super::model::{Job, JobId, Machine, MachineState, Resources};
@@ -10,116 +10,11 @@
 use super::scoring::ZoneCount;
 use super::{Effect, Scheduler};
 use crate::limits;
+use coming_machines::{tasks_that_fit, ComingMachines, Demand, Load};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// Machines that are not there yet, as the plan fills them: alike ones counted together.
-#[derive(Debug)]
-struct ComingGroup {
-    offer: InstanceOffer,
-    available: Resources,
-    /// Whether the plan has put a task on each of them.
-    in_use: bool,
-    count: u32,
-}
-
-/// All machines that are not there yet.
-#[derive(Debug, Default)]
-struct ComingMachines(Vec<ComingGroup>);
-
-/// Pending tasks of a job that have no place in the plan yet.
-struct Demand<'a> {
-    job: &'a Job,
-    /// The job's tasks by zone, those in the plan included.
-    zones: ZoneCount,
-    tasks: u32,
-}
-
-impl Demand<'_> {
-    fn request(&self) -> &Resources {
-        &self.job.spec.resource_request
-    }
-
-    /// How many of the tasks machines with so much room in the zone take.
-    fn tasks_for(&self, zone: &str, room_for: u32) -> u32 {
-        self.tasks.min(room_for).min(self.zones.tasks_allowed(self.job, zone))
-    }
-
-    /// So many tasks have a place in the zone.
-    fn place(&mut self, zone: &str, tasks: u32) {
-        self.zones.add_many(zone, tasks);
-        self.tasks -= tasks;
-    }
-}
-
-impl ComingMachines {
-    fn add(&mut self, offer: &InstanceOffer, available: Resources, in_use: bool, count: u32) {
-        if count == 0 || available.gpus <= 0 && available.cpus <= 0 {
-            return;
-        }
-        let is_alike = |group: &&mut ComingGroup| {
-            group.available == available && group.in_use == in_use && group.offer == *offer
-        };
-        match self.0.iter_mut().find(is_alike) {
-            Some(group) => group.count += count,
-            None => self.0.push(ComingGroup { offer: offer.clone(), available, in_use, count }),
-        }
-    }
-
-    /// Puts as much of the demand as fits on these machines: those in use first, and of them the ones with least
-    /// room.
-    fn fill(&mut self, demand: &mut Demand<'_>) {
-        self.0.retain(|group| group.count > 0);
-        let mut fitting: Vec<usize> =
-            (0..self.0.len()).filter(|index| self.0[*index].fits(demand.job)).collect();
-        fitting.sort_by_key(|index| (!self.0[*index].in_use, self.0[*index].available.gpus));
-        for index in fitting {
-            if demand.tasks == 0 {
-                break;
-            }
-            self.fill_group(index, demand);
-        }
-    }
-
-    /// Fills the machines of one group one after the other.
-    fn fill_group(&mut self, index: usize, demand: &mut Demand<'_>) {
-        let group = &self.0[index];
-        let per_machine = tasks_that_fit(demand.request(), &group.available);
-        let tasks = demand.tasks_for(&group.offer.zone, per_machine.saturating_mul(group.count));
-        if tasks == 0 {
-            return;
-        }
-        let (offer, available) = (group.offer.clone(), group.available);
-        let (full, rest) = (tasks / per_machine, tasks % per_machine);
-        self.0[index].count -= full + u32::from(rest > 0);
-        let left_by = |tasks: u32| available.minus(&demand.request().times(tasks.into()));
-        self.add(&offer, left_by(per_machine), true, full);
-        if rest > 0 {
-            self.add(&offer, left_by(rest), true, 1);
-        }
-        demand.place(&offer.zone, tasks);
-    }
-
-    /// Places for critical services on the ordinary ones in a zone.
-    fn critical_places(&self, zone: &str, place: &Resources) -> i64 {
-        let ordinary = self.0.iter().filter(|group| !group.offer.spot && group.offer.zone == *zone);
-        ordinary.map(|group| place.count_in(&group.available) * i64::from(group.count)).sum()
-    }
-}
-
-impl ComingGroup {
-    fn fits(&self, job: &Job) -> bool {
-        job.spec.resource_request.fits(&self.available)
-            && job.spec.allows_type(&self.offer.machine_type)
-            && (!self.offer.spot || job.spec.spot)
-    }
-}
-
-fn tasks_that_fit(request: &Resources, room: &Resources) -> u32 {
-    u32::try_from(request.count_in(room)).unwrap_or(u32::MAX)
-}
-
 /// A plan of scaling out: the queue is placed on machines that are not there yet.
 #[derive(Debug)]
 pub struct ScalingPlan {
@@ -158,7 +53,7 @@
             let is_reachable = !self.failure_detector.zone_unreachable(&offer.zone);
             let machine_type = self.types.get(&offer.machine_type).filter(|_| is_reachable);
             if let Some(machine_type) = machine_type {
-                coming.add(offer, machine_type.capacity, false, *count);
+                coming.add(offer, machine_type.capacity, Load::Empty, *count);
             }
         }
         self.fleet.plan = Some(ScalingPlan {
@@ -278,7 +173,7 @@
         let allowed = self.tasks_within_limit(job, &plan.team_usage);
         let tasks = (job.progress.pending.len() as u32).min(allowed);
         let mut demand = Demand { job, zones: ZoneCount::of(job, &self.machines), tasks };
-        *steps += 1 + plan.coming.0.len();
+        *steps += 1 + plan.coming.groups();
         plan.coming.fill(&mut demand);
         if demand.tasks > 0 {
             self.plan_new_machines(&mut demand, plan, steps);
@@ -298,7 +193,7 @@
             *plan.wanted.entry(offer.clone()).or_default() += 1;
             *plan.counts.entry(offer.clone()).or_default() += 1;
             let left = machine_type.capacity.minus(&demand.request().times(tasks.into()));
-            plan.coming.add(offer, left, true, 1);
+            plan.coming.add(offer, left, Load::InUse, 1);
         }
     }
 
