--- a/src/scheduler/drains/drain.rs
+++ b/src/scheduler/drains/drain.rs
@@ -1,5 +1,6 @@
 //! One drain: its request, how far its machines are, and how far its records are stored.
 
+use crate::scheduler::WriteOutcome;
 use crate::time::Timestamp;
 use dockpier_drain::progress::{Chunk, MachineDrainState, Progress};
 use dockpier_drain::request::{DesiredState, StoredRequest};
@@ -46,22 +47,29 @@
     }
 
     /// The write has ended. What the state service has not confirmed is written again.
-    pub(super) fn end(&mut self, is_confirmed: bool) {
+    pub(super) fn end(&mut self, outcome: WriteOutcome) {
         self.in_flight = false;
-        self.has_changed |= !is_confirmed;
+        match outcome {
+            WriteOutcome::Done => {}
+            WriteOutcome::Refused | WriteOutcome::Unknown => self.has_changed = true,
+        }
     }
 }
 
 /// A drain as the leader knows it.
 #[derive(Debug)]
 pub(super) struct Drain {
+    /// What operators ask for.
     pub stored: StoredRequest,
+    /// How far each machine is.
     pub progress: Progress,
     /// One for each chunk of the progress.
     pub chunk_writes: Vec<WriteState>,
     /// Whether its machines are determined.
     pub is_resolved: bool,
+    /// What operators are told, once it was determined.
     pub summary: Option<Summary>,
+    /// How far the summary is stored.
     pub summary_write: WriteState,
     /// When the summary was last sent.
     pub summary_sent_at: Timestamp,
@@ -117,6 +125,7 @@
         self.is_resolved && !self.is_finished() && self.stored.desired_state == DesiredState::Run
     }
 
+    /// What operators are told of its state.
     pub(super) fn state(&self) -> DrainState {
         if self.is_finished() {
             return DrainState::Finished;
--- a/src/scheduler/drains/eviction.rs
+++ b/src/scheduler/drains/eviction.rs
@@ -3,6 +3,7 @@
 use super::destination::{Destination, MoveCapacity};
 use super::stops::PlannedStop;
 use crate::limits;
+use crate::scheduler::autoscaler::DeletionReason;
 use crate::scheduler::model::{Job, Kind, Machine, MachineState, Placement, TaskId, TaskStatus};
 use crate::scheduler::Scheduler;
 use dockpier_drain::ledger::Allowance;
@@ -24,7 +25,9 @@
 
 /// A cordoned machine of a drain that goes on.
 pub(super) struct Cordoned {
+    /// The drain.
     pub drain: DrainId,
+    /// Name of the machine.
     pub machine: String,
     /// Whether the drain's deadline has passed.
     is_late: bool,
@@ -98,7 +101,7 @@
 
     fn delete_drained(&mut self, name: &str) {
         if self.machines.get(name).is_some_and(|machine| !machine.lifecycle.deleting) {
-            self.delete(vec![name.to_string()], "drained");
+            self.delete(vec![name.to_string()], DeletionReason::Drained);
         }
     }
 
@@ -233,8 +236,8 @@
     }
 }
 
-/// How long a task runs on by its owner's estimate, in seconds. One that has run for longer may do so for long: half as
-/// long again.
+/// How long a task runs on by its owner's estimate, in seconds. One that has run for longer may do so for long: half
+/// as long again.
 fn remaining_s(estimate_s: f64, ran_s: f64) -> f64 {
     if ran_s < estimate_s {
         estimate_s - ran_s
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -1,9 +1,10 @@
-//! Preemption for a job that cannot start: the paper's shrink (figure 2). Decides whether tasks of other jobs stop for
-//! it, and asks them to.
+//! Preemption for a job that cannot start: the paper's shrink (figure 2). Decides whether tasks of other jobs stop
+//! for it, and asks them to.
 
 use super::candidates::{PlacementRequest, SharedFetch};
 use super::capacity::FreeCapacity;
 use super::victims::{Protection, Victim, VictimSearch};
+use super::Round;
 use crate::scheduler::model::{Job, JobId, Kind, PendingReason, Priority, Resources};
 use crate::scheduler::quota::TeamUsage;
 use crate::scheduler::Scheduler;
@@ -22,41 +23,36 @@
 /// Tasks to stop, and the machines that the newcomer then uses.
 struct PreemptionPlan {
     victims: Vec<Victim>,
+    /// Names of machines, one for each task.
     targets: Vec<String>,
 }
 
 impl Scheduler {
-    /// Stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots. Room of stops under
-    /// way counts as found, so that no two preemptions are made for it; so does room whose machine is fetching an image
-    /// for another job.
-    pub(super) fn preempt_for(
-        &mut self,
-        job_id: JobId,
-        missing: u32,
-        capacity: &mut FreeCapacity,
-        steps: &mut usize,
-    ) -> Preemption {
+    /// Figure 2: stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots. Room of
+    /// stops under way counts as found, so that no two preemptions are made for it; so does room whose machine is
+    /// fetching an image for another job.
+    pub(super) fn preempt_for(&mut self, job_id: JobId, missing: u32, round: &mut Round) -> Preemption {
         let Some(job) = self.jobs.get(&job_id) else { return Preemption::Impossible };
         let request = job.spec.resource_request;
-        let after_stops = capacity.after_stops(&self.machines);
+        let after_stops = round.capacity.after_stops(&self.machines);
         let newcomer = PlacementRequest { job, tasks: missing, shared_fetch: SharedFetch::Allow };
-        let coming = self.find_machines(newcomer, &after_stops, steps);
+        let coming = self.find_machines(newcomer, &after_stops, &mut round.steps);
         if coming.len() as u32 >= missing {
-            capacity.take_on_each(&coming, &self.machines, &request);
+            round.capacity.take_on_each(&coming, &self.machines, &request);
             self.wait(job_id, PendingReason::StopsOrFetchUnderWay);
             return Preemption::UnderWay;
         }
-        if !self.may_preempt_any(job, capacity) {
+        if !self.may_preempt_any(job, &round.capacity) {
             self.wait(job_id, PendingReason::NothingToPreempt);
             return Preemption::Impossible;
         }
-        let order = capacity.preemption_order.get_or_insert_with(|| self.preemption_order()).clone();
-        let Some(plan) = self.plan_preemption(newcomer, &order, &after_stops, steps) else {
+        let order = round.capacity.preemption_order.get_or_insert_with(|| self.preemption_order()).clone();
+        let Some(plan) = self.plan_preemption(newcomer, &order, &after_stops, &mut round.steps) else {
             self.wait(job_id, PendingReason::PreemptionInsufficient);
             return Preemption::Impossible;
         };
-        capacity.take_on_each(&plan.targets, &self.machines, &request);
-        self.preempt(job_id, plan, capacity);
+        round.capacity.take_on_each(&plan.targets, &self.machines, &request);
+        self.preempt(job_id, plan, &mut round.capacity);
         self.wait(job_id, PendingReason::StopsUnderWay);
         Preemption::UnderWay
     }
@@ -67,6 +63,7 @@
             || self.within_guarantee(&job.spec.team, &job.spec.resource_request, &capacity.team_usage)
     }
 
+    /// Victims that make room for the newcomer, and where; None: all that may be preempted are not enough.
     fn plan_preemption(
         &self,
         newcomer: PlacementRequest<'_>,
@@ -74,8 +71,8 @@
         after_stops: &FreeCapacity,
         steps: &mut usize,
     ) -> Option<PreemptionPlan> {
-        // Exception 4 of `docs/design.md`: a critical job that cannot start goes on where the design stops. A swarm of
-        // lower jobs pinned at one task each would otherwise keep it out until a machine has booted.
+        // Exception 4 of `docs/design.md`: a critical job that cannot start goes on where the design stops. A swarm
+        // of lower jobs pinned at one task each would otherwise keep it out until a machine has booted.
         let stages: &[Protection] = match newcomer.job.spec.priority {
             Priority::Critical => &[Protection::GapAndMinimum, Protection::Minimum, Protection::None],
             Priority::Low | Priority::Normal | Priority::High => &[Protection::GapAndMinimum],
@@ -93,6 +90,8 @@
         })
     }
 
+    /// Asks the victims to stop: a rescaling event of their jobs. The room counts once the workers confirm (paper,
+    /// 3.1).
     fn preempt(&mut self, newcomer: JobId, plan: PreemptionPlan, capacity: &mut FreeCapacity) {
         let now = self.now;
         for Victim { machine, task } in plan.victims {
