--- a/src/api/operations.rs
+++ b/src/api/operations.rs
@@ -18,7 +18,7 @@
     pub(super) async fn cold_start(&self) -> Result<Response, Refusal> {
         self.spend_store_budget(0)?;
         match self.store.get(keys::COLD_START_REPORT, limits::STORE_TIMEOUT).await? {
-            Some((report, _version)) => Ok(json(StatusCode::OK, &report)),
+            Some(report) => Ok(json(StatusCode::OK, &report.value)),
             None => Err(NotFound::ColdStartReport.into()),
         }
     }
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -76,12 +76,11 @@
         }
         let _permit = self.admit_change()?;
         self.spend_store_budget(2)?;
-        let Some((live, version)) = self.store.get(&keys::live_job(job_id), limits::POLL_TIMEOUT).await?
-        else {
+        let Some(live) = self.store.get(&keys::live_job(job_id), limits::POLL_TIMEOUT).await? else {
             let state = self.read_final_state(job_id).await?.ok_or(NotFound::Job)?;
             return Ok(json(StatusCode::OK, &state));
         };
-        match self.store_cancellation(job_id, LiveRecord::tasks_of(&live), version).await? {
+        match self.store_cancellation(job_id, LiveRecord::tasks_of(&live.value), live.version).await? {
             CommitOutcome::Committed { .. } => {
                 info!(job = %job_id, "cancelled");
                 let state = JobState::without_counts(job_id, JobStatus::Cancelled);
@@ -164,9 +163,9 @@
 
     async fn read_final_state(&self, job_id: JobId) -> Result<Option<JobState>, Refusal> {
         let stored = self.store.get(&keys::final_state(job_id), limits::POLL_TIMEOUT).await?;
-        let Some((value, _version)) = stored else { return Ok(None) };
+        let Some(stored) = stored else { return Ok(None) };
         let record: FinalRecord =
-            serde_json::from_value(value).map_err(|error| StoreError::Malformed(error.to_string()))?;
+            serde_json::from_value(stored.value).map_err(|error| StoreError::Malformed(error.to_string()))?;
         let done = if record.status == JobStatus::Done { record.tasks } else { 0 };
         let (done, running) = (Some(done), Some(0));
         let state = JobState { job_id: job_id.to_string(), status: record.status, done, running };
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -58,44 +58,52 @@
     types: watch::Sender<Types>,
     events: mpsc::Sender<Event>,
 ) {
-    let publish = |catalog: &Catalog| {
-        let by_name = cloud::types(catalog)
-            .into_iter()
-            .map(|machine_type| (machine_type.name.clone(), machine_type))
-            .collect();
-        let known: Types = Arc::new(by_name);
-        types.send_replace(known.clone());
-        Event::Types(known)
-    };
-    let stored = store.get(keys::MACHINE_TYPE_CATALOG, limits::STORE_TIMEOUT).await;
-    let mut is_stored = false;
-    if let Ok(Some((value, _))) = &stored {
-        if let Ok(catalog) = serde_json::from_value(value.clone()) {
-            is_stored = true;
-            // The controller ends only with the process.
-            let _ = events.send(publish(&catalog)).await;
-        }
+    let stored = stored_catalog(&store).await;
+    let mut is_stored = stored.is_some();
+    if let Some(catalog) = &stored {
+        // The controller ends only with the process.
+        let _ = events.send(publish_types(catalog, &types)).await;
     }
     loop {
         let Some(catalog) = cloud.catalog().await else {
             tokio::time::sleep(rand::random_range(CATALOG_RETRY_DELAY)).await;
             continue;
         };
-        if events.send(publish(&catalog)).await.is_err() {
+        if events.send(publish_types(&catalog, &types)).await.is_err() {
             return;
         }
         if !is_stored {
-            // The first node stores it; a conflict means that another did.
-            if let Ok(change) = write_change(keys::MACHINE_TYPE_CATALOG, &catalog) {
-                let outcome =
-                    store.commit(vec![compare_version(keys::MACHINE_TYPE_CATALOG, 0)], vec![change]).await;
-                is_stored = matches!(outcome, CommitOutcome::Committed { .. } | CommitOutcome::Conflict);
-            }
+            is_stored = store_catalog(&store, &catalog).await;
         }
         tokio::time::sleep(limits::CATALOG_REFRESH_INTERVAL).await;
     }
 }
 
+/// The catalog that some node stored, if it can be read.
+async fn stored_catalog(store: &KeyValueStore) -> Option<Catalog> {
+    let stored = store.get(keys::MACHINE_TYPE_CATALOG, limits::STORE_TIMEOUT).await.ok()??;
+    serde_json::from_value(stored.value).ok()
+}
+
+/// Stores the catalog if no node has; returns whether it is stored. A conflict means that another node stored it.
+async fn store_catalog(store: &KeyValueStore, catalog: &Catalog) -> bool {
+    let Ok(change) = write_change(keys::MACHINE_TYPE_CATALOG, catalog) else { return false };
+    let absent = compare_version(keys::MACHINE_TYPE_CATALOG, 0);
+    let outcome = store.commit(vec![absent], vec![change]).await;
+    matches!(outcome, CommitOutcome::Committed { .. } | CommitOutcome::Conflict)
+}
+
+/// Publishes the machine types to this node's API; returns the event that publishes them to the controller.
+fn publish_types(catalog: &Catalog, types: &watch::Sender<Types>) -> Event {
+    let by_name = cloud::types(catalog)
+        .into_iter()
+        .map(|machine_type| (machine_type.name.clone(), machine_type))
+        .collect();
+    let known: Types = Arc::new(by_name);
+    types.send_replace(known.clone());
+    Event::Types(known)
+}
+
 /// Sends rentals and deletions within the cloud's limit of `rps` requests a second. Deletions go first: machines cost
 /// money, and tasks are replaced only once their machine is proved to be deleted. Requests run side by side, so that
 /// one without an answer does not delay the others.
--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -7,7 +7,7 @@
 use crate::scheduler::cold_start::{ColdStartReport, JobReading};
 use crate::scheduler::model::JobId;
 use crate::scheduler::Command;
-use crate::storage::key_value_store::write_change;
+use crate::storage::key_value_store::{write_change, VersionedValue};
 use crate::storage::keys;
 
 impl Controller {
@@ -18,10 +18,12 @@
         self.spawn_scheduler_request(async move {
             let key = keys::live_job(job_id);
             let reading = match store.get(&key, limits::STORE_TIMEOUT).await {
-                Ok(Some((value, version))) => match stored_job(&Record { key, value, version }) {
-                    Some(job) => JobReading::Live(Box::new(job)),
-                    None => JobReading::Unreadable,
-                },
+                Ok(Some(VersionedValue { value, version })) => {
+                    match stored_job(&Record { key, value, version }) {
+                        Some(job) => JobReading::Live(Box::new(job)),
+                        None => JobReading::Unreadable,
+                    }
+                }
                 Ok(None) => JobReading::Absent,
                 Err(_) => JobReading::Failed,
             };
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -80,7 +80,7 @@
             return;
         }
         self.next_usage_log_at = now + USAGE_LOG_INTERVAL;
-        info!(%token, "{}", scheduler.fleet_line());
+        info!(%token, "{}", scheduler.usage_line());
         self.limit_warnings.judge(scheduler.machines.len(), deployment);
     }
 }
--- a/src/controller/job_loading.rs
+++ b/src/controller/job_loading.rs
@@ -7,7 +7,7 @@
 use crate::protocol::state_service::Record;
 use crate::scheduler::model::JobId;
 use crate::scheduler::{StoredJob, StoredMachine};
-use crate::storage::key_value_store::{KeyValueStore, StoreError};
+use crate::storage::key_value_store::{KeyValueStore, Listing, StoreError};
 use crate::storage::keys;
 use crate::storage::record_versions::RecordVersions;
 use std::collections::{BTreeSet, HashMap};
@@ -47,9 +47,9 @@
 /// Reads everything once.
 pub(super) async fn load(store: &KeyValueStore, versions: &RecordVersions) -> Result<Loaded, StoreError> {
     // The live jobs first: what finishes during the other reads is then followed from their revision.
-    let (live, revision) = store.list(keys::LIVE_JOBS).await?;
-    let (finished, _) = store.list(keys::FINISHED_TASKS).await?;
-    let (fleet, _) = store.list(keys::MACHINE_RECORDS).await?;
+    let Listing { records: live, revision } = store.list(keys::LIVE_JOBS).await?;
+    let finished = store.list(keys::FINISHED_TASKS).await?.records;
+    let fleet = store.list(keys::MACHINE_RECORDS).await?.records;
     finished.iter().chain(&fleet).for_each(|record| versions.note(&record.key, record.version));
     let mut jobs: HashMap<JobId, StoredJob> =
         live.iter().filter_map(stored_job).map(|job| (job.spec.job_id, job)).collect();
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -11,7 +11,7 @@
 use crate::scheduler::model::JobId;
 use crate::scheduler::Command;
 use crate::settings::Team;
-use crate::storage::key_value_store::{compare_version, remove_change, KeyValueStore, StoreError};
+use crate::storage::key_value_store::{compare_version, remove_change, KeyValueStore, Listing, StoreError};
 use crate::storage::keys;
 use crate::storage::record_versions::RecordVersions;
 use std::collections::BTreeSet;
@@ -111,7 +111,7 @@
 
     /// Reads the live jobs again, because the log no longer goes back to the last revision. `None`: no answer.
     async fn read_again(&mut self) -> Option<u64> {
-        let (records, revision) = self.store.list(keys::LIVE_JOBS).await.ok()?;
+        let Listing { records, revision } = self.store.list(keys::LIVE_JOBS).await.ok()?;
         let jobs: Vec<_> = records.iter().filter_map(stored_job).collect();
         let listed: BTreeSet<JobId> = jobs.iter().map(|job| job.spec.job_id).collect();
         for job_id in self.known.difference(&listed) {
--- a/src/drains/endpoint.rs
+++ b/src/drains/endpoint.rs
@@ -10,7 +10,7 @@
 use crate::protocol::records::MachineRecord;
 use crate::protocol::state_service::Record;
 use crate::settings::Team;
-use crate::storage::key_value_store::{compare_version, write_change, CommitOutcome};
+use crate::storage::key_value_store::{compare_version, write_change, CommitOutcome, VersionedValue};
 use crate::storage::keys;
 use dockpier_drain::ledger::{Ledger, LedgerRecord, Totals};
 use dockpier_drain::progress::MachineEntry;
@@ -75,8 +75,8 @@
     pub(crate) async fn list_drains(&self) -> Result<Response, Refusal> {
         self.check_draining_enabled()?;
         self.spend_store_budget(0)?;
-        let (requests, _) = self.store.list(records::REQUESTS).await?;
-        let (summaries, _) = self.store.list(records::SUMMARIES).await?;
+        let requests = self.store.list(records::REQUESTS).await?.records;
+        let summaries = self.store.list(records::SUMMARIES).await?.records;
         let summaries: BTreeMap<&str, &Record> =
             summaries.iter().map(|record| (record.key.as_str(), record)).collect();
         let readable: Vec<StoredRequest> = requests.iter().filter_map(records::read).collect();
@@ -139,7 +139,7 @@
     pub(crate) async fn list_budgets(&self) -> Result<Response, Refusal> {
         self.check_draining_enabled()?;
         self.spend_store_budget(0)?;
-        let (ledgers, _) = self.store.list(records::LEDGERS).await?;
+        let ledgers = self.store.list(records::LEDGERS).await?.records;
         let now = wall_ms();
         let view = |team: &Team| {
             let key = ledger_key(&team.name);
@@ -177,7 +177,9 @@
     }
 
     async fn read_request(&self, id: &DrainId) -> Result<Option<VersionedRequest>, Refusal> {
-        let Some((value, version)) = self.store.get(&request_key(id), limits::STORE_TIMEOUT).await? else {
+        let Some(VersionedValue { value, version }) =
+            self.store.get(&request_key(id), limits::STORE_TIMEOUT).await?
+        else {
             return Ok(None);
         };
         let stored = serde_json::from_value(value)
@@ -189,12 +191,12 @@
     /// again.
     async fn read_summary(&self, id: &DrainId) -> Result<Option<Summary>, Refusal> {
         let found = self.store.get(&summary_key(id), limits::STORE_TIMEOUT).await?;
-        Ok(found.and_then(|(value, _version)| serde_json::from_value(value).ok()))
+        Ok(found.and_then(|found| serde_json::from_value(found.value).ok()))
     }
 
     /// The machines of a drain; none where a part of them can't be read.
     async fn read_machines(&self, id: &DrainId) -> Result<Vec<MachineEntry>, Refusal> {
-        let (found, _) = self.store.list(&progress_prefix(id)).await?;
+        let found = self.store.list(&progress_prefix(id)).await?.records;
         let chunks = records::parts(found.iter()).unwrap_or_default();
         Ok(chunks.into_iter().flat_map(|chunk| chunk.machines).collect())
     }
@@ -215,7 +217,7 @@
         if types.is_empty() {
             return Err(Unavailable::NoCatalog.into());
         }
-        let (fleet, _) = self.store.list(keys::MACHINE_RECORDS).await?;
+        let fleet = self.store.list(keys::MACHINE_RECORDS).await?.records;
         let machines = fleet.iter().filter_map(records::read::<Vec<MachineRecord>>).flatten();
         Ok(Inventory {
             machines: machines.map(|record| record.machine).collect(),
--- a/src/drains/records.rs
+++ b/src/drains/records.rs
@@ -4,7 +4,7 @@
 use crate::protocol::state_service::Record;
 use crate::scheduler::drains::{DrainKey, LoadedDrains};
 use crate::settings::Team;
-use crate::storage::key_value_store::{KeyValueStore, StoreError};
+use crate::storage::key_value_store::{KeyValueStore, Listing, StoreError};
 use crate::storage::record_versions::RecordVersions;
 use dockpier_drain::ledger::LedgerRecord;
 use dockpier_drain::progress::Chunk;
@@ -89,7 +89,7 @@
 /// # Errors
 /// The state service could not be read.
 pub async fn load_requests(store: &KeyValueStore) -> Result<(Vec<StoredRequest>, u64), StoreError> {
-    let (records, revision) = store.list(REQUESTS).await?;
+    let Listing { records, revision } = store.list(REQUESTS).await?;
     Ok((records.iter().filter_map(read).collect(), revision))
 }
 
@@ -109,9 +109,9 @@
     teams: &[Team],
 ) -> Result<LoadedDrains, StoreError> {
     let (mut requests, _) = load_requests(store).await?;
-    let (progress_records, _) = store.list(PROGRESS).await?;
-    let (summary_records, _) = store.list(SUMMARIES).await?;
-    let (ledger_records, _) = store.list(LEDGERS).await?;
+    let progress_records = store.list(PROGRESS).await?.records;
+    let summary_records = store.list(SUMMARIES).await?.records;
+    let ledger_records = store.list(LEDGERS).await?.records;
     for record in progress_records.iter().chain(&summary_records).chain(&ledger_records) {
         versions.note(&record.key, record.version);
     }
--- a/src/scheduler/autoscaler/machine_list.rs
+++ b/src/scheduler/autoscaler/machine_list.rs
@@ -20,7 +20,7 @@
     /// The cloud's list of machines has arrived.
     pub(in crate::scheduler) fn listed(&mut self, list: Vec<ListedMachine>) {
         let now = self.now;
-        self.fleet.deleted.retain(|_, since| now < *since + limits::DELETED_MACHINE_RETENTION);
+        self.autoscaler.deleted.retain(|_, since| now < *since + limits::DELETED_MACHINE_RETENTION);
         let shown: BTreeSet<String> = list.iter().map(|listed| listed.machine.name.clone()).collect();
         for listed in &list {
             self.adopt_if_unknown(listed);
@@ -33,7 +33,7 @@
     /// A late rental, or one of an earlier leader's: used, or deleted when idle.
     fn adopt_if_unknown(&mut self, listed: &ListedMachine) {
         let name = &listed.machine.name;
-        let is_known = self.machines.contains_key(name) || self.fleet.deleted.contains_key(name);
+        let is_known = self.machines.contains_key(name) || self.autoscaler.deleted.contains_key(name);
         if is_known || !self.loaded {
             return;
         }
@@ -80,10 +80,10 @@
         for machine in self.machines.values() {
             let is_silent = now >= machine.heartbeats.last_at + silence_timeout;
             if shown.contains(&machine.name) || !is_silent || machine.lifecycle.deleting {
-                self.fleet.missing.remove(&machine.name);
+                self.autoscaler.missing.remove(&machine.name);
                 continue;
             }
-            let since = *self.fleet.missing.entry(machine.name.clone()).or_insert(now);
+            let since = *self.autoscaler.missing.entry(machine.name.clone()).or_insert(now);
             if now >= since + lag && now >= machine.lifecycle.known_since + lag {
                 taken.push(machine.name.clone());
             }
--- a/src/scheduler/autoscaler/mod.rs
+++ b/src/scheduler/autoscaler/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::time::{from_seconds, Timestamp};
 pub(super) use deletion_reason::DeletionReason;
-pub use offer::{InstanceOffer, Offer};
+pub use offer::InstanceOffer;
 use std::time::Duration;
 
 use super::model::{JobSpec, Machine, MachineState, MachineType, TerminationProof};
@@ -40,7 +40,7 @@
 
 /// State of the autoscaler: rentals under way, refused offers, deleted machines.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Autoscaler {
     /// When the next round is due.
     due: Timestamp,
     /// Number of the last rental request.
@@ -50,7 +50,7 @@
     /// Offers that the cloud has refused.
     refused: BTreeMap<InstanceOffer, OfferBackoff>,
     /// Machines with stops to send directly.
-    pub direct: BTreeSet<String>,
+    pub direct_stops: BTreeSet<String>,
     /// Silent machines that the cloud's list does not show: since when.
     missing: BTreeMap<String, Timestamp>,
     /// When a replica was last moved.
@@ -61,20 +61,20 @@
     pub plan: Option<ScalingPlan>,
 }
 
-impl Fleet {
+impl Autoscaler {
     /// State of a leader that begins now.
     pub fn new(now: Timestamp) -> Self {
-        Fleet { due: now, ..Fleet::default() }
+        Autoscaler { due: now, ..Autoscaler::default() }
     }
 }
 
 impl Scheduler {
     /// Scales out and in once per `AUTOSCALER_INTERVAL`; a plan that its budget did not suffice for goes on before.
-    pub(super) fn fleet_round(&mut self) {
-        if self.now < self.fleet.due {
+    pub(super) fn autoscaler_round(&mut self) {
+        if self.now < self.autoscaler.due {
             return;
         }
-        if self.fleet.plan.is_none() {
+        if self.autoscaler.plan.is_none() {
             self.account();
             self.delete_lost();
             // Before the machines of the last leader are known, every one of them would look missing.
@@ -86,12 +86,12 @@
         }
         let is_complete = self.continue_plan();
         let pause = if is_complete { limits::AUTOSCALER_INTERVAL } else { limits::AUTOSCALER_RESUME_DELAY };
-        self.fleet.due = self.now + pause;
+        self.autoscaler.due = self.now + pause;
     }
 
     /// Whether the cloud has refused this offer lately.
     pub(super) fn is_backing_off(&self, offer: &InstanceOffer) -> bool {
-        self.fleet.refused.get(offer).is_some_and(|backoff| self.now < backoff.until)
+        self.autoscaler.refused.get(offer).is_some_and(|backoff| self.now < backoff.until)
     }
 
     /// Scale in: deletes machines that have been idle for long enough, except those in `kept`, and those that are to
@@ -169,8 +169,8 @@
 
     fn remove_machine(&mut self, name: String) {
         self.release_machine(&name, TerminationProof::Deleted);
-        self.fleet.deleted.insert(name.clone(), self.now);
-        self.fleet.missing.remove(&name);
+        self.autoscaler.deleted.insert(name.clone(), self.now);
+        self.autoscaler.missing.remove(&name);
         self.note_machine_gone(&name);
         if let Some(machine) = self.machines.remove(&name) {
             self.forget_images(&machine);
@@ -194,12 +194,12 @@
         if self.replacement_rented(request, &machines, outcome) {
             return;
         }
-        let Some(Rental { offer, count }) = self.fleet.renting.remove(&request) else { return };
+        let Some(Rental { offer, count }) = self.autoscaler.renting.remove(&request) else { return };
         let names = machines.unwrap_or_default();
         if outcome == WriteOutcome::Refused || (names.len() as u32) < count {
             self.back_off(&offer);
         } else {
-            self.fleet.refused.remove(&offer);
+            self.autoscaler.refused.remove(&offer);
         }
         for name in names {
             self.machine(&offer.machine_named(name));
@@ -208,7 +208,7 @@
 
     fn back_off(&mut self, offer: &InstanceOffer) {
         let first = OfferBackoff { until: Timestamp::ZERO, pause: limits::RENTAL_BACKOFF / 2 };
-        let last = self.fleet.refused.get(offer).copied().unwrap_or(first);
+        let last = self.autoscaler.refused.get(offer).copied().unwrap_or(first);
         // Requests made together that are refused together are one refusal.
         let pause =
             if self.now < last.until { last.pause } else { (last.pause * 2).min(limits::MAX_RENTAL_BACKOFF) };
@@ -219,11 +219,11 @@
             pause_s = pause.as_secs(),
             "refused"
         );
-        self.fleet.refused.insert(offer.clone(), OfferBackoff { until: self.now + pause, pause });
+        self.autoscaler.refused.insert(offer.clone(), OfferBackoff { until: self.now + pause, pause });
     }
 
     /// For the operators' log: how many machines there are in each state, and what they hold.
-    pub fn fleet_line(&self) -> String {
+    pub fn usage_line(&self) -> String {
         let count = |counts: &dyn Fn(&Machine) -> bool| self.machines.values().filter(|m| counts(m)).count();
         let waiting: usize = self.jobs.values().map(|job| job.progress.pending.len()).sum();
         let placed: usize = self.machines.values().map(|machine| machine.tasks.len()).sum();
--- a/src/scheduler/autoscaler/offer.rs
+++ b/src/scheduler/autoscaler/offer.rs
@@ -3,10 +3,6 @@
 use crate::scheduler::model::{Machine, StoredMachine};
 use std::collections::BTreeSet;
 
-/// A kind of machine: type, zone, and whether it is a spot machine. `lease_expiry` keeps those of which some machine
-/// is not accounted for.
-pub type Offer = (String, String, bool);
-
 /// A kind of machine that the cloud may have. Ordered by type, then by zone, ordinary before spot.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceOffer {
--- a/src/scheduler/cold_start/unknown_jobs.rs
+++ b/src/scheduler/cold_start/unknown_jobs.rs
@@ -92,7 +92,7 @@
             }
         }
         for name in stopped {
-            self.fleet.direct.insert(name.clone());
+            self.autoscaler.direct_stops.insert(name.clone());
             self.request_wake(&name);
         }
     }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -129,7 +129,7 @@
         for ReplicaMove { from, task } in self.choose_replica_moves() {
             info!(task = %task, machine = from, "moving a replica off a surplus machine");
             self.decided(format!("move {task} off {from}"));
-            self.fleet.last_move_at = self.now;
+            self.autoscaler.last_move_at = self.now;
             let now = self.now;
             if let Some(job) = self.jobs.get_mut(&task.job_id) {
                 job.elasticity.last_resized_at = now;
@@ -143,7 +143,7 @@
             |job: &Job| job.terminated || job.spec.spot || job.progress.pending.is_empty();
         self.reconciled
             && self.now >= self.started_at + limits::REPLICA_MOVE_INITIAL_DELAY
-            && self.now >= self.fleet.last_move_at + limits::REPLICA_MOVE_INTERVAL
+            && self.now >= self.autoscaler.last_move_at + limits::REPLICA_MOVE_INTERVAL
             && self.jobs.values().all(has_all_fixed_work)
     }
 
--- a/src/scheduler/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -85,8 +85,8 @@
             format!("drain-{}-{accepted}-{}-{}", replacing.drain, replacing.machine, replacing.attempt);
         let Some(offer) = self.machines.get(&replacing.machine).map(InstanceOffer::of) else { return };
         let InstanceOffer { machine_type, zone, spot } = offer;
-        self.fleet.requests += 1;
-        let request = self.fleet.requests;
+        self.autoscaler.requests += 1;
+        let request = self.autoscaler.requests;
         info!(drain = %replacing.drain, machine = replacing.machine, request, "rent a replacement");
         let purpose = ReplacementFor { drain: replacing.drain.clone(), machine: replacing.machine.clone() };
         self.drains.renting.insert(request, purpose);
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -155,7 +155,7 @@
 
     /// Sends stops straight to the workers too, since their next heartbeats may be seconds away.
     pub(super) fn send_direct_stops(&mut self) {
-        for name in std::mem::take(&mut self.fleet.direct) {
+        for name in std::mem::take(&mut self.autoscaler.direct_stops) {
             let Some(machine) = self.machines.get(&name) else { continue };
             let task_commands: Vec<TaskCommand> = stop_commands(machine).collect();
             if machine.state == MachineState::Ready && !task_commands.is_empty() {
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -104,7 +104,7 @@
         }
         // A heartbeat that a partition held back may arrive after its machine was deleted. Its tasks may run elsewhere
         // by then; taken in, it would make them seem to be in two places.
-        if self.fleet.deleted.contains_key(&heartbeat.machine) {
+        if self.autoscaler.deleted.contains_key(&heartbeat.machine) {
             self.ignored_heartbeats.stale += 1;
             return HeartbeatOutcome::Stale;
         }
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -10,8 +10,9 @@
 //! A leaseholder may have responded to any machine since its last shard heartbeat, so silence only counts up to
 //! `PeerNodes::responses_known_until`.
 
+use super::autoscaler::InstanceOffer;
 use super::model::{Job, Machine, MachineState, TerminationProof};
-use super::{autoscaler, Scheduler};
+use super::Scheduler;
 use crate::limits;
 use crate::time::{to_millis, Timestamp};
 use std::collections::BTreeSet;
@@ -52,8 +53,10 @@
     /// Whether every machine on which an earlier leader may have started the job is accounted for, as of the beginning
     /// of the round.
     pub(super) fn reconciled_for(&self, job: &Job) -> bool {
-        let may_use = |(machine_type, zone, spot): &autoscaler::Offer| {
-            job.spec.allows_type(machine_type) && job.spec.allows_zone(zone) && (!spot || job.spec.spot)
+        let may_use = |offer: &InstanceOffer| {
+            job.spec.allows_type(&offer.machine_type)
+                && job.spec.allows_zone(&offer.zone)
+                && (!offer.spot || job.spec.spot)
         };
         self.reconciled || !self.unreconciled.iter().any(may_use)
     }
@@ -65,9 +68,7 @@
             return;
         }
         let unreconciled = self.machines.values().filter(|machine| machine.is_unreconciled());
-        self.unreconciled = unreconciled
-            .map(|machine| (machine.machine_type.clone(), machine.zone.clone(), machine.spot))
-            .collect();
+        self.unreconciled = unreconciled.map(InstanceOffer::of).collect();
     }
 
     /// Releases the machines whose leases have expired. Runs once per `LEASE_EXPIRY_INTERVAL`.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -41,7 +41,7 @@
 
 use crate::lease::renewal::LeaseRenewal;
 use crate::limits;
-use autoscaler::Fleet;
+use autoscaler::{Autoscaler, InstanceOffer};
 use drains::Drains;
 use model::{Heartbeat, HeartbeatSource, Job, JobId, Machine, MachineState, MachineType};
 use peer_nodes::PeerNodes;
@@ -82,7 +82,7 @@
     /// Names of the machines that have each image, as far as is known.
     machines_by_image: BTreeMap<String, BTreeSet<String>>,
     /// Machines that are rented and deleted.
-    pub fleet: Fleet,
+    pub autoscaler: Autoscaler,
     drains: Drains,
 
     // Decisions.
@@ -110,7 +110,7 @@
     /// Whether all machines of earlier leaders are accounted for.
     reconciled: bool,
     /// Kinds of machine (type, zone, spot) of which some are not accounted for, as of the last round.
-    unreconciled: BTreeSet<autoscaler::Offer>,
+    unreconciled: BTreeSet<InstanceOffer>,
     cold_start: cold_start::ColdStart,
 
     // Persistence.
@@ -136,7 +136,7 @@
             machines: BTreeMap::new(),
             types: BTreeMap::new(),
             machines_by_image: BTreeMap::new(),
-            fleet: Fleet::new(now),
+            autoscaler: Autoscaler::new(now),
             drains: Drains::default(),
             rounds: RoundSchedule::new(),
             steps: 0,
@@ -182,7 +182,7 @@
                 self.round();
             }
             self.write_due();
-            self.fleet_round();
+            self.autoscaler_round();
             self.drain_round();
             self.cold_start_round();
             self.send_direct_stops();
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -106,7 +106,7 @@
         let grace_s = placement.stopping.map_or(grace_s, |stop| stop.grace_s.min(grace_s));
         if placement.stopping.is_none_or(|stop| stop.grace_s > grace_s) {
             placement.stopping = Some(StopRequest { requested_at: now, grace_s });
-            self.fleet.direct.insert(name.to_string());
+            self.autoscaler.direct_stops.insert(name.to_string());
             self.request_wake(name);
         }
     }
--- a/src/scheduler/scaling_plan/mod.rs
+++ b/src/scheduler/scaling_plan/mod.rs
@@ -57,7 +57,7 @@
                 coming.add(offer, machine_type.capacity, Load::Empty, *count);
             }
         }
-        self.fleet.plan = Some(ScalingPlan {
+        self.autoscaler.plan = Some(ScalingPlan {
             queue: self.planning_order().into_iter(),
             coming,
             counts,
@@ -86,7 +86,7 @@
         for machine in self.machines.values().filter(is_booting) {
             *counts.entry(InstanceOffer::of(machine)).or_default() += 1;
         }
-        for rental in self.fleet.renting.values() {
+        for rental in self.autoscaler.renting.values() {
             *counts.entry(rental.offer.clone()).or_default() += rental.count;
         }
         counts
@@ -95,7 +95,7 @@
     /// Goes on within a budget of decision steps; rents and deletes machines when all jobs are planned. Returns
     /// whether they are.
     pub(super) fn continue_plan(&mut self) -> bool {
-        let Some(mut plan) = self.fleet.plan.take() else { return true };
+        let Some(mut plan) = self.autoscaler.plan.take() else { return true };
         let mut steps = 0;
         while steps < self.config.round_steps {
             let Some(job_id) = plan.queue.next() else {
@@ -108,7 +108,7 @@
             }
         }
         self.steps += steps as u64;
-        self.fleet.plan = Some(plan);
+        self.autoscaler.plan = Some(plan);
         false
     }
 
@@ -116,7 +116,7 @@
         let kept = self.plan_headroom(&mut plan);
         for (offer, mut count) in plan.wanted {
             // A request names at most so many, and all that are missing are missing now.
-            while count > 0 && self.fleet.renting.len() < self.config.rentals_at_once {
+            while count > 0 && self.autoscaler.renting.len() < self.config.rentals_at_once {
                 let part = count.min(limits::MAX_MACHINES_PER_RENTAL);
                 count -= part;
                 self.rent(&offer, part);
@@ -126,13 +126,13 @@
     }
 
     fn rent(&mut self, offer: &InstanceOffer, count: u32) {
-        self.fleet.requests += 1;
-        let request = self.fleet.requests;
+        self.autoscaler.requests += 1;
+        let request = self.autoscaler.requests;
         let InstanceOffer { machine_type, zone, spot } = offer.clone();
         info!(request, machine_type, zone, spot, count, "rent");
         let kind = if spot { "spot" } else { "ordinary" };
         self.decided(format!("rent {count} {kind} {machine_type} in {zone}"));
-        self.fleet.renting.insert(request, Rental { offer: offer.clone(), count });
+        self.autoscaler.renting.insert(request, Rental { offer: offer.clone(), count });
         self.effects.push(Effect::Rent { request, name: None, machine_type, zone, spot, count });
     }
 
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -37,6 +37,24 @@
     Malformed(String),
 }
 
+/// A value with the version that a compare-and-swap on its key compares.
+#[derive(Debug, Clone, PartialEq)]
+pub struct VersionedValue {
+    /// The stored JSON.
+    pub value: serde_json::Value,
+    /// The revision of the store that wrote it.
+    pub version: u64,
+}
+
+/// All records under a prefix.
+#[derive(Debug)]
+pub struct Listing {
+    /// In the order of their keys.
+    pub records: Vec<Record>,
+    /// The revision from which to follow the prefix.
+    pub revision: u64,
+}
+
 /// The outcome of a transaction.
 #[must_use]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -179,24 +197,21 @@
     ///
     /// # Errors
     /// No answer, a refusal, or an answer that can't be read.
-    pub async fn get(
-        &self,
-        key: &str,
-        timeout: Duration,
-    ) -> Result<Option<(serde_json::Value, u64)>, StoreError> {
+    pub async fn get(&self, key: &str, timeout: Duration) -> Result<Option<VersionedValue>, StoreError> {
         let answer = self.call(Method::GET, &format!("/store/{key}"), None, timeout).await?;
         match answer.status {
-            200 => json::<Value>(&answer).map(|found| Some((found.value, found.version))),
+            200 => json::<Value>(&answer)
+                .map(|found| Some(VersionedValue { value: found.value, version: found.version })),
             404 => Ok(None),
             other => Err(StoreError::Refused(other)),
         }
     }
 
-    /// Every record under a prefix, and the revision from which to follow it.
+    /// Every record under a prefix.
     ///
     /// # Errors
     /// As [`KeyValueStore::get`]; what was read before the error is dropped.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<Record>, u64), StoreError> {
+    pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
         let mut records: Vec<Record> = Vec::new();
         let mut revision = None;
         loop {
@@ -212,7 +227,7 @@
             let more = page.has_more && !page.records.is_empty();
             records.extend(page.records);
             if !more {
-                return Ok((records, first));
+                return Ok(Listing { records, revision: first });
             }
         }
     }
--- a/src/storage/leader_lock.rs
+++ b/src/storage/leader_lock.rs
@@ -4,7 +4,9 @@
 use crate::limits;
 use crate::protocol::records::Epoch;
 use crate::protocol::state_service::Change;
-use crate::storage::key_value_store::{compare_version, CommitOutcome, KeyValueStore, StoreError};
+use crate::storage::key_value_store::{
+    compare_version, CommitOutcome, KeyValueStore, StoreError, VersionedValue,
+};
 use crate::storage::keys;
 use crate::time::Timestamp;
 use thiserror::Error;
@@ -64,7 +66,9 @@
     pub async fn read_lock_state(&self) -> Result<LockState, StoreError> {
         // The lock first: an epoch read after an absent lock is at least as new as its end.
         let locked = self.get(keys::LEADER_LOCK, limits::STORE_TIMEOUT).await?.is_some();
-        let Some((value, version)) = self.get(keys::LEADER_EPOCH, limits::STORE_TIMEOUT).await? else {
+        let Some(VersionedValue { value, version }) =
+            self.get(keys::LEADER_EPOCH, limits::STORE_TIMEOUT).await?
+        else {
             return Ok(LockState { epoch: None, locked });
         };
         let epoch =
--- a/src/storage/live_job_cache.rs
+++ b/src/storage/live_job_cache.rs
@@ -9,7 +9,7 @@
 use crate::limits;
 use crate::node_events::{Event, LiveJobsUpdate};
 use crate::scheduler::model::JobId;
-use crate::storage::key_value_store::{KeyValueStore, StoreError};
+use crate::storage::key_value_store::{KeyValueStore, Listing, StoreError};
 use crate::storage::keys;
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -133,7 +133,7 @@
     store: &KeyValueStore,
     update: &mut LiveJobsUpdate,
 ) -> Result<CachedJobs, StoreError> {
-    let (records, revision) = store.list(keys::LIVE_JOBS).await?;
+    let Listing { records, revision } = store.list(keys::LIVE_JOBS).await?;
     let jobs: HashSet<JobId> = records.iter().filter_map(|record| job_of(&record.key)).collect();
     *update = LiveJobsUpdate {
         requested_at: update.requested_at,
--- a/src/storage/record_versions.rs
+++ b/src/storage/record_versions.rs
@@ -68,7 +68,7 @@
     async fn read_again(&self, store: &KeyValueStore, changed: &[ChangedKey]) {
         for ChangedKey { key, .. } in changed {
             if let Ok(found) = store.get(key, limits::STORE_TIMEOUT).await {
-                self.note(key, found.map_or(ABSENT, |(_, version)| version));
+                self.note(key, found.map_or(ABSENT, |found| found.version));
             }
         }
     }
--- a/tests/loopback/late_writes.rs
+++ b/tests/loopback/late_writes.rs
@@ -25,7 +25,7 @@
 
 async fn read(store: &KeyValueStore, key: &str) -> Option<String> {
     let found = store.get(key, dockpier::limits::STORE_TIMEOUT).await.unwrap();
-    found.and_then(|(value, _)| value.as_str().map(String::from))
+    found.and_then(|found| found.value.as_str().map(String::from))
 }
 
 /// Before records were conditional on their own version, the late write hid machines or finished tasks from the
--- a/tests/pinned_state/store_requests.rs
+++ b/tests/pinned_state/store_requests.rs
@@ -6,7 +6,7 @@
 use dockpier::fencing_token::FencingToken;
 use dockpier::protocol::records::Epoch;
 use dockpier::storage::key_value_store::{
-    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore,
+    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore, Listing,
 };
 use dockpier::storage::keys;
 use dockpier::storage::leader_lock::{LockCondition, LockState, StoredEpoch, Takeover};
@@ -48,7 +48,7 @@
     let stored = StoredEpoch { epoch: epoch(41), version: 8 };
     assert_eq!(store.read_lock_state().await.unwrap(), LockState { epoch: Some(stored), locked: true });
     assert!(store.get("over/job-000001", dockpier::limits::POLL_TIMEOUT).await.unwrap().is_none());
-    let (records, revision) = store.list(keys::LIVE_JOBS).await.unwrap();
+    let Listing { records, revision } = store.list(keys::LIVE_JOBS).await.unwrap();
     let keys: Vec<&str> = records.iter().map(|record| record.key.as_str()).collect();
     assert_eq!((keys, revision), (vec!["live/job-000001", "live/job-000002"], 30));
     let log = store.follow(keys::LIVE_JOBS, 30, Duration::ZERO).await.unwrap().unwrap();
--- a/tests/pinned_wire/state_requests.rs
+++ b/tests/pinned_wire/state_requests.rs
@@ -9,7 +9,8 @@
 use dockpier::protocol::state_service::{Change, ChangeLog, Record};
 use dockpier::settings::StateLimits;
 use dockpier::storage::key_value_store::{
-    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore, StoreError,
+    compare_version, remove_change, write_change, CommitOutcome, KeyValueStore, Listing, StoreError,
+    VersionedValue,
 };
 use dockpier::storage::keys;
 use dockpier::storage::leader_lock::{LockCondition, LockState, StoredEpoch, Takeover};
@@ -43,11 +44,11 @@
     }
 }
 
-fn found(value: Option<(serde_json::Value, u64)>) -> String {
-    value.map_or("nothing".into(), |(value, version)| format!("{value} at {version}"))
+fn found(found: Option<VersionedValue>) -> String {
+    found.map_or("nothing".into(), |VersionedValue { value, version }| format!("{value} at {version}"))
 }
 
-fn listed((records, revision): (Vec<Record>, u64)) -> String {
+fn listed(Listing { records, revision }: Listing) -> String {
     let line = |record: &Record| format!("{} = {} at {}\n", record.key, record.value, record.version);
     let lines: String = records.iter().map(line).collect();
     format!("{lines}up to {revision}")
--- a/tests/scheduler_rules/main.rs
+++ b/tests/scheduler_rules/main.rs
@@ -50,7 +50,7 @@
         }
     }
     let stuck: Vec<_> = world.live.keys().filter_map(|u| world.scheduler.jobs.get(u)).collect();
-    assert!(world.live.is_empty(), "seed {seed}: never done: {stuck:#?} {}", world.scheduler.fleet_line());
+    assert!(world.live.is_empty(), "seed {seed}: never done: {stuck:#?} {}", world.scheduler.usage_line());
     assert!(world.answered_by_leaseholders > 20, "seed {seed}: {}", world.answered_by_leaseholders);
     let parts = world.drains.progress.values().flat_map(|parts| parts.values());
     let drained = parts.flat_map(|part| &part.machines).filter(|entry| entry.state.is_final()).count() as u64;
