--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -9,7 +9,7 @@
 use crate::protocol;
 use crate::protocol::records::{FinalRecord, LiveRecord};
 use crate::protocol::users::{JobState, JobStatus, Submission};
-use crate::scheduler::model::{JobId, JobSpec, Kind, Resources};
+use crate::scheduler::model::{JobId, JobSpec, Kind, Resources, TaskCounts};
 use crate::scheduler::Scheduler;
 use crate::storage::key_value_store::{
     compare_version, remove_change, write_change, CommitOutcome, StoreError,
@@ -155,9 +155,10 @@
             self.spend_store_budget(0)?;
             return self.read_final_state(job_id).await;
         }
-        let (done, running) = self.summary.borrow().get(&job_id).copied().unwrap_or((0, 0));
+        let TaskCounts { succeeded, running } =
+            self.summary.borrow().get(&job_id).copied().unwrap_or_default();
         let status = if running > 0 { JobStatus::Running } else { JobStatus::Pending };
-        let (done, running) = (Some(done), Some(running));
+        let (done, running) = (Some(succeeded), Some(running));
         Ok(Some(JobState { job_id: job_id.to_string(), status, done, running }))
     }
 
@@ -182,8 +183,8 @@
         }
         let event = |reply_to| Event::Cancelled(job_id, reply_to);
         match self.ask(event, limits::CONFIRMATION_TIMEOUT).await? {
-            Some(true) => Ok(()),
-            Some(false) | None => Err(Unavailable::CancellationUnconfirmed),
+            Some(()) => Ok(()),
+            None => Err(Unavailable::CancellationUnconfirmed),
         }
     }
 
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -9,7 +9,7 @@
 use crate::limits;
 use crate::node_events::{Health, NodeView, Summary};
 use crate::peer::Payload;
-use crate::scheduler::model::JobId;
+use crate::scheduler::model::JobSummary;
 use crate::scheduler::overview::PageStart;
 use crate::scheduler::Scheduler;
 use crate::settings::Deployment;
@@ -48,9 +48,9 @@
     }
 
     /// Publishes the counts of a peer that leads.
-    pub(super) fn replace_summary(&self, lines: Vec<(u64, u32, u32)>) {
-        let lines = lines.into_iter().map(|(job, done, running)| (JobId(job), (done, running)));
-        self.summary.send_replace(Arc::new(lines.collect()));
+    pub(super) fn replace_summary(&self, jobs: Vec<JobSummary>) {
+        let counts = jobs.into_iter().map(|job| (job.job_id, job.counts));
+        self.summary.send_replace(Arc::new(counts.collect()));
     }
 
     /// Publishes the leader's counts here and to all peers, if they are due.
@@ -59,13 +59,11 @@
             return;
         }
         self.next_summary_at = now + SUMMARY_INTERVAL;
-        let lines = scheduler.summary();
-        let own = lines.iter().map(|(job_id, done, running)| (*job_id, (*done, *running))).collect();
-        self.summary.send_replace(Arc::new(own));
+        let mut jobs = scheduler.summary();
+        self.replace_summary(jobs.clone());
         // A job that is not named counts as without a task; a frame holds some four thousand.
-        let started = lines.into_iter().filter(|(_, done, running)| done + running > 0);
-        let lines = started.map(|(job_id, done, running)| (job_id.0, done, running)).collect();
-        peers.broadcast(&Payload::Summary(lines));
+        jobs.retain(|job| job.counts.succeeded + job.counts.running > 0);
+        peers.broadcast(&Payload::Summary(jobs));
     }
 
     /// Logs the use of the fleet, and limits that are small for it, if that is due.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -98,7 +98,7 @@
 /// A user's cancellation that waits until it may be confirmed.
 struct PendingConfirmation {
     job_id: JobId,
-    reply: oneshot::Sender<bool>,
+    reply: oneshot::Sender<()>,
 }
 
 /// A heartbeat and where its reply goes.
@@ -184,7 +184,7 @@
         &mut self,
         now: Timestamp,
         job_id: JobId,
-        reply: oneshot::Sender<bool>,
+        reply: oneshot::Sender<()>,
         batch: &mut Batch,
     ) {
         let outcome = self.leadership.confirm_cancellation(now, job_id);
@@ -209,9 +209,9 @@
                 self.apply_actions(outcome.actions);
                 batch.remove_jobs(outcome.terminated);
             }
-            Payload::Summary(lines) => {
+            Payload::Summary(jobs) => {
                 if !self.leadership.is_leader() {
-                    self.publication.replace_summary(lines);
+                    self.publication.replace_summary(jobs);
                 }
             }
             Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
@@ -252,7 +252,7 @@
             let outcome = self.leadership.cancellations.confirm(now, pending.job_id);
             if outcome.is_permitted {
                 // The user's request may have timed out.
-                let _ = pending.reply.send(true);
+                let _ = pending.reply.send(());
             } else if !pending.reply.is_closed() {
                 self.pending_confirmations.push(pending);
             }
--- a/src/node_events.rs
+++ b/src/node_events.rs
@@ -9,7 +9,7 @@
 use crate::lease::renewal::RenewalCounts;
 use crate::peer::Received;
 use crate::protocol::workers::{HeartbeatRequest, HeartbeatResponse};
-use crate::scheduler::model::{JobId, MachineType};
+use crate::scheduler::model::{JobId, MachineType, TaskCounts};
 use crate::scheduler::overview::{Overview, PageStart};
 use crate::scheduler::Command;
 use crate::time::Timestamp;
@@ -20,8 +20,8 @@
 
 /// The cloud's machine types by name; empty until they are known.
 pub type Types = Arc<BTreeMap<String, MachineType>>;
-/// Per job: its finished and its running tasks, as the leader last published them.
-pub type Summary = Arc<HashMap<JobId, (u32, u32)>>;
+/// The tasks of each job, as the leader last published them. A job that is not named has none that has started.
+pub type Summary = Arc<HashMap<JobId, TaskCounts>>;
 
 /// What this node may do for its users, as the controller last judged it.
 #[derive(Default)]
@@ -43,8 +43,8 @@
     Peer(Received),
     /// The live jobs were read.
     LiveJobs(LiveJobsUpdate),
-    /// A user's cancellation was committed. The reply, always `true`, is sent once it may be confirmed to the user.
-    Cancelled(JobId, oneshot::Sender<bool>),
+    /// A user's cancellation was committed. The reply is sent once it may be confirmed to the user.
+    Cancelled(JobId, oneshot::Sender<()>),
     /// The state service's response to a request of leadership.
     Store(StoreResponse),
     /// A command for the scheduler of this fencing token; dropped when another token is current.
--- a/src/peer/codec/mod.rs
+++ b/src/peer/codec/mod.rs
@@ -4,12 +4,9 @@
 mod names;
 mod task_command;
 
-use crate::fencing_token::FencingToken;
-use crate::time::{to_micros, Timestamp};
 pub use heartbeat::fits_frame;
 #[cfg(test)]
 pub(super) use heartbeat::status_of;
-use std::time::Duration;
 
 use super::layout::{
     AttestationLine, Head, SummaryLine, TaskCommandLine, ATTESTATION, ATTESTS, GRANT, LEADER_HEARTBEAT,
@@ -17,8 +14,12 @@
     SHARD_HEARTBEAT_ACK, SUMMARY, VOTE, VOTE_REQUEST, WAKE_REQUEST,
 };
 use super::{Frame, FrameError, Payload, Sender};
+use crate::fencing_token::FencingToken;
 use crate::leadership::{Message, Status};
 use crate::lease::cancellation_log::Attestation;
+use crate::scheduler::model::{JobId, JobSummary, TaskCounts};
+use crate::time::{to_micros, Timestamp};
+use std::time::Duration;
 use zerocopy::little_endian::U64;
 use zerocopy::{FromBytes, IntoBytes};
 
@@ -112,9 +113,13 @@
     head.stamp = stamp.as_micros().into();
 }
 
-fn write_summary(jobs: &[(u64, u32, u32)], body: &mut Vec<u8>) {
-    for (job_id, done, running) in &jobs[..jobs.len().min(MAX_SUMMARY_JOBS)] {
-        let line = SummaryLine { job_id: (*job_id).into(), done: (*done).into(), running: (*running).into() };
+fn write_summary(jobs: &[JobSummary], body: &mut Vec<u8>) {
+    for JobSummary { job_id, counts } in &jobs[..jobs.len().min(MAX_SUMMARY_JOBS)] {
+        let line = SummaryLine {
+            job_id: job_id.0.into(),
+            done: counts.succeeded.into(),
+            running: counts.running.into(),
+        };
         body.extend_from_slice(line.as_bytes());
     }
 }
@@ -213,9 +218,13 @@
     Payload::Leadership(status, message)
 }
 
-fn read_summary(body: &[u8]) -> Result<Vec<(u64, u32, u32)>, FrameError> {
+fn read_summary(body: &[u8]) -> Result<Vec<JobSummary>, FrameError> {
     let lines = <[SummaryLine]>::ref_from_bytes(body).map_err(|_| FrameError::WrongLength)?;
-    Ok(lines.iter().map(|line| (line.job_id.get(), line.done.get(), line.running.get())).collect())
+    let job = |line: &SummaryLine| JobSummary {
+        job_id: JobId(line.job_id.get()),
+        counts: TaskCounts { succeeded: line.done.get(), running: line.running.get() },
+    };
+    Ok(lines.iter().map(job).collect())
 }
 
 fn read_attestation(echo: Timestamp, body: &[u8]) -> Result<Attestation, FrameError> {
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::leadership::{Message, Status};
 use crate::lease::cancellation_log::Attestation;
-use crate::scheduler::model::Heartbeat;
+use crate::scheduler::model::{Heartbeat, JobSummary};
 use crate::scheduler::TaskCommand;
 
 /// The content of a frame.
@@ -24,8 +24,8 @@
 pub enum Payload {
     /// A message of leadership with the sender's status.
     Leadership(Status, Message),
-    /// (job number, finished, running)
-    Summary(Vec<(u64, u32, u32)>),
+    /// The leader's counts of the jobs of which a task has started.
+    Summary(Vec<JobSummary>),
     /// A heartbeat passed on to the leader, with the stamp of its last heartbeat.
     RelayedHeartbeat {
         /// Number of the request.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -4,10 +4,14 @@
 use super::layout::Head;
 use super::*;
 use crate::fencing_token::FencingToken;
-use crate::scheduler::model::{JobId, ReportedTask, TaskId};
+use crate::scheduler::model::{JobId, JobSummary, ReportedTask, TaskCounts, TaskId};
 use crate::time::Timestamp;
 use std::time::Duration;
 
+fn summary(job_id: u64, succeeded: u32, running: u32) -> JobSummary {
+    JobSummary { job_id: JobId(job_id), counts: TaskCounts { succeeded, running } }
+}
+
 #[test]
 fn frames_survive_the_trip_and_garbage_does_not() {
     let sender = Sender { node: 2, incarnation: 77 };
@@ -25,9 +29,9 @@
         assert!(matches!(payload, Payload::Leadership(s, m) if s == status && m == message));
         assert!(decode(&bytes[..bytes.len() - 1]).is_err());
     }
-    let bytes = encode(sender, 1, &Payload::Summary(vec![(412, 3, 1), (413, 0, 0)]));
+    let bytes = encode(sender, 1, &Payload::Summary(vec![summary(412, 3, 1), summary(413, 0, 0)]));
     assert!(
-        matches!(decode(&bytes).unwrap().payload, Payload::Summary(l) if l == [(412, 3, 1), (413, 0, 0)])
+        matches!(decode(&bytes).unwrap().payload, Payload::Summary(l) if l == [summary(412, 3, 1), summary(413, 0, 0)])
     );
     for (at, wrong) in [(8, 99), (0, bytes[0] ^ 1), (4, bytes[4] + 1)] {
         let mut bytes = bytes.clone();
--- a/src/scheduler/job_registry.rs
+++ b/src/scheduler/job_registry.rs
@@ -1,7 +1,7 @@
 //! The jobs that the scheduler knows: added when they are submitted or loaded, removed when they are finished or
 //! cancelled. Called by `Scheduler::apply`, and by `cold_start` for jobs that the state service was asked about.
 
-use super::model::{Job, JobId, TaskStatus};
+use super::model::{Job, JobId, JobSummary, TaskCounts, TaskStatus};
 use super::{Scheduler, StoredJob, WriteOutcome};
 use std::collections::BTreeSet;
 use tracing::debug;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// For each job that is not terminated: its id, and the numbers of its succeeded and of its running tasks.
-    pub fn summary(&self) -> Vec<(JobId, u32, u32)> {
+    /// The task counts of each job that is not terminated.
+    pub fn summary(&self) -> Vec<JobSummary> {
         let running = |job: &Job| {
             let placements = self.placements_of(job);
             let running = placements.filter(|(_, _, placement)| placement.status == TaskStatus::Running);
@@ -52,7 +52,10 @@
         self.jobs
             .values()
             .filter(|job| !job.terminated)
-            .map(|job| (job.spec.job_id, job.progress.succeeded.len() as u32, running(job)))
+            .map(|job| JobSummary {
+                job_id: job.spec.job_id,
+                counts: TaskCounts { succeeded: job.progress.succeeded.len() as u32, running: running(job) },
+            })
             .collect()
     }
 }
--- a/tests/pinned_wire/http_edge.rs
+++ b/tests/pinned_wire/http_edge.rs
@@ -7,7 +7,7 @@
 use dockpier::http::{Clock, Http};
 use dockpier::limits::Capacity;
 use dockpier::node_events::{Event, Health, HeartbeatReply, Summary, Types};
-use dockpier::scheduler::model::{Heartbeat, JobId, MachineType, Resources};
+use dockpier::scheduler::model::{Heartbeat, JobId, MachineType, Resources, TaskCounts};
 use dockpier::settings::{Draining, StateLimits, Team};
 use dockpier::storage::key_value_store::KeyValueStore;
 use poem::listener::TcpAcceptor;
@@ -109,7 +109,13 @@
         let types = if setup.types { machine_types() } else { Types::default() };
         let (changes, polls) = setup.turns;
         let room = Capacity { changes, polls, ..Capacity::of(4_096, 256.0) };
-        let summary: Summary = Arc::new([(JobId(412), (3, 13)), (JobId(413), (0, 0))].into());
+        let summary: Summary = Arc::new(
+            [
+                (JobId(412), TaskCounts { succeeded: 3, running: 13 }),
+                (JobId(413), TaskCounts { succeeded: 0, running: 0 }),
+            ]
+            .into(),
+        );
         let (types, summary) = (watch::channel(types).1, watch::channel(summary).1);
         let api = Api::new(store, api_settings(), types, summary, events, health, room);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -173,7 +179,7 @@
                     let _ = to.send(reply);
                 }
             }
-            Event::Cancelled(_, to) if !matches!(owner, Owner::Silent) => drop(to.send(true)),
+            Event::Cancelled(_, to) if !matches!(owner, Owner::Silent) => drop(to.send(())),
             _ => {}
         }
     }
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -22,6 +22,10 @@
 const KIND: usize = 8;
 const HEAD: usize = 64;
 
+fn summary(job_id: u64, succeeded: u32, running: u32) -> JobSummary {
+    JobSummary { job_id: JobId(job_id), counts: TaskCounts { succeeded, running } }
+}
+
 fn golden() -> BTreeMap<&'static str, Vec<u8>> {
     frames(GOLDEN)
 }
@@ -78,7 +82,7 @@
         ("promise-request", leadership(Message::VoteRequest { sent: Timestamp::from_micros(3) })),
         ("promise", leadership(Message::Vote { echo: Timestamp::from_micros(3) })),
         ("release", leadership(Message::Release { token: FencingToken(4), successor: 1 })),
-        ("summary", Payload::Summary(vec![(412, 3, 1), (413, 0, 0)])),
+        ("summary", Payload::Summary(vec![summary(412, 3, 1), summary(413, 0, 0)])),
         ("report", Payload::RelayedHeartbeat { id: 9, stamp: Timestamp::from_micros(11), heartbeat }),
         (
             "reply",
