--- a/src/controller/job_loading.rs
+++ b/src/controller/job_loading.rs
@@ -5,29 +5,42 @@
 use crate::limits;
 use crate::protocol::records::{LiveRecord, MachineRecord};
 use crate::protocol::state_service::Record;
-use crate::scheduler::model::JobId;
+use crate::protocol::users::InvalidSubmission;
+use crate::scheduler::model::{JobId, JobSpec};
 use crate::scheduler::{StoredJob, StoredMachine};
 use crate::storage::key_value_store::{KeyValueStore, Listing, StoreError};
 use crate::storage::keys;
 use crate::storage::record_versions::RecordVersions;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
+use thiserror::Error;
 use tracing::warn;
 
+/// Why a live record is skipped.
+#[derive(Debug, Error)]
+enum UnreadableJob {
+    /// It is no JSON of a live record.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// It is a job that would be refused.
+    #[error(transparent)]
+    Submission(#[from] InvalidSubmission),
+}
+
+fn parse_job(record: &Record) -> Result<StoredJob, UnreadableJob> {
+    let LiveRecord { submission, accepted_ms, .. } = serde_json::from_value(record.value.clone())?;
+    let spec = JobSpec::try_from(&submission)?;
+    let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
+    let age = Duration::from_millis(age_ms).min(limits::MAX_JOB_AGE);
+    Ok(StoredJob { spec, version: record.version, age, succeeded: BTreeSet::new() })
+}
+
 /// Parses a live record; `None`, with a warning, if it can't be read.
 pub(super) fn stored_job(record: &Record) -> Option<StoredJob> {
-    let live: Result<LiveRecord, _> = serde_json::from_value(record.value.clone());
-    let checked = live
-        .map_err(|error| error.to_string())
-        .and_then(|record| Ok((record.submission.check()?, record.accepted_ms)));
-    match checked {
-        Ok((spec, accepted_ms)) => {
-            let age_ms = if accepted_ms == 0 { 0 } else { wall_ms().saturating_sub(accepted_ms) };
-            let age = Duration::from_millis(age_ms).min(limits::MAX_JOB_AGE);
-            Some(StoredJob { spec, version: record.version, age, succeeded: BTreeSet::new() })
-        }
+    match parse_job(record) {
+        Ok(job) => Some(job),
         Err(error) => {
-            warn!(key = record.key, error, "unreadable job record: skipped");
+            warn!(key = record.key, error = error.to_string(), "unreadable job record: skipped");
             None
         }
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -29,12 +29,6 @@
     Message(#[from] serde_json::Error),
 }
 
-impl From<ParseError> for String {
-    fn from(error: ParseError) -> String {
-        error.to_string()
-    }
-}
-
 /// Reads a message; nothing may follow it.
 ///
 /// # Errors
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -197,14 +197,6 @@
 }
 
 impl Submission {
-    /// The job in the domain's form, with a refusal as text.
-    ///
-    /// # Errors
-    /// The text of [`InvalidSubmission`].
-    pub fn check(&self) -> Result<JobSpec, String> {
-        JobSpec::try_from(self).map_err(|error| error.to_string())
-    }
-
     fn check_names(&self) -> Result<(), InvalidSubmission> {
         let names = [("cargo", &self.class), ("crew", &self.team), ("manifest", &self.image)];
         match names.into_iter().find(|(_, name)| !is_name(name)) {
--- a/tests/pinned_wire/reports.rs
+++ b/tests/pinned_wire/reports.rs
@@ -81,7 +81,7 @@
 ];
 
 fn read(text: &str) -> Result<Heartbeat, String> {
-    let checkin: HeartbeatRequest = protocol::parse(text.as_bytes())?;
+    let checkin: HeartbeatRequest = protocol::parse(text.as_bytes()).map_err(|error| error.to_string())?;
     Heartbeat::try_from(checkin).map_err(|unreadable| unreadable.to_string())
 }
 
--- a/tests/pinned_wire/submissions.rs
+++ b/tests/pinned_wire/submissions.rs
@@ -79,7 +79,8 @@
 const TEXTS: &[&str] = &["", " ", "nonsense", "{}", "{", "[{}]", "{}{}"];
 
 fn read(text: &str) -> Result<JobSpec, String> {
-    protocol::parse::<Submission>(text.as_bytes())?.check()
+    let submission = protocol::parse::<Submission>(text.as_bytes()).map_err(|error| error.to_string())?;
+    JobSpec::try_from(&submission).map_err(|error| error.to_string())
 }
 
 pub fn read_text(text: &str) -> String {
