--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -3,7 +3,9 @@
 use crate::common;
 use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{
+    ExitReason, Heartbeat, JobId, JobSpec, MachineType, ReportedTask, Resources, TaskId, TaskStatus,
+};
 use dockpier::scheduler::{
     Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
--- a/tests/clusters/faults.rs
+++ b/tests/clusters/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{machine_name, Cluster};
 use crate::common::{config, spec};
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{JobId, JobSpec, Kind, Priority};
 use dockpier::scheduler::Command;
 use std::collections::BTreeSet;
 
--- a/tests/clusters/teams.rs
+++ b/tests/clusters/teams.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::Cluster;
 use crate::common::spec;
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{JobSpec, Kind, Priority, Resources};
 use dockpier::settings::Team;
 
 fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -1,7 +1,7 @@
 //! Every controller is lost and comes back, in virtual time: what is ordered is counted on the workers.
 
 use dockpier::scheduler::cold_start::{ColdStartReport, JobReading, Phase};
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{JobId, JobSpec, Kind, TaskId, TaskStatus};
 use dockpier::scheduler::Command;
 use dockpier::settings::{ColdStartSettings, Operator, Team};
 use dockpier::time::Timestamp;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use dockpier::fencing_token::FencingToken;
 use dockpier::limits;
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{JobId, JobSpec, Kind, Priority, Resources};
 use dockpier::scheduler::Config;
 use dockpier::settings::{Operator, Team, Workers};
 use std::time::Duration;
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -5,7 +5,10 @@
 use common::spec;
 use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{
+    ExitReason, Heartbeat, JobId, JobSpec, Kind, MachineType, Priority, ReportedTask, Resources, TaskId,
+    TaskStatus,
+};
 use dockpier::scheduler::{
     Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
 };
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -5,7 +5,7 @@
 use super::stand_ins::{heartbeat, machine_types, outcome};
 use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{ExitReason, Heartbeat, JobId, Kind, Priority, TaskId, TaskStatus};
 use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand, WriteOutcome};
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/leases/stand_ins.rs
+++ b/tests/leases/stand_ins.rs
@@ -1,7 +1,7 @@
 //! A state service that takes every record, a cloud that rents and deletes nothing, and reports.
 
 use dockpier::fencing_token::FencingToken;
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{Heartbeat, MachineType, ReportedTask, Resources, TaskId, TaskStatus};
 use dockpier::scheduler::{Command, Effect, WriteOutcome};
 
 /// Machines of two slots in one zone.
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -7,8 +7,9 @@
 use dockpier::lease::cancellation_log::Attestation;
 use dockpier::peer::{decode, encode, Frame, Payload, Sender};
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
-use dockpier::scheduler::model::*;
-use dockpier::scheduler::TaskCommand;
+use dockpier::scheduler::model::{
+    ExitReason, Heartbeat, JobId, ReportedTask, TaskCommand, TaskId, TaskStatus,
+};
 use dockpier::time::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
