--- a/tests/clusters/faults.rs
+++ b/tests/clusters/faults.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn machines_are_told_from_jobs_that_fail() {
+fn faulty_machines_are_distinguished_from_failing_jobs() {
     // Faulty machines, faulty jobs of the four that come, and which machines are to be replaced.
     let cases: [(&[usize], &[u64], &[usize]); 5] = [
         (&[], &[], &[]),
--- a/tests/clusters/main.rs
+++ b/tests/clusters/main.rs
@@ -1,4 +1,4 @@
-//! The scheduler with a small cluster of workers that carry out what they are told: teams, and tasks that fail.
+//! The scheduler with a small cluster of workers that carry out their commands: teams, and tasks that fail.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -115,10 +115,14 @@
     let missing: BTreeSet<TaskId> = with_mates(lost).difference(&finished).copied().collect();
     assert!(missing.len() >= 8, "{missing:?}");
     assert_ordered_once(&fleet, &before, &missing);
-    let told = report(&fleet);
-    assert_eq!(told.verdicts.missing, nowhere, "{told:?}");
-    assert_eq!(told.verdicts.finished_unrecorded, finished.len(), "{told:?}");
-    assert_eq!((told.machines.heard, told.machines.gone, told.machines.unheard), (46, 4, 0), "{told:?}");
+    let reported = report(&fleet);
+    assert_eq!(reported.verdicts.missing, nowhere, "{reported:?}");
+    assert_eq!(reported.verdicts.finished_unrecorded, finished.len(), "{reported:?}");
+    assert_eq!(
+        (reported.machines.heard, reported.machines.gone, reported.machines.unheard),
+        (46, 4, 0),
+        "{reported:?}"
+    );
     // Services, arrays and the gang are whole again, but for what has finished.
     let expected: BTreeSet<TaskId> = was_running.difference(&fleet.history.finished).copied().collect();
     assert_eq!(running(&fleet), expected);
@@ -229,11 +233,11 @@
     let mut phases = BTreeSet::new();
     for _ in 0..120 {
         fleet.run(0.5);
-        let Some(told) = &fleet.store.cold_start else { continue };
-        let value = serde_json::to_value(told).unwrap();
+        let Some(reported) = &fleet.store.cold_start else { continue };
+        let value = serde_json::to_value(reported).unwrap();
         let errors: Vec<String> = validator.iter_errors(&value).map(|e| e.to_string()).collect();
         assert!(errors.is_empty(), "{errors:?}: {value}");
-        phases.insert(format!("{:?}", told.phase));
+        phases.insert(format!("{:?}", reported.phase));
         assert!(serde_json::to_vec(&value).unwrap().len() <= 2_048);
     }
     assert!(phases.contains("Reconciling") && phases.contains("Ended"), "{phases:?}");
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -333,11 +333,11 @@
     };
     let load = Command::Load { jobs: vec![job], records: vec![("1-1".into(), (0..4).map(known).collect())] };
     bed.step(vec![Command::Types(types()), load]);
-    let begun = bed.now;
+    let started_at = bed.now;
     while bed.deleted.is_empty() {
         bed.heartbeat();
         assert_eq!(bed.width(1), 0, "its tasks may be on the machine that has not come");
-        assert!(bed.now < begun + limits::worker_lease(10.0), "the whole lease was waited for");
+        assert!(bed.now < started_at + limits::worker_lease(10.0), "the whole lease was waited for");
         bed.step(vec![]);
     }
     let machines = std::mem::take(&mut bed.deleted);
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs, stage by stage: what a trouble in each does to the tasks, told by what the workers are told.
+//! Gangs, stage by stage: what a fault in each does to the tasks, judged by the commands that the workers get.
 
 mod common;
 
@@ -290,7 +290,7 @@
     assert_eq!(bed.finished, [GANG]);
 }
 
-/// Saving works only if all are told within `gang_peer_s`, with the time to save and to wait for one another.
+/// Saving works only if all get the stop within `gang_peer_s`, with the time to save and to wait for one another.
 #[test]
 fn a_notice_stops_all_of_a_gang_at_once_with_time_to_save() {
     let mut bed = Bed::new();
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -55,15 +55,15 @@
         };
         cluster.step(vec![machine_types(), Command::Load { jobs: vec![], records: vec![] }]);
         for _ in 0..3 {
-            cluster.check_in("m-000001");
+            cluster.send_heartbeat("m-000001");
         }
         cluster.step(vec![service(REPLICA.job_id), service(CANCELLED)]);
         for _ in 0..3 {
-            cluster.check_in("m-000001");
+            cluster.send_heartbeat("m-000001");
         }
         assert_eq!(cluster.running["m-000001"].len(), 2, "both replicas run on the first machine");
         for _ in 0..3 {
-            cluster.check_in("m-000002");
+            cluster.send_heartbeat("m-000002");
         }
         cluster
     }
@@ -126,7 +126,7 @@
         (reply, heartbeat)
     }
 
-    fn check_in(&mut self, machine: &str) {
+    fn send_heartbeat(&mut self, machine: &str) {
         let (reply, heartbeat) = self.heartbeat(machine);
         self.step(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
     }
@@ -138,7 +138,7 @@
         while self.now < until {
             if self.now >= report_due {
                 report_due = self.now + from_seconds(REPORT_S);
-                self.check_in("m-000002");
+                self.send_heartbeat("m-000002");
             } else {
                 self.step(vec![]);
             }
@@ -190,7 +190,7 @@
 
 /// Nobody waits for the answer to a copy, and an answer that somebody could take for one would renew a lease.
 #[test]
-fn a_repeated_check_in_is_refused_and_counted() {
+fn a_repeated_heartbeat_is_refused_and_counted() {
     let mut cluster = Cluster::new();
     let (reply, heartbeat) = cluster.heartbeat("m-000001");
     cluster.step(vec![Command::Heartbeat { reply, heartbeat: heartbeat.clone(), via: None }]);
@@ -198,9 +198,9 @@
     assert!(refused(&mut cluster, heartbeat));
 }
 
-/// The worker has begun an agent epoch since, and drops the answer.
+/// The worker has started a new agent epoch since, and drops the response.
 #[test]
-fn a_check_in_of_an_earlier_session_is_refused_and_counted() {
+fn a_heartbeat_of_an_earlier_agent_epoch_is_refused_and_counted() {
     let mut cluster = Cluster::new();
     let (_, earlier) = cluster.heartbeat("m-000001");
     cluster.running.clear();
@@ -212,16 +212,16 @@
 
 /// The cloud's word is final: a heartbeat that a cut held back brings nothing back.
 #[test]
-fn a_check_in_of_a_deleted_machine_is_refused_and_counted() {
+fn a_heartbeat_of_a_deleted_machine_is_refused_and_counted() {
     let mut cluster = Cluster::new();
     let (_, heartbeat) = cluster.heartbeat("m-000001");
     cluster.step(vec![Command::Deleted { machines: vec!["m-000001".into()], outcome: WriteOutcome::Done }]);
     assert!(refused(&mut cluster, heartbeat));
 }
 
-/// Once its lease counts as over, an overtaken heartbeat is too late to renew it.
+/// Once its lease counts as expired, an overtaken heartbeat is too late to renew it.
 #[test]
-fn an_overtaken_check_in_is_refused_once_its_lease_counts_as_over() {
+fn an_overtaken_heartbeat_is_refused_once_its_lease_counts_as_expired() {
     let mut cluster = Cluster::new();
     let (_, heartbeat) = cluster.heartbeat("m-000001");
     let (_, direct) = cluster.heartbeat("m-000001");
--- a/tests/leases/interleavings.rs
+++ b/tests/leases/interleavings.rs
@@ -22,7 +22,7 @@
 const DEPTH: usize = 6;
 const TICKS: usize = 1;
 /// The leaseholder's number among the nodes.
-const LESSEE: usize = 1;
+const LEASEHOLDER: usize = 1;
 
 /// The worker whose lease is looked at, and the empty one beside it.
 const WATCHED: &str = "m-000001";
@@ -44,10 +44,10 @@
 }
 
 /// Plays every order that begins like this one; returns how many there are.
-fn play_all(by_leaseholder: bool, leaseholder_heard: bool, order: &mut Vec<usize>) -> u64 {
+fn play_all(by_leaseholder: bool, leaseholder_reachable: bool, order: &mut Vec<usize>) -> u64 {
     let world = play(by_leaseholder, order);
     let messages = world.under_way.len();
-    world.end(order, leaseholder_heard);
+    world.end(order, leaseholder_reachable);
     let mut played = 1;
     if order.len() == DEPTH {
         return played;
@@ -55,16 +55,16 @@
     let ticks = order.iter().filter(|event| **event == 0).count();
     for event in usize::from(ticks == TICKS)..=messages {
         order.push(event);
-        played += play_all(by_leaseholder, leaseholder_heard, order);
+        played += play_all(by_leaseholder, leaseholder_reachable, order);
         order.pop();
     }
     played
 }
 
-fn no_order_ends_a_lease_early(by_leaseholder: bool, leaseholder_heard: bool, at_least: u64) {
-    let played = play_all(by_leaseholder, leaseholder_heard, &mut Vec::new());
+fn no_order_ends_a_lease_early(by_leaseholder: bool, leaseholder_reachable: bool, at_least: u64) {
+    let played = play_all(by_leaseholder, leaseholder_reachable, &mut Vec::new());
     println!(
-        "by_leaseholder {by_leaseholder}, leaseholder_heard {leaseholder_heard}: {played} task_commands up to {DEPTH} events"
+        "by_leaseholder {by_leaseholder}, leaseholder_reachable {leaseholder_reachable}: {played} task_commands up to {DEPTH} events"
     );
     assert!(played >= at_least, "{played} task_commands: too little was tested");
 }
--- a/tests/leases/interleavings/world.rs
+++ b/tests/leases/interleavings/world.rs
@@ -2,7 +2,7 @@
 
 use super::message::Message;
 use super::worker::Worker;
-use super::{ANSWER_PATIENCE, CANCELLED, EMPTY, LEASE, LESSEE, REPLICA, REPORT, SHARD_LEASE, WATCHED};
+use super::{ANSWER_PATIENCE, CANCELLED, EMPTY, LEASE, LEASEHOLDER, REPLICA, REPORT, SHARD_LEASE, WATCHED};
 use crate::common::{self, spec};
 use crate::stand_ins::{machine_types, outcome};
 use dockpier::fencing_token::FencingToken;
@@ -138,13 +138,13 @@
             }
             Message::DirectAnswer(heartbeat) => self.leader(vec![Command::DirectCommandAnswered(heartbeat)]),
             Message::Heartbeat { heartbeat, stamp } => {
-                let ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines } = heartbeat;
-                let covers = whole.then_some(stamp);
+                let ShardHeartbeat { id, complete, first_of_incarnation, machines } = heartbeat;
+                let covers_until = complete.then_some(stamp);
                 self.leader(vec![Command::ShardHeartbeat {
-                    node: LESSEE,
+                    node: LEASEHOLDER,
                     machines,
-                    covers_until: covers,
-                    first_of_incarnation: fresh,
+                    covers_until,
+                    first_of_incarnation,
                 }]);
                 self.send(Message::Confirmed(id));
             }
@@ -169,7 +169,7 @@
     fn pass_on(&mut self, heartbeat: Heartbeat) {
         let reply = heartbeat.sequence;
         let first = self.under_way.len();
-        self.leader(vec![Command::Heartbeat { reply, heartbeat: heartbeat.clone(), via: Some(LESSEE) }]);
+        self.leader(vec![Command::Heartbeat { reply, heartbeat: heartbeat.clone(), via: Some(LEASEHOLDER) }]);
         // What the leader answers goes by way of the leaseholder.
         let answer =
             |message: &Message| matches!(message, Message::Answer { sequence, .. } if *sequence == reply);
@@ -220,22 +220,20 @@
         }
     }
 
-    /// The worker is silent and everything under way lost; the leaseholder goes on, or is not heard either. Checks the rule.
-    pub(super) fn end(mut self, order: &[usize], leaseholder_heard: bool) {
+    /// The worker is silent and everything under way lost; the leaseholder goes on, or is unreachable too. Checks the rule.
+    pub(super) fn end(mut self, order: &[usize], leaseholder_reachable: bool) {
         self.under_way.clear();
         let until = self.now + SHARD_LEASE + 2 * LEASE;
         while self.now < until && self.started_elsewhere.is_none() {
             self.now += SECOND;
-            let heartbeat = self.shard.next_heartbeat(self.now).filter(|_| leaseholder_heard);
-            if let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines }) =
-                heartbeat
-            {
-                let covers = whole.then_some(self.now);
+            let heartbeat = self.shard.next_heartbeat(self.now).filter(|_| leaseholder_reachable);
+            if let Some(ShardHeartbeat { id, complete, first_of_incarnation, machines }) = heartbeat {
+                let covers_until = complete.then_some(self.now);
                 self.leader(vec![Command::ShardHeartbeat {
-                    node: LESSEE,
+                    node: LEASEHOLDER,
                     machines,
-                    covers_until: covers,
-                    first_of_incarnation: fresh,
+                    covers_until,
+                    first_of_incarnation,
                 }]);
                 self.shard.acknowledge(id, SHARD_LEASE);
             }
@@ -247,7 +245,7 @@
         let by_leaseholder = self.by_leaseholder;
         assert_eq!(
             early_s, 0.0,
-            "{by_leaseholder}, {leaseholder_heard}, order {order:?}: started elsewhere too early"
+            "{by_leaseholder}, {leaseholder_reachable}, order {order:?}: started elsewhere too early"
         );
     }
 }
--- a/tests/loopback/close_looks.rs
+++ b/tests/loopback/close_looks.rs
@@ -5,7 +5,7 @@
 use crate::{on_runtime, standins, start_nodes, submission, User};
 use serde_json::Value;
 
-/// How far a job has come by what a user was told; what comes later in the list is newer.
+/// How far a job has come by the state that a user was given; what comes later in the list is newer.
 const PROGRESS: [&[&str]; 2] = [&["pending", "running"], &["done", "aborted"]];
 
 fn progress(status: &Value) -> usize {
@@ -13,7 +13,7 @@
     PROGRESS.iter().position(|stage| stage.contains(&text)).unwrap_or_else(|| panic!("unknown {status}"))
 }
 
-/// Asks and repeats the submission at every node, all at the same time; what cannot be told yet is not an answer.
+/// Asks and repeats the submission at every node, all at the same time; a node that cannot tell yet counts as no answer.
 async fn look(user: &User, id: &str, body: &str) -> Vec<Value> {
     let path = format!("/submissions/{id}");
     let at = |node: usize| {
@@ -38,13 +38,13 @@
 }
 
 /// Looks again and again; returns how many answers there were.
-async fn look_closely(user: &User, id: &str, body: &str, told: &Value, rounds: usize) -> usize {
+async fn look_closely(user: &User, id: &str, body: &str, seen: &Value, rounds: usize) -> usize {
     let mut answers = 0;
     for _ in 0..rounds {
         for status in look(user, id, body).await {
-            assert!(progress(&status) >= progress(told), "{id}: {status} after {told}");
-            if progress(told) == 1 {
-                assert_eq!(status, *told, "{id} has one end");
+            assert!(progress(&status) >= progress(seen), "{id}: {status} after {seen}");
+            if progress(seen) == 1 {
+                assert_eq!(status, *seen, "{id} has one end");
             }
             answers += 1;
         }
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn no_node_answers_something_older_than_any_node_told() {
+fn no_node_answers_with_an_older_state_than_any_node_before() {
     on_runtime(async {
         let (_state, state_at) = standins::state_service().await;
         let (cloud, cloud_at) = standins::cloud().await;
@@ -69,19 +69,19 @@
             // Jobs from 900 on run until they are stopped.
             let id = job_id(if round % 2 == 0 { 100 + round } else { 900 + round });
             let body = submission(&id, "sweep", 1).to_string();
-            let (_, told) = user.insist("POST", "/submissions", &body).await;
-            answers += look_closely(&user, &id, &body, &told["status"], 3).await;
-            let told = match round % 2 {
+            let (_, answer) = user.insist("POST", "/submissions", &body).await;
+            answers += look_closely(&user, &id, &body, &answer["status"], 3).await;
+            let seen = match round % 2 {
                 0 => {
                     user.wait_for(&id, "done").await;
                     Value::from("done")
                 }
                 _ => {
-                    let (_, told) = user.insist("POST", &format!("/submissions/{id}/withdraw"), "").await;
-                    told["status"].clone()
+                    let (_, answer) = user.insist("POST", &format!("/submissions/{id}/withdraw"), "").await;
+                    answer["status"].clone()
                 }
             };
-            answers += look_closely(&user, &id, &body, &told, 3).await;
+            answers += look_closely(&user, &id, &body, &seen, 3).await;
         }
         assert!(answers > 200, "only {answers} answers");
     });
@@ -89,7 +89,7 @@
 
 /// A transaction is carried out at once and only its answer is lost, while other nodes read what it wrote.
 #[test]
-fn what_was_written_without_an_answer_is_told_by_every_node_alike() {
+fn a_write_whose_answer_was_lost_is_reported_alike_by_every_node() {
     on_runtime(async {
         let (state, state_at) = standins::state_service().await;
         let (cloud, cloud_at) = standins::cloud().await;
@@ -121,9 +121,9 @@
             assert!(look_closely(&user, &id, &body, &Value::from("pending"), 2).await > 0);
             lose("over/");
             let cancel = format!("{path}/withdraw");
-            let (_, told) = user.insist("POST", &cancel, "").await;
-            assert_eq!(told["status"], "aborted");
-            assert!(look_closely(&user, &id, &body, &told["status"], 2).await > 0);
+            let (_, answer) = user.insist("POST", &cancel, "").await;
+            assert_eq!(answer["status"], "aborted");
+            assert!(look_closely(&user, &id, &body, &answer["status"], 2).await > 0);
             state.lock().unwrap().trouble = None;
         }
         drop(cloud);
--- a/tests/loopback/cold_start.rs
+++ b/tests/loopback/cold_start.rs
@@ -54,15 +54,15 @@
         let seen_before = cloud.lock().unwrap().seen.len();
         nodes.iter_mut().for_each(Node::restart);
 
-        let begun = Instant::now();
-        let told = loop {
+        let started_at = Instant::now();
+        let reported = loop {
             let (code, text, complaint) = ask(&public, &["cold-start", "--json"]).await;
             assert!(code == 0 || code == 3 || code == 4, "{complaint}");
-            let told: Value = serde_json::from_str(&text).unwrap_or_default();
-            if told["phase"] == "ended" && told["machines"]["heard"].as_u64() >= Some(40) {
-                break told;
+            let reported: Value = serde_json::from_str(&text).unwrap_or_default();
+            if reported["phase"] == "ended" && reported["machines"]["heard"].as_u64() >= Some(40) {
+                break reported;
             }
-            assert!(begun.elapsed() < Duration::from_secs(90), "{text}{complaint}");
+            assert!(started_at.elapsed() < Duration::from_secs(90), "{text}{complaint}");
             tokio::time::sleep(Duration::from_millis(500)).await;
         };
         wait_until(&cloud, "everything runs again", |cloud| running(&cloud.seen).len() == TASKS).await;
@@ -72,10 +72,14 @@
             *starts.entry(&seen.task).or_default() += 1;
         }
         let expected: BTreeMap<&str, usize> = lost.iter().map(|task| (task.as_str(), 1)).collect();
-        assert_eq!(starts, expected, "{told}");
-        assert_eq!(told["verdicts"]["missing"], DEAD as u64, "{told}");
-        assert_eq!(told["verdicts"]["running"], (TASKS - DEAD) as u64, "{told}");
-        assert_eq!((&told["orders"], &told["not_ordered"]), (&Value::from(DEAD), &Value::from(0)), "{told}");
-        assert_eq!(told["machines"]["unheard"], 0, "{told}");
+        assert_eq!(starts, expected, "{reported}");
+        assert_eq!(reported["verdicts"]["missing"], DEAD as u64, "{reported}");
+        assert_eq!(reported["verdicts"]["running"], (TASKS - DEAD) as u64, "{reported}");
+        assert_eq!(
+            (&reported["orders"], &reported["not_ordered"]),
+            (&Value::from(DEAD), &Value::from(0)),
+            "{reported}"
+        );
+        assert_eq!(reported["machines"]["unheard"], 0, "{reported}");
     });
 }
--- a/tests/loopback/draining.rs
+++ b/tests/loopback/draining.rs
@@ -68,9 +68,9 @@
     what: &str,
     holds: impl Fn(&CloudState) -> bool,
 ) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !holds(&cloud.lock().unwrap()) {
-        assert!(begun.elapsed() < Duration::from_secs(120), "never: {what}");
+        assert!(started_at.elapsed() < Duration::from_secs(120), "never: {what}");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
@@ -164,9 +164,9 @@
         .await;
         let old: Vec<String> = cloud.lock().unwrap().machines.keys().take(20).cloned().collect();
         // One that has not reported yet is not known.
-        let begun = Instant::now();
+        let started_at = Instant::now();
         while machines_up(&user).await.iter().filter(|name| old.contains(name)).count() < 20 {
-            assert!(begun.elapsed() < Duration::from_secs(60), "the machines do not come up");
+            assert!(started_at.elapsed() < Duration::from_secs(60), "the machines do not come up");
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
         let from = Instant::now();
@@ -175,8 +175,8 @@
         old.iter().for_each(|name| start.extend(["--machine", name]));
         let (code, text, complaint) = ask_drain(&public, &start).await;
         assert_eq!(code, 0, "{complaint}");
-        let told: Value = serde_json::from_str(&text).unwrap();
-        assert_eq!(told["summary"]["state"], "running", "{told}");
+        let view: Value = serde_json::from_str(&text).unwrap();
+        assert_eq!(view["summary"]["state"], "running", "{view}");
         // The same again does nothing twice; another drain under its name is refused.
         assert_eq!(ask_drain(&public, &start).await.0, 0);
         let other = ["start", "--id", "firmware", "--reason", "other", "--all"];
@@ -205,13 +205,13 @@
             cloud.lock().unwrap().hanging.insert(hangs);
         }
 
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let ended = loop {
             let view = shown(&public, "firmware").await;
             if view["summary"]["state"] == "finished" {
                 break view;
             }
-            assert!(begun.elapsed() < Duration::from_secs(150), "{}", view["waits_for"]);
+            assert!(started_at.elapsed() < Duration::from_secs(150), "{}", view["waits_for"]);
             tokio::time::sleep(Duration::from_millis(500)).await;
         };
         wait_until(&cloud, "all replicas serve", |cloud| {
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -123,10 +123,10 @@
 
     /// Waits until every node answers its health with 200: a process that has just been started may not listen yet.
     async fn wait_until_healthy(&self) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for node in 0..self.nodes.len() {
             while !matches!(self.ask(node, "GET", "/healthz", String::new()).await, Some((200, _))) {
-                assert!(begun.elapsed() < Duration::from_secs(90), "node {node} is not healthy");
+                assert!(started_at.elapsed() < Duration::from_secs(90), "node {node} is not healthy");
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
@@ -134,28 +134,28 @@
 
     /// Asks one node after the other until one answers with something else than "later".
     async fn insist(&self, method: &str, path: &str, body: &str) -> (u16, Value) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for node in (0..self.nodes.len()).cycle() {
             if let Some((status, body)) = self.ask(node, method, path, body.to_string()).await {
                 if status < 500 {
                     return (status, body);
                 }
             }
-            assert!(begun.elapsed() < Duration::from_secs(90), "{method} {path}: nobody answers");
+            assert!(started_at.elapsed() < Duration::from_secs(90), "{method} {path}: nobody answers");
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         unreachable!()
     }
 
     async fn wait_for(&self, job_id: &str, status: &str) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
             let (code, body) = self.insist("GET", &format!("/submissions/{job_id}"), "").await;
             assert_eq!(code, 200, "{job_id} is forgotten");
             if body["status"] == status {
                 return;
             }
-            assert!(begun.elapsed() < Duration::from_secs(90), "{job_id} is never {status}: {body}");
+            assert!(started_at.elapsed() < Duration::from_secs(90), "{job_id} is never {status}: {body}");
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
@@ -260,10 +260,11 @@
             let end = ended.1["status"].clone();
             assert!(ended.0 == 200 && (end == "done" || end == "aborted"), "{job_id}: {ended:?}");
             for (status, answer) in [asked, repeated] {
-                let told = &answer["status"];
+                let job_status = &answer["status"];
                 assert!(
-                    status == 200 && (told == "pending" || told == "running" || *told == end),
-                    "{job_id}: {told}"
+                    status == 200
+                        && (job_status == "pending" || job_status == "running" || *job_status == end),
+                    "{job_id}: {job_status}"
                 );
             }
             for node in 0..3 {
--- a/tests/scheduler_rules/gangs.rs
+++ b/tests/scheduler_rules/gangs.rs
@@ -38,14 +38,14 @@
         }
         let mut exits: Vec<(String, TaskId, ExitReason)> = Vec::new();
         for (key, members) in alive {
-            let whole = members.len() as u32 == self.specs[&key.0].tasks && !hanging.contains(&key);
+            let complete = members.len() as u32 == self.specs[&key.0].tasks && !hanging.contains(&key);
             let all = |reason| members.iter().map(move |(name, id)| (name.clone(), *id, reason));
             if let Some(run) = self.gangs.get_mut(&key) {
-                if whole && now >= run.ends {
+                if complete && now >= run.ends {
                     self.completed.entry(key.0).or_default().extend(members.iter().map(|(_, id)| id.task));
                     self.gangs_done += 1;
                     exits.extend(all(ExitReason::Done));
-                } else if whole {
+                } else if complete {
                     run.missing = None;
                 } else if now >= *run.missing.get_or_insert(now) + GANG_PEER {
                     exits.extend(all(ExitReason::Stopped));
@@ -53,7 +53,7 @@
                 continue;
             }
             let ready = |(name, id): &(String, TaskId)| self.workers[name].tasks[id].ends;
-            if whole && members.iter().all(|m| now >= ready(m)) {
+            if complete && members.iter().all(|m| now >= ready(m)) {
                 let ends = now + self.rng.random_range(5..30u64) as u32 * SECOND;
                 self.gangs.insert(key, GangRun { ends, missing: None });
             } else {
--- a/tests/scheduler_rules/leaseholders.rs
+++ b/tests/scheduler_rules/leaseholders.rs
@@ -24,18 +24,18 @@
                 continue;
             }
             leaseholder.shard.follow(token);
-            if let Some(ShardHeartbeat { id, complete: whole, first_of_incarnation: fresh, machines }) =
+            if let Some(ShardHeartbeat { id, complete, first_of_incarnation, machines }) =
                 leaseholder.shard.next_heartbeat(now)
             {
-                // A word may be lost with its connection, and so may its confirmation: the next one repeats it.
+                // A shard heartbeat may be lost with its connection, and so may its acknowledgment: the next one repeats it.
                 if self.rng.random_bool(0.1) {
                     continue;
                 }
                 batch.push(Command::ShardHeartbeat {
                     node,
                     machines,
-                    covers_until: whole.then_some(now),
-                    first_of_incarnation: fresh,
+                    covers_until: complete.then_some(now),
+                    first_of_incarnation,
                 });
                 if self.rng.random_bool(0.9) {
                     leaseholder.shard.acknowledge(id, SHARD_LEASE);
