--- a/tests/draining/budgets.rs
+++ b/tests/draining/budgets.rs
@@ -57,9 +57,12 @@
         .collect();
     fleet.drain(request("busy", Target::Machines(busy.clone()), true));
     fleet.run(20.0);
-    let told = summary(&fleet, "busy").unwrap();
-    assert!(told.never && told.counts.waiting == busy.len(), "{told:?}");
-    assert!(told.waits.iter().any(|wait| matches!(wait, Wait::Budget { team, tasks: 1, .. } if team == "t")));
+    let summary = summary(&fleet, "busy").unwrap();
+    assert!(summary.never && summary.counts.waiting == busy.len(), "{summary:?}");
+    assert!(summary
+        .waits
+        .iter()
+        .any(|wait| matches!(wait, Wait::Budget { team, tasks: 1, .. } if team == "t")));
     assert!(fleet.history.disruptions.is_empty());
     // A team without a budget still lets its machines go that run no replicas.
     let idle: Vec<String> = fleet.machine_names().into_iter().filter(|name| !busy.contains(name)).collect();
@@ -74,9 +77,9 @@
     let mut fleet = with_services(layout, 1, 8);
     fleet.drain(request("all", Target::All {}, false));
     fleet.run(60.0);
-    let told = summary(&fleet, "all").unwrap();
-    assert_eq!(told.counts.waiting, 2, "{told:?}");
-    assert!(told.waits.iter().any(|wait| matches!(wait, Wait::NoRoom { .. })), "{told:?}");
+    let summary = summary(&fleet, "all").unwrap();
+    assert_eq!(summary.counts.waiting, 2, "{summary:?}");
+    assert!(summary.waits.iter().any(|wait| matches!(wait, Wait::NoRoom { .. })), "{summary:?}");
     assert!(fleet.history.disruptions.is_empty());
 }
 
@@ -102,8 +105,8 @@
     fleet.drain(request("all", Target::All {}, true));
     fleet.run(120.0);
     assert_eq!(fleet.history.disruptions.len(), lost, "a replica was stopped beyond the budget");
-    let told = summary(&fleet, "all").unwrap();
-    assert!(told.waits.iter().any(|wait| matches!(wait, Wait::Budget { .. })), "{told:?}");
+    let summary = summary(&fleet, "all").unwrap();
+    assert!(summary.waits.iter().any(|wait| matches!(wait, Wait::Budget { .. })), "{summary:?}");
 }
 
 /// However many tasks a team allows at once: of each service one replica moves at a time, the others carry on.
@@ -139,9 +142,9 @@
         false
     });
     assert!(fewest >= 2, "a zone was left with {fewest} places");
-    let told = summary(&fleet, "all").unwrap();
-    assert_eq!(told.counts.returned, 4, "{told:?}");
-    assert!(told.waits.iter().any(|wait| matches!(wait, Wait::ReservedPlaces { .. })), "{told:?}");
+    let summary = summary(&fleet, "all").unwrap();
+    assert_eq!(summary.counts.returned, 4, "{summary:?}");
+    assert!(summary.waits.iter().any(|wait| matches!(wait, Wait::ReservedPlaces { .. })), "{summary:?}");
 }
 
 /// What can't be known counts high: a ledger that can't be read is a budget spent, for a window.
--- a/tests/draining/failures.rs
+++ b/tests/draining/failures.rs
@@ -72,21 +72,21 @@
     let mut fleet = with_services(layout_of(&[("t", agreed)], 3), 4, 4);
     let machines = fleet.machine_names();
     fleet.drain(request("all", Target::All {}, true));
-    let begun = |fleet: &Fleet, nth: usize| {
+    let nth_cordoned = |fleet: &Fleet, nth: usize| {
         let parts = fleet.store.progress.values().flat_map(|chunks| chunks.values());
         let entries = parts.flat_map(|chunk| &chunk.machines);
         let mut cordoned = entries.filter(|entry| matches!(entry.state, MachineDrainState::Cordoned { .. }));
         let well = |name: &String| fleet.workers().any(|(n, w)| n == name && !w.dead && !w.tasks.is_empty());
         cordoned.by_ref().map(|entry| entry.machine.clone()).filter(well).nth(nth)
     };
-    assert!(fleet.run_until(60.0, |fleet| begun(fleet, 0).is_some()));
-    let dies = begun(&fleet, 0).unwrap();
+    assert!(fleet.run_until(60.0, |fleet| nth_cordoned(fleet, 0).is_some()));
+    let dies = nth_cordoned(&fleet, 0).unwrap();
     fleet.kill_machine(&dies);
-    assert!(fleet.run_until(60.0, |fleet| begun(fleet, 0).is_some_and(|name| name != dies)));
-    let hangs = begun(&fleet, 0).unwrap();
+    assert!(fleet.run_until(60.0, |fleet| nth_cordoned(fleet, 0).is_some_and(|name| name != dies)));
+    let hangs = nth_cordoned(&fleet, 0).unwrap();
     fleet.hang_machine(&hangs, 40.0);
     fleet.run(20.0);
-    if let Some(taken) = begun(&fleet, 0).filter(|name| *name != hangs) {
+    if let Some(taken) = nth_cordoned(&fleet, 0).filter(|name| *name != hangs) {
         fleet.announce_loss(&taken, 5.0);
     }
     assert!(fleet.run_until(900.0, |fleet| is_finished(fleet, "all")), "{:?}", summary(&fleet, "all"));
@@ -106,7 +106,7 @@
     assert!(fleet.run_until(300.0, |fleet| is_finished(fleet, "one")), "{:?}", summary(&fleet, "one"));
     let names: Vec<&String> = fleet.rentals().keys().filter(|name| name.starts_with("drain-")).collect();
     assert_eq!(names.len(), 2, "{names:?}");
-    let told = summary(&fleet, "one").unwrap();
-    assert_eq!((told.counts.returned, told.counts.replaced), (1, 1));
+    let summary = summary(&fleet, "one").unwrap();
+    assert_eq!((summary.counts.returned, summary.counts.replaced), (1, 1));
     assert!(!fleet.machine_names().contains(&machine));
 }
--- a/tests/draining/requests.rs
+++ b/tests/draining/requests.rs
@@ -26,8 +26,8 @@
     let others = fleet.machine_names().len() - with_u.len();
     let most_done = |fleet: &Fleet| summary(fleet, "all").is_some_and(|s| s.counts.returned >= others);
     assert!(fleet.run_until(900.0, most_done), "{:?}", summary(&fleet, "all"));
-    let told = summary(&fleet, "stuck").unwrap();
-    assert!(told.never && told.state == DrainState::Running, "{told:?}");
+    let summary = summary(&fleet, "stuck").unwrap();
+    assert!(summary.never && summary.state == DrainState::Running, "{summary:?}");
     assert!(fleet.history.disruptions.iter().all(|d| d.task.job_id.0 != 50));
 }
 
@@ -46,16 +46,16 @@
     assert!(fleet.run_until(60.0, |fleet| !fleet.history.disruptions.is_empty()));
     fleet.set_desired_state("all", DesiredState::Pause);
     fleet.run(5.0);
-    let (told, there) = (fleet.history.disruptions.len(), fleet.machine_names().len());
+    let (disruptions, machines) = (fleet.history.disruptions.len(), fleet.machine_names().len());
     fleet.run(40.0);
-    assert_eq!(fleet.history.disruptions.len(), told);
-    assert_eq!(fleet.machine_names().len(), there, "a machine was given back while paused");
+    assert_eq!(fleet.history.disruptions.len(), disruptions);
+    assert_eq!(fleet.machine_names().len(), machines, "a machine was given back while paused");
     assert_eq!(summary(&fleet, "all").unwrap().state, DrainState::Paused);
     fleet.set_desired_state("all", DesiredState::Cancel);
     fleet.run(5.0);
     assert_eq!(summary(&fleet, "all").unwrap().state, DrainState::Cancelled);
     // All room is there again: 32 slots, 8 of them taken.
-    let slots = there * 4;
+    let slots = machines * 4;
     fleet.submit(job(70, "t", Kind::Array, (slots - 8) as u32));
     assert!(fleet.run_until(60.0, |fleet| running(fleet, |id| id.0 == 70) == slots - 8));
 }
@@ -67,7 +67,7 @@
         let mut layout = layout_of(&[("t", budget(1, 10.0, 600.0))], 2);
         layout.operator.draining.enabled = enabled;
         let mut fleet = Fleet::new(layout);
-        let mut told = Vec::new();
+        let mut effects = Vec::new();
         for step in 0..200u64 {
             match step {
                 5 => fleet.submit(job(1, "t", Kind::Service, 6)),
@@ -80,9 +80,9 @@
             }
             fleet.run(0.5);
             let decisions = fleet.last_effects.iter().map(|effect| format!("{effect:?}"));
-            told.push(decisions.filter(|effect| !effect.starts_with("WriteDrain")).collect::<Vec<_>>());
+            effects.push(decisions.filter(|effect| !effect.starts_with("WriteDrain")).collect::<Vec<_>>());
         }
-        told
+        effects
     };
     let (on, off) = (play(true), play(false));
     for (step, (on, off)) in on.iter().zip(&off).enumerate() {
--- a/tests/leases/interleavings/world.rs
+++ b/tests/leases/interleavings/world.rs
@@ -220,7 +220,8 @@
         }
     }
 
-    /// The worker is silent and everything under way lost; the leaseholder goes on, or is unreachable too. Checks the rule.
+    /// The worker is silent and everything under way lost; the leaseholder goes on, or is unreachable too. Checks the
+    /// rule.
     pub(super) fn end(mut self, order: &[usize], leaseholder_reachable: bool) {
         self.under_way.clear();
         let until = self.now + SHARD_LEASE + 2 * LEASE;
--- a/tests/scale/six_thousand_machines.rs
+++ b/tests/scale/six_thousand_machines.rs
@@ -35,14 +35,14 @@
         machines.chunks(12).enumerate().map(|(i, part)| (format!("1-{i}"), part.to_vec())).collect();
     let types = Command::Types(vec![machine_type(&fleet.scheduler.config)]);
     fleet.step(vec![types, Command::Load { jobs: vec![], records }]);
-    let (writes, begun) = (fleet.machine_writes, fleet.now);
+    let (writes, started_at) = (fleet.machine_writes, fleet.now);
     fleet.token = FencingToken(2);
     (0..3).for_each(|_| fleet.heartbeat());
     assert_eq!((fleet.machine_writes, fleet.deleted.len()), (writes, 0));
     fleet.submit(spec(1, Kind::Array, Priority::Normal, 1));
     fleet.heartbeat();
     assert_eq!(fleet.width(1), 1);
-    assert!(fleet.now.since(begun) <= 5 * 4 * SECOND);
+    assert!(fleet.now.since(started_at) <= 5 * 4 * SECOND);
 }
 
 /// Operators see every machine of a large fleet, page by page, and are told that there is more.
--- a/tests/scheduler_rules/leaseholders.rs
+++ b/tests/scheduler_rules/leaseholders.rs
@@ -27,7 +27,8 @@
             if let Some(ShardHeartbeat { id, complete, first_of_incarnation, machines }) =
                 leaseholder.shard.next_heartbeat(now)
             {
-                // A shard heartbeat may be lost with its connection, and so may its acknowledgment: the next one repeats it.
+                // A shard heartbeat may be lost with its connection, and so may its acknowledgment: the next one
+                // repeats it.
                 if self.rng.random_bool(0.1) {
                     continue;
                 }
