--- a/crates/dockpier-simulation/examples/transcript/effects.rs
+++ b/crates/dockpier-simulation/examples/transcript/effects.rs
@@ -2,6 +2,7 @@
 
 use crate::output::{Line, Transcript};
 use crate::{drain_records, words};
+use dockpier::lease::renewal::LeaseRenewal;
 use dockpier::scheduler::cold_start::{ColdStartReport, Phase};
 use dockpier::scheduler::{Effect, TaskCommand};
 
@@ -31,22 +32,14 @@
 
 fn line(effect: &Effect) -> Line {
     match effect {
-        Effect::HeartbeatResponse { reply, renewal, task_commands: commands, cacheable: keep } => {
-            Line::new("answer")
-                .with("reply", reply)
-                .with("renewal", words::renewal(renewal.as_ref()))
-                .with("keep", keep)
-                .with("orders", commands.len())
+        Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable } => {
+            response(*reply, renewal.as_ref(), task_commands, *cacheable)
         }
         Effect::RequestWake { node, machine } => {
             Line::new("wake").with("node", node).with("machine", machine)
         }
-        Effect::DirectCommands { machine, address, agent_epoch: session, task_commands: commands } => {
-            Line::new("direct")
-                .with("machine", machine)
-                .with("address", address)
-                .with("session", session)
-                .with("orders", commands.len())
+        Effect::DirectCommands { machine, address, agent_epoch, task_commands } => {
+            direct(machine, address, *agent_epoch, task_commands)
         }
         Effect::CommitDone { job_id, version, tasks, all_done } => Line::new("commit-done")
             .with("job", job_id.0)
@@ -76,6 +69,27 @@
     }
 }
 
+fn response(
+    reply: u64,
+    renewal: Option<&LeaseRenewal>,
+    task_commands: &[TaskCommand],
+    cacheable: bool,
+) -> Line {
+    Line::new("answer")
+        .with("reply", reply)
+        .with("renewal", words::renewal(renewal))
+        .with("keep", cacheable)
+        .with("orders", task_commands.len())
+}
+
+fn direct(machine: &str, address: &str, agent_epoch: u64, task_commands: &[TaskCommand]) -> Line {
+    Line::new("direct")
+        .with("machine", machine)
+        .with("address", address)
+        .with("session", agent_epoch)
+        .with("orders", task_commands.len())
+}
+
 fn cold_start(report: &ColdStartReport) -> Line {
     let phase = match report.phase {
         Phase::Reconciling => "reconciling",
--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -2,6 +2,7 @@
 //! leaseholders are real shards, which pass reports on (`Checkin` with `via`) and tell whom they answered (`Heard`).
 
 mod events;
+mod outside;
 
 use crate::output::{Line, Transcript};
 use crate::worker::Worker;
@@ -10,11 +11,8 @@
 use dockpier::fencing_token::FencingToken;
 use dockpier::lease::shard::{Shard, ShardResponse};
 use dockpier::limits;
-use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::model::{Heartbeat, JobId, Kind, MachineType, Resources, TaskId};
-use dockpier::scheduler::{
-    Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
-};
+use dockpier::scheduler::{Command, Config, ListedMachine, Scheduler, StoredJob, StoredMachine};
 use dockpier::settings::{Operator, Team, Workers};
 use dockpier::time::{from_seconds, to_micros, Timestamp};
 use dockpier_simulation::MACHINE_TYPE;
@@ -30,7 +28,6 @@
 const SLOTS: f64 = 4.0;
 /// The type of machines with twice the slots.
 const LARGE: &str = "l";
-const MACHINES_MOST: usize = 16;
 /// Where the leader runs; the others are leaseholders.
 const LEADER: usize = 0;
 
@@ -269,90 +266,4 @@
         }
         effects.into_iter().for_each(|effect| self.carry_out(effect));
     }
-
-    fn answer_later(&mut self, command: Command) {
-        self.later.push((self.now + STEP, command));
-    }
-
-    fn carry_out(&mut self, effect: Effect) {
-        let (now, token) = (self.now, self.config.token);
-        let outcome = self.outcome();
-        // Without an answer it is carried out all the same.
-        let carried_out = outcome != WriteOutcome::Refused;
-        match effect {
-            Effect::HeartbeatResponse { reply, renewal, task_commands: commands, cacheable: keep } => {
-                let Some((via, report)) = self.waiting.remove(&reply) else { return };
-                if let Some(worker) = self.workers.get_mut(&report.machine).filter(|_| renewal.is_some()) {
-                    worker.answered(now, token, &commands);
-                }
-                if let Some(via) = via {
-                    self.leaseholders[via - 1].shard.record_relayed_response(
-                        Timestamp::from_micros(now),
-                        report,
-                        token,
-                        keep,
-                    );
-                }
-            }
-            Effect::RequestWake { node, machine } => {
-                self.leaseholders[node - 1].shard.request_wake(&[machine])
-            }
-            Effect::DirectCommands { machine, agent_epoch: session, task_commands: commands, .. } => {
-                let Some(worker) = self.workers.get_mut(&machine) else { return };
-                if worker.take_direct(now, session, &commands) {
-                    let report = worker.report(now);
-                    self.answer_later(Command::DirectCommandAnswered(report));
-                }
-            }
-            Effect::Record { key, machines } => {
-                if carried_out {
-                    self.records.insert(key.clone(), machines);
-                }
-                self.answer_later(Command::Recorded { key, outcome });
-            }
-            Effect::CommitDone { job_id, tasks, .. } => {
-                if let Some(job) = self.jobs.get_mut(&job_id).filter(|_| carried_out) {
-                    job.succeeded.extend(&tasks);
-                }
-                self.answer_later(Command::Committed { job_id, tasks, outcome });
-            }
-            Effect::Finish { job_id, .. } => {
-                self.jobs.remove(&job_id);
-                self.answer_later(Command::Finished { job_id, outcome: WriteOutcome::Done });
-            }
-            Effect::Rent { request, machine_type, zone, spot, count, .. } => {
-                self.rent(request, (machine_type, zone, spot), count, outcome);
-            }
-            Effect::Delete(machines) => {
-                self.workers.retain(|name, _| !carried_out || !machines.contains(name));
-                self.answer_later(Command::Deleted { machines, outcome });
-            }
-            Effect::ReadJob { job_id } => {
-                let command = Command::JobRead {
-                    job_id,
-                    sent: Timestamp::from_micros(now),
-                    reading: JobReading::Absent,
-                };
-                self.answer_later(command);
-            }
-            Effect::WriteDrain { .. } | Effect::WriteColdStart(_) | Effect::Deposed(_) => {}
-        }
-    }
-
-    fn outcome(&mut self) -> WriteOutcome {
-        match self.rng.random_range(0..100) {
-            0..=87 => WriteOutcome::Done,
-            88..=94 => WriteOutcome::Refused,
-            _ => WriteOutcome::Unknown,
-        }
-    }
-
-    fn rent(&mut self, request: u64, kind: (String, String, bool), count: u32, outcome: WriteOutcome) {
-        let free = MACHINES_MOST.saturating_sub(self.workers.len()).min(count as usize);
-        let outcome = if free == 0 { WriteOutcome::Refused } else { outcome };
-        let made = if outcome == WriteOutcome::Refused { 0 } else { free };
-        let made: Vec<String> = (0..made).map(|_| self.make_machine(kind.clone(), 4 * SECOND)).collect();
-        let machines = (outcome == WriteOutcome::Done).then_some(made);
-        self.answer_later(Command::Rented { request, machines, outcome });
-    }
 }
--- a/crates/dockpier-simulation/examples/transcript/network.rs
+++ b/crates/dockpier-simulation/examples/transcript/network.rs
@@ -128,7 +128,6 @@
         }
     }
 
-    /// The clock of a node.
     /// The node's own clock.
     fn local(&self, node: usize) -> Timestamp {
         let micros = self.nodes[node].base + (self.now as f64 * self.nodes[node].rate) as u64;
@@ -265,18 +264,11 @@
                 // What arrives meanwhile is there when it goes on.
                 self.send(STEP, wire);
             }
-            Wire::Message { from, to, incarnation, status, message } if self.is_up(to) => {
-                let now = self.local(to);
-                let actions =
-                    self.nodes[to].leadership.handle_message(now, from, incarnation, status, message);
-                self.act(to, actions);
+            Wire::Message { from, to, incarnation, status, message } => {
+                self.deliver_message(from, to, incarnation, status, message);
             }
-            Wire::Attestation { from, to, incarnation, attestation } if self.is_up(to) => {
-                let now = self.local(to);
-                let outcome =
-                    self.nodes[to].leadership.handle_attestation(now, from, incarnation, &attestation);
-                self.note_over("attested-over", to, outcome.terminated);
-                self.act(to, outcome.actions);
+            Wire::Attestation { from, to, incarnation, attestation } => {
+                self.deliver_attestation(from, to, incarnation, &attestation);
             }
             Wire::ToStore { node, incarnation, action, sent } => {
                 let request = Request { name: NAMES[node], incarnation, sent };
@@ -284,25 +276,52 @@
                 let delay = self.delay();
                 self.send(delay, Wire::FromStore { node, incarnation, answer });
             }
-            Wire::FromStore { node, incarnation, answer }
-                if self.is_up(node) && self.nodes[node].incarnation == incarnation =>
-            {
-                self.take_answer(node, answer);
+            Wire::FromStore { node, incarnation, answer } => {
+                if self.is_up(node) && self.nodes[node].incarnation == incarnation {
+                    self.take_answer(node, answer);
+                }
             }
-            Wire::Live { node, incarnation, sent, live }
-                if self.is_served(node) && self.nodes[node].incarnation == incarnation =>
-            {
-                self.take_live(node, sent, &live);
+            Wire::Live { node, incarnation, sent, live } => {
+                if self.is_served(node) && self.nodes[node].incarnation == incarnation {
+                    self.take_live(node, sent, &live);
+                }
             }
-            Wire::Cancelled { node, incarnation, job_id }
-                if self.is_served(node) && self.nodes[node].incarnation == incarnation =>
-            {
-                self.confirm(node, job_id);
+            Wire::Cancelled { node, incarnation, job_id } => {
+                if self.is_served(node) && self.nodes[node].incarnation == incarnation {
+                    self.confirm(node, job_id);
+                }
             }
-            _ => {}
         }
     }
 
+    /// A message from a peer; lost when the node is down.
+    fn deliver_message(
+        &mut self,
+        from: usize,
+        to: usize,
+        incarnation: u64,
+        status: Status,
+        message: Message,
+    ) {
+        if !self.is_up(to) {
+            return;
+        }
+        let now = self.local(to);
+        let actions = self.nodes[to].leadership.handle_message(now, from, incarnation, status, message);
+        self.act(to, actions);
+    }
+
+    /// A peer's attestation of cancellations; lost when the node is down.
+    fn deliver_attestation(&mut self, from: usize, to: usize, incarnation: u64, attestation: &Attestation) {
+        if !self.is_up(to) {
+            return;
+        }
+        let now = self.local(to);
+        let outcome = self.nodes[to].leadership.handle_attestation(now, from, incarnation, attestation);
+        self.note_over("attested-over", to, outcome.terminated);
+        self.act(to, outcome.actions);
+    }
+
     fn take_answer(&mut self, node: usize, answer: StoreResponse) {
         let (now, served) = (self.local(node), self.is_served(node));
         let answer = match answer {
