--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -15,7 +15,7 @@
 pub use worker::{Worker, WorkerTask};
 
 use dockpier::scheduler::model::{JobId, JobSpec, MachineType, Resources};
-use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, WriteOutcome};
+use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand, WriteOutcome};
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use dockpier_drain::request::{DesiredState, DrainRequest, StoredRequest};
 use layout::config;
@@ -298,20 +298,14 @@
         self.later.push((self.now + ANSWERS_AFTER, command));
     }
 
+    /// Applies an effect of the scheduler to workers, cloud and state service.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::HeartbeatResponse { reply, task_commands, .. } => {
-                let (now, token) = (self.now, self.config.token);
-                if let Some(worker) = self.workers.get_mut(&machine_name(reply)) {
-                    worker.answered(now, token, &task_commands, &mut self.history);
-                }
+                self.deliver_response(reply, &task_commands);
             }
             Effect::DirectCommands { machine, agent_epoch, task_commands, .. } => {
-                let now = self.now;
-                if let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.agent_epoch == agent_epoch)
-                {
-                    worker.take_direct(now, &task_commands, &mut self.history);
-                }
+                self.deliver_direct(&machine, agent_epoch, &task_commands);
             }
             Effect::Rent { request, name, zone, spot, count, .. } => {
                 let token = self.config.token;
@@ -319,14 +313,7 @@
                 let (machines, outcome) = self.rent(&name, &zone, spot, count);
                 self.answer(Command::Rented { request, machines, outcome });
             }
-            Effect::Delete(machines) => {
-                for name in &machines {
-                    self.kill_machine(name);
-                    self.workers.remove(name);
-                }
-                self.history.returned.extend(machines.iter().cloned());
-                self.answer(Command::Deleted { machines, outcome: WriteOutcome::Done });
-            }
+            Effect::Delete(machines) => self.delete(machines),
             Effect::ReadJob { job_id } => {
                 let (sent, reading) = (self.now, self.store.read_job(job_id));
                 self.answer(Command::JobRead { job_id, sent, reading });
@@ -335,7 +322,12 @@
                 self.store.jobs.remove(&job_id);
                 self.answer(Command::Finished { job_id, outcome: WriteOutcome::Done });
             }
-            effect => {
+            effect @ (Effect::CommitDone { .. }
+            | Effect::Record { .. }
+            | Effect::WriteDrain { .. }
+            | Effect::WriteColdStart(_)
+            | Effect::RequestWake { .. }
+            | Effect::Deposed(_)) => {
                 if let Some(command) = self.store.carry_out(effect) {
                     self.answer(command);
                 }
@@ -343,6 +335,33 @@
         }
     }
 
+    /// Hands the response to the worker whose number is the reply's.
+    fn deliver_response(&mut self, reply: u64, task_commands: &[TaskCommand]) {
+        let (now, token) = (self.now, self.config.token);
+        if let Some(worker) = self.workers.get_mut(&machine_name(reply)) {
+            worker.answered(now, token, task_commands, &mut self.history);
+        }
+    }
+
+    /// Hands commands to a worker outside a heartbeat, if its agent epoch is still the addressed one.
+    fn deliver_direct(&mut self, machine: &str, agent_epoch: u64, task_commands: &[TaskCommand]) {
+        let now = self.now;
+        let addressed = self.workers.get_mut(machine).filter(|worker| worker.agent_epoch == agent_epoch);
+        if let Some(worker) = addressed {
+            worker.take_direct(now, task_commands, &mut self.history);
+        }
+    }
+
+    /// The cloud deletes machines with everything on them.
+    fn delete(&mut self, machines: Vec<String>) {
+        for name in &machines {
+            self.kill_machine(name);
+            self.workers.remove(name);
+        }
+        self.history.returned.extend(machines.iter().cloned());
+        self.answer(Command::Deleted { machines, outcome: WriteOutcome::Done });
+    }
+
     /// A leader begins with what the state service holds.
     fn load(&mut self) {
         let slots = self.layout.slots;
--- a/crates/dockpier-simulation/src/store.rs
+++ b/crates/dockpier-simulation/src/store.rs
@@ -69,19 +69,13 @@
 
     /// Carries out a change and says what the scheduler is told of it.
     pub fn carry_out(&mut self, effect: Effect) -> Option<Command> {
-        let outcome = match (self.out, self.answers_lost) {
-            (true, _) => WriteOutcome::Refused,
-            (false, true) => WriteOutcome::Unknown,
-            (false, false) => WriteOutcome::Done,
-        };
+        let outcome = self.outcome();
         let takes = !self.out;
         self.writes += 1;
         match effect {
             Effect::Record { key, machines } => {
-                if takes && machines.is_empty() {
-                    self.machines.remove(&key);
-                } else if takes {
-                    self.machines.insert(key.clone(), machines);
+                if takes {
+                    self.write_machines(&key, machines);
                 }
                 Some(Command::Recorded { key, outcome })
             }
@@ -104,7 +98,32 @@
                 }
                 Some(Command::DrainWritten { key, outcome })
             }
-            _ => None,
+            Effect::HeartbeatResponse { .. }
+            | Effect::RequestWake { .. }
+            | Effect::DirectCommands { .. }
+            | Effect::Finish { .. }
+            | Effect::Rent { .. }
+            | Effect::Delete(_)
+            | Effect::ReadJob { .. }
+            | Effect::Deposed(_) => None,
+        }
+    }
+
+    /// The outcome that a change reports at present.
+    fn outcome(&self) -> WriteOutcome {
+        match (self.out, self.answers_lost) {
+            (true, _) => WriteOutcome::Refused,
+            (false, true) => WriteOutcome::Unknown,
+            (false, false) => WriteOutcome::Done,
+        }
+    }
+
+    /// Writes a record of machines; an empty one is deleted.
+    fn write_machines(&mut self, key: &str, machines: Vec<StoredMachine>) {
+        if machines.is_empty() {
+            self.machines.remove(key);
+        } else {
+            self.machines.insert(key.to_string(), machines);
         }
     }
 
