--- a/crates/dockpier-simulation/src/history.rs
+++ b/crates/dockpier-simulation/src/history.rs
@@ -1,7 +1,7 @@
 //! What happened on the workers, by their own records.
 
 use crate::worker::Worker;
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{JobId, Kind, TaskId, TaskStatus};
 use dockpier::scheduler::Scheduler;
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/dockpier-simulation/src/worker.rs
+++ b/crates/dockpier-simulation/src/worker.rs
@@ -2,7 +2,7 @@
 
 use crate::history::History;
 use dockpier::fencing_token::FencingToken;
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
