--- a/crates/dockpier-simulation/src/history.rs
+++ b/crates/dockpier-simulation/src/history.rs
@@ -1,7 +1,6 @@
 //! What happened on the workers, by their own records.
 
-use crate::worker::Worker;
-use dockpier::scheduler::model::{JobId, Kind, TaskId, TaskStatus};
+use dockpier::scheduler::model::{JobId, Kind, TaskId};
 use dockpier::scheduler::Scheduler;
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,6 +17,16 @@
     pub until: Option<Timestamp>,
 }
 
+/// A task that runs on a worker that is up.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct RunningTask<'a> {
+    /// The task.
+    pub(crate) id: TaskId,
+    /// The worker's zone.
+    pub(crate) zone: &'a str,
+}
+
+/// What the records need to know of a job, also after it has ended.
 #[derive(Debug, Clone, Copy)]
 struct JobFacts {
     service: bool,
@@ -94,11 +103,6 @@
         }
     }
 
-    pub(crate) fn lose_machine(&mut self, now: Timestamp, worker: &mut Worker) {
-        let tasks = std::mem::take(&mut worker.tasks);
-        tasks.keys().for_each(|id| self.ended(now, *id, &worker.name));
-    }
-
     fn leave(&mut self, id: TaskId, machine: &str) -> bool {
         self.running.get_mut(&id).is_some_and(|on| on.remove(machine))
     }
@@ -118,11 +122,11 @@
         }
     }
 
+    /// Looks at every running task: learns of new jobs, and keeps the fewest replicas of each complete service.
     pub(crate) fn observe<'a>(
         &mut self,
-        now: Timestamp,
         scheduler: &Scheduler,
-        workers: impl Iterator<Item = &'a Worker>,
+        running_tasks: impl Iterator<Item = RunningTask<'a>>,
     ) {
         for job in scheduler.jobs.values() {
             let service = job.spec.kind == Kind::Service;
@@ -131,12 +135,10 @@
         }
         let mut by_zone: BTreeMap<(JobId, String), usize> = BTreeMap::new();
         let mut all: BTreeMap<JobId, u32> = BTreeMap::new();
-        for worker in workers.filter(|worker| worker.is_up(now) && !worker.dead) {
-            for (id, _) in worker.tasks.iter().filter(|(_, t)| t.status == TaskStatus::Running) {
-                if self.jobs.get(&id.job_id).is_some_and(|facts| facts.service) {
-                    *by_zone.entry((id.job_id, worker.zone.clone())).or_default() += 1;
-                    *all.entry(id.job_id).or_default() += 1;
-                }
+        for RunningTask { id, zone } in running_tasks {
+            if self.jobs.get(&id.job_id).is_some_and(|facts| facts.service) {
+                *by_zone.entry((id.job_id, zone.to_string())).or_default() += 1;
+                *all.entry(id.job_id).or_default() += 1;
             }
         }
         for (job_id, running) in all {
@@ -144,10 +146,15 @@
                 self.complete.insert(job_id);
             }
         }
+        self.note_fewest(&scheduler.config.zones, &by_zone);
+    }
+
+    /// Lowers each complete service's fewest replicas of a zone to those that run there.
+    fn note_fewest(&mut self, zones: &[String], running: &BTreeMap<(JobId, String), usize>) {
         for job_id in &self.complete {
-            for zone in &scheduler.config.zones {
+            for zone in zones {
                 let key = (*job_id, zone.clone());
-                let here = by_zone.get(&key).copied().unwrap_or(0);
+                let here = running.get(&key).copied().unwrap_or(0);
                 let fewest = self.fewest.entry(key).or_insert(here);
                 *fewest = (*fewest).min(here);
             }
--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -209,7 +209,7 @@
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(name) {
             worker.dead = true;
-            self.history.lose_machine(now, worker);
+            worker.lose_tasks(now, &mut self.history);
         }
     }
 
@@ -246,7 +246,8 @@
         self.step(batch);
         // A look at every task: in a large fleet once a second.
         if self.workers.len() < LARGE || now.as_micros() % 1_000_000 == 0 {
-            self.history.observe(now, &self.scheduler, self.workers.values());
+            let running_tasks = self.workers.values().flat_map(|worker| worker.running_tasks(now));
+            self.history.observe(&self.scheduler, running_tasks);
         }
     }
 
--- a/crates/dockpier-simulation/src/worker.rs
+++ b/crates/dockpier-simulation/src/worker.rs
@@ -1,6 +1,6 @@
 //! A worker: carries out what it is told, and keeps to its lease.
 
-use crate::history::History;
+use crate::history::{History, RunningTask};
 use dockpier::fencing_token::FencingToken;
 use dockpier::scheduler::model::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
@@ -89,6 +89,20 @@
         now >= self.up_at
     }
 
+    /// Tasks that run now; none on a machine that is dead or not up yet.
+    pub(crate) fn running_tasks(&self, now: Timestamp) -> impl Iterator<Item = RunningTask<'_>> {
+        let tasks = self.tasks.iter().filter(move |_| self.is_up(now) && !self.dead);
+        tasks
+            .filter(|(_, task)| task.status == TaskStatus::Running)
+            .map(|(id, _)| RunningTask { id: *id, zone: &self.zone })
+    }
+
+    /// Every task ends at once: the machine is dead, or its lease has expired.
+    pub(crate) fn lose_tasks(&mut self, now: Timestamp, history: &mut History) {
+        let tasks = std::mem::take(&mut self.tasks);
+        tasks.keys().for_each(|id| history.ended(now, *id, &self.name));
+    }
+
     pub(crate) fn is_heartbeat_due(&self, now: Timestamp) -> bool {
         self.is_well(now) && now >= self.next_report
     }
@@ -117,8 +131,7 @@
             return;
         }
         if now > self.answered_at + lease {
-            self.tasks.keys().for_each(|id| history.ended(now, *id, &self.name));
-            self.tasks.clear();
+            self.lose_tasks(now, history);
             self.agent_epoch += 1;
             self.answered_at = now;
         }
