--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -5,7 +5,7 @@
 mod outside;
 
 use crate::output::{Line, Transcript};
-use crate::worker::Worker;
+use crate::worker::{InstanceKind, Worker};
 use crate::SECOND;
 use crate::{draw, effects, words};
 use dockpier::fencing_token::FencingToken;
@@ -86,7 +86,8 @@
     for number in 0..8 {
         let zone = day.config.zones[number % 3].clone();
         let machine_type = if number < 6 { MACHINE_TYPE } else { LARGE };
-        day.make_machine((machine_type.into(), zone, number == 7), 0);
+        let instance = InstanceKind { machine_type: machine_type.into(), zone, spot: number == 7 };
+        day.make_machine(instance, 0);
     }
     day.load();
     while day.now < LASTS {
@@ -115,12 +116,12 @@
 }
 
 impl Day<'_> {
-    /// A machine of this type, in this zone, spot or not.
-    fn make_machine(&mut self, kind: (String, String, bool), boots: u64) -> String {
+    /// A machine of this kind, which is up after `boots` microseconds and up to a second more.
+    fn make_machine(&mut self, instance: InstanceKind, boots: u64) -> String {
         self.made += 1;
         let name = format!("m-{:03}", self.made);
         let up_at = self.now + boots + self.made as u64 % 10 * STEP;
-        self.workers.insert(name.clone(), Worker::new(name.clone(), kind, self.made % 3, up_at));
+        self.workers.insert(name.clone(), Worker::new(name.clone(), instance, self.made % 3, up_at));
         name
     }
 
@@ -250,9 +251,9 @@
     fn list(&self) -> Vec<ListedMachine> {
         let listed = self.workers.values().map(|worker| StoredMachine {
             name: worker.name.clone(),
-            machine_type: worker.machine_type.clone(),
-            zone: worker.zone.clone(),
-            spot: worker.spot,
+            machine_type: worker.instance.machine_type.clone(),
+            zone: worker.instance.zone.clone(),
+            spot: worker.instance.spot,
             address: String::new(),
             images: BTreeSet::new(),
         });
--- a/crates/dockpier-simulation/examples/transcript/leaseholders/outside.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/outside.rs
@@ -1,7 +1,8 @@
 //! The outside world of the leader: applies its effects to workers, leaseholders, state service and cloud, and queues
 //! their answers. Each effect draws its outcome first, whether it uses it or not.
 
-use super::Day;
+use super::{Day, STEP};
+use crate::worker::InstanceKind;
 use crate::SECOND;
 use dockpier::lease::renewal::LeaseRenewal;
 use dockpier::lease::shard::Shard;
@@ -39,7 +40,8 @@
                 self.answer_later(Command::Finished { job_id, outcome: WriteOutcome::Done });
             }
             Effect::Rent { request, machine_type, zone, spot, count, .. } => {
-                self.rent(request, (machine_type, zone, spot), count, outcome);
+                let instance = InstanceKind { machine_type, zone, spot };
+                self.rent(request, instance, count, outcome);
             }
             Effect::Delete(machines) => self.delete(machines, outcome),
             Effect::ReadJob { job_id } => {
@@ -61,7 +63,7 @@
 
     /// Queues a command that reaches the scheduler one step later.
     fn answer_later(&mut self, command: Command) {
-        self.later.push((self.now + super::STEP, command));
+        self.later.push((self.now + STEP, command));
     }
 
     /// The shard of the leaseholder on this node. The leader's node 0 has none.
@@ -112,12 +114,12 @@
         self.answer_later(Command::Committed { job_id, tasks, outcome });
     }
 
-    /// Rents machines of this type, in this zone, spot or not, as far as the cloud has any.
-    fn rent(&mut self, request: u64, kind: (String, String, bool), count: u32, outcome: WriteOutcome) {
+    /// Rents machines of this kind as far as the cloud has any.
+    fn rent(&mut self, request: u64, instance: InstanceKind, count: u32, outcome: WriteOutcome) {
         let free = MAX_MACHINES.saturating_sub(self.workers.len()).min(count as usize);
         let outcome = if free == 0 { WriteOutcome::Refused } else { outcome };
         let made = if outcome == WriteOutcome::Refused { 0 } else { free };
-        let made: Vec<String> = (0..made).map(|_| self.make_machine(kind.clone(), 4 * SECOND)).collect();
+        let made: Vec<String> = (0..made).map(|_| self.make_machine(instance.clone(), 4 * SECOND)).collect();
         let machines = (outcome == WriteOutcome::Done).then_some(made);
         self.answer_later(Command::Rented { request, machines, outcome });
     }
--- a/crates/dockpier-simulation/examples/transcript/worker.rs
+++ b/crates/dockpier-simulation/examples/transcript/worker.rs
@@ -21,16 +21,23 @@
     until: u64,
 }
 
+/// What the cloud tells instances apart by.
+#[derive(Clone)]
+pub struct InstanceKind {
+    /// The machine type's name.
+    pub machine_type: String,
+    /// The zone.
+    pub zone: String,
+    /// It is a spot instance.
+    pub spot: bool,
+}
+
 /// A worker on its machine.
 pub struct Worker {
     /// Its machine's name.
     pub name: String,
-    /// Its machine's type.
-    pub machine_type: String,
-    /// Its zone.
-    pub zone: String,
-    /// It is a spot machine.
-    pub spot: bool,
+    /// What kind of instance the machine is.
+    pub instance: InstanceKind,
     /// The controller that it reports to.
     pub node: usize,
     /// When its next report is due.
@@ -49,17 +56,10 @@
 
 impl Worker {
     /// A worker that comes up at `up_at`.
-    pub fn new(
-        name: String,
-        (machine_type, zone, spot): (String, String, bool),
-        node: usize,
-        up_at: u64,
-    ) -> Self {
+    pub fn new(name: String, instance: InstanceKind, node: usize, up_at: u64) -> Self {
         Worker {
             name,
-            machine_type,
-            zone,
-            spot,
+            instance,
             node,
             report_due: up_at,
             silent_until: up_at,
@@ -95,9 +95,9 @@
         Heartbeat {
             machine: self.name.clone(),
             address: String::new(),
-            machine_type: self.machine_type.clone(),
-            zone: self.zone.clone(),
-            spot: self.spot,
+            machine_type: self.instance.machine_type.clone(),
+            zone: self.instance.zone.clone(),
+            spot: self.instance.spot,
             agent_epoch: self.session,
             sequence: self.sequence,
             token: self.token,
