--- a/crates/dockpier-simulation/examples/transcript/effects.rs
+++ b/crates/dockpier-simulation/examples/transcript/effects.rs
@@ -1,4 +1,4 @@
-//! The core's effects as lines: the kind and every field.
+//! The scheduler's effects as lines: the kind and every field.
 
 use crate::output::{Line, Transcript};
 use crate::{drain_records, words};
@@ -12,18 +12,18 @@
     if let Effect::HeartbeatResponse { task_commands: commands, .. }
     | Effect::DirectCommands { task_commands: commands, .. } = effect
     {
-        write_orders(out, at, commands);
+        write_commands(out, at, commands);
     }
 }
 
-/// Writes one line for each order.
-pub fn write_orders(out: &mut Transcript, at: u64, commands: &[TaskCommand]) {
-    commands.iter().for_each(|o| out.write(at, order(o)));
+/// Writes one line for each command.
+pub fn write_commands(out: &mut Transcript, at: u64, commands: &[TaskCommand]) {
+    commands.iter().for_each(|command| out.write(at, command_line(command)));
 }
 
-fn order(order: &TaskCommand) -> Line {
+fn command_line(command: &TaskCommand) -> Line {
     let of = |kind, id, attempt: u64| Line::new(kind).with("task", words::task(id)).with("attempt", attempt);
-    match order {
+    match command {
         TaskCommand::Start { id, attempt } => of("start", id, *attempt),
         TaskCommand::Stop { id, attempt, grace_s } => of("stop", id, *attempt).amount("grace_s", *grace_s),
         TaskCommand::Forget { id, attempt } => of("forget", id, *attempt),
--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -1,5 +1,6 @@
-//! Part one, second driver: the core as a leader with two leaseholders. Workers report to any of three controllers; the
-//! leaseholders are real shards, which pass reports on (`Checkin` with `via`) and tell whom they answered (`Heard`).
+//! Part one, second driver: the scheduler as a leader with two leaseholders. Workers send heartbeats to any of
+//! three controllers; the leaseholders are real shards, which relay heartbeats (`Heartbeat` with `via`) and report which
+//! machines they renewed (`ShardHeartbeat`).
 
 mod events;
 mod outside;
@@ -21,10 +22,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// Resolution of the time, in microseconds as all times here.
 const STEP: u64 = SECOND / 10;
-const LASTS: u64 = 100 * SECOND;
+/// Time that is played for a seed.
+const DURATION: u64 = 100 * SECOND;
+/// Duration of a leaseholder's lease of its shard.
 const SHARD_LEASE: u64 = 8 * SECOND;
+/// Duration of a worker's lease.
 const LEASE: u64 = 12 * SECOND;
+/// Slots of the smaller machine type.
 const SLOTS: f64 = 4.0;
 /// The type of machines with twice the slots.
 const LARGE: &str = "l";
@@ -34,12 +40,12 @@
 /// A controller that is not the leader.
 struct Leaseholder {
     shard: Shard,
-    /// It and the leader don't reach each other until then.
+    /// The connection to the leader is cut until then.
     cut_until: u64,
 }
 
 struct Day<'a> {
-    core: Scheduler,
+    scheduler: Scheduler,
     config: Config,
     rng: SmallRng,
     out: &'a mut Transcript,
@@ -48,9 +54,9 @@
     workers: BTreeMap<String, Worker>,
     jobs: BTreeMap<JobId, StoredJob>,
     records: BTreeMap<String, Vec<StoredMachine>>,
-    /// Reports that wait for the leader's answer, with the leaseholder that passed them on.
+    /// Heartbeats that wait for the leader's response.
     waiting: BTreeMap<u64, (Option<usize>, Heartbeat)>,
-    /// The newest report, and how it came.
+    /// The newest heartbeat.
     newest: Option<(Option<usize>, Heartbeat)>,
     later: Vec<(u64, Command)>,
     replies: u64,
@@ -66,7 +72,7 @@
     let now = SECOND;
     let leaseholder = |incarnation| Leaseholder { shard: Shard::new(6, incarnation), cut_until: 0 };
     let mut day = Day {
-        core: Scheduler::new(config.clone(), Timestamp::from_micros(now)),
+        scheduler: Scheduler::new(config.clone(), Timestamp::from_micros(now)),
         config,
         leaseholders: vec![leaseholder(rng.random()), leaseholder(rng.random())],
         rng,
@@ -90,7 +96,7 @@
         day.make_machine(instance, 0);
     }
     day.load();
-    while day.now < LASTS {
+    while day.now < DURATION {
         day.step();
     }
 }
@@ -158,8 +164,9 @@
         self.later = later;
         let mut batch: Vec<Command> = due.into_iter().map(|(_, command)| command).collect();
         let names: Vec<String> = self.workers.keys().cloned().collect();
-        batch.extend(names.iter().filter_map(|name| self.report(name)));
-        batch.extend((0..self.leaseholders.len()).filter_map(|leaseholder| self.heartbeat(leaseholder)));
+        batch.extend(names.iter().filter_map(|name| self.worker_heartbeat(name)));
+        batch
+            .extend((0..self.leaseholders.len()).filter_map(|leaseholder| self.shard_heartbeat(leaseholder)));
         if now >= self.listed_at + 4 * SECOND {
             self.listed_at = now;
             batch.push(Command::Listed(self.list()));
@@ -176,19 +183,19 @@
         self.workers.values_mut().for_each(|worker| worker.work(self.now, LEASE, runs));
     }
 
-    /// A worker's report: answered by its leaseholder, or a command for the leader.
-    fn report(&mut self, name: &str) -> Option<Command> {
+    /// A worker's heartbeat: answered by its leaseholder, or a command for the leader.
+    fn worker_heartbeat(&mut self, name: &str) -> Option<Command> {
         let now = self.now;
-        let worker = self.workers.get_mut(name).filter(|worker| worker.reports(now))?;
-        worker.report_due = now + to_micros(from_seconds(self.config.workers.report_s));
-        let report = worker.report(now);
+        let worker = self.workers.get_mut(name).filter(|worker| worker.is_heartbeat_due(now))?;
+        worker.heartbeat_due = now + to_micros(from_seconds(self.config.workers.report_s));
+        let heartbeat = worker.heartbeat(now);
         if worker.node == LEADER {
-            return Some(self.checkin(None, report));
+            return Some(self.heartbeat_command(None, heartbeat));
         }
         let (node, Leaseholder { shard, cut_until }) = (worker.node, &mut self.leaseholders[worker.node - 1]);
         let cut = now < *cut_until;
         let line = Line::new("block").with("node", node).with("machine", name);
-        match shard.respond(Timestamp::from_micros(now), &report, !cut) {
+        match shard.respond(Timestamp::from_micros(now), &heartbeat, !cut) {
             ShardResponse::Renewed(token, renewal) => {
                 worker.answered(now, token, &[]);
                 let renewal = words::renewal(Some(&renewal));
@@ -207,20 +214,20 @@
             }
             ShardResponse::NotResponsible => {
                 self.out.write(now, line.with("does", "passes-on"));
-                Some(self.checkin(Some(node), report))
+                Some(self.heartbeat_command(Some(node), heartbeat))
             }
         }
     }
 
-    fn checkin(&mut self, via: Option<usize>, report: Heartbeat) -> Command {
+    fn heartbeat_command(&mut self, via: Option<usize>, heartbeat: Heartbeat) -> Command {
         self.replies += 1;
-        self.newest = Some((via, report.clone()));
-        self.waiting.insert(self.replies, (via, report.clone()));
-        Command::Heartbeat { reply: self.replies, heartbeat: report, via }
+        self.newest = Some((via, heartbeat.clone()));
+        self.waiting.insert(self.replies, (via, heartbeat.clone()));
+        Command::Heartbeat { reply: self.replies, heartbeat, via }
     }
 
-    /// A leaseholder's heartbeat; it or its confirmation may be lost.
-    fn heartbeat(&mut self, leaseholder: usize) -> Option<Command> {
+    /// A leaseholder's shard heartbeat; it or its acknowledgement may be lost.
+    fn shard_heartbeat(&mut self, leaseholder: usize) -> Option<Command> {
         let now = self.now;
         let (lost, unconfirmed) = (self.rng.random_bool(0.08), self.rng.random_bool(0.08));
         let Leaseholder { shard, cut_until } = &mut self.leaseholders[leaseholder];
@@ -261,7 +268,7 @@
     }
 
     fn decide(&mut self, batch: Vec<Command>) {
-        let effects = self.core.step(Timestamp::from_micros(self.now), batch);
+        let effects = self.scheduler.step(Timestamp::from_micros(self.now), batch);
         for effect in &effects {
             effects::write(self.out, self.now, effect);
         }
--- a/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
@@ -30,16 +30,17 @@
                     Line::new("lessee-cut").with("node", leaseholder + 1).with("until", until),
                 );
                 self.leaseholders[leaseholder].cut_until = until;
-                self.core.out_of_touch(Timestamp::from_micros(self.now), std::iter::once(leaseholder + 1));
+                self.scheduler
+                    .out_of_touch(Timestamp::from_micros(self.now), std::iter::once(leaseholder + 1));
             }
             13 => {
                 self.out.write(self.now, Line::new("lessee-restarts").with("node", leaseholder + 1));
                 self.leaseholders[leaseholder].shard = Shard::new(6, self.rng.random());
                 self.leaseholders[leaseholder].shard.follow(self.config.token);
             }
-            14 => self.core.record_kept_alive_until(Timestamp::from_micros(self.now)),
-            15 => self.report_twice(),
-            16 => self.report_higher_token(),
+            14 => self.scheduler.record_kept_alive_until(Timestamp::from_micros(self.now)),
+            15 => self.repeat_heartbeat(),
+            16 => self.show_higher_token(),
             _ => self.change_leader(),
         }
     }
@@ -85,33 +86,33 @@
         self.with_worker("worker-moves", |worker| worker.node = node);
     }
 
-    /// The newest report comes a second time, another way.
-    fn report_twice(&mut self) {
-        let Some((via, report)) = self.newest.clone() else { return };
-        self.out.write(self.now, Line::new("report-twice").with("machine", &report.machine));
+    /// The newest heartbeat comes a second time, by another route.
+    fn repeat_heartbeat(&mut self) {
+        let Some((via, heartbeat)) = self.newest.clone() else { return };
+        self.out.write(self.now, Line::new("report-twice").with("machine", &heartbeat.machine));
         let via = if via.is_some() { None } else { Some(1) };
-        let command = self.checkin(via, report);
+        let command = self.heartbeat_command(via, heartbeat);
         self.decide(vec![command]);
     }
 
-    /// A worker shows a token that this leader does not have: it is deposed.
-    fn report_higher_token(&mut self) {
+    /// A worker's heartbeat has a higher fencing token than this leader's: the leader is deposed.
+    fn show_higher_token(&mut self) {
         let Some(worker) = self.workers.values_mut().next() else { return };
-        let mut report = worker.report(self.now);
-        report.token = self.config.token.next();
-        let command = self.checkin(None, report);
+        let mut heartbeat = worker.heartbeat(self.now);
+        heartbeat.token = self.config.token.next();
+        let command = self.heartbeat_command(None, heartbeat);
         self.decide(vec![command]);
     }
 
     fn change_leader(&mut self) {
         self.config.token = self.config.token.next();
         self.out.write(self.now, Line::new("change-leader").with("token", self.config.token));
-        self.core = Scheduler::new(self.config.clone(), Timestamp::from_micros(self.now));
+        self.scheduler = Scheduler::new(self.config.clone(), Timestamp::from_micros(self.now));
         self.waiting.clear();
         self.later.clear();
-        if let Some((via, report)) = self.newest.take() {
+        if let Some((via, heartbeat)) = self.newest.take() {
             // It is answered before the new leader has loaded what is stored.
-            let command = self.checkin(via, report);
+            let command = self.heartbeat_command(via, heartbeat);
             self.decide(vec![command]);
         }
         self.leaseholders.iter_mut().for_each(|leaseholder| leaseholder.shard.follow(self.config.token));
--- a/crates/dockpier-simulation/examples/transcript/leaseholders/outside.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/outside.rs
@@ -95,7 +95,7 @@
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else { return };
         if worker.take_direct(now, agent_epoch, task_commands) {
-            let heartbeat = worker.report(now);
+            let heartbeat = worker.heartbeat(now);
             self.answer_later(Command::DirectCommandAnswered(heartbeat));
         }
     }
--- a/crates/dockpier-simulation/examples/transcript/network.rs
+++ b/crates/dockpier-simulation/examples/transcript/network.rs
@@ -20,18 +20,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// A millisecond, in microseconds as all times here.
 const MS: u64 = 1_000;
+/// Resolution of the time.
 const STEP: u64 = 10 * MS;
 const NODES: usize = 3;
 const NAMES: [&str; NODES] = ["a", "b", "c"];
-const LASTS: u64 = 45 * SECOND;
+/// Time that is played for a seed.
+const DURATION: u64 = 45 * SECOND;
 /// How long workers may be kept alive without hearing of cancellations, and how long those are remembered.
 const BOUNDS: CancellationBounds =
     CancellationBounds { longest_autonomy: Duration::from_secs(10), retention: Duration::from_secs(50) };
-/// How often the public queries are asked.
-const ASKED_EVERY: u64 = SECOND;
+/// Interval between the lines of the public queries.
+const QUERY_INTERVAL: u64 = SECOND;
 
-/// What is under way.
+/// A message that is on its way.
 enum Wire {
     Message { from: usize, to: usize, incarnation: u64, status: Status, message: Message },
     Attestation { from: usize, to: usize, incarnation: u64, attestation: Attestation },
@@ -52,7 +55,7 @@
     down_until: Option<u64>,
     state_answered: Timestamp,
     live_due: Timestamp,
-    /// The token that it last led with.
+    /// The fencing token that it last led with.
     led: FencingToken,
     /// An earlier version, which attests nothing.
     old: bool,
@@ -97,17 +100,17 @@
     };
     let old = world.rng.random_bool(0.2).then(|| world.rng.random_range(0..NODES));
     for node in 0..NODES {
-        let fresh = world.fresh(node, old == Some(node));
-        world.nodes.push(fresh);
+        let process = world.start_process(node, old == Some(node));
+        world.nodes.push(process);
     }
-    while world.now < LASTS {
+    while world.now < DURATION {
         world.step();
     }
 }
 
 impl World<'_> {
     /// A process that has just started.
-    fn fresh(&mut self, me: usize, old: bool) -> Node {
+    fn start_process(&mut self, local_node: usize, old: bool) -> Node {
         let names = NAMES.map(String::from).to_vec();
         let base = self.rng.random_range(1 << 32..1 << 36);
         let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
@@ -115,7 +118,14 @@
         let incarnation = self.rng.random();
         let seed = self.rng.random();
         Node {
-            leadership: Leadership::new(names, me, incarnation, Timestamp::from_micros(now), BOUNDS, seed),
+            leadership: Leadership::new(
+                names,
+                local_node,
+                incarnation,
+                Timestamp::from_micros(now),
+                BOUNDS,
+                seed,
+            ),
             shard: Shard::new(8, incarnation),
             incarnation,
             base,
@@ -154,7 +164,7 @@
         self.run_jobs();
         self.run_leaseholders();
         self.run_workers();
-        if self.now % ASKED_EVERY == 0 {
+        if self.now % QUERY_INTERVAL == 0 {
             self.ask();
         }
     }
@@ -165,7 +175,7 @@
         }
         if self.nodes[node].down_until.is_some() {
             let old = self.nodes[node].old;
-            self.nodes[node] = self.fresh(node, old);
+            self.nodes[node] = self.start_process(node, old);
         }
         let (now, status) = (self.local(node), self.status(node));
         let actions = self.nodes[node].leadership.tick(now, status);
@@ -338,7 +348,7 @@
         self.act(node, actions);
     }
 
-    /// Jobs that turned out to be over come in no order: theirs is made one.
+    /// Writes terminated jobs by number, since leadership returns them in no particular order.
     fn note_over(&mut self, kind: &'static str, node: usize, over: Vec<JobId>) {
         let mut numbers: Vec<u64> = over.into_iter().map(|job_id| job_id.0).collect();
         numbers.sort_unstable();
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -1,5 +1,5 @@
-//! Users, leaseholders and workers around the three controllers: jobs are submitted and cancelled, shards answer reports
-//! and tell the leader of it.
+//! Users, leaseholders and workers around the three controllers: jobs are submitted and cancelled, shards answer
+//! heartbeats and send the leader heartbeats of their own.
 
 use super::{Wire, World, NODES};
 use crate::output::Line;
@@ -19,17 +19,17 @@
 /// The lease of a worker.
 const LEASE: u64 = 10 * SECOND;
 /// Jobs that are live at the same time.
-const JOBS_MOST: usize = 5;
+const MAX_LIVE_JOBS: usize = 5;
 
 /// A worker with a task of each of its jobs.
 pub(super) struct Worker {
     name: String,
     node: usize,
-    session: u64,
+    agent_epoch: u64,
     sequence: u64,
     token: FencingToken,
     lease_until: u64,
-    report_due: u64,
+    heartbeat_due: u64,
     jobs: BTreeSet<JobId>,
 }
 
@@ -38,16 +38,16 @@
         Worker {
             name: format!("w-{number}"),
             node: number % NODES,
-            session: 1,
+            agent_epoch: 1,
             sequence: 0,
             token: FencingToken::NONE,
             lease_until: LEASE,
-            report_due: 0,
+            heartbeat_due: 0,
             jobs: BTreeSet::new(),
         }
     }
 
-    fn report(&mut self) -> Heartbeat {
+    fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let task = |job_id: &JobId| ReportedTask {
             id: TaskId { job_id: *job_id, task: 0 },
@@ -60,7 +60,7 @@
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
-            agent_epoch: self.session,
+            agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             token: self.token,
             notice_s: None,
@@ -92,7 +92,7 @@
         for worker in &mut self.workers {
             worker.jobs.insert(job_id);
         }
-        if self.store.live.len() <= JOBS_MOST {
+        if self.store.live.len() <= MAX_LIVE_JOBS {
             return;
         }
         if let Some(job_id) = self.store.live.pop_first() {
@@ -166,16 +166,16 @@
 
     fn run_worker(&mut self, worker: &mut Worker) {
         if self.now >= worker.lease_until {
-            worker.session += 1;
+            worker.agent_epoch += 1;
             worker.jobs.clear();
             worker.lease_until = self.now + LEASE;
         }
-        if self.now < worker.report_due {
+        if self.now < worker.heartbeat_due {
             return;
         }
-        worker.report_due = self.now + self.rng.random_range(SECOND * 3 / 4..SECOND * 5 / 4);
-        let report = worker.report();
-        let answer = if self.is_up(worker.node) { self.answer(worker.node, report) } else { None };
+        worker.heartbeat_due = self.now + self.rng.random_range(SECOND * 3 / 4..SECOND * 5 / 4);
+        let heartbeat = worker.heartbeat();
+        let answer = if self.is_up(worker.node) { self.answer(worker.node, heartbeat) } else { None };
         match answer {
             Some((token, stops)) if token >= worker.token => {
                 worker.token = token;
@@ -187,24 +187,24 @@
         }
     }
 
-    /// What a node answers a report with: the token, and the jobs whose tasks it stops.
-    fn answer(&mut self, node: usize, report: Heartbeat) -> Option<(FencingToken, BTreeSet<JobId>)> {
+    /// A node's response to a heartbeat.
+    fn answer(&mut self, node: usize, heartbeat: Heartbeat) -> Option<(FencingToken, BTreeSet<JobId>)> {
         let now = self.local(node);
-        let keeps = self.keeps(node, &report);
-        let known = keeps.as_ref().map_or("none".to_string(), |stops| stops.len().to_string());
-        let line = Line::new("report").with("node", node).with("machine", &report.machine);
-        let line = line.with("token", report.token).with("stops", known);
+        let autonomous_stops = self.autonomous_stops(node, &heartbeat);
+        let known = autonomous_stops.as_ref().map_or("none".to_string(), |stops| stops.len().to_string());
+        let line = Line::new("report").with("node", node).with("machine", &heartbeat.machine);
+        let line = line.with("token", heartbeat.token).with("stops", known);
         let leadership = &self.nodes[node].leadership;
         if let Some(token) = leadership.authority(now) {
-            let commands = leadership.cancellations.with_stop_commands(Vec::new(), &report);
+            let commands = leadership.cancellations.with_stop_commands(Vec::new(), &heartbeat);
             return self.answered(line.with("by", "leader"), token, commands);
         }
-        if let Some((token, stops)) = leadership.keep_alive_token(now).zip(keeps.clone()) {
+        if let Some((token, stops)) = leadership.keep_alive_token(now).zip(autonomous_stops.clone()) {
             return self.answered(line.with("by", "lease-keeper"), token, stops);
         }
         let followed = leadership.followed_leader(now);
-        let answer = self.nodes[node].shard.respond(now, &report, followed.is_some());
-        match (answer, keeps) {
+        let answer = self.nodes[node].shard.respond(now, &heartbeat, followed.is_some());
+        match (answer, autonomous_stops) {
             (ShardResponse::Renewed(token, renewal), Some(stops)) => {
                 let line = line.with("by", "block").with("renewal", words::renewal(Some(&renewal)));
                 return self.answered(line, token, stops);
@@ -212,7 +212,7 @@
             (ShardResponse::Duplicate, _) => self.note(Line::new("report-copy").with("node", node)),
             _ => {}
         }
-        self.pass_on(node, report, line)
+        self.relay(node, heartbeat, line)
     }
 
     fn answered(
@@ -222,19 +222,19 @@
         commands: Vec<TaskCommand>,
     ) -> Option<(FencingToken, BTreeSet<JobId>)> {
         self.note(line.with("answer", token));
-        effects::write_orders(self.out, self.now, &commands);
-        let stopped = commands.iter().filter_map(|order| match order {
+        effects::write_commands(self.out, self.now, &commands);
+        let stopped = commands.iter().filter_map(|command| match command {
             TaskCommand::Stop { id, .. } => Some(id.job_id),
             _ => None,
         });
         Some((token, stopped.collect()))
     }
 
-    /// The leader that the node follows answers, or nobody does.
-    fn pass_on(
+    /// The node relays the heartbeat to the leader that it follows; without one there is no response.
+    fn relay(
         &mut self,
         node: usize,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
         line: Line,
     ) -> Option<(FencingToken, BTreeSet<JobId>)> {
         let now = self.local(node);
@@ -243,25 +243,27 @@
             self.leads(leader.node, leader.token) && self.cut_between(node, leader.node).is_none()
         });
         let Some(FollowedLeader { node: leader, token, .. }) = reached else {
-            let actions = self.nodes[node].leadership.observe_token(report.token, now);
+            let actions = self.nodes[node].leadership.observe_token(heartbeat.token, now);
             self.act(node, actions);
             self.note(line.with("by", "nobody"));
             return None;
         };
-        let commands = self.nodes[leader].leadership.cancellations.with_stop_commands(Vec::new(), &report);
+        let commands = self.nodes[leader].leadership.cancellations.with_stop_commands(Vec::new(), &heartbeat);
         let wakes = self.rng.random_bool(0.1);
-        let machine = report.machine.clone();
+        let machine = heartbeat.machine.clone();
         let shard = &mut self.nodes[node].shard;
-        shard.record_relayed_response(now, report, token, commands.is_empty());
+        shard.record_relayed_response(now, heartbeat, token, commands.is_empty());
         if wakes {
             shard.request_wake(&[machine]);
         }
         self.answered(line.with("by", "relay"), token, commands)
     }
 
-    /// What a node that may keep workers alive by itself tells one to stop.
-    fn keeps(&self, node: usize, report: &Heartbeat) -> Option<Vec<TaskCommand>> {
+    /// The stops that a node in keep-alive mode sends; `None` where it may not respond by itself.
+    fn autonomous_stops(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let (now, log) = (self.local(node), &self.nodes[node].leadership.cancellations);
-        (now + limits::AUTHORITY_MARGIN < log.keep_alive_until()).then(|| log.stop_commands(report)).flatten()
+        (now + limits::AUTHORITY_MARGIN < log.keep_alive_until())
+            .then(|| log.stop_commands(heartbeat))
+            .flatten()
     }
 }
--- a/crates/dockpier-simulation/examples/transcript/worker.rs
+++ b/crates/dockpier-simulation/examples/transcript/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that reports to one of several controllers: its tasks, its session and its lease.
+//! A worker that sends heartbeats to one of several controllers: its tasks, its agent epoch and its lease.
 
 use crate::SECOND;
 use dockpier::fencing_token::FencingToken;
@@ -38,16 +38,16 @@
     pub name: String,
     /// What kind of instance the machine is.
     pub instance: InstanceKind,
-    /// The controller that it reports to.
+    /// The controller that it sends heartbeats to.
     pub node: usize,
-    /// When its next report is due.
-    pub report_due: u64,
-    /// It neither reports nor takes commands until then.
+    /// When its next heartbeat is due, in microseconds.
+    pub heartbeat_due: u64,
+    /// It neither sends heartbeats nor takes commands until then.
     pub silent_until: u64,
-    /// The highest token that it has been answered with.
+    /// The highest fencing token that it has been answered with.
     pub token: FencingToken,
-    /// Its session.
-    pub session: u64,
+    /// Its agent epoch.
+    pub agent_epoch: u64,
     sequence: u64,
     answered_at: u64,
     tasks: BTreeMap<TaskId, Task>,
@@ -61,10 +61,10 @@
             name,
             instance,
             node,
-            report_due: up_at,
+            heartbeat_due: up_at,
             silent_until: up_at,
             token: FencingToken::NONE,
-            session: 1,
+            agent_epoch: 1,
             sequence: 0,
             answered_at: up_at,
             tasks: BTreeMap::new(),
@@ -82,13 +82,13 @@
         self.notice_at.is_some_and(|at| now >= at)
     }
 
-    /// Whether a report is due.
-    pub fn reports(&self, now: u64) -> bool {
-        now >= self.report_due.max(self.silent_until)
+    /// Whether a heartbeat is due.
+    pub fn is_heartbeat_due(&self, now: u64) -> bool {
+        now >= self.heartbeat_due.max(self.silent_until)
     }
 
-    /// Its next report.
-    pub fn report(&mut self, now: u64) -> Heartbeat {
+    /// Its next heartbeat.
+    pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter();
         let tasks = tasks.map(|(id, t)| ReportedTask { id: *id, attempt: t.attempt, status: t.status });
@@ -98,7 +98,7 @@
             machine_type: self.instance.machine_type.clone(),
             zone: self.instance.zone.clone(),
             spot: self.instance.spot,
-            agent_epoch: self.session,
+            agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             token: self.token,
             notice_s: self.notice_at.map(|at| at.saturating_sub(now) as f64 / SECOND as f64),
@@ -113,7 +113,7 @@
         }
         if now > self.answered_at + lease {
             self.tasks.clear();
-            self.session += 1;
+            self.agent_epoch += 1;
             self.answered_at = now;
         }
         for (id, task) in self.tasks.iter_mut().filter(|(_, task)| now >= task.until) {
@@ -126,26 +126,26 @@
         }
     }
 
-    /// A report was answered.
+    /// A heartbeat was answered.
     pub fn answered(&mut self, now: u64, token: FencingToken, commands: &[TaskCommand]) {
         if now < self.silent_until || token < self.token {
             return;
         }
         (self.token, self.answered_at) = (token, now);
-        commands.iter().for_each(|order| self.take(now, order));
+        commands.iter().for_each(|command| self.take(now, command));
     }
 
-    /// Orders came straight from the leader. Returns whether it takes them.
-    pub fn take_direct(&mut self, now: u64, session: u64, commands: &[TaskCommand]) -> bool {
-        let takes = now >= self.silent_until && session == self.session;
+    /// Commands that came straight from the leader. Returns whether it takes them.
+    pub fn take_direct(&mut self, now: u64, agent_epoch: u64, commands: &[TaskCommand]) -> bool {
+        let takes = now >= self.silent_until && agent_epoch == self.agent_epoch;
         if takes {
-            commands.iter().for_each(|order| self.take(now, order));
+            commands.iter().for_each(|command| self.take(now, command));
         }
         takes
     }
 
-    fn take(&mut self, now: u64, order: &TaskCommand) {
-        match order {
+    fn take(&mut self, now: u64, command: &TaskCommand) {
+        match command {
             TaskCommand::Start { id, attempt } => {
                 let fetch = if draw_of(*id, *attempt) % 17 == 5 { FETCH_STUCK } else { FETCH };
                 let task = Task { attempt: *attempt, status: TaskStatus::Fetching, until: now + fetch };
