--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -44,6 +44,14 @@
     cut_until: u64,
 }
 
+/// A heartbeat with the way that it took to the leader.
+#[derive(Clone)]
+struct RoutedHeartbeat {
+    /// The node of the leaseholder that relayed it; `None`: the worker sent it to the leader.
+    via: Option<usize>,
+    heartbeat: Heartbeat,
+}
+
 struct Day<'a> {
     scheduler: Scheduler,
     config: Config,
@@ -55,9 +63,9 @@
     jobs: BTreeMap<JobId, StoredJob>,
     records: BTreeMap<String, Vec<StoredMachine>>,
     /// Heartbeats that wait for the leader's response.
-    waiting: BTreeMap<u64, (Option<usize>, Heartbeat)>,
+    waiting: BTreeMap<u64, RoutedHeartbeat>,
     /// The newest heartbeat.
-    newest: Option<(Option<usize>, Heartbeat)>,
+    newest: Option<RoutedHeartbeat>,
     later: Vec<(u64, Command)>,
     replies: u64,
     made: usize,
@@ -221,8 +229,9 @@
 
     fn heartbeat_command(&mut self, via: Option<usize>, heartbeat: Heartbeat) -> Command {
         self.replies += 1;
-        self.newest = Some((via, heartbeat.clone()));
-        self.waiting.insert(self.replies, (via, heartbeat.clone()));
+        let routed = RoutedHeartbeat { via, heartbeat: heartbeat.clone() };
+        self.newest = Some(routed.clone());
+        self.waiting.insert(self.replies, routed);
         Command::Heartbeat { reply: self.replies, heartbeat, via }
     }
 
--- a/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
@@ -1,6 +1,6 @@
 //! What happens to the leader, its leaseholders and their workers, drawn by the seed.
 
-use super::{Day, SLOTS};
+use super::{Day, RoutedHeartbeat, SLOTS};
 use crate::draw;
 use crate::output::Line;
 use crate::worker::Worker;
@@ -88,7 +88,7 @@
 
     /// The newest heartbeat comes a second time, by another route.
     fn repeat_heartbeat(&mut self) {
-        let Some((via, heartbeat)) = self.newest.clone() else { return };
+        let Some(RoutedHeartbeat { via, heartbeat }) = self.newest.clone() else { return };
         self.out.write(self.now, Line::new("report-twice").with("machine", &heartbeat.machine));
         let via = if via.is_some() { None } else { Some(1) };
         let command = self.heartbeat_command(via, heartbeat);
@@ -110,7 +110,7 @@
         self.scheduler = Scheduler::new(self.config.clone(), Timestamp::from_micros(self.now));
         self.waiting.clear();
         self.later.clear();
-        if let Some((via, heartbeat)) = self.newest.take() {
+        if let Some(RoutedHeartbeat { via, heartbeat }) = self.newest.take() {
             // It is answered before the new leader has loaded what is stored.
             let command = self.heartbeat_command(via, heartbeat);
             self.decide(vec![command]);
--- a/crates/dockpier-simulation/examples/transcript/leaseholders/outside.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/outside.rs
@@ -1,7 +1,7 @@
 //! The outside world of the leader: applies its effects to workers, leaseholders, state service and cloud, and queues
 //! their answers. Each effect draws its outcome first, whether it uses it or not.
 
-use super::{Day, STEP};
+use super::{Day, RoutedHeartbeat, STEP};
 use crate::worker::InstanceKind;
 use crate::SECOND;
 use dockpier::lease::renewal::LeaseRenewal;
@@ -80,7 +80,7 @@
         cacheable: bool,
     ) {
         let (now, token) = (self.now, self.config.token);
-        let Some((via, heartbeat)) = self.waiting.remove(&reply) else { return };
+        let Some(RoutedHeartbeat { via, heartbeat }) = self.waiting.remove(&reply) else { return };
         if let Some(worker) = self.workers.get_mut(&heartbeat.machine).filter(|_| renewal.is_some()) {
             worker.answered(now, token, task_commands);
         }
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -69,6 +69,13 @@
     }
 }
 
+/// A node's response to a heartbeat.
+struct NodeResponse {
+    token: FencingToken,
+    /// Jobs whose tasks the worker is told to stop.
+    stopped: BTreeSet<JobId>,
+}
+
 impl World<'_> {
     // ---- jobs ----
 
@@ -177,18 +184,18 @@
         let heartbeat = worker.heartbeat();
         let answer = if self.is_up(worker.node) { self.answer(worker.node, heartbeat) } else { None };
         match answer {
-            Some((token, stops)) if token >= worker.token => {
+            Some(NodeResponse { token, stopped }) if token >= worker.token => {
                 worker.token = token;
                 worker.lease_until = self.now + LEASE;
-                worker.jobs.retain(|job_id| !stops.contains(job_id));
+                worker.jobs.retain(|job_id| !stopped.contains(job_id));
             }
             Some(_) => {}
             None => worker.node = (worker.node + 1) % NODES,
         }
     }
 
-    /// A node's response to a heartbeat.
-    fn answer(&mut self, node: usize, heartbeat: Heartbeat) -> Option<(FencingToken, BTreeSet<JobId>)> {
+    /// The node responds as leader, in keep-alive mode or from its shard; else it relays the heartbeat.
+    fn answer(&mut self, node: usize, heartbeat: Heartbeat) -> Option<NodeResponse> {
         let now = self.local(node);
         let autonomous_stops = self.autonomous_stops(node, &heartbeat);
         let known = autonomous_stops.as_ref().map_or("none".to_string(), |stops| stops.len().to_string());
@@ -220,23 +227,18 @@
         line: Line,
         token: FencingToken,
         commands: Vec<TaskCommand>,
-    ) -> Option<(FencingToken, BTreeSet<JobId>)> {
+    ) -> Option<NodeResponse> {
         self.note(line.with("answer", token));
         effects::write_commands(self.out, self.now, &commands);
         let stopped = commands.iter().filter_map(|command| match command {
             TaskCommand::Stop { id, .. } => Some(id.job_id),
-            _ => None,
+            TaskCommand::Start { .. } | TaskCommand::Forget { .. } => None,
         });
-        Some((token, stopped.collect()))
+        Some(NodeResponse { token, stopped: stopped.collect() })
     }
 
     /// The node relays the heartbeat to the leader that it follows; without one there is no response.
-    fn relay(
-        &mut self,
-        node: usize,
-        heartbeat: Heartbeat,
-        line: Line,
-    ) -> Option<(FencingToken, BTreeSet<JobId>)> {
+    fn relay(&mut self, node: usize, heartbeat: Heartbeat, line: Line) -> Option<NodeResponse> {
         let now = self.local(node);
         let followed = self.nodes[node].leadership.followed_leader(now);
         let reached = followed.filter(|leader| {
