--- a/crates/dockpier-simulation/src/cloud.rs
+++ b/crates/dockpier-simulation/src/cloud.rs
@@ -30,7 +30,7 @@
         (Some(names), WriteOutcome::Done)
     }
 
-    /// A machine that is up after `boots` microseconds.
+    /// A machine that is up after `boots`; the first `never_boot` of those that boot never are.
     pub(crate) fn make_machine(&mut self, zone: &str, boots: Duration) -> String {
         self.made += 1;
         let name = machine_name(self.made as u64);
--- a/crates/dockpier-simulation/src/history.rs
+++ b/crates/dockpier-simulation/src/history.rs
@@ -40,7 +40,7 @@
     running: BTreeMap<TaskId, BTreeSet<String>>,
     /// Tasks that were on two machines at once.
     pub ran_twice: BTreeSet<TaskId>,
-    /// Orders to start, by task and attempt.
+    /// Start commands, by task and attempt.
     pub start_commands: BTreeMap<(TaskId, u64), usize>,
     /// Starts of each task.
     pub starts: BTreeMap<TaskId, usize>,
@@ -55,8 +55,11 @@
     /// The fewest replicas that each service had running in each zone, once it had all.
     pub fewest: BTreeMap<(JobId, String), usize>,
     jobs: BTreeMap<JobId, JobFacts>,
+    /// When each task last started.
     since: BTreeMap<TaskId, Timestamp>,
+    /// Tasks that have saved a checkpoint since they started.
     saved: BTreeSet<TaskId>,
+    /// Services that had all replicas running at some time.
     complete: BTreeSet<JobId>,
 }
 
@@ -166,7 +169,7 @@
         self.running.values().filter(|on| !on.is_empty()).count()
     }
 
-    /// Orders to start so far.
+    /// Start commands so far.
     pub fn ordered(&self) -> usize {
         self.start_commands.values().sum()
     }
--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -22,18 +22,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Resolution of the fleet's time, in microseconds.
+/// Resolution of the fleet's time.
 const TICK: Duration = Duration::from_millis(100);
-/// The time of day at which a fleet begins, in milliseconds.
+/// The time of day at which a fleet begins, in milliseconds since 1970.
 pub const DAY_BEGINS: u64 = 1_700_000_000_000;
-/// From the end of a leader to the first step of the next.
+/// Time from the end of a leader to the first step of the next.
 const ELECTION: Duration = Duration::from_secs(3);
-/// How long the state service and the cloud take to answer.
-const ANSWERS_AFTER: Duration = Duration::from_millis(100);
-/// From so many machines on the workers' state is looked at once a second.
-const LARGE: usize = 1_000;
-/// How often the cloud's list is read.
-const LIST_EVERY: Duration = Duration::from_secs(4);
+/// Response time of the state service and the cloud.
+const RESPONSE_TIME: Duration = Duration::from_millis(100);
+/// A fleet of this many machines is observed once a second instead of at each tick.
+const LARGE_FLEET: usize = 1_000;
+/// Interval between readings of the cloud's machine list.
+const LIST_INTERVAL: Duration = Duration::from_secs(4);
 
 /// A leader with everything around it.
 pub struct Fleet {
@@ -106,7 +106,7 @@
         fleet
     }
 
-    /// The steady clock in microseconds.
+    /// The steady clock.
     pub fn now(&self) -> Timestamp {
         self.now
     }
@@ -191,7 +191,7 @@
         self.lose_all_controllers(as_seconds(ELECTION));
     }
 
-    /// Every controller ends, and nobody answers for so long.
+    /// Every controller ends; the next leader starts after `seconds`.
     pub fn lose_all_controllers(&mut self, seconds: f64) {
         self.later.clear();
         let until = self.now + from_seconds(seconds);
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A machine hangs: its tasks stand still, it neither reports nor takes commands.
+    /// A machine hangs: its tasks stand still, it neither sends heartbeats nor takes commands.
     pub fn hang_machine(&mut self, name: &str, seconds: f64) {
         let until = self.now + from_seconds(seconds);
         if let Some(worker) = self.workers.get_mut(name) {
@@ -240,12 +240,12 @@
         let mut batch: Vec<Command> = due.into_iter().map(|(_, command)| command).collect();
         batch.extend(self.heartbeats());
         if now >= self.list_due {
-            self.list_due = now + LIST_EVERY;
+            self.list_due = now + LIST_INTERVAL;
             batch.push(Command::Listed(self.list()));
         }
         self.step(batch);
         // A look at every task: in a large fleet once a second.
-        if self.workers.len() < LARGE || now.as_micros() % 1_000_000 == 0 {
+        if self.workers.len() < LARGE_FLEET || now.as_micros() % 1_000_000 == 0 {
             let running_tasks = self.workers.values().flat_map(|worker| worker.running_tasks(now));
             self.history.observe(&self.scheduler, running_tasks);
         }
@@ -296,7 +296,7 @@
     }
 
     fn answer(&mut self, command: Command) {
-        self.later.push((self.now + ANSWERS_AFTER, command));
+        self.later.push((self.now + RESPONSE_TIME, command));
     }
 
     /// Applies an effect of the scheduler to workers, cloud and state service.
--- a/crates/dockpier-simulation/src/worker.rs
+++ b/crates/dockpier-simulation/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: carries out what it is told, and keeps to its lease.
+//! A worker: executes task commands, and ends its tasks when its lease expires.
 
 use crate::history::{History, RunningTask};
 use dockpier::fencing_token::FencingToken;
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Rate at which workers fetch images.
+/// Rate at which workers fetch images, in GB a second.
 pub const FETCH_GB_PER_S: f64 = 0.5;
-/// Every image of the fleet's jobs has this size.
+/// Size of every image, in GB.
 const IMAGE_GB: f64 = 1.0;
 
 /// A task on a worker.
@@ -125,7 +125,7 @@
         }
     }
 
-    /// What happens as time passes.
+    /// Time passes: an expired lease ends all tasks, and tasks go on to their next state.
     pub(crate) fn work(&mut self, now: Timestamp, lease: Duration, history: &mut History) {
         if !self.is_well(now) {
             return;
