--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -1,20 +1,19 @@
-//! Part one, second driver: the core as a leader with two leaseholders. Workers report to any of three controllers; the
-//! leaseholders are real shards, which pass reports on (`Checkin` with `via`) and tell whom they answered (`Heard`).
+//! Part one, second driver: the scheduler as a leader with two leaseholders. Workers send heartbeats to any of
+//! three controllers; the leaseholders are real shards, which relay heartbeats (`Heartbeat` with `via`) and report which
+//! machines they renewed (`ShardHeartbeat`).
 
 mod events;
+mod outside;
 
 use crate::output::{Line, Transcript};
-use crate::worker::Worker;
+use crate::worker::{InstanceKind, Worker};
 use crate::SECOND;
 use crate::{draw, effects, words};
 use dockpier::fencing_token::FencingToken;
 use dockpier::lease::shard::{Shard, ShardResponse};
 use dockpier::limits;
-use dockpier::scheduler::cold_start::JobReading;
 use dockpier::scheduler::model::{Heartbeat, JobId, Kind, MachineType, Resources, TaskId};
-use dockpier::scheduler::{
-    Command, Config, Effect, ListedMachine, Scheduler, StoredJob, StoredMachine, WriteOutcome,
-};
+use dockpier::scheduler::{Command, Config, ListedMachine, Scheduler, StoredJob, StoredMachine};
 use dockpier::settings::{Operator, Team, Workers};
 use dockpier::time::{from_seconds, to_micros, Timestamp};
 use dockpier_simulation::MACHINE_TYPE;
@@ -23,26 +22,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// Resolution of the time, in microseconds as all times here.
 const STEP: u64 = SECOND / 10;
-const LASTS: u64 = 100 * SECOND;
+/// Time that is played for a seed.
+const DURATION: u64 = 100 * SECOND;
+/// Duration of a leaseholder's lease of its shard.
 const SHARD_LEASE: u64 = 8 * SECOND;
+/// Duration of a worker's lease.
 const LEASE: u64 = 12 * SECOND;
+/// Slots of the smaller machine type.
 const SLOTS: f64 = 4.0;
 /// The type of machines with twice the slots.
 const LARGE: &str = "l";
-const MACHINES_MOST: usize = 16;
 /// Where the leader runs; the others are leaseholders.
 const LEADER: usize = 0;
 
 /// A controller that is not the leader.
 struct Leaseholder {
     shard: Shard,
-    /// It and the leader don't reach each other until then.
+    /// The connection to the leader is cut until then.
     cut_until: u64,
 }
 
+/// A heartbeat with the way that it took to the leader.
+#[derive(Clone)]
+struct RoutedHeartbeat {
+    /// The node of the leaseholder that relayed it; `None`: the worker sent it to the leader.
+    via: Option<usize>,
+    heartbeat: Heartbeat,
+}
+
 struct Day<'a> {
-    core: Scheduler,
+    scheduler: Scheduler,
     config: Config,
     rng: SmallRng,
     out: &'a mut Transcript,
@@ -51,10 +62,10 @@
     workers: BTreeMap<String, Worker>,
     jobs: BTreeMap<JobId, StoredJob>,
     records: BTreeMap<String, Vec<StoredMachine>>,
-    /// Reports that wait for the leader's answer, with the leaseholder that passed them on.
-    waiting: BTreeMap<u64, (Option<usize>, Heartbeat)>,
-    /// The newest report, and how it came.
-    newest: Option<(Option<usize>, Heartbeat)>,
+    /// Heartbeats that wait for the leader's response.
+    waiting: BTreeMap<u64, RoutedHeartbeat>,
+    /// The newest heartbeat.
+    newest: Option<RoutedHeartbeat>,
     later: Vec<(u64, Command)>,
     replies: u64,
     made: usize,
@@ -69,7 +80,7 @@
     let now = SECOND;
     let leaseholder = |incarnation| Leaseholder { shard: Shard::new(6, incarnation), cut_until: 0 };
     let mut day = Day {
-        core: Scheduler::new(config.clone(), Timestamp::from_micros(now)),
+        scheduler: Scheduler::new(config.clone(), Timestamp::from_micros(now)),
         config,
         leaseholders: vec![leaseholder(rng.random()), leaseholder(rng.random())],
         rng,
@@ -89,10 +100,11 @@
     for number in 0..8 {
         let zone = day.config.zones[number % 3].clone();
         let machine_type = if number < 6 { MACHINE_TYPE } else { LARGE };
-        day.make_machine((machine_type.into(), zone, number == 7), 0);
+        let instance = InstanceKind { machine_type: machine_type.into(), zone, spot: number == 7 };
+        day.make_machine(instance, 0);
     }
     day.load();
-    while day.now < LASTS {
+    while day.now < DURATION {
         day.step();
     }
 }
@@ -118,12 +130,12 @@
 }
 
 impl Day<'_> {
-    /// A machine of this type, in this zone, spot or not.
-    fn make_machine(&mut self, kind: (String, String, bool), boots: u64) -> String {
+    /// A machine of this kind, which is up after `boots` microseconds and up to a second more.
+    fn make_machine(&mut self, instance: InstanceKind, boots: u64) -> String {
         self.made += 1;
         let name = format!("m-{:03}", self.made);
         let up_at = self.now + boots + self.made as u64 % 10 * STEP;
-        self.workers.insert(name.clone(), Worker::new(name.clone(), kind, self.made % 3, up_at));
+        self.workers.insert(name.clone(), Worker::new(name.clone(), instance, self.made % 3, up_at));
         name
     }
 
@@ -160,8 +172,9 @@
         self.later = later;
         let mut batch: Vec<Command> = due.into_iter().map(|(_, command)| command).collect();
         let names: Vec<String> = self.workers.keys().cloned().collect();
-        batch.extend(names.iter().filter_map(|name| self.report(name)));
-        batch.extend((0..self.leaseholders.len()).filter_map(|leaseholder| self.heartbeat(leaseholder)));
+        batch.extend(names.iter().filter_map(|name| self.worker_heartbeat(name)));
+        batch
+            .extend((0..self.leaseholders.len()).filter_map(|leaseholder| self.shard_heartbeat(leaseholder)));
         if now >= self.listed_at + 4 * SECOND {
             self.listed_at = now;
             batch.push(Command::Listed(self.list()));
@@ -178,19 +191,19 @@
         self.workers.values_mut().for_each(|worker| worker.work(self.now, LEASE, runs));
     }
 
-    /// A worker's report: answered by its leaseholder, or a command for the leader.
-    fn report(&mut self, name: &str) -> Option<Command> {
+    /// A worker's heartbeat: answered by its leaseholder, or a command for the leader.
+    fn worker_heartbeat(&mut self, name: &str) -> Option<Command> {
         let now = self.now;
-        let worker = self.workers.get_mut(name).filter(|worker| worker.reports(now))?;
-        worker.report_due = now + to_micros(from_seconds(self.config.workers.report_s));
-        let report = worker.report(now);
+        let worker = self.workers.get_mut(name).filter(|worker| worker.is_heartbeat_due(now))?;
+        worker.heartbeat_due = now + to_micros(from_seconds(self.config.workers.report_s));
+        let heartbeat = worker.heartbeat(now);
         if worker.node == LEADER {
-            return Some(self.checkin(None, report));
+            return Some(self.heartbeat_command(None, heartbeat));
         }
         let (node, Leaseholder { shard, cut_until }) = (worker.node, &mut self.leaseholders[worker.node - 1]);
         let cut = now < *cut_until;
         let line = Line::new("block").with("node", node).with("machine", name);
-        match shard.respond(Timestamp::from_micros(now), &report, !cut) {
+        match shard.respond(Timestamp::from_micros(now), &heartbeat, !cut) {
             ShardResponse::Renewed(token, renewal) => {
                 worker.answered(now, token, &[]);
                 let renewal = words::renewal(Some(&renewal));
@@ -209,20 +222,21 @@
             }
             ShardResponse::NotResponsible => {
                 self.out.write(now, line.with("does", "passes-on"));
-                Some(self.checkin(Some(node), report))
+                Some(self.heartbeat_command(Some(node), heartbeat))
             }
         }
     }
 
-    fn checkin(&mut self, via: Option<usize>, report: Heartbeat) -> Command {
+    fn heartbeat_command(&mut self, via: Option<usize>, heartbeat: Heartbeat) -> Command {
         self.replies += 1;
-        self.newest = Some((via, report.clone()));
-        self.waiting.insert(self.replies, (via, report.clone()));
-        Command::Heartbeat { reply: self.replies, heartbeat: report, via }
+        let routed = RoutedHeartbeat { via, heartbeat: heartbeat.clone() };
+        self.newest = Some(routed.clone());
+        self.waiting.insert(self.replies, routed);
+        Command::Heartbeat { reply: self.replies, heartbeat, via }
     }
 
-    /// A leaseholder's heartbeat; it or its confirmation may be lost.
-    fn heartbeat(&mut self, leaseholder: usize) -> Option<Command> {
+    /// A leaseholder's shard heartbeat; it or its acknowledgement may be lost.
+    fn shard_heartbeat(&mut self, leaseholder: usize) -> Option<Command> {
         let now = self.now;
         let (lost, unconfirmed) = (self.rng.random_bool(0.08), self.rng.random_bool(0.08));
         let Leaseholder { shard, cut_until } = &mut self.leaseholders[leaseholder];
@@ -253,9 +267,9 @@
     fn list(&self) -> Vec<ListedMachine> {
         let listed = self.workers.values().map(|worker| StoredMachine {
             name: worker.name.clone(),
-            machine_type: worker.machine_type.clone(),
-            zone: worker.zone.clone(),
-            spot: worker.spot,
+            machine_type: worker.instance.machine_type.clone(),
+            zone: worker.instance.zone.clone(),
+            spot: worker.instance.spot,
             address: String::new(),
             images: BTreeSet::new(),
         });
@@ -263,96 +277,10 @@
     }
 
     fn decide(&mut self, batch: Vec<Command>) {
-        let effects = self.core.step(Timestamp::from_micros(self.now), batch);
+        let effects = self.scheduler.step(Timestamp::from_micros(self.now), batch);
         for effect in &effects {
             effects::write(self.out, self.now, effect);
         }
         effects.into_iter().for_each(|effect| self.carry_out(effect));
     }
-
-    fn answer_later(&mut self, command: Command) {
-        self.later.push((self.now + STEP, command));
-    }
-
-    fn carry_out(&mut self, effect: Effect) {
-        let (now, token) = (self.now, self.config.token);
-        let outcome = self.outcome();
-        // Without an answer it is carried out all the same.
-        let carried_out = outcome != WriteOutcome::Refused;
-        match effect {
-            Effect::HeartbeatResponse { reply, renewal, task_commands: commands, cacheable: keep } => {
-                let Some((via, report)) = self.waiting.remove(&reply) else { return };
-                if let Some(worker) = self.workers.get_mut(&report.machine).filter(|_| renewal.is_some()) {
-                    worker.answered(now, token, &commands);
-                }
-                if let Some(via) = via {
-                    self.leaseholders[via - 1].shard.record_relayed_response(
-                        Timestamp::from_micros(now),
-                        report,
-                        token,
-                        keep,
-                    );
-                }
-            }
-            Effect::RequestWake { node, machine } => {
-                self.leaseholders[node - 1].shard.request_wake(&[machine])
-            }
-            Effect::DirectCommands { machine, agent_epoch: session, task_commands: commands, .. } => {
-                let Some(worker) = self.workers.get_mut(&machine) else { return };
-                if worker.take_direct(now, session, &commands) {
-                    let report = worker.report(now);
-                    self.answer_later(Command::DirectCommandAnswered(report));
-                }
-            }
-            Effect::Record { key, machines } => {
-                if carried_out {
-                    self.records.insert(key.clone(), machines);
-                }
-                self.answer_later(Command::Recorded { key, outcome });
-            }
-            Effect::CommitDone { job_id, tasks, .. } => {
-                if let Some(job) = self.jobs.get_mut(&job_id).filter(|_| carried_out) {
-                    job.succeeded.extend(&tasks);
-                }
-                self.answer_later(Command::Committed { job_id, tasks, outcome });
-            }
-            Effect::Finish { job_id, .. } => {
-                self.jobs.remove(&job_id);
-                self.answer_later(Command::Finished { job_id, outcome: WriteOutcome::Done });
-            }
-            Effect::Rent { request, machine_type, zone, spot, count, .. } => {
-                self.rent(request, (machine_type, zone, spot), count, outcome);
-            }
-            Effect::Delete(machines) => {
-                self.workers.retain(|name, _| !carried_out || !machines.contains(name));
-                self.answer_later(Command::Deleted { machines, outcome });
-            }
-            Effect::ReadJob { job_id } => {
-                let command = Command::JobRead {
-                    job_id,
-                    sent: Timestamp::from_micros(now),
-                    reading: JobReading::Absent,
-                };
-                self.answer_later(command);
-            }
-            Effect::WriteDrain { .. } | Effect::WriteColdStart(_) | Effect::Deposed(_) => {}
-        }
-    }
-
-    fn outcome(&mut self) -> WriteOutcome {
-        match self.rng.random_range(0..100) {
-            0..=87 => WriteOutcome::Done,
-            88..=94 => WriteOutcome::Refused,
-            _ => WriteOutcome::Unknown,
-        }
-    }
-
-    fn rent(&mut self, request: u64, kind: (String, String, bool), count: u32, outcome: WriteOutcome) {
-        let free = MACHINES_MOST.saturating_sub(self.workers.len()).min(count as usize);
-        let outcome = if free == 0 { WriteOutcome::Refused } else { outcome };
-        let made = if outcome == WriteOutcome::Refused { 0 } else { free };
-        let made: Vec<String> = (0..made).map(|_| self.make_machine(kind.clone(), 4 * SECOND)).collect();
-        let machines = (outcome == WriteOutcome::Done).then_some(made);
-        self.answer_later(Command::Rented { request, machines, outcome });
-    }
 }
--- a/crates/dockpier-simulation/examples/transcript/network.rs
+++ b/crates/dockpier-simulation/examples/transcript/network.rs
@@ -20,18 +20,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// A millisecond, in microseconds as all times here.
 const MS: u64 = 1_000;
+/// Resolution of the time.
 const STEP: u64 = 10 * MS;
 const NODES: usize = 3;
 const NAMES: [&str; NODES] = ["a", "b", "c"];
-const LASTS: u64 = 45 * SECOND;
+/// Time that is played for a seed.
+const DURATION: u64 = 45 * SECOND;
 /// How long workers may be kept alive without hearing of cancellations, and how long those are remembered.
 const BOUNDS: CancellationBounds =
     CancellationBounds { longest_autonomy: Duration::from_secs(10), retention: Duration::from_secs(50) };
-/// How often the public queries are asked.
-const ASKED_EVERY: u64 = SECOND;
+/// Interval between the lines of the public queries.
+const QUERY_INTERVAL: u64 = SECOND;
 
-/// What is under way.
+/// A message that is on its way.
 enum Wire {
     Message { from: usize, to: usize, incarnation: u64, status: Status, message: Message },
     Attestation { from: usize, to: usize, incarnation: u64, attestation: Attestation },
@@ -52,7 +55,7 @@
     down_until: Option<u64>,
     state_answered: Timestamp,
     live_due: Timestamp,
-    /// The token that it last led with.
+    /// The fencing token that it last led with.
     led: FencingToken,
     /// An earlier version, which attests nothing.
     old: bool,
@@ -97,17 +100,17 @@
     };
     let old = world.rng.random_bool(0.2).then(|| world.rng.random_range(0..NODES));
     for node in 0..NODES {
-        let fresh = world.fresh(node, old == Some(node));
-        world.nodes.push(fresh);
+        let process = world.start_process(node, old == Some(node));
+        world.nodes.push(process);
     }
-    while world.now < LASTS {
+    while world.now < DURATION {
         world.step();
     }
 }
 
 impl World<'_> {
     /// A process that has just started.
-    fn fresh(&mut self, me: usize, old: bool) -> Node {
+    fn start_process(&mut self, local_node: usize, old: bool) -> Node {
         let names = NAMES.map(String::from).to_vec();
         let base = self.rng.random_range(1 << 32..1 << 36);
         let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
@@ -115,7 +118,14 @@
         let incarnation = self.rng.random();
         let seed = self.rng.random();
         Node {
-            leadership: Leadership::new(names, me, incarnation, Timestamp::from_micros(now), BOUNDS, seed),
+            leadership: Leadership::new(
+                names,
+                local_node,
+                incarnation,
+                Timestamp::from_micros(now),
+                BOUNDS,
+                seed,
+            ),
             shard: Shard::new(8, incarnation),
             incarnation,
             base,
@@ -128,7 +138,6 @@
         }
     }
 
-    /// The clock of a node.
     /// The node's own clock.
     fn local(&self, node: usize) -> Timestamp {
         let micros = self.nodes[node].base + (self.now as f64 * self.nodes[node].rate) as u64;
@@ -155,7 +164,7 @@
         self.run_jobs();
         self.run_leaseholders();
         self.run_workers();
-        if self.now % ASKED_EVERY == 0 {
+        if self.now % QUERY_INTERVAL == 0 {
             self.ask();
         }
     }
@@ -166,7 +175,7 @@
         }
         if self.nodes[node].down_until.is_some() {
             let old = self.nodes[node].old;
-            self.nodes[node] = self.fresh(node, old);
+            self.nodes[node] = self.start_process(node, old);
         }
         let (now, status) = (self.local(node), self.status(node));
         let actions = self.nodes[node].leadership.tick(now, status);
@@ -265,18 +274,11 @@
                 // What arrives meanwhile is there when it goes on.
                 self.send(STEP, wire);
             }
-            Wire::Message { from, to, incarnation, status, message } if self.is_up(to) => {
-                let now = self.local(to);
-                let actions =
-                    self.nodes[to].leadership.handle_message(now, from, incarnation, status, message);
-                self.act(to, actions);
+            Wire::Message { from, to, incarnation, status, message } => {
+                self.deliver_message(from, to, incarnation, status, message);
             }
-            Wire::Attestation { from, to, incarnation, attestation } if self.is_up(to) => {
-                let now = self.local(to);
-                let outcome =
-                    self.nodes[to].leadership.handle_attestation(now, from, incarnation, &attestation);
-                self.note_over("attested-over", to, outcome.terminated);
-                self.act(to, outcome.actions);
+            Wire::Attestation { from, to, incarnation, attestation } => {
+                self.deliver_attestation(from, to, incarnation, &attestation);
             }
             Wire::ToStore { node, incarnation, action, sent } => {
                 let request = Request { name: NAMES[node], incarnation, sent };
@@ -284,25 +286,52 @@
                 let delay = self.delay();
                 self.send(delay, Wire::FromStore { node, incarnation, answer });
             }
-            Wire::FromStore { node, incarnation, answer }
-                if self.is_up(node) && self.nodes[node].incarnation == incarnation =>
-            {
-                self.take_answer(node, answer);
+            Wire::FromStore { node, incarnation, answer } => {
+                if self.is_up(node) && self.nodes[node].incarnation == incarnation {
+                    self.take_answer(node, answer);
+                }
             }
-            Wire::Live { node, incarnation, sent, live }
-                if self.is_served(node) && self.nodes[node].incarnation == incarnation =>
-            {
-                self.take_live(node, sent, &live);
+            Wire::Live { node, incarnation, sent, live } => {
+                if self.is_served(node) && self.nodes[node].incarnation == incarnation {
+                    self.take_live(node, sent, &live);
+                }
             }
-            Wire::Cancelled { node, incarnation, job_id }
-                if self.is_served(node) && self.nodes[node].incarnation == incarnation =>
-            {
-                self.confirm(node, job_id);
+            Wire::Cancelled { node, incarnation, job_id } => {
+                if self.is_served(node) && self.nodes[node].incarnation == incarnation {
+                    self.confirm(node, job_id);
+                }
             }
-            _ => {}
         }
     }
 
+    /// A message from a peer; lost when the node is down.
+    fn deliver_message(
+        &mut self,
+        from: usize,
+        to: usize,
+        incarnation: u64,
+        status: Status,
+        message: Message,
+    ) {
+        if !self.is_up(to) {
+            return;
+        }
+        let now = self.local(to);
+        let actions = self.nodes[to].leadership.handle_message(now, from, incarnation, status, message);
+        self.act(to, actions);
+    }
+
+    /// A peer's attestation of cancellations; lost when the node is down.
+    fn deliver_attestation(&mut self, from: usize, to: usize, incarnation: u64, attestation: &Attestation) {
+        if !self.is_up(to) {
+            return;
+        }
+        let now = self.local(to);
+        let outcome = self.nodes[to].leadership.handle_attestation(now, from, incarnation, attestation);
+        self.note_over("attested-over", to, outcome.terminated);
+        self.act(to, outcome.actions);
+    }
+
     fn take_answer(&mut self, node: usize, answer: StoreResponse) {
         let (now, served) = (self.local(node), self.is_served(node));
         let answer = match answer {
@@ -319,7 +348,7 @@
         self.act(node, actions);
     }
 
-    /// Jobs that turned out to be over come in no order: theirs is made one.
+    /// Writes terminated jobs by number, since leadership returns them in no particular order.
     fn note_over(&mut self, kind: &'static str, node: usize, over: Vec<JobId>) {
         let mut numbers: Vec<u64> = over.into_iter().map(|job_id| job_id.0).collect();
         numbers.sort_unstable();
--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -15,25 +15,25 @@
 pub use worker::{Worker, WorkerTask};
 
 use dockpier::scheduler::model::{JobId, JobSpec, MachineType, Resources};
-use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, WriteOutcome};
+use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand, WriteOutcome};
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use dockpier_drain::request::{DesiredState, DrainRequest, StoredRequest};
 use layout::config;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Resolution of the fleet's time, in microseconds.
+/// Resolution of the fleet's time.
 const TICK: Duration = Duration::from_millis(100);
-/// The time of day at which a fleet begins, in milliseconds.
+/// The time of day at which a fleet begins, in milliseconds since 1970.
 pub const DAY_BEGINS: u64 = 1_700_000_000_000;
-/// From the end of a leader to the first step of the next.
+/// Time from the end of a leader to the first step of the next.
 const ELECTION: Duration = Duration::from_secs(3);
-/// How long the state service and the cloud take to answer.
-const ANSWERS_AFTER: Duration = Duration::from_millis(100);
-/// From so many machines on the workers' state is looked at once a second.
-const LARGE: usize = 1_000;
-/// How often the cloud's list is read.
-const LIST_EVERY: Duration = Duration::from_secs(4);
+/// Response time of the state service and the cloud.
+const RESPONSE_TIME: Duration = Duration::from_millis(100);
+/// A fleet of this many machines is observed once a second instead of at each tick.
+const LARGE_FLEET: usize = 1_000;
+/// Interval between readings of the cloud's machine list.
+const LIST_INTERVAL: Duration = Duration::from_secs(4);
 
 /// A leader with everything around it.
 pub struct Fleet {
@@ -106,7 +106,7 @@
         fleet
     }
 
-    /// The steady clock in microseconds.
+    /// The steady clock.
     pub fn now(&self) -> Timestamp {
         self.now
     }
@@ -191,7 +191,7 @@
         self.lose_all_controllers(as_seconds(ELECTION));
     }
 
-    /// Every controller ends, and nobody answers for so long.
+    /// Every controller ends; the next leader starts after `seconds`.
     pub fn lose_all_controllers(&mut self, seconds: f64) {
         self.later.clear();
         let until = self.now + from_seconds(seconds);
@@ -209,11 +209,11 @@
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(name) {
             worker.dead = true;
-            self.history.lose_machine(now, worker);
+            worker.lose_tasks(now, &mut self.history);
         }
     }
 
-    /// A machine hangs: its tasks stand still, it neither reports nor takes commands.
+    /// A machine hangs: its tasks stand still, it neither sends heartbeats nor takes commands.
     pub fn hang_machine(&mut self, name: &str, seconds: f64) {
         let until = self.now + from_seconds(seconds);
         if let Some(worker) = self.workers.get_mut(name) {
@@ -240,13 +240,14 @@
         let mut batch: Vec<Command> = due.into_iter().map(|(_, command)| command).collect();
         batch.extend(self.heartbeats());
         if now >= self.list_due {
-            self.list_due = now + LIST_EVERY;
+            self.list_due = now + LIST_INTERVAL;
             batch.push(Command::Listed(self.list()));
         }
         self.step(batch);
         // A look at every task: in a large fleet once a second.
-        if self.workers.len() < LARGE || now.as_micros() % 1_000_000 == 0 {
-            self.history.observe(now, &self.scheduler, self.workers.values());
+        if self.workers.len() < LARGE_FLEET || now.as_micros() % 1_000_000 == 0 {
+            let running_tasks = self.workers.values().flat_map(|worker| worker.running_tasks(now));
+            self.history.observe(&self.scheduler, running_tasks);
         }
     }
 
@@ -295,23 +296,17 @@
     }
 
     fn answer(&mut self, command: Command) {
-        self.later.push((self.now + ANSWERS_AFTER, command));
+        self.later.push((self.now + RESPONSE_TIME, command));
     }
 
+    /// Applies an effect of the scheduler to workers, cloud and state service.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::HeartbeatResponse { reply, task_commands, .. } => {
-                let (now, token) = (self.now, self.config.token);
-                if let Some(worker) = self.workers.get_mut(&machine_name(reply)) {
-                    worker.answered(now, token, &task_commands, &mut self.history);
-                }
+                self.deliver_response(reply, &task_commands);
             }
             Effect::DirectCommands { machine, agent_epoch, task_commands, .. } => {
-                let now = self.now;
-                if let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.agent_epoch == agent_epoch)
-                {
-                    worker.take_direct(now, &task_commands, &mut self.history);
-                }
+                self.deliver_direct(&machine, agent_epoch, &task_commands);
             }
             Effect::Rent { request, name, zone, spot, count, .. } => {
                 let token = self.config.token;
@@ -319,14 +314,7 @@
                 let (machines, outcome) = self.rent(&name, &zone, spot, count);
                 self.answer(Command::Rented { request, machines, outcome });
             }
-            Effect::Delete(machines) => {
-                for name in &machines {
-                    self.kill_machine(name);
-                    self.workers.remove(name);
-                }
-                self.history.returned.extend(machines.iter().cloned());
-                self.answer(Command::Deleted { machines, outcome: WriteOutcome::Done });
-            }
+            Effect::Delete(machines) => self.delete(machines),
             Effect::ReadJob { job_id } => {
                 let (sent, reading) = (self.now, self.store.read_job(job_id));
                 self.answer(Command::JobRead { job_id, sent, reading });
@@ -335,7 +323,12 @@
                 self.store.jobs.remove(&job_id);
                 self.answer(Command::Finished { job_id, outcome: WriteOutcome::Done });
             }
-            effect => {
+            effect @ (Effect::CommitDone { .. }
+            | Effect::Record { .. }
+            | Effect::WriteDrain { .. }
+            | Effect::WriteColdStart(_)
+            | Effect::RequestWake { .. }
+            | Effect::Deposed(_)) => {
                 if let Some(command) = self.store.carry_out(effect) {
                     self.answer(command);
                 }
@@ -343,6 +336,33 @@
         }
     }
 
+    /// Hands the response to the worker whose number is the reply's.
+    fn deliver_response(&mut self, reply: u64, task_commands: &[TaskCommand]) {
+        let (now, token) = (self.now, self.config.token);
+        if let Some(worker) = self.workers.get_mut(&machine_name(reply)) {
+            worker.answered(now, token, task_commands, &mut self.history);
+        }
+    }
+
+    /// Hands commands to a worker outside a heartbeat, if its agent epoch is still the addressed one.
+    fn deliver_direct(&mut self, machine: &str, agent_epoch: u64, task_commands: &[TaskCommand]) {
+        let now = self.now;
+        let addressed = self.workers.get_mut(machine).filter(|worker| worker.agent_epoch == agent_epoch);
+        if let Some(worker) = addressed {
+            worker.take_direct(now, task_commands, &mut self.history);
+        }
+    }
+
+    /// The cloud deletes machines with everything on them.
+    fn delete(&mut self, machines: Vec<String>) {
+        for name in &machines {
+            self.kill_machine(name);
+            self.workers.remove(name);
+        }
+        self.history.returned.extend(machines.iter().cloned());
+        self.answer(Command::Deleted { machines, outcome: WriteOutcome::Done });
+    }
+
     /// A leader begins with what the state service holds.
     fn load(&mut self) {
         let slots = self.layout.slots;
--- a/crates/dockpier-simulation/src/worker.rs
+++ b/crates/dockpier-simulation/src/worker.rs
@@ -1,16 +1,16 @@
-//! A worker: carries out what it is told, and keeps to its lease.
+//! A worker: executes task commands, and ends its tasks when its lease expires.
 
-use crate::history::History;
+use crate::history::{History, RunningTask};
 use dockpier::fencing_token::FencingToken;
-use dockpier::scheduler::model::*;
+use dockpier::scheduler::model::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus};
 use dockpier::scheduler::TaskCommand;
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Rate at which workers fetch images.
+/// Rate at which workers fetch images, in GB a second.
 pub const FETCH_GB_PER_S: f64 = 0.5;
-/// Every image of the fleet's jobs has this size.
+/// Size of every image, in GB.
 const IMAGE_GB: f64 = 1.0;
 
 /// A task on a worker.
@@ -89,6 +89,20 @@
         now >= self.up_at
     }
 
+    /// Tasks that run now; none on a machine that is dead or not up yet.
+    pub(crate) fn running_tasks(&self, now: Timestamp) -> impl Iterator<Item = RunningTask<'_>> {
+        let tasks = self.tasks.iter().filter(move |_| self.is_up(now) && !self.dead);
+        tasks
+            .filter(|(_, task)| task.status == TaskStatus::Running)
+            .map(|(id, _)| RunningTask { id: *id, zone: &self.zone })
+    }
+
+    /// Every task ends at once: the machine is dead, or its lease has expired.
+    pub(crate) fn lose_tasks(&mut self, now: Timestamp, history: &mut History) {
+        let tasks = std::mem::take(&mut self.tasks);
+        tasks.keys().for_each(|id| history.ended(now, *id, &self.name));
+    }
+
     pub(crate) fn is_heartbeat_due(&self, now: Timestamp) -> bool {
         self.is_well(now) && now >= self.next_report
     }
@@ -111,14 +125,13 @@
         }
     }
 
-    /// What happens as time passes.
+    /// Time passes: an expired lease ends all tasks, and tasks go on to their next state.
     pub(crate) fn work(&mut self, now: Timestamp, lease: Duration, history: &mut History) {
         if !self.is_well(now) {
             return;
         }
         if now > self.answered_at + lease {
-            self.tasks.keys().for_each(|id| history.ended(now, *id, &self.name));
-            self.tasks.clear();
+            self.lose_tasks(now, history);
             self.agent_epoch += 1;
             self.answered_at = now;
         }
