--- a/crates/dockpier-simulation/examples/transcript/draw.rs
+++ b/crates/dockpier-simulation/examples/transcript/draw.rs
@@ -1,7 +1,7 @@
 //! Random layouts, jobs and drains.
 
-use dockpier::operator::ColdStartSettings;
 use dockpier::scheduler::model::{JobSpec, Kind, Priority, Resources};
+use dockpier::settings::ColdStartSettings;
 use dockpier::settings::{Draining, Operator, Team};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
 use dockpier_drain::request::{DesiredState, DrainId, DrainRequest, Target};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,7 +19,6 @@
 pub mod lease;
 pub mod limits;
 pub mod node_events;
-pub mod operator;
 pub mod peer;
 pub mod protocol;
 pub mod scheduler;
--- a/tests/leases/interleavings.rs
+++ b/tests/leases/interleavings.rs
@@ -64,9 +64,9 @@
 fn no_order_ends_a_lease_early(by_leaseholder: bool, leaseholder_reachable: bool, at_least: u64) {
     let played = play_all(by_leaseholder, leaseholder_reachable, &mut Vec::new());
     println!(
-        "by_leaseholder {by_leaseholder}, leaseholder_reachable {leaseholder_reachable}: {played} task_commands up to {DEPTH} events"
+        "by_leaseholder {by_leaseholder}, leaseholder_reachable {leaseholder_reachable}: {played} orders of messages up to {DEPTH} events"
     );
-    assert!(played >= at_least, "{played} task_commands: too little was tested");
+    assert!(played >= at_least, "{played} orders of messages: too little was tested");
 }
 
 #[test]
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -8,7 +8,7 @@
 use dockpier::peer::{decode, encode, Frame, Payload, Sender};
 use dockpier::protocol::records::{Epoch, FinalRecord, LiveRecord, MachineRecord};
 use dockpier::scheduler::model::{
-    ExitReason, Heartbeat, JobId, ReportedTask, TaskCommand, TaskId, TaskStatus,
+    ExitReason, Heartbeat, JobId, JobSummary, ReportedTask, TaskCommand, TaskCounts, TaskId, TaskStatus,
 };
 use dockpier::time::Timestamp;
 use std::collections::BTreeMap;
