--- a/crates/dockpier-cold-start-report/src/measure.rs
+++ b/crates/dockpier-cold-start-report/src/measure.rs
@@ -2,7 +2,6 @@
 
 use dockpier::scheduler::model::{JobSpec, Kind};
 use dockpier::settings::{ColdStartSettings, Operator};
-use dockpier::time::{as_seconds, Timestamp};
 use dockpier_simulation::{job, Fleet, Layout};
 
 /// An outage of all controllers that is shorter than a worker's lease, in seconds.
@@ -132,9 +131,9 @@
     let began_at = fleet.now();
     let mut recovery =
         Recovery { reconciled_s: None, services_s: None, complete_s: None, commands, peak_commands: 0 };
-    while seconds_since(fleet, began_at) < MAX_RECOVERY_S && recovery.complete_s.is_none() {
+    while fleet.seconds_since(began_at) < MAX_RECOVERY_S && recovery.complete_s.is_none() {
         fleet.run(READING_INTERVAL_S);
-        recovery.read(fleet, workload, seconds_since(fleet, began_at));
+        recovery.read(fleet, workload, fleet.seconds_since(began_at));
     }
     recovery
 }
@@ -150,7 +149,3 @@
         self.complete_s = first(self.complete_s, fleet.history.running_tasks() >= workload.tasks);
     }
 }
-
-fn seconds_since(fleet: &Fleet, instant: Timestamp) -> f64 {
-    as_seconds(fleet.now().since(instant))
-}
--- a/crates/dockpier-drain-report/src/measure.rs
+++ b/crates/dockpier-drain-report/src/measure.rs
@@ -2,7 +2,6 @@
 
 use dockpier::scheduler::model::Kind;
 use dockpier::settings::{Draining, Operator};
-use dockpier::time::{as_seconds, Timestamp};
 use dockpier_drain::budget::{Budget, Budgets, Cost};
 use dockpier_drain::ledger::Ledger;
 use dockpier_drain::request::{DrainId, DrainRequest, Target};
@@ -184,10 +183,6 @@
     sums
 }
 
-fn seconds_since(fleet: &Fleet, instant: Timestamp) -> f64 {
-    as_seconds(fleet.now().since(instant))
-}
-
 /// The course of a replacement.
 #[derive(Default)]
 struct Replacement {
@@ -210,10 +205,10 @@
         deadline: None,
         replace: true,
     });
-    while seconds_since(fleet, began_at) < MAX_RUN_S && replacement.took_s.is_none() {
+    while fleet.seconds_since(began_at) < MAX_RUN_S && replacement.took_s.is_none() {
         fleet.run(READING_INTERVAL_S);
         let Some(summary) = fleet.store.summaries.values().next() else { continue };
-        let at_s = seconds_since(fleet, began_at);
+        let at_s = fleet.seconds_since(began_at);
         replacement.curve.push(CurvePoint { at_s, replaced: summary.counts.returned + summary.counts.gone });
         if summary.state == DrainState::Finished {
             replacement.took_s = Some(at_s);
@@ -231,12 +226,12 @@
     for (done, deleted) in machines.chunks(at_once).enumerate() {
         deleted.iter().for_each(|name| fleet.kill_machine(name));
         fleet.run_until(MAX_RESTART_S, |fleet| fleet.history.running_now() >= replicas);
-        let at_s = seconds_since(fleet, began_at);
+        let at_s = fleet.seconds_since(began_at);
         replacement.curve.push(CurvePoint { at_s, replaced: (done + 1) * at_once });
         if at_s > MAX_RUN_S {
             return replacement;
         }
     }
-    replacement.took_s = Some(seconds_since(fleet, began_at));
+    replacement.took_s = Some(fleet.seconds_since(began_at));
     replacement
 }
--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -111,9 +111,14 @@
         self.now
     }
 
+    /// Seconds of the steady clock that have passed since `instant`.
+    pub fn seconds_since(&self, instant: Timestamp) -> f64 {
+        as_seconds(self.now.since(instant))
+    }
+
     /// The time of day in milliseconds.
     pub fn day_ms(&self) -> u64 {
-        DAY_BEGINS + self.now.as_micros() / 1_000
+        DAY_BEGINS + self.now.as_millis()
     }
 
     /// Names of machines that are there, with their workers.
@@ -282,7 +287,7 @@
     }
 
     fn step(&mut self, batch: Vec<Command>) {
-        self.scheduler.time_of_day(self.now, DAY_BEGINS + self.now.as_micros() / 1_000);
+        self.scheduler.time_of_day(self.now, self.day_ms());
         let effects = self.scheduler.step(self.now, batch);
         if let Some(recorded) = &mut self.recorded {
             recorded.extend(effects.iter().map(|effect| (self.now, effect.clone())));
--- a/src/scheduler/cold_start/report.rs
+++ b/src/scheduler/cold_start/report.rs
@@ -167,6 +167,6 @@
 
     /// Milliseconds of the time of day at the instant `at`.
     fn time_of_day_ms(&self, at: Timestamp) -> u64 {
-        (self.day_ms() + at.as_micros() / 1_000).saturating_sub(self.now.as_micros() / 1_000)
+        (self.day_ms() + at.as_millis()).saturating_sub(self.now.as_millis())
     }
 }
--- a/src/scheduler/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -170,13 +170,13 @@
 
     /// The controller passes the time of day in, by which deadlines and windows count.
     pub fn time_of_day(&mut self, now: Timestamp, day_ms: u64) {
-        self.drains.day_offset = Some(day_ms as i64 - (now.as_micros() / 1_000) as i64);
+        self.drains.day_offset = Some(day_ms as i64 - now.as_millis() as i64);
     }
 
     /// The time of day in milliseconds, as of this step.
     pub(super) fn day_ms(&self) -> u64 {
         let offset = self.drains.day_offset.unwrap_or(0);
-        ((self.now.as_micros() / 1_000) as i64 + offset).max(0) as u64
+        (self.now.as_millis() as i64 + offset).max(0) as u64
     }
 
     fn budget_of(&self, team: &str) -> Budget {
--- a/src/time.rs
+++ b/src/time.rs
@@ -33,6 +33,11 @@
         self.0
     }
 
+    /// Whole milliseconds since the clock's origin.
+    pub const fn as_millis(self) -> u64 {
+        self.0 / 1_000
+    }
+
     /// The time that has passed since `earlier`; zero if that is later than this instant.
     pub const fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -1,62 +1,27 @@
 //! The leader's part of `/overview` as its scheduler makes it: words for priorities, phases and reasons to wait, and pages.
 
-use crate::golden;
 use crate::node_api::machine_type;
+use crate::{common, golden};
 use dockpier::fencing_token::FencingToken;
-use dockpier::limits;
-use dockpier::scheduler::model::{Heartbeat, JobId, JobSpec, Kind, Priority, Resources};
+use dockpier::scheduler::model::{Heartbeat, JobSpec, Kind, Priority};
 use dockpier::scheduler::overview::PageStart;
 use dockpier::scheduler::{Command, Config, Scheduler, StoredJob, StoredMachine};
-use dockpier::settings::{Operator, Team, Workers};
+use dockpier::settings::Team;
 use dockpier::time::Timestamp;
 use std::time::Duration;
 
-const SECOND: u64 = 1_000_000;
-
 fn config() -> Config {
-    Config {
-        token: FencingToken(41),
-        operator: Operator::default(),
-        workers: Workers {
-            report_s: 1.0,
-            lease_s: 10.0,
-            cancel_s: 40.0,
-            gang_wait_s: 30.0,
-            gang_peer_s: 6.0,
-        },
-        teams: vec![Team { name: "vision".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
-        zones: vec!["a".into(), "b".into()],
-        list_lag_s: 3.0,
-        round_steps: limits::MAX_ROUND_STEPS,
-        cpu_share: 1.0,
-        write_rps: 1000.0,
-        record_machines: 3,
-        value_most: 4_096,
-        rentals_at_once: 10,
-        shard_lease: Duration::ZERO,
-    }
+    let teams = vec![Team { name: "vision".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }];
+    Config { token: FencingToken(41), teams, ..common::config() }
 }
 
 fn job(number: u64, kind: Kind, priority: Priority, zone: &str) -> StoredJob {
     let spec = JobSpec {
-        job_id: JobId(number),
         class: "train".into(),
         team: "vision".into(),
-        kind,
-        priority,
-        tasks: 2,
-        resource_request: Resources::needed(1.0, 1.0, 1.0),
         image: "img-07".into(),
-        image_gb: 0.0,
-        types: None,
         zone: Some(zone.into()),
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 60.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
+        ..common::spec(number, kind, priority, 2)
     };
     StoredJob { spec, version: number, age: Duration::ZERO, succeeded: [0].into() }
 }
@@ -99,10 +64,10 @@
     ];
     let machines = vec![machine("m-000001", false), machine("m-000002", true)];
     let load = Command::Load { jobs, records: vec![("40-1".into(), machines)] };
-    drop(core.step(Timestamp::from_micros(SECOND), vec![Command::Types(vec![machine_type()]), load]));
+    drop(core.step(Timestamp::from_secs(1), vec![Command::Types(vec![machine_type()]), load]));
     let mut views = vec![page(&core, &PageStart::default())];
     for second in 2..22 {
-        drop(core.step(Timestamp::from_micros(second * SECOND), vec![report("m-000001", second)]));
+        drop(core.step(Timestamp::from_secs(second), vec![report("m-000001", second)]));
         if [2, 21].contains(&second) {
             views.push(page(&core, &PageStart::default()));
         }
--- a/tests/pinned_state/main.rs
+++ b/tests/pinned_state/main.rs
@@ -7,6 +7,8 @@
 mod client_commands;
 mod cold_start_records;
 mod command_line;
+#[path = "../common/mod.rs"]
+mod common;
 mod domain;
 mod drain_records;
 mod endpoint;
--- a/tests/scheduler_rules/troubles.rs
+++ b/tests/scheduler_rules/troubles.rs
@@ -102,11 +102,8 @@
                 deadline: self.rng.random_bool(0.3).then_some(1.0),
                 replace: self.rng.random_bool(0.5),
             };
-            let stored = StoredRequest {
-                request,
-                accepted: self.now.as_micros() / 1_000,
-                desired_state: DesiredState::Run,
-            };
+            let stored =
+                StoredRequest { request, accepted: self.now.as_millis(), desired_state: DesiredState::Run };
             self.drains.requests.insert(stored.request.id.clone(), stored);
         } else {
             let one = self.rng.random_range(0..number);
--- a/tests/scheduler_rules/world.rs
+++ b/tests/scheduler_rules/world.rs
@@ -185,7 +185,7 @@
         self.run_gangs();
         self.run_workers(&mut batch);
         self.run_leaseholders(&mut batch);
-        self.scheduler.time_of_day(self.now, self.now.as_micros() / 1_000);
+        self.scheduler.time_of_day(self.now, self.now.as_millis());
         let effects = self.scheduler.step(self.now, batch);
         for effect in effects {
             self.carry_out(effect);
