--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,7 +1,9 @@
-//! What the scheduler is told, and what it decides: commands in, effects out.
+//! Input and output of the scheduler: the commands that [`super::Scheduler::step`] takes, and the effects
+//! that it returns.
 //!
-//! The controller makes commands of what workers, users, the state service and the cloud send, and carries out effects.
-//! No effect is known to have happened until a command says so.
+//! The controller turns messages of workers, users, the state service and the cloud into commands, and
+//! carries out the effects. The scheduler assumes that an effect was carried out only after a command has
+//! reported its outcome.
 
 use super::cold_start::{ColdStartReport, JobReading};
 use super::drains::{DrainKey, DrainValue, LoadedDrains};
@@ -14,7 +16,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What the scheduler has to know of its settings and its leadership.
+/// Configuration of the scheduler: settings, limits of other services, and the fencing token of its
+/// leadership.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Fencing token of this leader.
@@ -27,25 +30,26 @@
     pub teams: Vec<Team>,
     /// Zones in which machines may be rented.
     pub zones: Vec<String>,
-    /// How far the cloud's list of machines may lag behind, in seconds.
+    /// By how many seconds the cloud's list of machines may lag behind.
     pub list_lag_s: f64,
-    /// Decision steps that a round may take.
+    /// Decision steps that a round or a scaling plan may take; for a round with many machines there are more,
+    /// see `MIN_ROUND_JOBS`.
     pub round_steps: usize,
-    /// The share of a processor core that this process has.
+    /// Share of one processor core that this process has.
     pub cpu_share: f64,
-    /// Writes and deletes per second that the state service allows all nodes together.
+    /// Writes and deletes per second that the state service allows to all nodes together.
     pub write_rps: f64,
-    /// Machines that fit into one record.
+    /// Maximum number of machines in one record.
     pub record_machines: usize,
-    /// Largest value of the state service, in bytes.
+    /// Maximum size of a value in the state service, in bytes.
     pub value_most: usize,
-    /// Largest number of rental requests under way at once.
+    /// Maximum number of rental requests under way at the same time.
     pub rentals_at_once: usize,
-    /// How long a leaseholder may respond by itself; zero: there are no leaseholders.
+    /// How long a leaseholder may respond to heartbeats without the leader; zero: there are no leaseholders.
     pub shard_lease: Duration,
 }
 
-/// A job as the state service has it.
+/// A job as it is stored in the state service.
 #[derive(Debug, Clone)]
 pub struct StoredJob {
     /// What was submitted.
@@ -54,47 +58,49 @@
     pub version: u64,
     /// Time since its submission.
     pub age: Duration,
-    /// Tasks that have succeeded.
+    /// Indices of the tasks that have succeeded.
     pub succeeded: BTreeSet<u32>,
 }
 
-/// A machine as the cloud lists it. The list may be out of date, so it proves nothing.
+/// A machine in the cloud's list. The list may be out of date, so it does not prove that a machine exists or
+/// is gone.
 #[derive(Debug, Clone)]
 pub struct ListedMachine {
     /// The machine.
     pub machine: StoredMachine,
-    /// Whether the cloud says that it has failed.
+    /// Whether the cloud reports it as failed.
     pub failed: bool,
-    /// Time since its rental as of the moment that the list describes, in seconds.
+    /// Time from its rental to the moment that the list describes, in seconds.
     pub age_s: f64,
 }
 
-/// How a write to the state service or a request to the cloud ended.
+/// Outcome of a write to the state service or a request to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// It was carried out.
     Done,
-    /// It was not and will not be carried out.
+    /// It was not carried out and never will be.
     Refused,
-    /// No response: it may have been carried out, or may yet be.
+    /// There was no response: it may have been carried out, or may still be.
     Unknown,
 }
 
-/// What a heartbeat turned out to be.
+/// Classification of a heartbeat on arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
     /// It may have changed something on which decisions depend.
     Changed,
-    /// It lists what the last one did.
+    /// It lists the same as the heartbeat before it.
     Unchanged,
-    /// It is older than the response to a direct command. Its list is ignored, but its worker waits for a response,
-    /// which renews the worker's lease.
+    /// It is older than a response to a direct command that arrived first. Its list is ignored, but its
+    /// worker waits for a response, which renews the worker's lease.
     Overtaken,
-    /// It is a duplicate, or from an agent epoch or a machine that is gone. Its response must not renew a lease.
+    /// It is a duplicate, late, of an agent epoch that has ended, or of a machine that is deleted. The
+    /// response to it must not renew a lease.
     Stale,
 }
 
-/// What has happened.
+/// An event that the scheduler has to take into account.
 #[derive(Debug)]
 pub enum Command {
     /// What the state service held when this leader took over.
@@ -106,7 +112,7 @@
     },
     /// A job was submitted.
     JobAdded(StoredJob),
-    /// A job was cancelled, or is otherwise not in the state service any more.
+    /// A job was cancelled, or is no longer in the state service for another reason.
     JobRemoved(JobId),
     /// A worker's periodic heartbeat.
     Heartbeat {
@@ -114,134 +120,139 @@
         reply: u64,
         /// The heartbeat.
         heartbeat: Heartbeat,
-        /// The leaseholder that relayed it. None: it came straight to the leader.
+        /// Index of the leaseholder that relayed it. None: it came directly to the leader.
         via: Option<usize>,
     },
-    /// Machines to which a leaseholder has responded by itself.
+    /// Machines to which a leaseholder has responded without the leader.
     ShardHeartbeat {
-        /// The leaseholder.
+        /// Index of the leaseholder.
         node: usize,
         /// Names of the machines.
         machines: Vec<String>,
-        /// It has responded to no other machine before then. None: the list may be incomplete.
+        /// `machines` has every machine to which the leaseholder responded before this time and whose renewal
+        /// the leader had not acknowledged. None: the list may be incomplete.
         covers_until: Option<Timestamp>,
-        /// Whether it has just restarted: an earlier incarnation may have responded to any machine until now.
+        /// Whether the leader has acknowledged no shard heartbeat of this incarnation of the leaseholder yet:
+        /// an earlier incarnation may have responded to any machine until now.
         first_of_incarnation: bool,
     },
     /// A worker's heartbeat in response to a direct command.
     DirectCommandAnswered(Heartbeat),
-    /// A write of succeeded tasks has ended; see [`Effect::CommitDone`].
+    /// Outcome of a write of succeeded tasks; see [`Effect::CommitDone`].
     Committed {
         /// The job.
         job_id: JobId,
-        /// The tasks that were to be written.
+        /// Indices of the tasks that were to be written.
         tasks: BTreeSet<u32>,
-        /// How it ended.
+        /// Outcome of the write.
         outcome: WriteOutcome,
     },
-    /// The removal of a finished job has ended; see [`Effect::Finish`].
+    /// Outcome of the last write of a finished job; see [`Effect::Finish`].
     Finished {
         /// The job.
         job_id: JobId,
-        /// How it ended.
+        /// Outcome of the write.
         outcome: WriteOutcome,
     },
-    /// A write of a record of machines has ended; see [`Effect::Record`].
+    /// Outcome of the write of a record of machines; see [`Effect::Record`].
     Recorded {
         /// Key of the record.
         key: String,
-        /// How it ended.
+        /// Outcome of the write.
         outcome: WriteOutcome,
     },
     /// The machine types that the cloud offers.
     Types(Vec<MachineType>),
-    /// A rental request has ended; see [`Effect::Rent`].
+    /// Outcome of a rental request; see [`Effect::Rent`].
     Rented {
         /// Number of the request.
         request: u64,
         /// Names of the rented machines, if the response named them.
         machines: Option<Vec<String>>,
-        /// How it ended.
+        /// Outcome of the request.
         outcome: WriteOutcome,
     },
-    /// A deletion has ended; see [`Effect::Delete`].
+    /// Outcome of a deletion of machines; see [`Effect::Delete`].
     Deleted {
         /// Names of the machines.
         machines: Vec<String>,
-        /// How it ended.
+        /// Outcome of the request.
         outcome: WriteOutcome,
     },
     /// The cloud's list of machines.
     Listed(Vec<ListedMachine>),
-    /// What the state service held of drains when this leader took over; comes before `Load`.
+    /// The drains that the state service held when this leader took over; comes before `Load`.
     LoadDrains(LoadedDrains),
     /// All drain requests of operators that are in force now.
     DrainRequests(Vec<StoredRequest>),
-    /// A write of a drain record has ended; see [`Effect::WriteDrain`].
+    /// Outcome of the write of a drain record; see [`Effect::WriteDrain`].
     DrainWritten {
-        /// Which record.
+        /// Key of the record.
         key: DrainKey,
-        /// How it ended.
+        /// Outcome of the write.
         outcome: WriteOutcome,
     },
-    /// What the state service has of a job that heartbeats name and the scheduler does not know; see
+    /// Result of the read of a job that heartbeats name and the scheduler does not know; see
     /// [`Effect::ReadJob`].
     JobRead {
         /// The job.
         job_id: JobId,
         /// When the read was sent.
         sent: Timestamp,
-        /// What was read.
+        /// Result of the read.
         reading: JobReading,
     },
-    /// The write of the cold start's report has ended; see [`Effect::WriteColdStart`].
+    /// Outcome of the write of the cold start's report; see [`Effect::WriteColdStart`].
     ColdStartWritten(WriteOutcome),
 }
 
-/// What is to be done.
+/// An action that the controller has to carry out for the scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// The response to a heartbeat is to be sent.
+    /// Send the response to a heartbeat.
     HeartbeatResponse {
-        /// Number of the heartbeat; see [`Command::Heartbeat`].
+        /// Number of the response; see [`Command::Heartbeat`].
         reply: u64,
-        /// Proof that the renewal is recorded. None: the response must not renew a lease.
+        /// Proof that the lease renewal is recorded. None: the response must not renew a lease.
         renewal: Option<LeaseRenewal>,
         /// Commands for the worker.
         task_commands: Vec<TaskCommand>,
-        /// Whether the leaseholder that relayed the heartbeat may respond to unchanged ones by itself.
+        /// Whether the leaseholder that relayed the heartbeat may respond to unchanged ones without the
+        /// leader.
         cacheable: bool,
     },
-    /// A leaseholder is to relay this machine's next heartbeat.
+    /// Ask a leaseholder to relay this machine's next heartbeat.
     RequestWake {
-        /// The leaseholder.
+        /// Index of the leaseholder.
         node: usize,
         /// Name of the machine.
         machine: String,
     },
-    /// Stops are to be sent straight to a worker, since its next heartbeat may be seconds away.
+    /// Send stops directly to a worker, since its next heartbeat may be seconds away.
     DirectCommands {
         /// Name of the machine.
         machine: String,
-        /// Where its worker accepts direct commands.
+        /// Address at which its worker accepts direct commands.
         address: String,
-        /// The worker's agent epoch, the only one that may carry them out.
+        /// The worker's agent epoch. The worker must not carry out the commands in another agent epoch.
         agent_epoch: u64,
         /// The stops.
         task_commands: Vec<TaskCommand>,
     },
-    /// Succeeded tasks of a job that goes on are to be stored.
+    /// Store succeeded tasks of a job that has other tasks left.
     CommitDone {
         /// The job.
         job_id: JobId,
         /// Version of its record.
         version: u64,
-        /// The tasks that are not stored yet.
+        /// Indices of the succeeded tasks that are not stored yet.
         tasks: BTreeSet<u32>,
-        /// All its succeeded tasks, since they are stored in chunks.
+        /// Indices of all its succeeded tasks: they are stored in chunks, of which each is written as a
+        /// whole.
         all_done: BTreeSet<u32>,
     },
-    /// A job of which all tasks have succeeded is to be removed, in one transaction.
+    /// Write the final state of a job whose tasks have all succeeded and remove its live record, in one
+    /// transaction.
     Finish {
         /// The job.
         job_id: JobId,
@@ -249,47 +260,48 @@
         version: u64,
         /// Number of its tasks.
         tasks: u32,
-        /// Chunks of succeeded tasks whose keys are to be removed with it.
+        /// Indices of the chunks of succeeded tasks whose keys are removed with the job.
         chunks: Vec<u32>,
     },
-    /// A record of machines that may hold tasks is to be stored.
+    /// Store a record of machines that may hold tasks.
     Record {
         /// Key of the record.
         key: String,
-        /// The machines. None at all: the record is to be removed.
+        /// The machines. Empty: remove the record.
         machines: Vec<StoredMachine>,
     },
-    /// Machines are to be rented.
+    /// Rent machines.
     Rent {
         /// Number of the request.
         request: u64,
-        /// Name of the rental, where it must be the same whichever node leads.
+        /// Name of the rental, if it must be the same under every leader. None: the controller chooses a
+        /// unique name.
         name: Option<String>,
         /// Name of the machine type.
         machine_type: String,
         /// The zone.
         zone: String,
-        /// Whether they are to be spot machines.
+        /// Whether to rent spot machines.
         spot: bool,
         /// Number of machines.
         count: u32,
     },
-    /// The machines with these names are to be deleted.
+    /// Delete the machines with these names.
     Delete(Vec<String>),
-    /// A record of a drain is to be stored.
+    /// Store a record of a drain.
     WriteDrain {
-        /// Which record.
+        /// Key of the record.
         key: DrainKey,
-        /// What it is to hold.
+        /// Value of the record.
         value: DrainValue,
     },
-    /// The state service is to be asked about a job that heartbeats name and the scheduler does not know.
+    /// Read from the state service a job that heartbeats name and the scheduler does not know.
     ReadJob {
         /// The job.
         job_id: JobId,
     },
-    /// The report of the cold start is to be stored.
+    /// Store the report of the cold start.
     WriteColdStart(Box<ColdStartReport>),
-    /// A worker has seen this higher fencing token: another node leads.
+    /// A worker has stated this fencing token, which is higher than the leader's own: another node leads.
     Deposed(FencingToken),
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,8 +1,9 @@
-//! The scheduler: single owner of jobs, tasks, machines and drains. Commands come in batches, effects go out.
+//! The scheduler: the only owner of jobs, tasks, machines and drains. It takes batches of [`Command`]s and
+//! returns [`Effect`]s.
 //!
-//! Pure: no I/O, no clock, no globals; the random numbers are seeded. Instants are of the controller's clock,
-//! which passes them in. The controller calls [`Scheduler::step`] with what has happened and carries
-//! out the [`Effect`]s. `heartbeats` describes the path of a heartbeat through these modules.
+//! It is deterministic: it does no I/O and has no clock and no globals. The controller calls
+//! [`Scheduler::step`] with the time by its own clock and with the commands that have arrived, and carries
+//! out the effects. `heartbeats` describes the path of a heartbeat through these modules.
 
 mod autoscaler;
 pub mod cold_start;
@@ -49,15 +50,15 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tracing::info;
 
-/// A heartbeat whose response waits for the next round of decisions. The lease renewal in that response is recorded
-/// already, so that the lease does not count as expired meanwhile.
+/// A heartbeat whose response waits for the next round of decisions. The lease renewal in that response is
+/// already recorded, so that the scheduler does not treat the lease as expired meanwhile.
 #[derive(Debug)]
 struct PendingHeartbeat {
     /// Number under which the response goes out.
     reply: u64,
     /// Name of the machine.
     machine: String,
-    /// None: the machine is gone.
+    /// Proof that the lease renewal is recorded. None: the machine is gone, so the response renews no lease.
     renewal: Option<LeaseRenewal>,
 }
 
@@ -65,51 +66,54 @@
 pub struct Scheduler {
     /// Settings, and the fencing token of this leader.
     pub config: Config,
-    /// The time of the last step.
+    /// Time of the last step.
     pub now: Timestamp,
-    /// When this leader loaded its state; before that, when it was created.
+    /// When this leader loaded its state; until then, when it was created.
     pub started_at: Timestamp,
-    /// Whether it has loaded its state. Before that it decides nothing.
+    /// Whether it has loaded its state. Until then it makes no decisions.
     pub loaded: bool,
 
     // The cluster.
-    /// All jobs that are not finished, and terminated ones of which something may still run.
+    /// All jobs that are not finished, and terminated jobs of which tasks may still run.
     pub jobs: BTreeMap<JobId, Job>,
     /// All machines that are not deleted, by name.
     pub machines: BTreeMap<String, Machine>,
     /// Machine types that the cloud offers, by name.
     pub types: BTreeMap<String, MachineType>,
-    /// Names of the machines that have each image, as far as is known.
+    /// By image: names of the machines that are known to have it.
     machines_by_image: BTreeMap<String, BTreeSet<String>>,
-    /// Machines that are rented and deleted.
+    /// Rentals and deletions of machines.
     pub autoscaler: Autoscaler,
     drains: Drains,
 
     // Decisions.
     rounds: RoundSchedule,
-    /// Decision steps of all rounds and plans so far: what a test bounds instead of time.
+    /// Decision steps of all rounds and scaling plans so far. Tests bound them instead of run time.
     pub steps: u64,
     /// Number of attempts that this leader has started.
     attempts: u64,
-    /// Mean work of a job as of the last round, in seconds of one slot.
+    /// Mean estimated work of the jobs that are neither services nor terminated, as of the last round, in
+    /// seconds of one slot.
     mean_job_work: f64,
     /// Recent decisions for operators, the oldest first.
     recent_decisions: VecDeque<String>,
     usage: usage::UsageLedger,
 
     // Heartbeats and leases.
-    /// Heartbeats that have changed something: the next round responds to them, since it may have a start for them.
+    /// Heartbeats that have changed something. They get their responses after the next round, which may start
+    /// tasks on their machines.
     pending_heartbeats: Vec<PendingHeartbeat>,
     ignored_heartbeats: IgnoredHeartbeats,
     peers: PeerNodes,
     failure_detector: failure_detection::FailureDetector,
-    /// When leases are next checked for expiry.
+    /// Time of the next check for expired leases.
     next_expiry_check_at: Timestamp,
 
     // Machines and tasks of earlier leaders.
     /// Whether all machines of earlier leaders are accounted for.
     reconciled: bool,
-    /// Kinds of machine (type, zone, spot) of which some are not accounted for, as of the last round.
+    /// Kinds of machine (type, zone, spot) of which at least one machine of an earlier leader is not
+    /// accounted for, as of the last round.
     unreconciled: BTreeSet<InstanceOffer>,
     cold_start: cold_start::ColdStart,
 
@@ -117,15 +121,15 @@
     records: records::Records,
     writes: crate::token_bucket::TokenBucket,
 
-    /// Effects of the current step.
+    /// Effects of the current step so far.
     effects: Vec<Effect>,
 }
 
 impl Scheduler {
-    /// A scheduler that has not loaded its state.
+    /// A scheduler that has not loaded its state yet.
     pub fn new(config: Config, now: Timestamp) -> Self {
         let writes = records::write_budget(config.write_rps, now);
-        // Leaseholders of the last leader may renew leases for as long as their shard leases run.
+        // Leaseholders of the last leader may renew leases of workers until their shard leases expire.
         let kept_alive_until = now + limits::lengthened(config.shard_lease);
         Scheduler {
             config,
@@ -158,18 +162,19 @@
         }
     }
 
-    /// Another node may have renewed leases of workers until `at`: none of them counts as expired
-    /// before a full worker lease after that.
+    /// Records that another node may have renewed leases of workers until `at`: the scheduler treats none of
+    /// them as expired before a full worker lease after that time.
     pub fn record_kept_alive_until(&mut self, at: Timestamp) {
         self.peers.record_kept_alive_until(at);
     }
 
-    /// Records that these nodes are out of touch at `now`.
+    /// Records that this leader cannot reach these nodes at `now`.
     pub fn out_of_touch(&mut self, now: Timestamp, nodes: impl Iterator<Item = usize>) {
         self.peers.record_out_of_touch(now, nodes);
     }
 
-    /// Applies a batch of commands at `now`, decides within the budget, and returns what is to be done.
+    /// Applies a batch of commands at `now`, makes the decisions that are due, and returns the effects to
+    /// carry out.
     #[must_use = "effects that are not carried out are lost, responses to heartbeats among them"]
     pub fn step(&mut self, now: Timestamp, batch: Vec<Command>) -> Vec<Effect> {
         self.now = self.now.max(now);
@@ -191,7 +196,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Responds to changed heartbeats, unless a round is about to be made that may have a start for them.
+    /// Responds to the heartbeats that have changed something, unless a round is still requested: that round
+    /// may start tasks on their machines.
     fn respond_to_pending_heartbeats(&mut self) {
         if self.rounds.is_requested() && self.loaded {
             return;
@@ -201,7 +207,8 @@
         }
     }
 
-    /// Applies one command. All but heartbeats ask for a round; those ask for one themselves if they change something.
+    /// Applies one command. Every command except heartbeats requests a round. The handlers of heartbeats
+    /// request one if something has changed.
     fn apply(&mut self, command: Command) {
         match command {
             Command::Heartbeat { reply, heartbeat, via } => {
@@ -238,8 +245,9 @@
         first_of_incarnation: bool,
     ) {
         if first_of_incarnation {
-            // A leaseholder that crashed has forgotten to which machines it responded. Its first heartbeat seemed to
-            // cover that time too, and a leader counted leases as expired that ran (`leadership::tests`).
+            // A leaseholder that crashed has lost the names of the machines to which it responded. If its
+            // first shard heartbeat were taken to cover the time before the crash, leases that still run
+            // would be treated as expired (`leadership::tests`).
             self.record_kept_alive_until(self.now);
         }
         self.apply_shard_heartbeat(node, machines, covers_until);
@@ -253,14 +261,14 @@
     }
 
     fn load(&mut self, jobs: Vec<StoredJob>, records: Vec<(String, Vec<StoredMachine>)>) {
-        info!(jobs = jobs.len(), records = records.len(), "loaded");
+        info!(jobs = jobs.len(), records = records.len(), "loaded jobs and machine records");
         for stored in jobs {
             self.add_job(stored, true);
         }
         for (key, machines) in records {
             self.load_record(key, machines);
         }
-        // Responses to heartbeats before this point were not recorded: leases count from here.
+        // Responses to heartbeats before this time were not recorded: leases may have been renewed until now.
         self.started_at = self.now;
         self.loaded = true;
         self.begin_cold_start();
--- a/src/scheduler/model/commands.rs
+++ b/src/scheduler/model/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to workers, and how far their effect has been seen.
+//! Commands that the leader sends to workers, and which of them a worker still has to acknowledge.
 
 use super::TaskId;
 
@@ -21,7 +21,7 @@
         /// Grace period in which the task may save a checkpoint, in seconds.
         grace_s: f64,
     },
-    /// Drop the result of an exited task.
+    /// Discard the result of an exited task.
     Forget {
         /// The task.
         id: TaskId,
@@ -30,13 +30,16 @@
     },
 }
 
-/// Commands whose effect the next heartbeat has to show.
+/// What the next periodic heartbeat of a machine has to acknowledge; `reachability` evaluates this.
 #[derive(Debug, Clone, Default)]
 pub struct CommandTracker {
-    /// Commands in the last response. The next heartbeat must show the effect of at least one.
+    /// Commands in the last response, if that was not relayed by a leaseholder. The next periodic heartbeat
+    /// must show the effect of at least one.
     pub unacknowledged: Vec<TaskCommand>,
-    /// Whether the last response was the first to bear this leader's fencing token to the worker.
+    /// Whether the last response, not relayed, carried this leader's fencing token to a worker that had not
+    /// stated the token yet. The next periodic heartbeat may acknowledge the response by stating it.
     pub token_unacknowledged: bool,
-    /// Heartbeats in a row that show no effect of the response before them.
+    /// Consecutive heartbeats that did not acknowledge the response before them. From
+    /// `MAX_UNACKNOWLEDGED_HEARTBEATS` on, no task is placed on the machine.
     pub unacknowledged_heartbeats: u32,
 }
--- a/src/scheduler/model/heartbeat.rs
+++ b/src/scheduler/model/heartbeat.rs
@@ -1,24 +1,26 @@
-//! Heartbeats of workers, and what the leader keeps of each machine's heartbeats.
+//! Heartbeats of workers, and the leader's record of each machine's heartbeats.
 
 use super::{TaskId, TaskStatus};
 use crate::fencing_token::FencingToken;
 use crate::time::Timestamp;
 
-/// Orders the heartbeats of one worker: by agent epoch first, then by sequence.
+/// Position of a heartbeat among those of its worker: ordered by agent epoch, then by sequence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatNumber {
-    /// Raised each time the worker begins anew. Tasks of an earlier epoch have ended.
+    /// Increased each time the worker starts over. Tasks of earlier agent epochs have ended.
     pub agent_epoch: u64,
-    /// Raised with each heartbeat and each response to a direct command within the epoch.
+    /// Increased with each heartbeat and each response to a direct command within the agent epoch.
     pub sequence: u64,
 }
 
 /// How a heartbeat reached the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// The worker sent it by itself. It proves that the response to its predecessor was carried out or dropped.
+    /// The worker sent it periodically, not on request. It proves that the response to the previous periodic
+    /// heartbeat was carried out or dropped.
     Periodic,
-    /// The worker returned it in response to a direct command. It proves nothing about earlier responses.
+    /// The worker returned it in response to a direct command. It proves nothing about earlier responses to
+    /// heartbeats.
     DirectResponse,
 }
 
@@ -27,7 +29,7 @@
 pub struct Heartbeat {
     /// Name of the machine.
     pub machine: String,
-    /// Where the worker accepts direct commands.
+    /// Address at which the worker accepts direct commands.
     pub address: String,
     /// Name of the machine's type.
     pub machine_type: String,
@@ -43,12 +45,12 @@
     pub token: FencingToken,
     /// Seconds until the cloud recalls the machine, if it has given notice.
     pub notice_s: Option<f64>,
-    /// All tasks that the worker holds, and exited ones that it has not been told to forget.
+    /// All tasks on the worker, and exited ones for which it has received no `TaskCommand::Forget`.
     pub tasks: Vec<ReportedTask>,
 }
 
 impl Heartbeat {
-    /// Its place among the heartbeats of its worker.
+    /// Position of this heartbeat among those of its worker.
     pub fn number(&self) -> HeartbeatNumber {
         HeartbeatNumber { agent_epoch: self.agent_epoch, sequence: self.sequence }
     }
@@ -61,41 +63,42 @@
     pub id: TaskId,
     /// Which start of the task it is.
     pub attempt: u64,
-    /// What the worker says of it.
+    /// Its state as the worker reports it.
     pub status: TaskStatus,
 }
 
-/// What the leader keeps of a machine's heartbeats.
+/// The leader's record of a machine's heartbeats.
 #[derive(Debug, Clone, Default)]
 pub struct HeartbeatTracker {
-    /// The newest heartbeat taken in, from whichever source.
+    /// Number of the newest heartbeat that was applied, from either source.
     pub newest: HeartbeatNumber,
-    /// Sequence of the last periodic heartbeat of this agent epoch. Responses to direct commands raise
-    /// `newest` alone, and may overtake periodic heartbeats that are still under way.
+    /// Sequence of the last periodic heartbeat of this agent epoch; zero: none yet. Responses to direct
+    /// commands increase only `newest`, and may overtake periodic heartbeats that are still under way.
     pub last_periodic_sequence: u64,
-    /// When the machine last showed that it is alive. Failure detection counts silence from here.
-    /// Lease expiry counts from the later of this and `Machine::last_renewal`; see `lease_expiry`.
+    /// When the machine last showed that it is alive. Failure detection measures silence from this time.
+    /// Lease expiry is measured from the later of this and `Machine::last_renewal`; see `lease_expiry`.
     pub last_at: Timestamp,
     /// Whether a stale heartbeat of this machine has been logged; further ones are only counted.
     pub stale_logged: bool,
-    /// The task list of the newest heartbeat, to recognise an unchanged one.
+    /// Task list of the newest heartbeat, to recognise a heartbeat that lists the same.
     pub reported_tasks: Vec<ReportedTask>,
 }
 
 impl HeartbeatTracker {
-    /// Records a periodic heartbeat of the current agent epoch, which arrived at `now`.
+    /// Records a periodic heartbeat of the current agent epoch that changes nothing and arrived at `now`.
     pub(in crate::scheduler) fn record_unchanged(&mut self, sequence: u64, now: Timestamp) {
         self.newest.sequence = sequence;
         self.record_overtaken(sequence, now);
     }
 
-    /// Records a periodic heartbeat that a direct response has overtaken: its list is older than ours.
+    /// Records a periodic heartbeat that arrived at `now`, after a newer direct response. Its task list is
+    /// older than `reported_tasks`.
     pub(in crate::scheduler) fn record_overtaken(&mut self, sequence: u64, now: Timestamp) {
         self.last_periodic_sequence = sequence;
         self.last_at = now;
     }
 
-    /// Records the number of a heartbeat that is newer than all before it.
+    /// Records the number of a heartbeat that is newer than all earlier ones.
     pub(in crate::scheduler) fn record_newest(&mut self, number: HeartbeatNumber, source: HeartbeatSource) {
         if number.agent_epoch != self.newest.agent_epoch {
             self.last_periodic_sequence = 0;
--- a/src/scheduler/model/id.rs
+++ b/src/scheduler/model/id.rs
@@ -2,17 +2,18 @@
 
 use std::fmt;
 
-/// A job id, always `job-` and a number of at least six digits.
+/// A job id. Its text is `job-` and the number, padded with zeros to six digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Parses an id. Only the canonical form is one: two spellings of one number would be two ids to a user.
+    /// Parses an id. Only the canonical form is accepted: to users, two spellings of one number would be two
+    /// ids.
     pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("job-")?;
-        let plain = digits.len() >= 6 && digits.bytes().all(|b| b.is_ascii_digit());
-        let canonical = plain && (digits.len() == 6 || !digits.starts_with('0'));
-        canonical.then(|| digits.parse().ok()).flatten().map(JobId)
+        let is_numeric = digits.len() >= 6 && digits.bytes().all(|b| b.is_ascii_digit());
+        let is_canonical = is_numeric && (digits.len() == 6 || !digits.starts_with('0'));
+        is_canonical.then(|| digits.parse().ok()).flatten().map(JobId)
     }
 }
 
@@ -42,6 +43,7 @@
 pub struct TaskAttempt {
     /// The task.
     pub task: TaskId,
-    /// Number of the attempt; the leader's fencing token is in it, so that no two leaders use one twice.
+    /// Number of the attempt. It contains the leader's fencing token, so that no two leaders use the same
+    /// number.
     pub attempt: u64,
 }
--- a/src/scheduler/model/job.rs
+++ b/src/scheduler/model/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: what was submitted, and how far it is.
+//! Jobs: their submitted specification, and the leader's record of their progress.
 
 use super::{JobId, PendingReason, PreviousPlacement, Resources};
 use crate::limits;
@@ -7,18 +7,18 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// How the tasks of a job belong together.
+/// Whether the tasks of a job depend on one another, and whether they end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Tasks that run independently, each once to its end.
+    /// Independent tasks, each of which runs until it has succeeded once.
     Array,
-    /// Tasks that run only all together.
+    /// Tasks that run only at the same time, all or none.
     Gang,
-    /// Replicas that run until the job is cancelled.
+    /// Independent replicas that run until the job is cancelled.
     Service,
 }
 
-/// Importance of a job. Lowest first, so that a larger value is the more important one.
+/// Importance of a job, lowest first: a larger value is more important.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// After everything else.
@@ -27,7 +27,7 @@
     Normal,
     /// Before normal jobs.
     High,
-    /// Before everything else. May also preempt jobs inside their rescale gap, and below their minimum width.
+    /// Before everything else. May also preempt jobs inside their rescale gap and below their minimum width.
     Critical,
 }
 
@@ -36,11 +36,11 @@
 pub struct JobSpec {
     /// The job's id.
     pub job_id: JobId,
-    /// The class of jobs that it belongs to, for the overview and the usage log.
+    /// Job class, for the overview and the usage log.
     pub class: String,
     /// The team whose quota it counts against.
     pub team: String,
-    /// How its tasks belong together.
+    /// Kind of job: array, gang or service.
     pub kind: Kind,
     /// Its importance.
     pub priority: Priority,
@@ -52,28 +52,28 @@
     pub image: String,
     /// Size of the image in GB.
     pub image_gb: f64,
-    /// Names of the machine types that it may use. None: all.
+    /// Names of the machine types on which it may run. None: all.
     pub types: Option<Vec<String>>,
-    /// The only zone that it may use. None: all.
+    /// The only zone in which it may run. None: any.
     pub zone: Option<String>,
-    /// Whether all its tasks must be in one zone, whichever it is.
+    /// Whether all its tasks must be in the same zone, whichever that is.
     pub one_zone: bool,
     /// Whether its tasks must be spread over zones; see [`JobSpec::zone_most`].
     pub spread: bool,
     /// Whether it may run on spot machines.
     pub spot: bool,
-    /// Its owner's estimate of the run time of a task, in seconds.
+    /// The owner's estimate of the run time of one task, in seconds.
     pub estimate_s: f64,
-    /// Seconds of progress between two checkpoints; zero: it saves none.
+    /// Seconds of progress between two checkpoints; zero: its tasks save no checkpoints.
     pub checkpoint_s: f64,
     /// How long a task needs to save a checkpoint when it is stopped, in seconds.
     pub save_s: f64,
-    /// Seconds after submission at which it should be finished.
+    /// Seconds after submission by which it should be finished.
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// The most tasks that one zone may hold.
+    /// Maximum number of its tasks in one zone: half of them, rounded up, if they must be spread.
     pub fn zone_most(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -82,40 +82,42 @@
         }
     }
 
-    /// Whether it may use machines of this type.
+    /// Whether it may run on machines of the type with this name.
     pub fn allows_type(&self, name: &str) -> bool {
         self.types.as_ref().is_none_or(|types| types.iter().any(|allowed| allowed == name))
     }
 
-    /// Whether it may use machines in this zone.
+    /// Whether it may run in this zone.
     pub fn allows_zone(&self, zone: &str) -> bool {
         self.zone.as_deref().is_none_or(|allowed| allowed == zone)
     }
 }
 
-/// How far the tasks of a job are, and how much of that is in the state service.
+/// Progress of the tasks of a job, and how much of it is stored in the state service. Tasks are given by
+/// index.
 #[derive(Debug, Clone, Default)]
 pub struct Progress {
     /// Tasks that are provably on no machine and have to be started.
     pub pending: BTreeSet<u32>,
-    /// Tasks that have succeeded, whether or not that is stored.
+    /// Tasks that have succeeded, stored or not.
     pub succeeded: BTreeSet<u32>,
-    /// Succeeded tasks that are not in the state service yet.
+    /// Succeeded tasks whose success is not stored in the state service yet.
     pub unrecorded: BTreeSet<u32>,
-    /// Since when there are unrecorded tasks.
+    /// Since when there have been unrecorded tasks. None: there are none.
     pub unrecorded_since: Option<Timestamp>,
-    /// Chunks of succeeded tasks that have a key in the state service.
+    /// Indices of the chunks of succeeded tasks (`FINISHED_TASKS_CHUNK` each) that have a key in the state
+    /// service.
     pub recorded_chunks: BTreeSet<u32>,
     /// Whether a write of this progress is under way.
     pub write_in_flight: bool,
 }
 
 impl Progress {
-    /// Records that these tasks have succeeded at `now`. Without effect if all of them had before.
+    /// Records that these tasks have succeeded at `now`. Has no effect if all of them had succeeded before.
     pub(in crate::scheduler) fn record_succeeded(&mut self, tasks: Range<u32>, now: Timestamp) {
-        let before = self.succeeded.len();
+        let previous_count = self.succeeded.len();
         self.succeeded.extend(tasks.clone());
-        if self.succeeded.len() > before {
+        if self.succeeded.len() > previous_count {
             self.pending.retain(|task| !tasks.contains(task));
             self.unrecorded.extend(tasks);
             self.unrecorded_since.get_or_insert(now);
@@ -128,7 +130,7 @@
 pub struct RunTimes {
     /// Sum of the run times.
     pub total: Duration,
-    /// How many there are.
+    /// Number of run times.
     pub count: u64,
 }
 
@@ -143,29 +145,31 @@
 /// Failures of the tasks of a job, and the backoff that follows from them.
 #[derive(Debug, Clone, Default)]
 pub struct JobFailures {
-    /// How often it failed while it was itself suspected. Each time doubles its backoff.
+    /// Failures for which the job backed off: it was suspected to be faulty, or the worker did not know the
+    /// task. Each doubles the next backoff, up to `MAX_JOB_BACKOFF`.
     pub count: u32,
-    /// Machines on which its tasks failed since one of them last succeeded.
+    /// Names of the machines on which its tasks have failed since a task of the job last succeeded.
     pub machines: BTreeSet<String>,
-    /// Until then none of its tasks starts.
+    /// None of its tasks starts before this time.
     pub backoff_until: Timestamp,
 }
 
-/// The width of a job and its last change.
+/// The width of a job (its number of tasks at the same time) and when it last changed.
 #[derive(Debug, Clone, Default)]
 pub struct Elasticity {
-    /// When its width last changed; zero: never.
+    /// When its width last changed or a replica of it was last moved; zero: never. Its rescale gap begins
+    /// here.
     pub last_resized_at: Timestamp,
-    /// The width (number of tasks at once) that it was last given.
+    /// The width that it was last given.
     pub width: u32,
 }
 
 /// The attempts of a gang.
 #[derive(Debug, Clone, Default)]
 pub struct GangState {
-    /// The last attempt of the gang that is known to have ended.
+    /// Number of the last attempt of the gang that is known to have ended; zero: none.
     pub ended_attempt: u64,
-    /// Since when a part of the gang is placed and the rest has found no room.
+    /// Since when only a part of the gang has been placed, without room for its other tasks.
     pub incomplete_since: Option<Timestamp>,
 }
 
@@ -174,35 +178,35 @@
 pub struct Job {
     /// What was submitted.
     pub spec: JobSpec,
-    /// When it was submitted. Its age and its place in the order of arrival count from here.
+    /// When it was submitted. Determines its age and its place in the order of arrival.
     pub submitted_at: Timestamp,
     /// Version of its record in the state service.
     pub version: u64,
     /// Whether an earlier leader may have started it.
     pub inherited: bool,
-    /// Names of the machines that hold, or may hold, each task.
+    /// By task index: names of the machines that hold, or may hold, the task.
     pub placements: BTreeMap<u32, Vec<String>>,
-    /// Where pending tasks were before.
+    /// By index of a pending task: its last machine, and the proof that it has ended there.
     pub previous_placements: BTreeMap<u32, PreviousPlacement>,
-    /// Whether it is cancelled or finished: its tasks are stopped, and none starts.
+    /// Whether it is cancelled or finished: running tasks are stopped, and no task starts.
     pub terminated: bool,
     /// Run times of its succeeded tasks.
     pub run_times: RunTimes,
-    /// Why it last had to wait, for operators. None: it never had to.
+    /// Why tasks of it last stayed pending. None: none ever had to wait. Kept after the wait has ended.
     pub pending_reason: Option<PendingReason>,
-    /// How far its tasks are.
+    /// Progress of its tasks.
     pub progress: Progress,
     /// Failures of its tasks.
     pub failure_history: JobFailures,
-    /// Its width.
+    /// Its width and the last change of it.
     pub elasticity: Elasticity,
-    /// Its attempts, if it is a gang.
+    /// State of its attempts, if it is a gang.
     pub gang: GangState,
 }
 
 impl Job {
-    /// A job of which nothing is placed. `succeeded`: the tasks of which the state
-    /// service records that they have succeeded.
+    /// A job without placements. `succeeded`: indices of the tasks whose success is stored in the state
+    /// service.
     pub fn new(
         spec: JobSpec,
         version: u64,
@@ -229,7 +233,7 @@
         }
     }
 
-    /// Whether some task of it is placed or has succeeded.
+    /// Whether any of its tasks is placed or has succeeded.
     pub fn has_started(&self) -> bool {
         !self.placements.is_empty() || !self.progress.succeeded.is_empty()
     }
@@ -239,13 +243,14 @@
         self.spec.tasks - self.progress.succeeded.len() as u32
     }
 
-    /// Estimated work of this many of its tasks, in seconds of one slot.
+    /// Estimated work of this many of its tasks, in seconds of one slot. An estimate below 1 s counts as 1 s.
     pub fn work(&self, tasks: u32) -> f64 {
         f64::from(tasks) * self.spec.estimate_s.max(1.0)
     }
 
-    /// The least number of tasks that it starts with. The replicas of a service are independent, so each starts as
-    /// soon as it finds room, although the service's minimum width is that of all.
+    /// Minimum number of tasks with which it starts. The replicas of a service are independent, so each
+    /// starts as soon as there is room for it, although the minimum width of a service is the number of all
+    /// its replicas.
     pub fn admission(&self) -> u32 {
         match self.spec.kind {
             Kind::Service => 1,
@@ -253,7 +258,7 @@
         }
     }
 
-    /// The least width that it can do with. It is not preempted below that, except by critical jobs.
+    /// Minimum width. The job is not preempted below this width, except by critical jobs.
     pub fn minimum(&self) -> u32 {
         match self.spec.kind {
             Kind::Array => 1.min(self.unfinished()),
--- a/src/scheduler/model/job_summary.rs
+++ b/src/scheduler/model/job_summary.rs
@@ -1,8 +1,8 @@
-//! What a leader publishes of each job, so that every node can answer polls.
+//! Task counts of jobs, which the leader publishes so that every node can answer users who poll.
 
 use super::JobId;
 
-/// How many tasks of a job are in the states that users see.
+/// Number of tasks of a job in each state that users see.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TaskCounts {
     /// Tasks that have succeeded.
@@ -11,11 +11,11 @@
     pub running: u32,
 }
 
-/// The counts of a job that is not terminated.
+/// Task counts of a job that is not terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobSummary {
     /// The job.
     pub job_id: JobId,
-    /// Its tasks.
+    /// Task counts.
     pub counts: TaskCounts,
 }
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -1,4 +1,4 @@
-//! Machines: their types, and what the leader knows of each.
+//! Machine types, and the leader's record of each machine.
 
 use super::{
     CommandTracker, HeartbeatTracker, JobId, Placement, ReportedTasks, Resources, Route, TaskId, TaskStatus,
@@ -16,28 +16,29 @@
     pub capacity: Resources,
     /// Price per hour as an ordinary machine.
     pub price: f64,
-    /// Present price per hour as a spot machine. None: not offered as one.
+    /// Current price per hour as a spot machine. None: not offered as a spot machine.
     pub spot_price: Option<f64>,
     /// Nominal boot time in seconds.
     pub boot_s: f64,
-    /// Rate at which images are fetched, in GB per second; zero: not known.
+    /// Rate at which a machine fetches images, in GB per second; zero: not known.
     pub fetch_gb_per_s: f64,
     /// Zones in which it is offered.
     pub zones: Vec<String>,
 }
 
-/// Whether a machine can hold tasks.
+/// State of a machine, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// It is rented, recorded or listed; its worker has sent no heartbeat to this leader.
+    /// Known to the leader (rented, recorded or listed by the cloud), but no periodic heartbeat has stated
+    /// the leader's fencing token yet.
     Pending,
-    /// Its worker sends heartbeats.
+    /// Its worker has sent heartbeats, and its lease has not expired.
     Ready,
-    /// Its lease has expired or it is deleted: it holds no task.
+    /// Its lease has expired: it holds no task.
     Lost,
 }
 
-/// A machine as the state service has it.
+/// A machine as it is stored in the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredMachine {
     /// Name of the machine.
@@ -48,55 +49,58 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Where its worker accepts direct commands.
+    /// Address at which its worker accepts direct commands.
     pub address: String,
-    /// Images that it has, so that a new leader still places jobs where they start at once.
+    /// Names of the images that it has, so that a new leader places jobs on machines that need not fetch
+    /// them.
     pub images: BTreeSet<String>,
 }
 
-/// Images that a machine has.
+/// Images that are known to be on a machine.
 #[derive(Debug, Clone, Default)]
 pub struct ImageCache {
     /// Names of the images.
     pub images: BTreeSet<String>,
-    /// Whether the machine's record in the state service lacks some of them.
+    /// Whether an image was added since a write of the machine's record was last requested.
     pub changed: bool,
 }
 
-/// Failures that are held against a machine.
+/// Failures and slow tasks that are attributed to a machine.
 #[derive(Debug, Clone, Default)]
 pub struct MachineHealth {
-    /// Jobs of which a task failed here, unless the job was itself suspected at that time.
+    /// Jobs of which a task failed here while the job itself was not suspected to be faulty.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Until then nothing is placed here: a task failed, or the worker had no room for one.
+    /// No task is placed here before this time, since a task failed here or the worker refused to start one.
     pub no_room_backoff_until: Timestamp,
-    /// Tasks in a row that took far longer here than the rest of their job elsewhere.
+    /// Consecutive tasks whose run time here was more than `SLOW_FACTOR` times the mean of the tasks of the
+    /// same job that had succeeded before.
     pub slow_tasks: u32,
-    /// Until then no array or gang is placed here.
+    /// No array or gang is placed here before this time.
     pub quarantined_until: Timestamp,
 }
 
-/// From the rental of a machine to its deletion.
+/// Stages of a machine between its rental and its deletion.
 #[derive(Debug, Clone, Default)]
 pub struct Lifecycle {
     /// When the cloud recalls it, if it has given notice.
     pub recall_at: Option<Timestamp>,
-    /// Whether it is to be replaced: nothing new is placed on it.
+    /// Whether it is to be replaced because tasks fail on it: it gets no new tasks, and is deleted once idle.
     pub draining: bool,
-    /// An ordinary machine that fixed work and the reserve could do without.
+    /// Whether it is an ordinary machine that neither the headroom nor tasks that may not use spot machines
+    /// need; see `consolidation`.
     pub consolidation_target: bool,
-    /// Whether its deletion has been ordered.
+    /// Whether its deletion has been requested from the cloud.
     pub deleting: bool,
-    /// Since when it holds no task.
+    /// Start of its idle time: when it last held a task, became ready or became known.
     pub idle_since: Timestamp,
-    /// When this leader first knew of it.
+    /// When this leader first learned of it.
     pub known_since: Timestamp,
-    /// When it counts as failed if it has sent no heartbeat.
+    /// If the machine is still pending at this time, it has failed to boot and is deleted.
     pub boot_deadline: Timestamp,
 }
 
 impl Lifecycle {
-    /// Whether the machine is on its way out, for whatever reason.
+    /// Whether the machine is to be replaced, its deletion has been requested, or the cloud will recall it.
     pub(in crate::scheduler) fn is_leaving(&self) -> bool {
         self.draining || self.deleting || self.recall_at.is_some()
     }
@@ -113,41 +117,42 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Where its worker accepts direct commands.
+    /// Address at which its worker accepts direct commands.
     pub address: String,
-    /// Its resources, all of them.
+    /// Its total resources.
     pub capacity: Resources,
-    /// Whether it can hold tasks.
+    /// Its state.
     pub state: MachineState,
-    /// Whether a heartbeat has stated this leader's fencing token: from then on its task list is exact.
+    /// Whether a heartbeat has stated this leader's fencing token, from which on its task lists are exact, or
+    /// its lease has expired.
     pub reconciled: bool,
-    /// Whether its record is in the state service, so that a later leader knows to wait for it.
+    /// Whether it is recorded in the state service, so that a later leader knows to wait for it.
     pub recorded: bool,
     /// Whether an earlier leader recorded it, and may have started tasks on it.
     pub inherited: bool,
-    /// The last response that may have renewed its lease. Lease expiry counts from the later of this and
+    /// The last response that may have renewed its lease. Lease expiry is measured from the later of this and
     /// `heartbeats.last_at`; see `lease_expiry`.
     pub last_renewal: LastRenewal,
-    /// Tasks that it holds, or may hold.
+    /// Placements of the tasks that it holds, or may hold.
     pub tasks: BTreeMap<TaskId, Placement>,
-    /// Its heartbeats.
+    /// Record of its heartbeats.
     pub heartbeats: HeartbeatTracker,
     /// The controller through which it sends its heartbeats.
     pub route: Route,
-    /// Commands whose effect the next heartbeat has to show.
+    /// What its next periodic heartbeat has to acknowledge.
     pub commands: CommandTracker,
-    /// Tasks that it reports beside those placed on it.
+    /// Tasks in its heartbeats that are not placed on it.
     pub reported: ReportedTasks,
-    /// Images that it has.
+    /// Images that are known to be on it.
     pub image_cache: ImageCache,
-    /// Failures that are held against it.
+    /// Failures and slow tasks that are attributed to it.
     pub health: MachineHealth,
-    /// From its rental to its deletion.
+    /// Its stages between rental and deletion.
     pub lifecycle: Lifecycle,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but what is stored.
+    /// A pending machine of which only the stored fields and the capacity of its type are known.
     pub(in crate::scheduler) fn new(
         stored: &StoredMachine,
         capacity: Resources,
@@ -177,8 +182,8 @@
         }
     }
 
-    /// Whether nothing is under way between the machine and the leader: a heartbeat that lists what the last one did
-    /// changes nothing, and its response bears no command.
+    /// Whether the machine and the leader agree: a heartbeat with the same task list as the last one changes
+    /// nothing, and its response starts and stops no task.
     pub fn is_settled(&self) -> bool {
         self.state == MachineState::Ready
             && self.reconciled
@@ -189,28 +194,28 @@
             && self.tasks.values().all(|task| task.confirmed && task.stopping.is_none())
     }
 
-    /// How long a task would wait for this image, counted in fetches: none if the machine has it; otherwise one, and
-    /// one more for each other image that is being fetched, since they share the rate.
+    /// Number of image fetches that a task with this image would wait for: 0 if the machine has the image;
+    /// otherwise 1, and 1 more for each other image that is being fetched, since they share the rate.
     pub fn image_fetches(&self, image: &str) -> i64 {
         if self.image_cache.images.contains(image) {
             return 0;
         }
-        let waiting = self.tasks.values().filter(|task| task.status == TaskStatus::Fetching);
-        let mut others: Vec<&str> = waiting
+        let fetching = self.tasks.values().filter(|task| task.status == TaskStatus::Fetching);
+        let mut other_images: Vec<&str> = fetching
             .map(|task| task.image.as_str())
             .filter(|other| *other != image && !self.image_cache.images.contains(*other))
             .collect();
-        others.sort_unstable();
-        others.dedup();
-        1 + others.len() as i64
+        other_images.sort_unstable();
+        other_images.dedup();
+        1 + other_images.len() as i64
     }
 
-    /// Resources that no task takes.
+    /// Capacity that is not requested by the tasks placed here.
     pub fn available(&self) -> Resources {
         self.tasks.values().fold(self.capacity, |available, task| available.minus(&task.resource_request))
     }
 
-    /// Resources that no task takes once every stop under way is confirmed. An overdue stop is not counted on.
+    /// Capacity that will be available once all stops under way are confirmed, except overdue ones.
     pub fn available_soon(&self, now: Timestamp) -> Resources {
         let ends_soon = |task: &Placement| task.stopping.is_some_and(|stop| !stop.is_overdue(now));
         self.tasks
--- a/src/scheduler/model/mod.rs
+++ b/src/scheduler/model/mod.rs
@@ -1,7 +1,8 @@
-//! The domain: jobs, tasks, machines and heartbeats.
+//! Domain types of the scheduler: jobs, tasks, machines and heartbeats.
 //!
-//! It owns the data of the scheduler and what follows from that data alone. The rules that change it are in the
-//! modules beside this one. Nothing here depends on them.
+//! The types own the scheduler's data and compute what follows from the data of one object. The scheduling
+//! rules are in the other modules of `scheduler`, which use these types; no type here depends on those
+//! modules.
 
 mod commands;
 mod heartbeat;
--- a/src/scheduler/model/pending_reason.rs
+++ b/src/scheduler/model/pending_reason.rs
@@ -1,40 +1,41 @@
-//! Why a job waits.
+//! Reasons for which tasks of a job stay pending.
 
 use std::fmt;
 
-/// Why a job has pending tasks that do not start. Operators read its text in the overview and in the log.
+/// Why pending tasks of a job do not start. Operators see the text in the overview and in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PendingReason {
-    /// Its tasks failed, and it backs off.
+    /// Some of its tasks failed, and its backoff has not ended.
     TasksFailed,
-    /// A machine on which the last leader may have started it has not sent a heartbeat.
+    /// A machine on which an earlier leader may have started it is not reconciled.
     UnreconciledMachines,
-    /// Its width changed a short time ago.
+    /// Its width may not grow: it last changed less than a rescale gap ago.
     RescaleGap,
-    /// The pace at which a cold start may start tasks is used up.
+    /// The cold start may start no more tasks at its pace for now.
     ColdStartPace,
-    /// The limit of its team is reached.
+    /// Its team's limit does not allow enough tasks.
     TeamLimit,
-    /// Some of its tasks started; there is no room for more.
+    /// Some of its tasks were placed; there is no room for more.
     NoFurtherFreeSlot,
-    /// Running stops or an image fetch will make room.
+    /// There is enough room, but on machines where stops are under way or that fetch an image for another
+    /// job.
     StopsOrFetchUnderWay,
-    /// There is no room, and no job of lower rank to preempt.
+    /// There is not enough room, and no lower-priority job that may be preempted.
     NothingToPreempt,
-    /// There is no room, and preemption of lower jobs would not free its minimum.
+    /// There is not enough room, and preemption of lower jobs would not free enough for its minimum width.
     PreemptionInsufficient,
-    /// Preempted tasks are stopping in its favour.
+    /// Tasks of lower jobs are being preempted for it.
     StopsUnderWay,
-    /// A part of its gang is placed; there is no room for the rest.
+    /// A part of its gang is placed; there is no room for the other tasks.
     NoSlotForRestOfGang,
-    /// Its gang was stopped because the rest of it found no room in time.
+    /// Its gang was stopped because there was no room for all its tasks in time.
     GangIncomplete,
     /// Tasks of the gang's last attempt have not all ended.
     LastAttemptNotEnded,
 }
 
 impl PendingReason {
-    /// The text that operators read.
+    /// The text in the overview and in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             PendingReason::TasksFailed => "its tasks failed",
--- a/src/scheduler/model/resources.rs
+++ b/src/scheduler/model/resources.rs
@@ -1,6 +1,6 @@
 //! Amounts of processors, GPUs and memory.
 
-/// Amounts in thousandths (memory in MB), so that sums are exact.
+/// Amounts as integers, in thousandths (memory in MB), so that sums are exact.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Resources {
     /// Thousandths of a processor core.
@@ -12,16 +12,17 @@
 }
 
 impl Resources {
-    /// What a task requests, rounded up: the leader must never see room where the worker has none.
+    /// The request of a task, rounded up, so that the leader never assumes room that the worker does not
+    /// have.
     pub fn needed(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        let up = |amount: f64| (amount * 1000.0 - 1e-6).ceil() as i64;
-        Resources { cpus: up(cpus), gpus: up(gpus), memory: up(memory_gb) }
+        let round_up = |amount: f64| (amount * 1000.0 - 1e-6).ceil() as i64;
+        Resources { cpus: round_up(cpus), gpus: round_up(gpus), memory: round_up(memory_gb) }
     }
 
-    /// The capacity of a machine, rounded down.
+    /// The capacity of a machine, rounded down for the same reason.
     pub fn offered(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        let down = |amount: f64| (amount * 1000.0 + 1e-6).floor() as i64;
-        Resources { cpus: down(cpus), gpus: down(gpus), memory: down(memory_gb) }
+        let round_down = |amount: f64| (amount * 1000.0 + 1e-6).floor() as i64;
+        Resources { cpus: round_down(cpus), gpus: round_down(gpus), memory: round_down(memory_gb) }
     }
 
     /// Whether each amount is at most that of `room`.
@@ -29,7 +30,7 @@
         self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
     }
 
-    /// The sum of each amount.
+    /// Sum, amount by amount.
     pub fn plus(&self, other: &Resources) -> Self {
         Resources {
             cpus: self.cpus + other.cpus,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The difference of each amount; it may be negative.
+    /// Difference, amount by amount; amounts may become negative.
     pub fn minus(&self, other: &Resources) -> Self {
         Resources {
             cpus: self.cpus - other.cpus,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The smaller of each amount.
+    /// Minimum, amount by amount.
     pub fn least(&self, other: &Resources) -> Self {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -56,20 +57,21 @@
         }
     }
 
-    /// Each amount `count` times.
+    /// Each amount multiplied by `count`.
     pub fn times(&self, count: i64) -> Self {
         Resources { cpus: self.cpus * count, gpus: self.gpus * count, memory: self.memory * count }
     }
 
-    /// How many tasks of this size fit into `room`. An amount of 0 does not limit the number.
+    /// How many tasks that each request these resources fit into `room`. An amount of 0 does not limit the
+    /// number.
     pub fn count_in(&self, room: &Resources) -> i64 {
-        let one = |requested: i64, available: i64| {
+        let count = |requested: i64, available: i64| {
             if requested <= 0 {
                 i64::from(u32::MAX)
             } else {
                 (available / requested).max(0)
             }
         };
-        one(self.cpus, room.cpus).min(one(self.gpus, room.gpus)).min(one(self.memory, room.memory))
+        count(self.cpus, room.cpus).min(count(self.gpus, room.gpus)).min(count(self.memory, room.memory))
     }
 }
--- a/src/scheduler/model/route.rs
+++ b/src/scheduler/model/route.rs
@@ -1,12 +1,13 @@
 //! The controller through which a machine sends its heartbeats.
 
 use crate::time::Timestamp;
-/// The controller through which a machine sends its heartbeats. `None` stands for the leader's own node.
+
+/// The controller through which a machine sends its heartbeats.
 #[derive(Debug, Clone, Default)]
 pub struct Route {
-    /// The node that relayed the last heartbeat. None: it came straight to the leader.
+    /// Index of the node that relayed the last heartbeat. None: it came directly to the leader's own node.
     pub via: Option<usize>,
-    /// Whether that node may respond to unchanged heartbeats by itself.
+    /// Whether that node, a leaseholder, may respond to unchanged heartbeats without the leader.
     pub cached_by_leaseholder: bool,
     /// The route before this one.
     pub previous: Option<PreviousRoute>,
@@ -14,17 +15,17 @@
     pub wake_requested: bool,
 }
 
-/// A route that a machine has left.
+/// A route that a machine no longer uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PreviousRoute {
-    /// The node that relayed its heartbeats. None: they came straight to the leader.
+    /// Index of the node that relayed its heartbeats. None: they came directly to the leader's own node.
     pub via: Option<usize>,
-    /// When its first heartbeat came by another route.
+    /// When the first heartbeat arrived by another route.
     pub left_at: Timestamp,
 }
 
 impl Route {
-    /// Records that a heartbeat came by this route at `now`. Returns whether the route is a new one.
+    /// Records that a heartbeat arrived at `now`, relayed by `via`. Returns whether the route has changed.
     pub(in crate::scheduler) fn record(&mut self, via: Option<usize>, now: Timestamp) -> bool {
         let changed = self.via != via;
         if changed {
--- a/src/scheduler/model/tests.rs
+++ b/src/scheduler/model/tests.rs
@@ -1,4 +1,5 @@
-//! What follows from the data alone.
+//! Unit tests of the domain types. Rules that combine several objects are tested with the modules that own
+//! the rules.
 
 use super::*;
 use crate::lease::renewal::LastRenewal;
@@ -7,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-fn task(job_id: u64, task: u32) -> TaskId {
+fn task_id(job_id: u64, task: u32) -> TaskId {
     TaskId { job_id: JobId(job_id), task }
 }
 
@@ -25,7 +26,7 @@
     }
 }
 
-fn machine() -> Machine {
+fn pending_machine() -> Machine {
     let stored = StoredMachine {
         name: "m-000001".into(),
         machine_type: "large".into(),
@@ -52,26 +53,26 @@
 #[test]
 fn attempts_are_ordered_by_task_first() {
     let attempt = |id, attempt| TaskAttempt { task: id, attempt };
-    assert!(attempt(task(1, 0), 9) < attempt(task(1, 1), 1));
-    assert!(attempt(task(1, 1), 9) < attempt(task(2, 0), 1));
-    assert!(attempt(task(1, 1), 1) < attempt(task(1, 1), 2));
+    assert!(attempt(task_id(1, 0), 9) < attempt(task_id(1, 1), 1));
+    assert!(attempt(task_id(1, 1), 9) < attempt(task_id(2, 0), 1));
+    assert!(attempt(task_id(1, 1), 1) < attempt(task_id(1, 1), 2));
 }
 
 #[test]
-fn direct_response_raises_the_newest_number_alone() {
+fn direct_response_increases_the_newest_number_but_not_the_periodic_sequence() {
     let mut heartbeats = HeartbeatTracker::default();
     let number = |sequence| HeartbeatNumber { agent_epoch: 1, sequence };
     heartbeats.record_newest(number(4), HeartbeatSource::Periodic);
     heartbeats.record_newest(number(6), HeartbeatSource::DirectResponse);
     assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 4));
-    // The periodic heartbeat that was overtaken.
+    // The periodic heartbeat that the direct response has overtaken arrives.
     heartbeats.record_overtaken(5, Timestamp::from_secs(1));
     assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 5));
     assert_eq!(heartbeats.last_at, Timestamp::from_secs(1));
 }
 
 #[test]
-fn new_agent_epoch_begins_without_periodic_heartbeats() {
+fn new_agent_epoch_resets_the_periodic_sequence() {
     let mut heartbeats = HeartbeatTracker::default();
     let number = |agent_epoch, sequence| HeartbeatNumber { agent_epoch, sequence };
     heartbeats.record_newest(number(1, 4), HeartbeatSource::Periodic);
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn route_remembers_the_one_before_when_it_changes() {
+fn changed_route_keeps_the_previous_route() {
     let mut route = Route::default();
     assert!(!route.record(None, Timestamp::from_secs(1)));
     assert_eq!(route.previous, None);
@@ -100,11 +101,11 @@
 
 #[test]
 fn resources_of_a_stopping_task_are_available_soon_until_the_stop_is_overdue() {
-    let mut machine = machine();
+    let mut machine = pending_machine();
     let mut stopping = placement("image", TaskStatus::Running);
     stopping.stopping = Some(StopRequest { requested_at: Timestamp::from_secs(1), grace_s: 2.0 });
-    machine.tasks.insert(task(1, 0), stopping);
-    machine.tasks.insert(task(1, 1), placement("image", TaskStatus::Running));
+    machine.tasks.insert(task_id(1, 0), stopping);
+    machine.tasks.insert(task_id(1, 1), placement("image", TaskStatus::Running));
     assert_eq!(machine.available(), Resources::offered(2.0, 0.0, 14.0));
     let overdue = 3 * SECOND + limits::STOP_TIMEOUT;
     assert_eq!(
@@ -115,12 +116,12 @@
 }
 
 #[test]
-fn image_waits_for_each_other_image_that_is_fetched() {
-    let mut machine = machine();
+fn image_fetches_include_each_other_image_that_is_being_fetched() {
+    let mut machine = pending_machine();
     machine.image_cache.images.insert("cached".into());
-    machine.tasks.insert(task(1, 0), placement("one", TaskStatus::Fetching));
-    machine.tasks.insert(task(1, 1), placement("one", TaskStatus::Fetching));
-    machine.tasks.insert(task(2, 0), placement("two", TaskStatus::Running));
+    machine.tasks.insert(task_id(1, 0), placement("one", TaskStatus::Fetching));
+    machine.tasks.insert(task_id(1, 1), placement("one", TaskStatus::Fetching));
+    machine.tasks.insert(task_id(2, 0), placement("two", TaskStatus::Running));
     assert_eq!(machine.image_fetches("cached"), 0);
     assert_eq!(machine.image_fetches("one"), 1);
     assert_eq!(machine.image_fetches("three"), 2);
@@ -128,25 +129,25 @@
 
 #[test]
 fn machine_is_settled_only_while_nothing_is_under_way() {
-    let mut settled = machine();
+    let mut settled = pending_machine();
     (settled.state, settled.reconciled, settled.recorded) = (MachineState::Ready, true, true);
-    settled.tasks.insert(task(1, 0), placement("image", TaskStatus::Running));
+    settled.tasks.insert(task_id(1, 0), placement("image", TaskStatus::Running));
     assert!(settled.is_settled());
     assert_eq!(settled.last_renewal, LastRenewal::default());
-    let disturb: [fn(&mut Machine); 7] = [
+    let unsettling_changes: [fn(&mut Machine); 7] = [
         |machine| machine.state = MachineState::Lost,
         |machine| machine.reconciled = false,
         |machine| machine.recorded = false,
         |machine| machine.lifecycle.recall_at = Some(Timestamp::from_secs(1)),
-        |machine| machine.commands.unacknowledged.push(TaskCommand::Forget { id: task(1, 0), attempt: 1 }),
+        |machine| machine.commands.unacknowledged.push(TaskCommand::Forget { id: task_id(1, 0), attempt: 1 }),
         |machine| {
-            machine.reported.orphaned.insert(TaskAttempt { task: task(9, 0), attempt: 1 });
+            machine.reported.orphaned.insert(TaskAttempt { task: task_id(9, 0), attempt: 1 });
         },
         |machine| machine.tasks.values_mut().for_each(|placement| placement.confirmed = false),
     ];
-    for (case, disturb) in disturb.iter().enumerate() {
+    for (case, unsettle) in unsettling_changes.iter().enumerate() {
         let mut machine = settled.clone();
-        disturb(&mut machine);
+        unsettle(&mut machine);
         assert!(!machine.is_settled(), "case {case}");
     }
 }
@@ -159,7 +160,7 @@
         (&progress.pending, progress.unrecorded_since),
         (&BTreeSet::from([0, 2]), Some(Timestamp::from_secs(1)))
     );
-    // Written meanwhile: a second report of the same task must not have it written again.
+    // The success is stored. A second report of the same task must not cause another write.
     progress.unrecorded.clear();
     progress.unrecorded_since = None;
     progress.record_succeeded(1..2, Timestamp::from_secs(2));
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn task_is_provably_nowhere_only_until_its_start_is_sent_or_listed() {
+fn placement_is_unsent_only_until_its_start_is_sent_or_a_heartbeat_lists_it() {
     let mut reserved = placement("image", TaskStatus::Fetching);
     reserved.confirmed = false;
     assert!(reserved.is_unsent());
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn termination_proofs_keep_their_texts() {
+fn termination_proofs_are_displayed_as_log_texts() {
     let heartbeat = HeartbeatNumber { agent_epoch: 3, sequence: 7 };
     let expired = |via| TerminationProof::LeaseExpired {
         last_renewal: Timestamp::from_secs(1),
@@ -189,13 +190,13 @@
         at: Timestamp::from_secs(13) + Duration::from_millis(500),
     };
     let texts = [
-        (TerminationProof::NeverSent, "start never left"),
-        (TerminationProof::Exited, "exit reported"),
+        (TerminationProof::NeverSent, "start command never sent"),
+        (TerminationProof::Exited, "exit reported by the worker"),
         (TerminationProof::NotListed { heartbeat }, "not listed in heartbeat 3/7"),
         (TerminationProof::NewAgentEpoch { agent_epoch: 4 }, "agent epoch 4 began"),
-        (expired(None), "lease ended 12.500 s after the last answer"),
-        (expired(Some(2)), "lease ended 12.500 s after the last answer by way of node 2"),
-        (TerminationProof::Deleted, "deleted by the cloud"),
+        (expired(None), "lease expired 12.500 s after its last renewal"),
+        (expired(Some(2)), "lease expired 12.500 s after its last renewal via node 2"),
+        (TerminationProof::Deleted, "deletion confirmed by the cloud"),
     ];
     for (proof, text) in texts {
         assert_eq!(proof.to_string(), text);
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -1,19 +1,19 @@
-//! When the next round of decisions is due, and where it begins.
+//! Schedule of the rounds of decisions: when the next one is due, and at which job it begins.
 //!
-//! Owned by `Scheduler`: `Scheduler::step` asks whether a round is due, `elastic` runs it, and whatever changes the
-//! state asks for the next one.
+//! Owned by `Scheduler`: `Scheduler::step` begins a round if one is due, `elastic` runs it and records its
+//! end, and the code that changes the scheduler's state requests the next one.
 
 use super::model::JobId;
 use crate::limits;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// The pace of rounds of decisions.
+/// When the next round of decisions is due.
 #[derive(Debug)]
 pub(super) struct RoundSchedule {
-    /// The job at which the next round begins, if the last one ran out of budget there.
+    /// The job at which the next round begins, if the last round ran out of budget before it.
     pub resume_at: Option<JobId>,
-    /// When the next round is due although nothing has changed.
+    /// When the next round is due if nothing changes.
     next_at: Timestamp,
     /// The earliest time of the next round if something has changed.
     earliest_at: Timestamp,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Something has changed on which decisions depend.
+    /// Requests a round, since something has changed on which decisions depend.
     pub fn request(&mut self) {
         self.requested = true;
     }
@@ -42,7 +42,7 @@
         self.requested
     }
 
-    /// Begins the next round if it is due. Returns whether it is.
+    /// Whether a round is due, which the caller then runs. If so, clears the request.
     pub fn begin_if_due(&mut self, now: Timestamp) -> bool {
         let due = self.requested && now >= self.earliest_at || now >= self.next_at;
         if due {
@@ -51,8 +51,9 @@
         due
     }
 
-    /// A round has ended. The next one begins after `pause` at the earliest, and at that time if this one did not get
-    /// through all jobs.
+    /// Records that a round has ended. The next one begins after `pause` at the earliest: it is due then if
+    /// it was requested or if this round did not reach all jobs, otherwise after `IDLE_ROUND_INTERVAL` if
+    /// that is longer.
     pub fn end(&mut self, now: Timestamp, pause: Duration) {
         let idle_interval =
             if self.resume_at.is_some() { Duration::ZERO } else { limits::IDLE_ROUND_INTERVAL };
--- a/src/scheduler/rounds_tests.rs
+++ b/src/scheduler/rounds_tests.rs
@@ -1,4 +1,4 @@
-//! When rounds are due.
+//! Tests of the schedule of rounds: due at once, on request, after the idle interval, or to resume.
 
 use super::*;
 use crate::time::Timestamp;
