--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -1,12 +1,12 @@
-//! Failure detection: which machines that send no heartbeats are declared dead.
+//! Failure detection: decides which machines without heartbeats are declared dead.
 //!
-//! Missing heartbeats have many causes that look alike for a while: a failed machine, a hang, a lost route (the
-//! controller that relayed its heartbeats), a partitioned zone, a fault of the leader itself. A machine that is declared
-//! dead is deleted, and with it everything that may still run there. So the causes in which machines live on are ruled
-//! out first: by zone, by route and by time.
+//! Missing heartbeats have many causes that look alike for a while: a failed machine, a hang, a lost route
+//! (the controller that relayed its heartbeats), a partitioned zone, a fault of the leader itself. A machine
+//! that is declared dead is deleted, and with it everything that may still run there. So causes that leave
+//! the machines running are ruled out first: by zone, by route and by time.
 //!
-//! [`FailureDetector`] owns what is known of zones and routes. `lease_expiry` has it updated, the autoscaler asks which
-//! machines to delete, and placement asks which zones are unreachable.
+//! [`FailureDetector`] owns the reachability of zones and routes. `lease_expiry` has it updated, the
+//! autoscaler asks which machines to delete, and placement asks which zones are unreachable.
 
 use super::model::{Machine, MachineState, PreviousRoute};
 use super::Scheduler;
@@ -20,14 +20,15 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Reachability {
     unreachable: bool,
-    /// The last outage, which may go on.
+    /// The last outage, which may still last.
     last_outage: Option<Outage>,
 }
 
-/// A time during which a zone or a route was unreachable.
+/// A period in which a zone or a route was unreachable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Outage {
     from: Timestamp,
+    /// When it was last observed.
     until: Timestamp,
 }
 
@@ -41,18 +42,18 @@
         self.unreachable = unreachable;
     }
 
-    /// When the last outage began; the end of time if there was none.
+    /// When the last outage began; `Timestamp::MAX` if there was none.
     fn unreachable_from(&self) -> Timestamp {
         self.last_outage.map_or(Timestamp::MAX, |outage| outage.from)
     }
 
-    /// When a machine that is still silent can no longer be excused by the last outage. Until its heartbeats arrive,
-    /// the machine may have to wait for timeouts at two nodes.
+    /// Until when the last outage explains that a machine is still silent; zero if there was none. After an
+    /// outage, a machine may have to wait for timeouts at two nodes before its heartbeats arrive.
     fn recovered_at(&self) -> Timestamp {
         self.last_outage.map_or(Timestamp::ZERO, |outage| outage.until + limits::FAILOVER_GRACE_PERIOD)
     }
 
-    /// Whether no outage excuses silence at this time.
+    /// Whether no outage explains silence at `now`.
     fn is_recovered(&self, now: Timestamp) -> bool {
         !self.unreachable && now >= self.recovered_at()
     }
@@ -71,19 +72,19 @@
     pub previous_route: Option<PreviousRoute>,
     /// When its last heartbeat arrived.
     pub last_heartbeat_at: Timestamp,
-    /// Whether its heartbeats show that no response arrives there.
+    /// Whether its heartbeats show that it receives no responses.
     pub unresponsive: bool,
     /// Whether an earlier leader recorded it and it has sent no heartbeat to this one.
     pub expected: bool,
-    /// Whether its lease has expired: it holds nothing, and still shows whether its zone is reachable.
+    /// Whether its lease has expired: it holds no task, but still counts for the reachability of its zone.
     pub lost: bool,
 }
 
 impl ObservedMachine<'_> {
     /// Whether its heartbeat is overdue.
     ///
-    /// Machines of one outage become silent one after the other over an interval. Those that are only late already
-    /// count towards a common cause, or the first of them would be declared dead before they were many.
+    /// Machines hit by one outage fall silent one after another over a heartbeat interval. So late ones count
+    /// towards a common cause; otherwise the first would be declared dead before enough of them were silent.
     fn is_late(&self, now: Timestamp, timeouts: &DetectionTimeouts) -> bool {
         let due = self.last_heartbeat_at + timeouts.heartbeat_interval / 4 * 5;
         self.unresponsive || now >= due + limits::LATE_HEARTBEAT_MARGIN
@@ -101,14 +102,14 @@
     }
 }
 
-/// Times on which failure detection rests.
+/// Durations and times that failure detection uses.
 #[derive(Debug, Clone, Copy)]
 pub struct DetectionTimeouts {
     /// Interval between the heartbeats of a machine.
     pub heartbeat_interval: Duration,
-    /// After this time without a heartbeat a machine is silent.
+    /// Time without a heartbeat after which a machine is silent.
     pub silence: Duration,
-    /// How long a leaseholder that the leader does not reach may go on to respond by itself.
+    /// How long a leaseholder that the leader cannot reach may respond without the leader.
     pub shard_lease: Duration,
     /// When this leader began to receive heartbeats.
     pub started_at: Timestamp,
@@ -117,8 +118,9 @@
 impl DetectionTimeouts {
     /// Whether a zone or route is unreachable, judged by the last heartbeat of any of its machines.
     ///
-    /// The more machines there are, the sooner their common silence is significant. A margin is needed all the same:
-    /// machines that once arrived all together do so again.
+    /// The more machines there are, the sooner their common silence is significant: three mean intervals
+    /// between their heartbeats. The fixed timeout is needed besides, since heartbeats that once arrived
+    /// together do so again.
     fn is_unreachable(&self, now: Timestamp, arrivals: Arrivals) -> bool {
         let mean_interval =
             Duration::from_micros(to_micros(self.heartbeat_interval) / arrivals.machines.max(1) as u64);
@@ -150,12 +152,12 @@
     }
 }
 
-/// Whether so many are silent that a common cause is more likely than failures of each. Two never are.
-fn are_too_many(silent: usize, total: usize, max_share: f64) -> bool {
+/// Whether so many machines, at least three, are silent that a common cause is more likely than chance.
+fn suggest_common_cause(silent: usize, total: usize, max_share: f64) -> bool {
     silent > 2 && silent as f64 > max_share * total as f64
 }
 
-/// What is known of zones and routes, kept from one observation to the next.
+/// The reachability of zones and routes, updated by each observation.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
     zones: BTreeMap<String, Reachability>,
@@ -166,7 +168,7 @@
 type MachinesByRoute<'o, 'a> = BTreeMap<Option<usize>, Vec<&'o ObservedMachine<'a>>>;
 
 impl FailureDetector {
-    /// Updates zones and routes. `out_of_touch`: leaseholders that this leader does not reach.
+    /// Updates zones and routes. `out_of_touch`: leaseholders that this leader cannot reach.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -180,8 +182,8 @@
             arrivals.entry(machine.route).or_default().add(machine.last_heartbeat_at);
         }
         for (route, arrivals) in arrivals {
-            let node_is_lost = route.is_some_and(|node| out_of_touch.contains(&node));
-            let unreachable = node_is_lost || timeouts.is_unreachable(now, arrivals);
+            let node_is_unreachable = route.is_some_and(|node| out_of_touch.contains(&node));
+            let unreachable = node_is_unreachable || timeouts.is_unreachable(now, arrivals);
             self.routes.entry(route).or_default().update(unreachable, now);
         }
     }
@@ -194,15 +196,15 @@
         for zone in arrivals.keys() {
             self.zones.entry(zone.to_string()).or_default();
         }
-        // Zones without machines are updated too. They count as reachable, or nothing would ever be rented in a zone
-        // whose last machine is gone.
+        // Zones without machines are updated too and become reachable. Otherwise no machine would be rented
+        // any more in a zone whose last machine is gone.
         for (zone, reachability) in &mut self.zones {
             let arrivals = arrivals.get(zone.as_str()).copied().unwrap_or_default();
             let before = reachability.unreachable;
             reachability.update(timeouts.is_unreachable(now, arrivals), now);
             let unreachable = reachability.unreachable;
             if unreachable != before {
-                info!(zone, unreachable, machines = arrivals.machines, "zone");
+                info!(zone, unreachable, machines = arrivals.machines, "zone reachability changed");
             }
         }
     }
@@ -220,7 +222,7 @@
         self.routes.get(&route).copied().unwrap_or_default()
     }
 
-    /// Names of the machines that are dead, as far as can be told.
+    /// Names of the machines that are silent or unresponsive and for which no common cause is likely.
     pub fn declared_dead<'a>(
         &self,
         now: Timestamp,
@@ -230,7 +232,7 @@
         if timeouts.is_initial_grace(now) {
             return Vec::new();
         }
-        // Everything in an unreachable zone may run on, and its machines could not be replaced there anyway.
+        // Tasks in an unreachable zone may still run, and its machines could not be replaced there anyway.
         let reachable: Vec<&ObservedMachine> = observed
             .iter()
             .filter(|machine| !machine.lost && self.zone(machine.zone).is_recovered(now))
@@ -243,15 +245,16 @@
         let many_are_late = self.many_are_late(now, timeouts, &routes);
         for (route, machines) in &routes {
             let reachability = self.route(*route);
-            // Machines whose leaseholder has crashed have moved to another route, and only dead ones are left on this.
+            // After a crash of the leaseholder, its machines move to another route and only dead ones stay.
+            // Those that moved still count in the size of the route.
             let moved = reachable.iter().filter(|machine| machine.left_during_outage(*route, reachability));
             let route_size = machines.len() + moved.count();
             let late = machines.iter().filter(|machine| machine.is_late(now, timeouts)).count();
-            // If many fall silent together, of all or of one route, their leases will tell. Few are not too many, since
-            // by chance three of them may be on one route of nine.
-            if now < route_excused_until(reachability, timeouts)
+            // If many machines fall silent together, of all or of one route, lease expiry decides. A few on
+            // one route point to no common cause: three dead machines may by chance be on a route of nine.
+            if now < silence_explained_until(reachability, timeouts)
                 || many_are_late && !reachability.unreachable
-                || are_too_many(late, route_size, limits::MAX_SILENT_ROUTE_SHARE)
+                || suggest_common_cause(late, route_size, limits::MAX_SILENT_ROUTE_SHARE)
             {
                 continue;
             }
@@ -269,24 +272,25 @@
             total += 1;
             late += usize::from(machine.is_late(now, timeouts));
         }
-        are_too_many(late, total, limits::MAX_SILENT_SHARE)
+        suggest_common_cause(late, total, limits::MAX_SILENT_SHARE)
     }
 }
 
-/// Machines of earlier leaders that have sent no heartbeat to this one are dead, unless they are many. They have no
-/// route yet, so their number is compared with all machines that should send heartbeats.
+/// Names of the machines of earlier leaders that have sent no heartbeat to this one: they are dead, unless
+/// they are many. They have no route yet, so their number is compared with all machines that should send
+/// heartbeats.
 fn dead_among_expected<'a>(reachable: &[&ObservedMachine<'a>]) -> Vec<&'a str> {
     let expected: Vec<&str> =
         reachable.iter().filter(|machine| machine.expected).map(|machine| machine.name).collect();
-    if are_too_many(expected.len(), reachable.len(), limits::MAX_SILENT_SHARE) {
+    if suggest_common_cause(expected.len(), reachable.len(), limits::MAX_SILENT_SHARE) {
         return Vec::new();
     }
     expected
 }
 
-/// Until when the state of its route excuses the silence of a machine. A leaseholder that only the leader does not reach
-/// goes on to respond to unchanged heartbeats until its lease ends.
-fn route_excused_until(reachability: Reachability, timeouts: &DetectionTimeouts) -> Timestamp {
+/// Until when the state of a route explains the silence of its machines. A leaseholder that only the leader
+/// cannot reach responds to unchanged heartbeats until its shard lease ends.
+fn silence_explained_until(reachability: Reachability, timeouts: &DetectionTimeouts) -> Timestamp {
     if reachability.unreachable {
         reachability.unreachable_from() + timeouts.shard_lease + limits::FAILOVER_GRACE_PERIOD
     } else {
@@ -336,7 +340,7 @@
         self.failure_detector = detector;
     }
 
-    /// Names of the machines that are dead and not being deleted yet.
+    /// Names of the machines that are declared dead and are not being deleted yet.
     pub(super) fn machines_to_declare_dead(&self) -> Vec<String> {
         let observed = self.observed_machines();
         let dead = self.failure_detector.declared_dead(self.now, &self.detection_timeouts(), &observed);
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -1,4 +1,4 @@
-//! Which machines are declared dead, by what is seen of them: a table of cases at several sizes.
+//! Declared-dead machines by the pattern of missing heartbeats: a table of outages at several cluster sizes.
 
 use super::*;
 use crate::limits::SECOND;
@@ -11,7 +11,7 @@
 const OUTAGE_START: Timestamp = Timestamp::from_secs(100);
 const ZONES: [&str; 2] = ["a", "b"];
 /// Longer than any case lasts.
-const FOR_GOOD: Duration = Duration::from_secs(1_000);
+const PERMANENT: Duration = Duration::from_secs(1_000);
 const CLUSTER_SIZES: [usize; 4] = [20, 120, 1_900, 6_000];
 
 /// How long a machine is silent from `OUTAGE_START` on, by its index and the number of machines.
@@ -26,7 +26,7 @@
     }
 }
 
-/// When the last heartbeat of the machine `index` arrived, which is silent for `outage` from `OUTAGE_START` on.
+/// When the last heartbeat of machine `index` arrived if it is silent for `outage` from `OUTAGE_START` on.
 fn last_heartbeat_at(index: usize, outage: Duration, now: Timestamp) -> Timestamp {
     let phase = (index as u32 * 7_919 % 1_000) * HEARTBEAT_INTERVAL / 1_000;
     let heartbeat = |at: Timestamp| {
@@ -39,29 +39,29 @@
     } else if now < until {
         heartbeat(OUTAGE_START)
     } else {
-        // Back, all at once, as after a partition.
+        // All machines return at the same time, as after a network partition.
         heartbeat(now).max(until)
     }
 }
 
-/// What was declared dead in a case.
+/// The machines that were declared dead in a case.
 struct DeclaredDead {
     machines: usize,
-    /// How long after the beginning of the outage the first was.
+    /// Time from the start of the outage to the first declaration; `Duration::MAX` if there was none.
     first_after: Duration,
 }
 
-/// Plays a case: machines whose heartbeats are spread evenly over the interval, a third by each of three routes, and
-/// the outage that some have.
-fn play(machines: usize, outage: Outage, lost_route: Option<usize>, duration: Duration) -> DeclaredDead {
+/// Simulates an outage of some of `machines`. Heartbeats are spread evenly over the interval, a third of them
+/// on each of three routes. `lost_route`: a node that the leader cannot reach from `OUTAGE_START` on.
+fn simulate(machines: usize, outage: Outage, lost_route: Option<usize>, duration: Duration) -> DeclaredDead {
     let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
     let timeouts = timeouts();
     let mut detector = FailureDetector::default();
     let mut declared_dead: BTreeSet<usize> = BTreeSet::new();
     let mut first_after = Duration::MAX;
     let start = OUTAGE_START - OUTAGE_START.since(Timestamp::ZERO) / 2;
-    let played = start.since(Timestamp::ZERO) + duration;
-    let steps = to_micros(played) / to_micros(limits::LEASE_EXPIRY_INTERVAL);
+    let simulated = start.since(Timestamp::ZERO) + duration;
+    let steps = to_micros(simulated) / to_micros(limits::LEASE_EXPIRY_INTERVAL);
     for step in 0..steps as u32 {
         let now = start + step * limits::LEASE_EXPIRY_INTERVAL;
         let observed: Vec<ObservedMachine> = (0..machines)
@@ -87,7 +87,8 @@
     DeclaredDead { machines: declared_dead.len(), first_after }
 }
 
-/// A zone stayed unreachable for ever once the cloud's list had said that all its machines had failed.
+/// Guards against a zone that stays unreachable for ever: that happened once the cloud's list had named all
+/// its machines as failed.
 #[test]
 fn unreachable_zone_is_reachable_again_when_its_last_machine_is_gone() {
     let timeouts = timeouts();
@@ -105,7 +106,7 @@
     let all = ["x", "y", "z"].map(|name| machine(name, false));
     detector.observe(OUTAGE_START, &timeouts, &all, &BTreeSet::new());
     assert!(detector.zone_unreachable("a"));
-    // Their leases have expired, and no heartbeat arrives: the partition goes on.
+    // The leases have expired and still no heartbeat arrives: the partition lasts.
     let all = ["x", "y", "z"].map(|name| machine(name, true));
     detector.observe(OUTAGE_START + 60 * SECOND, &timeouts, &all, &BTreeSet::new());
     assert!(detector.zone_unreachable("a"));
@@ -113,25 +114,25 @@
     assert!(!detector.zone_unreachable("a"));
 }
 
-/// An outage and what is to be declared dead in it.
+/// An outage and the machines that have to be declared dead in it.
 struct Case {
     name: &'static str,
     outage: Outage,
     lost_route: Option<usize>,
-    /// How many machines, by the number of all.
+    /// Number of machines to be declared dead, by the number of all machines.
     expected: fn(usize) -> usize,
-    /// How long after the beginning of the outage the first at the latest.
+    /// Longest time from the start of the outage to the first declaration.
     within: Duration,
 }
 
 impl Case {
-    /// Single failures: each machine is declared dead as soon as it is silent.
+    /// Failures without a common cause: each machine is declared dead as soon as it is silent.
     fn failures(name: &'static str, outage: Outage, expected: fn(usize) -> usize) -> Self {
         let within = limits::silence_timeout(3.0) + SECOND;
         Case { name, outage, lost_route: None, expected, within }
     }
 
-    /// Nothing, or silence with a common cause: no machine is declared dead.
+    /// No outage, or silence with a common cause: no machine is declared dead.
     fn none_dead(name: &'static str, outage: Outage) -> Self {
         Case { name, outage, lost_route: None, expected: |_| 0, within: Duration::MAX }
     }
@@ -140,10 +141,10 @@
 fn cases() -> [Case; 10] {
     [
         Case::none_dead("no outage", |_, _| Duration::ZERO),
-        Case::failures("a machine fails", |i, _| if i == 5 { FOR_GOOD } else { Duration::ZERO }, |_| 1),
+        Case::failures("a machine fails", |i, _| if i == 5 { PERMANENT } else { Duration::ZERO }, |_| 1),
         Case::failures(
             "a tenth fails",
-            |i, _| if i % 10 == 4 { FOR_GOOD } else { Duration::ZERO },
+            |i, _| if i % 10 == 4 { PERMANENT } else { Duration::ZERO },
             |n| n / 10,
         ),
         Case::failures(
@@ -151,26 +152,30 @@
             |i, _| if i % 10 == 4 { 25 * SECOND } else { Duration::ZERO },
             |n| n / 10,
         ),
-        // A third of those that use one route: chance in a small cluster.
+        // A third of the machines on one route: in a small cluster this may be chance.
         Case::failures(
             "a ninth fails, all of one route",
-            |i, _| if i % 9 == 1 { FOR_GOOD } else { Duration::ZERO },
+            |i, _| if i % 9 == 1 { PERMANENT } else { Duration::ZERO },
             |n| (n + 7) / 9,
         ),
         Case::none_dead(
             "a third of each zone at once",
-            |i, _| if i % 6 < 2 { FOR_GOOD } else { Duration::ZERO },
+            |i, _| if i % 6 < 2 { PERMANENT } else { Duration::ZERO },
         ),
         Case::none_dead(
             "a zone is partitioned",
             |i, _| if i % 2 == 1 { 45 * SECOND } else { Duration::ZERO },
         ),
-        Case::none_dead("a zone for good", |i, _| if i % 2 == 1 { FOR_GOOD } else { Duration::ZERO }),
+        Case::none_dead(
+            "a zone is silent permanently",
+            |i, _| if i % 2 == 1 { PERMANENT } else { Duration::ZERO },
+        ),
         Case::none_dead("all are silent", |_, _| 45 * SECOND),
-        // Its leaseholder responds by itself; the machines come another way when its lease has ended.
+        // The leaseholder responds without the leader. Its machines change their route when its lease has
+        // ended.
         Case {
             lost_route: Some(1),
-            ..Case::none_dead("a leaseholder is out of touch", |i, _| {
+            ..Case::none_dead("the leader cannot reach a leaseholder", |i, _| {
                 if i % 3 == 1 {
                     25 * SECOND
                 } else {
@@ -185,7 +190,7 @@
 fn only_failures_without_a_common_cause_are_declared_dead_at_every_size() {
     for machines in CLUSTER_SIZES {
         for Case { name, outage, lost_route, expected, within } in cases() {
-            let dead = play(machines, outage, lost_route, 90 * SECOND);
+            let dead = simulate(machines, outage, lost_route, 90 * SECOND);
             let expected = expected(machines);
             let first = dead.first_after;
             assert_eq!(dead.machines, expected, "{name}, {machines} machines");
@@ -194,17 +199,18 @@
     }
 }
 
-/// The others only needed time.
+/// The other machines of the zone send heartbeats again once the partition is over, and are not declared
+/// dead.
 #[test]
 fn machines_missing_after_a_zone_partition_are_declared_dead_at_every_size() {
     let partition = |i: usize, n: usize| match i % 2 {
-        1 if i > n - n / 10 => FOR_GOOD,
+        1 if i > n - n / 10 => PERMANENT,
         1 => 45 * SECOND,
         _ => Duration::ZERO,
     };
     for machines in CLUSTER_SIZES {
-        let dead = play(machines, partition, None, 90 * SECOND);
-        let expected = (0..machines).filter(|i| partition(*i, machines) == FOR_GOOD).count();
+        let dead = simulate(machines, partition, None, 90 * SECOND);
+        let expected = (0..machines).filter(|i| partition(*i, machines) == PERMANENT).count();
         let first = dead.first_after;
         assert!(expected < machines / 2 / 2);
         assert_eq!(dead.machines, expected, "a partition, {machines} machines");
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -1,6 +1,8 @@
-//! Responses to heartbeats, requests to leaseholders to relay a heartbeat, and direct commands.
+//! Makes responses to heartbeats, requests to leaseholders to relay a heartbeat, and direct commands. Called
+//! by `Scheduler` and by its modules that have commands for workers.
 //!
-//! Every response that may renew a worker's lease is recorded before it is made ([`Scheduler::record_renewal`]).
+//! Every response that may renew a worker's lease is recorded before it is made
+//! ([`Scheduler::record_renewal`]).
 
 use super::model::{ExitReason, Job, JobId, Machine, MachineState, TaskCommand};
 use super::{Effect, Scheduler};
@@ -10,7 +12,7 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// Stops of the machine's own tasks and of orphaned ones.
+/// Stop commands for the machine's placements and, without a grace period, for its orphaned tasks.
 fn stop_commands(machine: &Machine) -> impl Iterator<Item = TaskCommand> + '_ {
     let placed = machine.tasks.iter().filter_map(|(id, placement)| {
         let stop = placement.stopping?;
@@ -24,8 +26,8 @@
     placed.chain(orphaned)
 }
 
-/// Exited tasks that the worker may forget. It keeps the result of a succeeded task until the leader has committed it,
-/// since until then there is no other copy.
+/// Forget commands for exited tasks. The worker keeps the result of a succeeded task until the leader has
+/// committed it, since until then there is no other copy.
 fn forget_commands<'a>(
     machine: &'a Machine,
     jobs: &'a BTreeMap<JobId, Job>,
@@ -42,7 +44,7 @@
         .map(|(exited, _)| TaskCommand::Forget { id: exited.task, attempt: exited.attempt })
 }
 
-/// Starts that have not left yet. From now on they count as sent in the response to the newest heartbeat.
+/// Start commands that have not been sent. Marks each as sent in the response to the newest heartbeat.
 fn take_start_commands(machine: &mut Machine) -> impl Iterator<Item = TaskCommand> + '_ {
     let newest = machine.heartbeats.newest;
     let unsent = machine
@@ -56,7 +58,8 @@
 }
 
 impl Scheduler {
-    /// Records that a heartbeat will be responded to, which renews the machine's lease. None: the machine is gone.
+    /// Records that the response to a heartbeat renews the machine's lease. Returns None if the machine is
+    /// gone: the response must not renew a lease.
     pub(super) fn record_renewal(&mut self, name: &str) -> Option<LeaseRenewal> {
         let Some(machine) = self.machines.get_mut(name) else {
             // A leader that has not loaded knows no machines; one that has knows that the machine is gone.
@@ -78,13 +81,13 @@
         self.effects.push(Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable });
     }
 
-    /// Responds to a heartbeat of which nothing was taken in.
+    /// Responds to a heartbeat whose task list was ignored.
     pub(super) fn respond_without_commands(&mut self, reply: u64, renewal: Option<LeaseRenewal>) {
         let task_commands = Vec::new();
         self.effects.push(Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: false });
     }
 
-    /// The commands for a machine. From now on they count as sent.
+    /// Returns the commands for a machine and marks them as sent.
     fn take_commands(&mut self, name: &str) -> Vec<TaskCommand> {
         let Some(machine) = self.machines.get_mut(name) else { return Vec::new() };
         let is_direct = machine.route.via.is_none();
@@ -94,7 +97,8 @@
         task_commands.extend(forget_commands(machine, &self.jobs));
         if machine.reconciled && machine.recorded {
             task_commands.extend(take_start_commands(machine));
-            // A response that a leaseholder relays may be lost on the way to it, which proves nothing of the machine.
+            // A response may be lost on the way to the leaseholder that relays it. So its missing effect does
+            // not show that the machine is unreachable.
             if is_direct {
                 machine.commands.unacknowledged.clone_from(&task_commands);
             }
@@ -102,8 +106,8 @@
         task_commands
     }
 
-    /// Decides and records whether the leaseholder that relayed the machine's heartbeat may respond to unchanged ones
-    /// by itself.
+    /// Decides and records whether the leaseholder that relayed the machine's heartbeat may respond to
+    /// unchanged ones without the leader.
     fn update_cacheable(&mut self, name: &str, task_commands: &[TaskCommand]) -> bool {
         let has_leaseholders = self.config.shard_lease > Duration::ZERO;
         let Some(machine) = self.machines.get_mut(name) else { return false };
@@ -115,9 +119,9 @@
         machine.route.cached_by_leaseholder
     }
 
-    /// A leaseholder has responded to these machines by itself, and to no others before `covers_until`
-    /// (None: the list may be incomplete). Their leases are renewed. A machine for which there is a command is asked
-    /// for again, whether or not its leaseholder was asked before.
+    /// Records that the leaseholder `node` renewed the leases of these machines without the leader, and of no
+    /// others before `covers_until` (None: the list may be incomplete). For a machine with a command or a new
+    /// route, asks the leaseholder to relay the next heartbeat, even if it was asked before.
     pub(super) fn apply_shard_heartbeat(
         &mut self,
         node: usize,
@@ -130,9 +134,10 @@
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             machine.last_renewal.record_by_leaseholder(now);
             machine.heartbeats.last_at = now;
-            // A machine may come back to a leaseholder that still has its heartbeat cached. It then sends nothing new
-            // there, and was taken for silent on the route that it had left. What it did elsewhere meanwhile the
-            // leaseholder does not know, so its next heartbeat has to be relayed.
+            // A machine may return to a leaseholder that still has its heartbeat cached and therefore relays
+            // nothing. Without this record of its route, the machine was taken for silent on the route that
+            // it had left. The leaseholder does not know of the machine's changes in between, so it has to
+            // relay the next heartbeat.
             let changed_route = machine.route.record(Some(node), now);
             if changed_route || !machine.is_settled() {
                 machine.route.wake_requested = false;
@@ -142,8 +147,8 @@
         }
     }
 
-    /// Asks the leaseholder of a machine, if it may respond by itself, to relay the machine's next heartbeat: there is
-    /// a command for the machine.
+    /// Asks a leaseholder that may respond without the leader to relay the machine's next heartbeat, so that
+    /// the leader can respond with its commands. Without effect if it has been asked already.
     pub(super) fn request_wake(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let Some(node) = machine.route.via else { return };
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Sends stops straight to the workers too, since their next heartbeats may be seconds away.
+    /// Sends stops directly to the workers as well, since their next heartbeats may be seconds away.
     pub(super) fn send_direct_stops(&mut self) {
         for name in std::mem::take(&mut self.autoscaler.direct_stops) {
             let Some(machine) = self.machines.get(&name) else { continue };
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,21 +1,25 @@
-//! Heartbeats of workers, from their arrival to the task list.
+//! Handles workers' heartbeats, from arrival to the reconciled task list. Called by `Scheduler::apply`.
 //!
 //! The path of a heartbeat through the scheduler:
-//! 1. `Scheduler::apply` in `mod.rs` hands it to [`Scheduler::handle_heartbeat`], or, if it is the response to a direct
-//!    command, straight to [`Scheduler::apply_heartbeat`].
-//! 2. `apply_heartbeat` finds out what it is (a [`HeartbeatOutcome`]). An unchanged one is recorded and ends here. A
-//!    late one goes to `stale_heartbeats`. A new one goes on: `reachability` checks that the machine receives its
-//!    commands, `task_lists` reconciles the task list with the placements, `task_exit` and `placements` follow from that,
-//!    and `recall` stops tasks whose machine the cloud takes away.
-//! 3. `handle_heartbeat` records the lease renewal, before any response is made. The response to a changed heartbeat
-//!    waits for the next round of decisions, since that may have a start for the machine.
+//! 1. `Scheduler::apply` in `mod.rs` passes a periodic heartbeat to [`Scheduler::handle_heartbeat`]. The
+//!    response to a direct command goes straight to [`Scheduler::apply_heartbeat`].
+//! 2. `apply_heartbeat` classifies it as a [`HeartbeatOutcome`]. An unchanged one is recorded and needs
+//!    nothing else. A late one goes to `stale_heartbeats`. For a new one, `reachability` checks that the
+//!    machine receives its commands, `task_lists` reconciles the task list with the placements, `task_exit`
+//!    and `placements` apply the results, and `recall` stops tasks on machines that the cloud is about to
+//!    recall.
+//! 3. `handle_heartbeat` records the lease renewal, before any response is made; a stale heartbeat renews no
+//!    lease. The response to a changed heartbeat waits for the next round of decisions, which may start a
+//!    task there.
 //! 4. `heartbeat_responses` makes the response.
 //!
 //! An arrival is recorded in two places, and lease expiry counts from the later of them:
-//! - `Machine::last_renewal` guards the lease. It is recorded for every response that may renew the lease, also where the
-//!   task list is not taken in (the first heartbeat of a machine to this leader, and overtaken ones).
-//! - `HeartbeatTracker::last_at` is for failure detection: when the machine last showed that it is alive. Wherever it is
-//!   recorded, the renewal is recorded in the same step, so for lease expiry it is a second guard of the same lease.
+//! - `Machine::last_renewal` protects the lease. It is recorded for every response that may renew the lease,
+//!   also where the task list is ignored (the first heartbeat of a machine to this leader, and overtaken
+//!   ones).
+//! - `HeartbeatTracker::last_at` is for failure detection: when the machine last showed that it is alive.
+//!   Wherever it is recorded, the renewal is recorded in the same step, so for lease expiry it is a
+//!   second protection of the same lease.
 
 use super::model::{
     Heartbeat, HeartbeatNumber, HeartbeatSource, Machine, MachineState, ReportedTask, StoredMachine,
@@ -28,11 +32,11 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// Boot time that is assumed of a machine whose type is not known, in seconds.
+/// Boot time assumed for a machine of unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
 impl Machine {
-    /// Whether a periodic heartbeat tells nothing that the last one did not.
+    /// Whether a periodic heartbeat repeats the last one and nothing is under way with the machine.
     fn is_unchanged_by(&self, heartbeat: &Heartbeat, token: FencingToken) -> bool {
         heartbeat.agent_epoch == self.heartbeats.newest.agent_epoch
             && heartbeat.sequence > self.heartbeats.newest.sequence
@@ -42,7 +46,7 @@
             && heartbeat.tasks == self.heartbeats.reported_tasks
     }
 
-    /// Records that a periodic heartbeat of the machine arrived at `now`.
+    /// Records that a periodic heartbeat arrived at `now`, and marks the machine as ready.
     fn record_alive(&mut self, now: Timestamp) {
         self.heartbeats.last_at = now;
         if self.state != MachineState::Ready {
@@ -54,7 +58,7 @@
 }
 
 impl Scheduler {
-    /// The machine of this name, made known if it is new.
+    /// Returns the machine with the name of `stored`. An unknown one is added, with a deadline for its boot.
     pub(super) fn machine(&mut self, stored: &StoredMachine) -> &mut Machine {
         let machine_type = self.types.get(&stored.machine_type);
         let capacity = machine_type.map(|known| known.capacity).unwrap_or_default();
@@ -65,8 +69,9 @@
             .or_insert_with(|| Machine::new(stored, capacity, now, now + from_seconds(boot_s)))
     }
 
-    /// Takes in a periodic heartbeat that came by way of `via` (None: straight to the leader), and responds to it or
-    /// leaves that to the next round.
+    /// Applies a periodic heartbeat and responds to it, or leaves the response to the next round if it
+    /// changed something. `reply`: number of the response. `via`: the leaseholder that relayed the heartbeat
+    /// (None: it came straight to the leader).
     pub(super) fn handle_heartbeat(&mut self, reply: u64, heartbeat: Heartbeat, via: Option<usize>) {
         if heartbeat.token > self.config.token {
             self.effects.push(Effect::Deposed(heartbeat.token));
@@ -93,7 +98,8 @@
         }
     }
 
-    /// Takes in a heartbeat: what it says of its machine, and its task list.
+    /// Applies what a heartbeat states about its machine, and its task list. Without effect before
+    /// `Scheduler::load`.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -102,8 +108,8 @@
         if !self.loaded {
             return HeartbeatOutcome::Unchanged;
         }
-        // A heartbeat that a partition held back may arrive after its machine was deleted. Its tasks may run elsewhere
-        // by then; taken in, it would make them seem to be in two places.
+        // A heartbeat that was delayed by a network partition may arrive after its machine was deleted. Its
+        // tasks may run elsewhere by then, so applying it would show them on two machines.
         if self.autoscaler.deleted.contains_key(&heartbeat.machine) {
             self.ignored_heartbeats.stale += 1;
             return HeartbeatOutcome::Stale;
@@ -113,15 +119,14 @@
         }
         let was_known = self.machines.contains_key(&heartbeat.machine);
         let machine = self.machine(&StoredMachine::of_heartbeat(&heartbeat));
-        // Messages that were held back arrive late and out of order: only the newest list counts.
+        // Delayed messages arrive out of order, so a task list older than the newest one is ignored.
         if heartbeat.number() <= machine.heartbeats.newest {
             return self.ignore_late_heartbeat(&heartbeat, source);
         }
         self.apply_newest_heartbeat(heartbeat, source, was_known)
     }
 
-    /// Records a periodic heartbeat that lists what the last one did. Returns false, without effect, if it is
-    /// not such a one.
+    /// Records a periodic heartbeat that repeats the last one. Returns false, without effect, if it does not.
     fn record_if_unchanged(&mut self, heartbeat: &Heartbeat) -> bool {
         let token = self.config.token;
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return false };
@@ -133,7 +138,7 @@
         true
     }
 
-    /// Takes in a heartbeat that is newer than all before it. `was_known`: the machine was known before it came.
+    /// Applies a heartbeat that is newer than all before it. `was_known`: the machine was known already.
     fn apply_newest_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -158,16 +163,16 @@
             }
             self.apply_exact_task_list(&heartbeat.machine, heartbeat.tasks, number, source);
         } else if was_known && !machine.recorded {
-            // This is the machine's first heartbeat to this leader, or a copy of one made for an earlier leader, which
-            // may be of any age. Its list proves nothing: taken in, it would make tasks seem to be in two places. Nor
-            // does it prove that the machine exists. The next heartbeat states our token. A machine that was not known
-            // before may be long gone, so it is not recorded yet.
+            // This is the machine's first heartbeat to this leader, or a copy of one sent to an earlier
+            // leader, which may be of any age. Its task list may be out of date and is not applied: tasks
+            // would seem to be on two machines. The machine itself may be long gone, so one that was not
+            // known before is not recorded yet. The worker's next heartbeat states this leader's token.
             self.record(&heartbeat.machine);
         }
         HeartbeatOutcome::Changed
     }
 
-    /// Takes in the task list of a worker that knows this leader, and what follows from it.
+    /// Applies the task list of a worker that has stated this leader's token, so that the list is exact.
     fn apply_exact_task_list(
         &mut self,
         name: &str,
@@ -185,7 +190,8 @@
         }
     }
 
-    /// If the heartbeat begins a new agent epoch of its worker, everything of earlier ones has ended with their lease.
+    /// Releases the machine if the heartbeat begins a new agent epoch of its worker: tasks of earlier epochs
+    /// ended with their lease.
     fn end_earlier_agent_epochs(&mut self, heartbeat: &Heartbeat) {
         let agent_epoch = heartbeat.agent_epoch;
         let Some(machine) = self.machines.get(&heartbeat.machine) else { return };
@@ -196,7 +202,7 @@
         if previous > 0 {
             info!(
                 machine = heartbeat.machine,
-                agent_epoch, "new agent epoch: its tasks ended with their lease"
+                agent_epoch, "worker began a new agent epoch; tasks of earlier epochs have ended"
             );
         }
         self.release_machine(&heartbeat.machine, TerminationProof::NewAgentEpoch { agent_epoch });
@@ -211,7 +217,7 @@
 }
 
 impl StoredMachine {
-    /// The machine as its heartbeat describes it.
+    /// The machine as described by its heartbeat, without images.
     fn of_heartbeat(heartbeat: &Heartbeat) -> Self {
         StoredMachine {
             name: heartbeat.machine.clone(),
--- a/src/scheduler/job_registry.rs
+++ b/src/scheduler/job_registry.rs
@@ -1,5 +1,6 @@
-//! The jobs that the scheduler knows: added when they are submitted or loaded, removed when they are finished or
-//! cancelled. Called by `Scheduler::apply`, and by `cold_start` for jobs that the state service was asked about.
+//! Adds jobs to the scheduler when they are submitted or loaded, and removes them when they are finished or
+//! cancelled. Called by `Scheduler::apply`, and by `cold_start` for jobs that the state service was asked
+//! about.
 
 use super::model::{Job, JobId, JobSummary, TaskCounts, TaskStatus};
 use super::{Scheduler, StoredJob, WriteOutcome};
@@ -13,7 +14,7 @@
         if self.jobs.contains_key(&job_id) {
             return;
         }
-        debug!(job = %job_id, tasks = stored.spec.tasks, inherited, "job known");
+        debug!(job = %job_id, tasks = stored.spec.tasks, inherited, "job added");
         let submitted_at = self.now - stored.age;
         let job = Job::new(stored.spec, stored.version, submitted_at, inherited, stored.succeeded);
         self.jobs.insert(job_id, job);
@@ -28,11 +29,12 @@
         self.remove_if_terminated(job_id);
     }
 
-    /// The write that removes a job whose tasks have all succeeded has ended.
+    /// Applies the outcome of the write that removes a job whose tasks have all succeeded.
     pub(super) fn finish_written(&mut self, job_id: JobId, outcome: WriteOutcome) {
         match outcome {
             WriteOutcome::Done => self.remove_job(job_id),
-            // It was cancelled meanwhile, or the outcome is not known. Its record decides, and the write is repeated.
+            // The job was cancelled meanwhile, or the outcome is not known. The write is repeated, and the
+            // job's stored record decides.
             WriteOutcome::Refused | WriteOutcome::Unknown => {
                 if let Some(job) = self.jobs.get_mut(&job_id) {
                     job.progress.write_in_flight = false;
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -1,14 +1,17 @@
-//! When the lease of a worker has expired, and which machines of earlier leaders are accounted for.
+//! Releases machines whose worker lease has expired, and tracks which machines of earlier leaders are
+//! accounted for: those that have stated this leader's fencing token, or whose lease has expired. Called by
+//! `Scheduler::step`; placement asks which machines are schedulable.
 //!
-//! A task may be started elsewhere only when its worker's lease has provably expired. The lease of a machine is counted
-//! from the latest of four records:
+//! A task may be started elsewhere only when its worker's lease has provably expired. The lease of a machine
+//! counts from the latest of four records:
 //! - `Machine::last_renewal`: the last response that may have renewed it, by this leader or by a leaseholder;
-//! - `HeartbeatTracker::last_at`: its last heartbeat, since a worker may have begun its lease as late as that;
-//! - `Scheduler::started_at`: responses before this leader had loaded its state are not recorded anywhere else;
+//! - `HeartbeatTracker::last_at`: its last heartbeat, since the worker may have begun the lease when it sent
+//!   that;
+//! - `Scheduler::started_at`: responses before this leader had loaded its state are recorded nowhere else;
 //! - `PeerNodes::kept_alive_until`: another node may have responded until then.
 //!
-//! A leaseholder may have responded to any machine since its last shard heartbeat, so silence only counts up to
-//! `PeerNodes::responses_known_until`.
+//! A leaseholder may have responded to any machine since its last shard heartbeat, so a lease counts as
+//! expired only if it ended by `PeerNodes::responses_known_until`.
 
 use super::autoscaler::InstanceOffer;
 use super::model::{Job, Machine, MachineState, TerminationProof};
@@ -24,7 +27,7 @@
         self.last_renewal.at().max(self.heartbeats.last_at)
     }
 
-    /// Whether an earlier leader may have started tasks on it of which this one does not know.
+    /// Whether an earlier leader may have started tasks on it that this leader does not know.
     fn is_unreconciled(&self) -> bool {
         self.inherited && !self.reconciled
     }
@@ -50,8 +53,8 @@
             && self.now < machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s)
     }
 
-    /// Whether every machine on which an earlier leader may have started the job is accounted for, as of the beginning
-    /// of the round.
+    /// Whether every machine on which an earlier leader may have started the job is accounted for, as of the
+    /// start of the round.
     pub(super) fn reconciled_for(&self, job: &Job) -> bool {
         let may_use = |offer: &InstanceOffer| {
             job.spec.allows_type(&offer.machine_type)
@@ -61,7 +64,7 @@
         self.reconciled || !self.unreconciled.iter().any(may_use)
     }
 
-    /// Updates the kinds of machine of which some are not accounted for.
+    /// Updates the kinds of machine (type, zone, spot) of which some are not accounted for.
     pub(super) fn note_unreconciled(&mut self) {
         if self.reconciled {
             self.unreconciled = BTreeSet::new();
@@ -91,15 +94,16 @@
         self.started_at.max(self.peers.kept_alive_until())
     }
 
-    /// Machines whose leases have expired and on which something may have run.
+    /// Names of the machines that may have held tasks and whose leases have expired.
     fn expired_machines(&self) -> Vec<String> {
         let worker_lease = limits::worker_lease(self.config.workers.lease_s);
         let known_until = self.peers.responses_known_until(self.now, self.config.shard_lease, worker_lease);
         let silent_until = self.now.min(known_until);
         let unrecorded_until = self.unrecorded_renewals_until();
         let lease_may_run = |machine: &Machine| {
-            // The last heartbeat counts too, not only the last response: a worker may have begun its lease as late as
-            // that. Without it, every machine younger than this leader expired the moment it came up.
+            // The lease also counts from the last heartbeat, not only from the last response: the worker may
+            // have begun it then. Without that, every machine younger than this leader expired as soon as it
+            // came up.
             silent_until < machine.lease_renewed_at().max(unrecorded_until) + worker_lease
         };
         let may_hold_tasks = |machine: &Machine| match machine.state {
@@ -121,7 +125,7 @@
             via: machine.route.via,
             at: self.now,
         };
-        info!(machine = name, proof = %proof, "lease expired: its tasks have ended");
+        info!(machine = name, proof = %proof, "worker lease expired; tasks on the machine have ended");
         self.release_machine(name, proof);
         if let Some(machine) = self.machines.get_mut(name) {
             machine.state = MachineState::Lost;
@@ -130,8 +134,9 @@
         self.rounds.request();
     }
 
-    /// All machines of earlier leaders are accounted for when each has sent a heartbeat, or when every lease that an
-    /// earlier leader granted has expired.
+    /// Updates whether all machines of earlier leaders are accounted for: each has stated this leader's token
+    /// or its lease has expired, or the time has passed by which every lease granted by an earlier leader has
+    /// expired.
     fn update_reconciled(&mut self) {
         let worker_lease = limits::worker_lease(self.config.workers.lease_s);
         let all_expired = self.now >= self.unrecorded_renewals_until() + worker_lease;
--- a/src/scheduler/peer_nodes.rs
+++ b/src/scheduler/peer_nodes.rs
@@ -1,39 +1,43 @@
-//! What other nodes may do without this leader: renew leases of workers, and relay heartbeats.
+//! Tracks until when other nodes may have renewed leases of workers, and which nodes this leader cannot
+//! reach.
 //!
-//! Owned by `Scheduler`: `heartbeat_responses` records shard heartbeats, the controller records which peers are out of
-//! touch and until when workers may have been kept alive. `lease_expiry` and `failure_detection` ask.
+//! Owned by `Scheduler`: `heartbeat_responses` records shard heartbeats; the controller records unreachable
+//! peers and until when workers may have been kept alive. `lease_expiry` and `failure_detection` read the
+//! result.
 
 use crate::limits;
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A leaseholder of a shard, which responds to unchanged heartbeats by itself.
+/// A leaseholder of a shard, which responds to unchanged heartbeats without the leader.
 #[derive(Debug, Default, Clone, Copy)]
 struct Leaseholder {
-    /// Every response that it made before then is known here.
+    /// This leader knows every response that the leaseholder made before this time.
     covered_until: Timestamp,
-    /// When its shard lease was last renewed.
+    /// When its last shard heartbeat arrived, which renewed its shard lease.
     last_heartbeat_at: Timestamp,
 }
 
-/// What is known of the other nodes.
+/// What this leader knows of the other nodes.
 #[derive(Debug)]
 pub(super) struct PeerNodes {
     leaseholders: BTreeMap<usize, Leaseholder>,
     /// Until when another node may have renewed leases of workers without a record here.
     kept_alive_until: Timestamp,
-    /// When each node was last out of touch. Machines that report through it may change their route for a while.
+    /// When each node was last recorded as out of touch, that is, unreachable from this leader. For a while
+    /// after that, machines that report through it may change their route.
     out_of_touch: BTreeMap<usize, Timestamp>,
 }
 
 impl PeerNodes {
-    /// Nothing is known, but leaseholders of the last leader may respond until `kept_alive_until`.
+    /// No node is known, but leaseholders of the last leader may respond until `kept_alive_until`.
     pub fn new(kept_alive_until: Timestamp) -> Self {
         PeerNodes { leaseholders: BTreeMap::new(), kept_alive_until, out_of_touch: BTreeMap::new() }
     }
 
-    /// See [`PeerNodes::kept_alive_until`].
+    /// Records that another node may have renewed leases until `at`. Without effect if a later time is
+    /// recorded.
     pub fn record_kept_alive_until(&mut self, at: Timestamp) {
         self.kept_alive_until = self.kept_alive_until.max(at);
     }
@@ -43,16 +47,17 @@
         self.kept_alive_until
     }
 
-    /// A leaseholder has named all machines to which it responded before `covers_until` (None: the list may be
-    /// incomplete). This renews its shard lease.
+    /// Records a shard heartbeat, which renews the shard lease of its leaseholder `node`. It names all
+    /// machines to which the leaseholder responded before `covers_until` (None: the list may be incomplete).
     pub fn record_shard_heartbeat(&mut self, node: usize, covers_until: Option<Timestamp>, now: Timestamp) {
         let leaseholder = self.leaseholders.entry(node).or_default();
         leaseholder.covered_until = leaseholder.covered_until.max(covers_until.unwrap_or_default());
         leaseholder.last_heartbeat_at = now;
     }
 
-    /// Until when every response of every leaseholder is known. A leaseholder counts until its last shard lease, and
-    /// every worker lease that it may have renewed in that time, has ended.
+    /// Until when every response of every leaseholder is known; `Timestamp::MAX` without leaseholders. A
+    /// leaseholder is included until its last shard lease and every worker lease that it may have renewed in
+    /// that time have ended.
     pub fn responses_known_until(
         &self,
         now: Timestamp,
@@ -67,12 +72,12 @@
         may_respond.map(|leaseholder| leaseholder.covered_until).min().unwrap_or(Timestamp::MAX)
     }
 
-    /// These nodes are out of touch now.
+    /// Records that this leader cannot reach these nodes at `now`.
     pub fn record_out_of_touch(&mut self, now: Timestamp, nodes: impl Iterator<Item = usize>) {
         self.out_of_touch.extend(nodes.map(|node| (node, now)));
     }
 
-    /// Nodes that are out of touch, or were less than a heartbeat interval of leadership ago.
+    /// Nodes recorded as unreachable less than one interval of the heartbeats between controllers ago.
     pub fn out_of_touch(&self, now: Timestamp) -> BTreeSet<usize> {
         let recent = self.out_of_touch.iter().filter(|(_, last)| now < **last + limits::HEARTBEAT_INTERVAL);
         recent.map(|(node, _)| *node).collect()
--- a/src/scheduler/peer_nodes_tests.rs
+++ b/src/scheduler/peer_nodes_tests.rs
@@ -1,4 +1,4 @@
-//! What leaseholders and other nodes hold back.
+//! How long leaseholders hold back lease expiry, and how long a node is out of touch.
 
 use super::*;
 use crate::time::Timestamp;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn leaseholder_counts_until_its_lease_and_those_it_renewed_have_ended() {
+fn leaseholder_holds_back_lease_expiry_until_its_lease_and_those_it_renewed_have_ended() {
     let mut peers = PeerNodes::new(Timestamp::ZERO);
     peers.record_shard_heartbeat(1, Some(Timestamp::from_secs(90)), Timestamp::from_secs(100));
     let ended = Timestamp::from_secs(100) + limits::lengthened(SHARD_LEASE) + WORKER_LEASE;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn node_is_out_of_touch_for_an_interval_after_the_last_record() {
+fn node_is_out_of_touch_for_a_heartbeat_interval_after_the_last_record() {
     let mut peers = PeerNodes::new(Timestamp::ZERO);
     peers.record_out_of_touch(Timestamp::from_secs(1), [1, 2].into_iter());
     peers.record_out_of_touch(Timestamp::from_secs(1) + Duration::from_micros(10), std::iter::once(2));
--- a/src/scheduler/quarantine.rs
+++ b/src/scheduler/quarantine.rs
@@ -1,8 +1,9 @@
-//! Tasks that fail: whether their machine is at fault or their job. Called by `task_exit`.
+//! Decides whether a failed task is the fault of its machine or of its job. Called by `task_exit`.
 //!
-//! Mostly it is the machine. A job of which a task has succeeded elsewhere proves that, and so do failures of several
-//! jobs that are not suspected themselves. A job of which no task has succeeded and that fails on several machines is
-//! most likely faulty: it backs off longer and longer, and does not count against machines.
+//! Usually the machine is at fault. This is proven if a task of the same job has succeeded, or if several
+//! jobs that are not suspected themselves failed on the machine. A job of which no task has succeeded and
+//! that fails on several machines is most likely faulty: its backoff grows with each failure, and it does not
+//! count against machines.
 
 use super::model::{Job, JobId};
 use super::Scheduler;
@@ -10,18 +11,18 @@
 use crate::time::Timestamp;
 use tracing::warn;
 
-/// In which way a task failed.
+/// How a task failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TaskFailure {
-    /// It had started, and exited with an error.
+    /// It started, and exited with an error.
     WhileRunning,
     /// The worker did not know the task.
     NotKnownToWorker,
 }
 
 impl Job {
-    /// Whether the job itself is most likely faulty: no task of it has succeeded, and it has failed on several
-    /// machines.
+    /// Whether the job itself is most likely faulty: no task of it has succeeded, and it has failed on
+    /// several machines.
     pub(super) fn is_suspected(&self) -> bool {
         self.progress.succeeded.is_empty()
             && self.failure_history.machines.len() >= limits::SUSPECT_JOB_MACHINES
@@ -29,12 +30,12 @@
 }
 
 impl Scheduler {
-    /// A task of the job failed on the machine.
+    /// Records that a task of the job failed on the machine with this name.
     pub(super) fn record_job_failure(&mut self, name: &str, job_id: JobId, failure: TaskFailure) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.failure_history.machines.insert(name.to_string());
-        let proven = !job.progress.succeeded.is_empty();
+        let proven_faulty = !job.progress.succeeded.is_empty();
         let suspected = job.is_suspected();
         if suspected || failure == TaskFailure::NotKnownToWorker {
             // A job that fails everywhere must not be restarted in a tight loop.
@@ -52,10 +53,10 @@
                 machine.health.failed_jobs.insert(job_id);
             }
         }
-        self.replace_if_faulty(name, proven);
+        self.replace_if_faulty(name, proven_faulty);
     }
 
-    /// A task of the job succeeded: where others of it failed, the machine is at fault.
+    /// Records that a task of the job succeeded: machines on which other tasks of it failed are at fault.
     pub(super) fn record_job_success(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         if job.failure_history.machines.is_empty() {
@@ -68,15 +69,16 @@
         }
     }
 
-    /// Replaces a machine that is proven faulty, or on which several jobs failed.
-    fn replace_if_faulty(&mut self, name: &str, proven: bool) {
+    /// Marks a machine for replacement if it is proven faulty (a task of the failed job succeeded) or if
+    /// several jobs failed on it.
+    fn replace_if_faulty(&mut self, name: &str, proven_faulty: bool) {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(name) else { return };
-        // Jobs that have become suspected since prove nothing of the machine.
+        // Jobs that have become suspected since they failed do not count against the machine.
         let is_suspected = |job_id: &JobId| jobs.get(job_id).is_some_and(Job::is_suspected);
         let failures = machine.health.failed_jobs.iter().filter(|job_id| !is_suspected(job_id)).count();
-        if (proven || failures >= limits::MAX_MACHINE_FAILURES) && !machine.lifecycle.draining {
-            warn!(machine = name, "tasks fail on it: replacing it");
+        if (proven_faulty || failures >= limits::MAX_MACHINE_FAILURES) && !machine.lifecycle.draining {
+            warn!(machine = name, "tasks fail on the machine; draining and replacing it");
             machine.lifecycle.draining = true;
         }
     }
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -1,23 +1,26 @@
-//! Whether a machine receives the responses to its heartbeats. Called by `heartbeats` with each periodic heartbeat.
+//! Detects machines that do not receive the responses to their heartbeats. Called by `heartbeats` with each
+//! new periodic heartbeat.
 
 use super::model::{CommandTracker, Heartbeat, TaskCommand, TaskStatus};
 use crate::fencing_token::FencingToken;
 
 impl CommandTracker {
-    /// Counts heartbeats in a row that show no effect of the response before them.
+    /// Counts consecutive heartbeats that show no effect of the response before them.
     ///
-    /// A machine whose heartbeats arrive may be unreachable one way: no response and no command arrives there. That
-    /// shows when its heartbeats bear no trace of anything in the responses before them. `agent_epoch` is that of the
-    /// heartbeat before this one; `token` is the leader's fencing token.
+    /// A machine whose heartbeats arrive may be unreachable in the other direction: it receives no response
+    /// and no direct command. Its heartbeats then show no effect of the responses before them.
+    /// `previous_agent_epoch` is the epoch of the heartbeat before this one; `token` is the leader's fencing
+    /// token.
     pub(super) fn assess_reachability(
         &mut self,
-        agent_epoch: u64,
+        previous_agent_epoch: u64,
         heartbeat: &Heartbeat,
         token: FencingToken,
     ) {
-        if heartbeat.agent_epoch > agent_epoch {
-            // The worker's lease ended although it was sent responses, unless none was sent for as long as a lease.
-            let lease_ended_despite_commands = agent_epoch > 0 && !self.unacknowledged.is_empty();
+        if heartbeat.agent_epoch > previous_agent_epoch {
+            // The worker's lease ended although it was sent commands: the response with them did not arrive,
+            // unless it was sent more than a lease ago.
+            let lease_ended_despite_commands = previous_agent_epoch > 0 && !self.unacknowledged.is_empty();
             self.unacknowledged_heartbeats += u32::from(lease_ended_despite_commands);
             self.unacknowledged.clear();
             return;
@@ -34,7 +37,7 @@
 }
 
 impl TaskCommand {
-    /// Whether the task list of the heartbeat is as it is after the command.
+    /// Whether the task list of the heartbeat shows the effect of the command.
     fn shows_in(&self, heartbeat: &Heartbeat) -> bool {
         let (TaskCommand::Start { id, attempt }
         | TaskCommand::Stop { id, attempt, .. }
--- a/src/scheduler/reachability_tests.rs
+++ b/src/scheduler/reachability_tests.rs
@@ -1,4 +1,4 @@
-//! Which heartbeats acknowledge the response before them.
+//! A heartbeat acknowledges the response before it by showing the effect of one of its commands.
 
 use super::super::model::{ExitReason, JobId, ReportedTask, TaskId};
 use super::*;
@@ -22,7 +22,8 @@
     }
 }
 
-/// Heartbeats without acknowledgement after a response with this command and then a heartbeat that lists this.
+/// Number of unacknowledged heartbeats after a response with this command and a heartbeat that lists the task
+/// with this status (None: does not list it).
 fn unacknowledged_after(command: TaskCommand, status: Option<TaskStatus>) -> u32 {
     let mut commands = CommandTracker { unacknowledged: vec![command], ..CommandTracker::default() };
     commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), status), FencingToken(TOKEN));
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn heartbeat_after_an_empty_response_proves_nothing() {
+fn heartbeat_after_an_empty_response_leaves_the_count_unchanged() {
     let mut commands = CommandTracker { unacknowledged_heartbeats: 2, ..CommandTracker::default() };
     commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
     assert_eq!(commands.unacknowledged_heartbeats, 2);
--- a/src/scheduler/recall.rs
+++ b/src/scheduler/recall.rs
@@ -1,4 +1,4 @@
-//! Machines that the cloud has given notice of recalling. Called by `heartbeats`.
+//! Stops tasks on machines for which the cloud has given notice of a recall. Called by `heartbeats`.
 
 use super::model::{Job, Kind};
 use super::Scheduler;
@@ -6,8 +6,8 @@
 use crate::time::as_seconds;
 
 impl Scheduler {
-    /// Stops tasks on a machine if the cloud has given notice of recalling it: services at once, tasks that save checkpoints
-    /// when the time left is just enough to save. All others may still finish.
+    /// Stops tasks on a machine if the cloud has given notice of its recall: services at once, and tasks that
+    /// save checkpoints when the time left is just enough to save. All others may still finish.
     pub(super) fn stop_before_recall(&mut self, name: &str) {
         let Some(machine) = self.machines.get(name) else { return };
         let Some(recall_at) = machine.lifecycle.recall_at else { return };
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -1,9 +1,10 @@
-//! What the next leader must find in the state service: which machines may hold tasks, and which tasks are finished.
+//! Writes what the next leader must find in the state service: which machines may hold tasks, and which tasks
+//! are finished. Called by `Scheduler` and its modules.
 //!
-//! Writes are scarce, so several machines share a record, and what is to be written waits here until the leader's write
-//! budget allows it: ended jobs first, then machines that may get no task before they are recorded, then finished tasks,
-//! then the rest. This module owns which machine is in which record and what is due; the controller makes the writes
-//! and reports their outcome.
+//! The state service limits writes, so several machines share a record, and writes wait here until the
+//! leader's write budget allows them: finished jobs first, then new machines, which get no task before they
+//! are recorded, then finished tasks, then deleted machines and images. This module owns the assignment of
+//! machines to records and the due writes; the controller makes the writes and reports their outcome.
 
 use super::model::{Job, JobId, Kind, Machine};
 use super::{Effect, Scheduler, StoredMachine, WriteOutcome};
@@ -16,19 +17,20 @@
 
 /// Writes of a finished job besides its chunks of finished tasks: its final state and its live record.
 const FINAL_WRITES: f64 = 2.0;
-/// Bytes that an image name takes in a record besides its own: quotes and a comma.
+/// Bytes that an image takes in a record besides its name: quotes and a comma.
 const IMAGE_OVERHEAD_BYTES: usize = 3;
 
 /// How urgently a record is to be written again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// It is written as it stands.
+    /// No write is due: the last requested one is in flight or has ended.
     Written,
-    /// Images only improve placements after a failover.
+    /// The images of a machine changed. They only improve placements after a failover.
     Images,
-    /// A deleted machine costs the next leader a deletion before inherited work starts.
+    /// A machine was deleted. In its record, it would cost the next leader a deletion before inherited work
+    /// starts.
     DeletedMachine,
-    /// A new machine gets no task before its record is written.
+    /// A machine is new. It gets no task before its record is written.
     NewMachine,
 }
 
@@ -37,11 +39,11 @@
 struct Record {
     machines: BTreeSet<String>,
     urgency: Urgency,
-    /// Since when it is to be written.
+    /// When the due write was first requested.
     due_since: Timestamp,
-    /// The machines of a write under way.
+    /// The machines in the write that is in flight. None: no write is in flight.
     in_flight: Option<BTreeSet<String>>,
-    /// Records that took machines over from this one. It is written only after they are.
+    /// Keys of the records that took machines over from this one, which is written only after they are.
     write_after: Vec<String>,
 }
 
@@ -57,13 +59,13 @@
         self.urgency = self.urgency.max(urgency);
     }
 
-    /// Whether no machine in it waits to be recorded.
+    /// Whether no new machine in it waits to be recorded and no write is in flight.
     fn has_no_new_machine(&self) -> bool {
         self.urgency < Urgency::NewMachine && self.in_flight.is_none()
     }
 }
 
-/// The records of machines, by the name that their keys end with.
+/// The records of machines, by the last part of their keys in the state service.
 #[derive(Debug, Default)]
 pub struct Records {
     records: BTreeMap<String, Record>,
@@ -73,7 +75,7 @@
 }
 
 impl Records {
-    /// A key that no record has, and that is not `reserved`.
+    /// Returns a key of token and running number that no record has and that is not `reserved`.
     fn new_key(&mut self, token: FencingToken, reserved: &str) -> String {
         loop {
             self.keys_made += 1;
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The record that the machine is in, else the last one with room, else a new key.
+    /// Key of the record that the machine is in, else of the last record with room, else a new key.
     fn key_for(&mut self, machine: &str, max_machines: usize, token: FencingToken) -> String {
         if let Some(key) = self.key_of_machine.get(machine) {
             return key.clone();
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Records that are to be written at this urgency, after `delay`.
+    /// Keys of the records of at least this urgency whose write was requested `delay` ago and has nothing to
+    /// wait for.
     fn due(&self, urgency: Urgency, delay: Duration, now: Timestamp) -> Vec<String> {
         let is_written = |key: &String| self.records.get(key).is_none_or(Record::has_no_new_machine);
         let is_due = |record: &Record| {
@@ -109,14 +112,14 @@
     }
 }
 
-/// The leader's share of the state service's puts and deletes.
+/// The leader's share of the puts and deletes per second that the state service allows all nodes together.
 pub(super) fn write_budget(write_rps: f64, now: Timestamp) -> TokenBucket {
     let rate = write_rps * limits::LEADER_WRITE_SHARE;
     TokenBucket::new(rate, rate.max(limits::MIN_WRITE_BURST), now)
 }
 
 impl Scheduler {
-    /// The machine is to be recorded, or its images changed.
+    /// Requests a write of the machine's record: the machine is new, or its images changed.
     pub fn record(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let urgency = if machine.recorded { Urgency::Images } else { Urgency::NewMachine };
@@ -128,17 +131,18 @@
         let record =
             records.records.entry(key).or_insert_with(|| Record::new(BTreeSet::new(), Urgency::Written, now));
         let is_added = record.machines.insert(name.to_string());
-        // A machine whose first write is due or under way needs no second one.
+        // A machine whose first write is due or in flight needs no second one.
         if is_added || urgency == Urgency::Images {
             record.request_write(urgency, now);
         }
     }
 
-    /// Loads a record as the last leader left it.
+    /// Loads a record as the last leader wrote it.
     ///
-    /// A record that is larger than the state service may soon accept (an earlier version made it, or other settings)
-    /// could not be written again. Its excess moves to new records, and only when those are written is the old one
-    /// written without it, so that every machine is in a record at all times.
+    /// A record with more machines than the settings now allow (written by an earlier version or with other
+    /// settings) might be too large for the state service to accept again. Its excess machines move to new
+    /// records. The old record is written without them only after the new ones are, so that every machine is
+    /// in a stored record at all times.
     pub fn load_record(&mut self, key: String, machines: Vec<StoredMachine>) {
         let mut remaining: Vec<String> = machines.iter().map(|machine| machine.name.clone()).collect();
         remaining.sort();
@@ -176,7 +180,7 @@
         self.records.records.insert(key, record);
     }
 
-    /// The machine is deleted: its record is to be written without it.
+    /// Removes a deleted machine from its record, and requests a write of the record.
     pub fn unrecord(&mut self, name: &str) {
         let Some(key) = self.records.key_of_machine.remove(name) else { return };
         if let Some(record) = self.records.records.get_mut(&key) {
@@ -185,7 +189,7 @@
         }
     }
 
-    /// The outcome of the write of a record.
+    /// Applies the outcome of the write of a record. A failed write is requested again.
     pub fn recorded(&mut self, key: &str, outcome: WriteOutcome) {
         let Some(record) = self.records.records.get_mut(key) else { return };
         let Some(written) = record.in_flight.take() else { return };
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Writes what is due, the most urgent first, as far as the write budget goes.
+    /// Makes the due writes, the most urgent first, as far as the write budget allows.
     pub fn write_due(&mut self) {
         self.writes.refill(self.now);
         if !self.finish_jobs()
@@ -217,8 +221,8 @@
         }
     }
 
-    /// Writes the records that are due at this urgency. Returns whether the budget sufficed: only then may less urgent
-    /// writes follow.
+    /// Writes the records that are due at this urgency. Returns whether the budget sufficed: only then may
+    /// less urgent writes follow.
     fn write_records(&mut self, urgency: Urgency, delay: Duration) -> bool {
         for key in self.records.due(urgency, delay, self.now) {
             if !self.writes.take_allowing_debt(1.0) {
@@ -235,8 +239,8 @@
         true
     }
 
-    /// Moves jobs whose last task is finished to their final state, in one transaction each. Returns whether the budget
-    /// sufficed.
+    /// Moves jobs whose last task is finished to their final state, in one transaction each. Returns whether
+    /// the budget sufficed.
     fn finish_jobs(&mut self) -> bool {
         let ready = self.jobs.values().filter(|job| job.ready_to_finish()).map(|job| job.spec.job_id);
         for job_id in ready.collect::<Vec<_>>() {
@@ -252,8 +256,9 @@
         true
     }
 
-    /// Writes finished tasks of jobs that go on, some time after the first of them: until then their results stay on
-    /// their workers, and tasks that finish meanwhile are written with them. Returns whether the budget sufficed.
+    /// Writes the finished tasks of jobs with unfinished ones, `FINISHED_TASKS_DELAY` after the first of
+    /// them. Until then the workers keep their results, and tasks that finish meanwhile are written with
+    /// them. Returns whether the budget sufficed.
     fn write_finished_tasks(&mut self) -> bool {
         let now = self.now;
         let mut ready: Vec<(Option<Timestamp>, JobId)> = self
@@ -275,7 +280,7 @@
         true
     }
 
-    /// The outcome of the write of finished tasks.
+    /// Applies the outcome of a write of finished tasks.
     pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: WriteOutcome) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let progress = &mut job.progress;
@@ -313,7 +318,7 @@
             && !self.terminated
     }
 
-    /// Whether the job goes on and has finished tasks that are to be written now.
+    /// Whether the job has unfinished tasks, and finished ones that are due to be written.
     fn has_finished_tasks_due(&self, now: Timestamp) -> bool {
         let progress = &self.progress;
         progress.unrecorded_since.is_some_and(|since| now >= since + limits::FINISHED_TASKS_DELAY)
@@ -323,7 +328,7 @@
             && self.unfinished() > 0
     }
 
-    /// The chunks of finished tasks that may have been written.
+    /// The chunks of finished tasks that have a key in the state service.
     fn recorded_chunks(&self) -> Vec<u32> {
         self.progress.recorded_chunks.iter().copied().collect()
     }
--- a/src/scheduler/records_tests.rs
+++ b/src/scheduler/records_tests.rs
@@ -1,4 +1,4 @@
-//! Which record a machine is in, and which records are due.
+//! Assignment of machines to records, and when a record is due to be written.
 
 use super::{Record, Records, Urgency};
 use crate::fencing_token::FencingToken;
--- a/src/scheduler/stale_heartbeats.rs
+++ b/src/scheduler/stale_heartbeats.rs
@@ -1,12 +1,12 @@
-//! Heartbeats of which nothing is taken in: duplicates, late ones, and those that a direct response has overtaken.
-//! Called by `heartbeats`; it owns the counts that operators see.
+//! Handles heartbeats whose task list is ignored: duplicates, late ones, and those overtaken by the response
+//! to a direct command. Called by `heartbeats`. Owns the counts of them in the operators' overview.
 
 use super::model::{Heartbeat, HeartbeatSource, MachineState};
 use super::{HeartbeatOutcome, Scheduler};
 use serde::Serialize;
 use tracing::{debug, info};
 
-/// Heartbeats of which nothing was taken in, since this leader began.
+/// Number of heartbeats ignored since this leader began.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct IgnoredHeartbeats {
     /// Overtaken by the response to a direct command.
@@ -16,11 +16,11 @@
 }
 
 impl Scheduler {
-    /// Ignores the list of a heartbeat that is not newer than the newest.
+    /// Ignores the task list of a heartbeat that is not newer than the newest.
     ///
-    /// The response to a direct command may have overtaken a periodic heartbeat whose worker waits for its response.
-    /// That response renews the worker's lease, so it must be recorded. While it was not, tasks were started elsewhere
-    /// seconds before the lease under which they ran had ended.
+    /// A periodic heartbeat may have been overtaken by the response to a direct command. Its worker still
+    /// waits for a response, which renews the lease, so the renewal must be recorded. Without that record,
+    /// tasks were started elsewhere seconds before the lease under which they ran had ended.
     pub(super) fn ignore_late_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -1,4 +1,4 @@
-//! Tasks that exited: what follows for their jobs and their machines. Called by `task_lists`.
+//! Applies the exits of tasks to their jobs and machines. Called by `task_lists`.
 
 use super::model::{ExitReason, JobId, Kind, TaskAttempt, TaskId, TerminationProof};
 use super::quarantine::TaskFailure;
@@ -9,8 +9,8 @@
 use tracing::{debug, info, warn};
 
 impl Scheduler {
-    /// A heartbeat lists the task as exited. It does so until the worker is told to forget the task; only the first
-    /// time has consequences beyond the placement.
+    /// Applies the exit of a task as a heartbeat lists it. The worker lists it until it receives a command to
+    /// forget the task; only the first report has an effect beyond the placement.
     pub(super) fn apply_exit(&mut self, name: &str, exited: TaskAttempt, reason: ExitReason) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let is_first_report = machine.reported.exited.insert(exited, reason).is_none();
@@ -23,14 +23,14 @@
         if !is_first_report {
             return;
         }
-        debug!(task = %exited.task, machine = name, ?reason, "ended");
+        debug!(task = %exited.task, machine = name, ?reason, "task exited");
         if reason != ExitReason::Done && reason != ExitReason::Stopped {
-            info!(task = %exited.task, machine = name, ?reason, "task did not run to its end");
+            info!(task = %exited.task, machine = name, ?reason, "task exited without success");
         }
         self.record_exit(name, exited, reason, stop_requested);
     }
 
-    /// The task is not on the machine any more.
+    /// Removes the placement of an exited task.
     fn end_placement(&mut self, name: &str, id: TaskId, reason: ExitReason) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -41,7 +41,7 @@
         self.remove_placement(name, id, TerminationProof::Exited);
     }
 
-    /// What follows from an exit that is reported for the first time.
+    /// Applies an exit that is reported for the first time to the job and to the health of the machine.
     fn record_exit(&mut self, name: &str, exited: TaskAttempt, reason: ExitReason, stop_requested: bool) {
         let job_id = exited.task.job_id;
         match reason {
@@ -49,12 +49,12 @@
                 self.record_succeeded(exited.task);
                 self.record_job_success(job_id);
             }
-            // A task that was asked to stop may fail without being at fault.
+            // A task that was asked to stop may fail without a fault of its job or machine.
             ExitReason::Error | ExitReason::Unknown if stop_requested => {}
             ExitReason::Error => self.record_job_failure(name, job_id, TaskFailure::WhileRunning),
             ExitReason::Unknown => self.record_job_failure(name, job_id, TaskFailure::NotKnownToWorker),
-            // It was asked to stop, or found that other members of its gang were gone or never came: the attempt has
-            // ended for the whole gang.
+            // The task was asked to stop, or other members of its gang were gone or did not start: the
+            // attempt has ended for the whole gang.
             ExitReason::Stopped => {
                 if let Some(job) = self.jobs.get_mut(&job_id).filter(|job| job.spec.kind == Kind::Gang) {
                     job.gang.ended_attempt = job.gang.ended_attempt.max(exited.attempt);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A task exited with success.
+    /// Records that the task succeeded.
     fn record_succeeded(&mut self, id: TaskId) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
@@ -78,18 +78,18 @@
         }
         let succeeded = match job.spec.kind {
             Kind::Service => 0..0,
-            // The tasks of a gang complete together: its record must not wait for the heartbeat of a machine that is
-            // lost.
+            // The tasks of a gang complete together: recording them must not wait for the heartbeat of a lost
+            // machine.
             Kind::Gang => 0..job.spec.tasks,
             Kind::Array => id.task..id.task + 1,
         };
         job.progress.record_succeeded(succeeded, now);
     }
 
-    /// Compares a run time with those of the same job.
+    /// Compares the run time of a succeeded task with the mean of earlier ones of its job.
     ///
-    /// Tasks of one job differ by half or so. One that takes far longer than the others did counts against its
-    /// machine, and several in a row keep arrays off the machine for a while.
+    /// Run times within one job differ by about half. A task that takes far longer than the mean counts
+    /// against its machine; after several in a row the machine gets no arrays and gangs for a while.
     fn assess_speed(&mut self, name: &str, job_id: JobId, run_time: Duration) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let earlier = job.run_times;
@@ -103,7 +103,7 @@
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.health.slow_tasks = if is_slow { machine.health.slow_tasks + 1 } else { 0 };
         if machine.health.slow_tasks >= limits::MAX_SLOW_TASKS {
-            warn!(machine = name, "slow: no arrays here for a while");
+            warn!(machine = name, "machine is slow; placing no arrays or gangs on it for a while");
             machine.health.slow_tasks = 0;
             machine.health.quarantined_until = now + limits::SLOW_MACHINE_QUARANTINE;
         }
--- a/src/scheduler/task_lists.rs
+++ b/src/scheduler/task_lists.rs
@@ -1,7 +1,7 @@
-//! Task lists of heartbeats, reconciled with the placements.
+//! Reconciles the task lists of heartbeats with the placements.
 //!
-//! Called by `heartbeats` with the list of each newest heartbeat, and by `cold_start` with the last list again when a
-//! job has become known. It owns `Machine::reported` and the confirmation of placements.
+//! Called by `heartbeats` with the list of each newest heartbeat, and by `cold_start` with the last list
+//! again when a job has become known. Owns `Machine::reported` and the confirmation of placements.
 
 use super::model::{
     HeartbeatNumber, HeartbeatSource, JobSpec, Machine, Placement, ReportedTask, TaskAttempt, TaskId,
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, warn};
 
-/// What a task list holds, by what follows for each task.
+/// The tasks of one task list, by how the leader treats them.
 #[derive(Default)]
 struct ListedTasks {
     /// Tasks that have not exited.
@@ -26,7 +26,7 @@
 }
 
 impl Placement {
-    /// A placement that a heartbeat has shown, and that this leader did not make.
+    /// A placement that a heartbeat reports and that this leader did not make.
     fn adopted(task: &ReportedTask, spec: &JobSpec, now: Timestamp) -> Self {
         Placement {
             attempt: task.attempt,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A heartbeat lists the task.
+    /// Updates the placement by a heartbeat that lists its task.
     fn confirm(&mut self, task: &ReportedTask, now: Timestamp) {
         self.attempt = task.attempt;
         self.confirmed = true;
@@ -53,7 +53,7 @@
 }
 
 impl Machine {
-    /// A running task proves that the machine has its image. Returns whether that is new.
+    /// Records an image, which the machine has since a task of it runs. Returns whether that is new.
     fn record_image(&mut self, image: &str) -> bool {
         if self.image_cache.images.contains(image) {
             return false;
@@ -93,7 +93,7 @@
         listed.live
     }
 
-    /// A listed task of a known job that has not exited.
+    /// Applies a listed task that has not exited and whose job is known.
     fn apply_live_task(&mut self, name: &str, task: &ReportedTask) {
         let now = self.now;
         let Some(job) = self.jobs.get(&task.id.job_id) else { return };
@@ -101,7 +101,7 @@
         if task.status == TaskStatus::Running {
             let placement = machine.tasks.get(&task.id);
             if placement.is_some_and(|placement| placement.status != TaskStatus::Running) {
-                debug!(task = %task.id, machine = name, "runs");
+                debug!(task = %task.id, machine = name, "task is running");
             }
             if machine.record_image(&job.spec.image) {
                 let machines = self.machines_by_image.entry(job.spec.image.clone()).or_default();
@@ -121,8 +121,8 @@
         }
     }
 
-    /// A listed task of a job that is not known here. It is stopped, or left alone until the state service has been
-    /// asked about its job.
+    /// Enters a listed task of an unknown job in `listed`: as orphaned, so that it is stopped, or as
+    /// unverified, so that it is left alone until the state service has been asked about its job.
     fn classify_unknown(&self, name: &str, attempt: TaskAttempt, listed: &mut ListedTasks) {
         let reported = self.machines.get(name).map(|machine| &machine.reported);
         let is_orphaned = reported.is_some_and(|reported| reported.orphaned.contains(&attempt));
@@ -134,7 +134,9 @@
         listed.unverified.insert(attempt, first_reported_at.unwrap_or(self.now));
     }
 
-    /// A task that an earlier leader started on the machine.
+    /// Adds a task that an earlier leader started on the machine to its job. Stops it there if its job is
+    /// terminated, if it has succeeded or is not one of the job's tasks, or if it is placed on another
+    /// machine too.
     fn adopt(&mut self, name: &str, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
         let is_elsewhere = job.placements.get(&id.task).is_some_and(|names| !names.is_empty());
@@ -148,14 +150,15 @@
         job.elasticity.width = job.elasticity.width.max(placed);
         let terminated = job.terminated;
         if is_elsewhere {
-            warn!(task = %id, machine = name, "a task is on two machines; stopping this one");
+            warn!(task = %id, machine = name, "task is on two machines; stopping it on this machine");
         }
         if terminated || is_elsewhere || has_succeeded {
             self.stop(name, id, 0.0);
         }
     }
 
-    /// Removes the placements that the task list of the heartbeat `number` disproves.
+    /// Removes the placements that the heartbeat `number` proves to be gone. `listed`: its tasks that have
+    /// not exited.
     pub(super) fn remove_unlisted(
         &mut self,
         name: &str,
@@ -164,7 +167,7 @@
         source: HeartbeatSource,
     ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        // A start whose response is still under way is only disproved by the next periodic heartbeat.
+        // Until a later periodic heartbeat arrives, the start may still be on its way to the worker.
         let start_was_processed = |placement: &Placement| {
             source == HeartbeatSource::Periodic && placement.start_sent_in.is_some_and(|sent| number > sent)
         };
@@ -178,7 +181,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in unlisted {
-            debug!(task = %id, machine = name, "not on the machine any more");
+            debug!(task = %id, machine = name, "task is not listed any more; placement removed");
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.tasks.remove(&id);
             }
