--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -1,4 +1,5 @@
-//! Who may act, and until when: the proofs of a leader, of a node in keep-alive mode, and of a former leader.
+//! Computes until when this node may act as the leader or keep workers alive, and how long leaseholders may
+//! respond without it. Called by the controller's event loop and by the other modules of leadership.
 
 use super::role::Role;
 use super::Leadership;
@@ -8,41 +9,45 @@
 use std::time::Duration;
 
 impl Leadership {
-    /// Until when a majority grants this node leadership, its own vote included if it counts; not later than one grant
-    /// from now.
+    /// Until when the grants of a majority run, at most one grant duration after `now`. The majority includes
+    /// this node where its own vote counts.
     fn granted_until(&self, now: Timestamp) -> Timestamp {
         let own_vote_counts = self.commitments.own_vote_counts(now);
         self.peers.granted_until(own_vote_counts).min(now + limits::GRANT_DURATION)
     }
 
-    /// The fencing token that this node may act with at this moment.
+    /// The fencing token with which this node may act as the leader at `now`. None: it may not.
     pub fn authority(&self, now: Timestamp) -> Option<FencingToken> {
         let term = self.role.term()?;
         (now < self.authority_until(now)).then_some(term.token)
     }
 
-    /// Until when what this node sends as the leader may leave, as far as is known now; zero: it does not lead.
+    /// Until when this node may act as the leader, by the proofs that it has at `now`; zero: it does not
+    /// lead. `limits::AUTHORITY_MARGIN` is already subtracted.
     pub fn authority_until(&self, now: Timestamp) -> Timestamp {
         let Some(term) = self.role.term() else { return Timestamp::ZERO };
         let by_peers = self.granted_until(now).min(self.peer_authority_until(term.lease_until));
         by_peers.max(term.lease_until) - limits::AUTHORITY_MARGIN
     }
 
-    /// The fencing token under which this node may keep workers alive, without commands.
+    /// The fencing token under which this node, in keep-alive mode, may renew worker leases. None: it may
+    /// not.
     pub fn keep_alive_token(&self, now: Timestamp) -> Option<FencingToken> {
         let Role::KeepAlive { token } = self.role else { return None };
         (now + limits::AUTHORITY_MARGIN < self.keep_alive_until(now)).then_some(token)
     }
 
-    /// Until when a node in keep-alive mode may keep workers alive. Cancellations may not arrive there: a zone that is
-    /// cut off with a majority in it would keep the tasks of a cancelled job alive for as long as it is cut off.
+    /// Until when a node in keep-alive mode may keep workers alive. Cancellations may not reach this node:
+    /// without the bound by the cancellation log, a zone cut off with a majority in it would keep the tasks
+    /// of a cancelled job alive for as long as it is cut off.
     fn keep_alive_until(&self, now: Timestamp) -> Timestamp {
         let by_peers = self.granted_until(now).max(self.votes_until(now));
         by_peers.min(self.cancellations.keep_alive_until())
     }
 
-    /// Until when a leader may act by its peers alone. What it read from the key-value store counts no longer than its
-    /// lock lease does: a peer takes over by the time for which it has seen the lock free.
+    /// Until when a leader may act by the grants of its peers alone. Its readings of the key-value store
+    /// prove cancellations known at most up to the last confirmed renewal of the lock lease, because a peer
+    /// takes over by the time for which it has seen the lock free.
     fn peer_authority_until(&self, lease_until: Timestamp) -> Timestamp {
         let lease_confirmed_at = lease_until - limits::LOCK_LEASE;
         let store_known_until = self.cancellations.store_freshness().min(lease_confirmed_at);
@@ -50,7 +55,8 @@
         self.cancellations.keep_alive_limit(known_until)
     }
 
-    /// How long a leaseholder may respond itself after this leader received its shard heartbeat.
+    /// How long a leaseholder may respond to workers without the leader after this leader received its shard
+    /// heartbeat; zero: this node does not lead.
     pub fn shard_lease(&self, now: Timestamp) -> Duration {
         if !self.is_leader() {
             return Duration::ZERO;
@@ -58,8 +64,8 @@
         self.cancellations.keep_alive_until().since(now).min(self.longest_autonomy)
     }
 
-    /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader: `now` while the
-    /// leader has no grants of a majority, otherwise the time at which it got them back.
+    /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader: `now`
+    /// while the leader has no grants of a majority, otherwise the time at which it got them back.
     pub fn autonomous_until(&self, now: Timestamp) -> Timestamp {
         let has_majority = self.peers.granted_until(self.commitments.own_vote_counts(now)) > now;
         if has_majority {
@@ -69,9 +75,9 @@
         }
     }
 
-    /// The age of this node's access to the key-value store, as it is reported to a peer. Once all
-    /// members have lost the store, an earlier version concludes that no cancellation is in effect without it. It is
-    /// told of the loss only where that conclusion is right.
+    /// The time since the key-value store last answered this node, as it is reported to the peer `to`. A peer
+    /// of an earlier version concludes that there is no recent cancellation once all members report the store
+    /// as lost. Unless that conclusion is right, such a peer gets an age below `limits::STORE_LOST_TIMEOUT`.
     pub fn reported_state_age(&self, now: Timestamp, to: usize, state_age: Duration) -> Duration {
         let peer_attests = self.peers.get(to).status().attests;
         if peer_attests || self.cancellations.proves_no_recent_cancellation(now) {
--- a/src/leadership/commitments.rs
+++ b/src/leadership/commitments.rs
@@ -1,8 +1,8 @@
-//! What this node has committed itself to: its grant to a leader, its vote for a candidate, and what of both still binds
-//! it after it became the leader itself.
+//! The grant to a leader and the vote for a candidate that this node has given. Both exclude other nodes
+//! until they expire, and bind this node also after it became the leader itself.
 //!
-//! Owned by [`super::Leadership`]. Commitments count from when the message
-//! that they answer arrived and are lengthened for clock drift.
+//! Owned by [`super::Leadership`]. A grant or vote counts from the arrival of the message that it answers and
+//! is lengthened for clock drift.
 
 use crate::limits::{self, lengthened};
 use crate::time::Timestamp;
@@ -10,9 +10,9 @@
 /// A grant or a vote of this node.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Commitment {
-    /// Number of the node that it was given to.
+    /// Number of the node that received it.
     pub(super) node: usize,
-    /// It runs until then.
+    /// When it expires.
     pub(super) until: Timestamp,
 }
 
@@ -33,35 +33,41 @@
     started_at: Timestamp,
     grant: Option<Commitment>,
     vote: Option<Commitment>,
-    /// What this leader had granted to, or voted for, another node before it led runs until then.
-    bound_until: Timestamp,
+    /// When the last grant or vote expires that this leader gave to another node before it led.
+    bound_to_others_until: Timestamp,
 }
 
 impl Commitments {
-    /// Those of a process that started at `now`.
+    /// The state of a process that started at `now`.
     pub(super) fn new(local_node: usize, now: Timestamp) -> Self {
-        Commitments { local_node, started_at: now, grant: None, vote: None, bound_until: Timestamp::ZERO }
+        Commitments {
+            local_node,
+            started_at: now,
+            grant: None,
+            vote: None,
+            bound_to_others_until: Timestamp::ZERO,
+        }
     }
 
-    /// A process that has just started has lost the grants and votes of its earlier incarnation. It gives none for as
-    /// long as those may run.
+    /// Whether this process has started so recently that grants and votes of its earlier incarnation may
+    /// still run. It does not know them and gives none meanwhile.
     pub(super) fn in_restart_grace(&self, now: Timestamp) -> bool {
         now < self.started_at + lengthened(limits::GRANT_DURATION)
     }
 
-    /// Whether this node's own vote counts for itself. What it granted to another node, or voted for, before it took
-    /// over still binds it: a leader that resumed counted leases as expired beside the node in keep-alive mode that it
-    /// had granted (found by the network test).
+    /// Whether this node's own vote counts for itself. It does not while a grant or vote for another node
+    /// runs that was given before the takeover. Otherwise a leader that resumed its epoch counted worker
+    /// leases as expired beside the node in keep-alive mode that it had granted (found by the network test).
     pub(super) fn own_vote_counts(&self, now: Timestamp) -> bool {
-        !self.in_restart_grace(now) && now >= self.bound_until
+        !self.in_restart_grace(now) && now >= self.bound_to_others_until
     }
 
-    /// Whether a running grant or vote for another node forbids one for this node.
+    /// Whether a running grant or vote for another node forbids one for `node`.
     pub(super) fn exclude(&self, now: Timestamp, node: usize) -> bool {
         [self.grant, self.vote].into_iter().flatten().any(|given| given.excludes(now, node))
     }
 
-    /// Whether this node may give the node a grant or a vote.
+    /// Whether this node may give `node` a grant or a vote.
     pub(super) fn permit(&self, now: Timestamp, node: usize) -> bool {
         !self.in_restart_grace(now) && !self.exclude(now, node)
     }
@@ -74,35 +80,36 @@
         self.vote = Some(Commitment::new(now, node));
     }
 
-    /// This node's vote for itself, while it runs.
+    /// The vote for this node itself, while it runs.
     pub(super) fn own_vote(&self, now: Timestamp) -> Option<Commitment> {
         self.vote.filter(|vote| vote.node == self.local_node && now < vote.until)
     }
 
-    /// Whether the last vote, running or not, was for this node itself.
+    /// Whether the last vote, expired or not, was for this node itself.
     pub(super) fn voted_for_itself(&self) -> bool {
         self.vote.is_some_and(|vote| vote.node == self.local_node)
     }
 
-    /// This node's own campaign is over, and with it the vote for itself.
+    /// Withdraws the vote for this node itself: its campaign is over.
     pub(super) fn withdraw_own_vote(&mut self) {
         if self.voted_for_itself() {
             self.vote = None;
         }
     }
 
-    /// The node released leadership: the grant to it binds no longer.
+    /// Withdraws the grant to `node`, which has released leadership.
     pub(super) fn withdraw_grant_to(&mut self, node: usize) {
         if self.grant.is_some_and(|grant| grant.node == node) {
             self.grant = None;
         }
     }
 
-    /// This node became the leader: what it gave to others binds its own vote until it has run out.
+    /// This node became the leader. Its own vote does not count until its grants and votes for other nodes
+    /// have expired.
     pub(super) fn bind_leader(&mut self) {
         let given = [self.grant, self.vote].into_iter().flatten();
         let to_others = given.filter(|given| given.node != self.local_node);
-        self.bound_until = to_others.map(|given| given.until).max().unwrap_or_default();
+        self.bound_to_others_until = to_others.map(|given| given.until).max().unwrap_or_default();
         self.grant = None;
     }
 }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,4 +1,6 @@
-//! How a node that does not lead becomes the leader: it watches for a leader, asks for votes and takes over.
+//! Election: a node that does not lead looks for a leader, asks for votes, and takes over, or enters
+//! keep-alive mode while the key-value store is lost. Called on each tick and when messages or store
+//! responses arrive.
 
 use super::role::{Role, TakeoverProof};
 use super::{Action, Leadership, Message};
@@ -10,13 +12,13 @@
 use tracing::{debug, info};
 
 impl Leadership {
-    /// Reads epoch and lock, and again after `interval`.
+    /// Requests epoch and lock from the key-value store. The next probe is due after `interval`.
     pub(super) fn probe(&mut self, now: Timestamp, interval: Duration, actions: &mut Vec<Action>) {
         self.lock.start_probe(now, interval);
         actions.push(Action::Probe);
     }
 
-    /// What a node does that does not lead, as time passes.
+    /// Handles a tick of a node that does not lead.
     pub(super) fn follow(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let has_leader = self.followed.is_some_and(|leader| leader.holds_back_campaigns(now));
         if self.lock.is_probe_due(now) {
@@ -43,18 +45,20 @@
         }
     }
 
-    /// A node in keep-alive mode goes on until its bound, or until a leader can be elected.
+    /// Whether a node in keep-alive mode stays in it: until its bound, or until a leader can be elected.
     fn should_stay_in_keep_alive(&self, now: Timestamp) -> bool {
         self.keep_alive_token(now).is_some() && !self.lock.is_known_free(now) && !self.peer_has_state(now)
     }
 
-    /// Whether there is something to campaign for, and no grant or vote for another node forbids it.
+    /// Whether the lock is free or keep-alive mode is possible, and no running grant or vote for another node
+    /// forbids a campaign.
     fn may_campaign(&self, now: Timestamp) -> bool {
         (self.lock.is_known_free(now) || self.may_enter_keep_alive(now))
             && !self.commitments.exclude(now, self.peers.local_node())
     }
 
-    /// Whether the key-value store is lost to all nodes in contact, and keep-alive mode would last for a grant's time.
+    /// Whether neither this node nor a peer in contact reaches the key-value store, a fencing token is known,
+    /// and keep-alive mode would last longer than a grant.
     fn may_enter_keep_alive(&self, now: Timestamp) -> bool {
         self.is_store_lost()
             && self.highest_token > FencingToken::NONE
@@ -79,9 +83,10 @@
         self.try_takeover(now, actions);
     }
 
-    /// When the holder of a lock that has been free since `unlocked` can no longer act by its peers alone. It acts by
-    /// what it read before the lock ended, or by the attestations of all members, ours among them. Added to both are
-    /// the time for which an earlier version trusts a peer's status, and the duration of a grant.
+    /// When the former holder of a lock that has been free since `unlocked` can no longer act by its peers
+    /// alone. That leader relies on its readings from before the lock was freed, or on the attestations of
+    /// all members, this node's among them. Added to the later of both are the longest autonomy, the time for
+    /// which an earlier version trusts a peer's status, and the duration of a grant.
     fn former_leader_authority_until(&self, unlocked: Timestamp) -> Timestamp {
         let attested = self.attested_until + limits::LOCK_LEASE;
         unlocked.max(attested)
@@ -90,12 +95,13 @@
             + limits::GRANT_DURATION
     }
 
-    /// Whether the key-value store has not answered this node for too long.
+    /// Whether the key-value store has not answered this node for `limits::STORE_LOST_TIMEOUT`.
     pub(super) fn is_store_lost(&self) -> bool {
         self.status.state_age >= limits::STORE_LOST_TIMEOUT
     }
 
-    /// Until when a majority votes for this node. Its own vote counts only while it binds this node too.
+    /// Until when a majority votes for this node. Its own vote is part of the majority only while that vote
+    /// runs.
     pub(super) fn votes_until(&self, now: Timestamp) -> Timestamp {
         match self.commitments.own_vote(now) {
             Some(own_vote) => self.peers.voted_until(true).min(own_vote.until),
@@ -103,8 +109,8 @@
         }
     }
 
-    /// Uses the votes of a majority, once they are there: to take over, or without the key-value store to keep workers
-    /// alive.
+    /// Once a majority has voted for this node: takes over, or enters keep-alive mode if the key-value store
+    /// is lost.
     pub(super) fn try_takeover(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.campaigning || !self.role.is_follower() {
             return;
@@ -119,22 +125,23 @@
         }
     }
 
-    /// Without the key-value store nobody can see that both proofs of a former leader have ended. But a leader that acts
-    /// by its lock lease alone counts no worker lease as expired meanwhile.
+    /// Starts to keep workers alive. Without the key-value store this node cannot verify that both proofs of
+    /// a former leader have expired. A former leader that acts by its lock lease alone expires no worker
+    /// lease meanwhile.
     fn enter_keep_alive(&mut self, now: Timestamp) {
-        info!(token = %self.highest_token, "keep-alive mode started: no leader and no key-value store");
+        info!(token = %self.highest_token, "keep-alive mode started: no leader in contact, key-value store does not answer");
         self.campaigning = false;
         self.role = Role::KeepAlive { token: self.highest_token };
         self.peers.clear_grants();
         self.next_heartbeat_at = now;
     }
 
-    /// Sends the takeover transaction. `version`: of the epoch record that it replaces.
+    /// Sends the takeover transaction. `version`: of the epoch record that it replaces; zero: there is none.
     pub(super) fn start_takeover(&mut self, version: u64, proof: TakeoverProof, actions: &mut Vec<Action>) {
         let token = self.lock.epoch_token().max(self.highest_token).next();
         self.campaigning = false;
         self.role = Role::TakingOver { token, proof };
-        info!(%token, by = ?proof, "takeover started");
+        info!(%token, proof = ?proof, "takeover started");
         let ignore_lock = proof == TakeoverProof::PreviousIncarnation;
         actions.push(Action::TakeOver { token, version, ignore_lock });
     }
--- a/src/leadership/followed_leader.rs
+++ b/src/leadership/followed_leader.rs
@@ -1,4 +1,4 @@
-//! The leader that this node follows.
+//! The leader that this node follows, and whether it is still in contact.
 
 use crate::fencing_token::FencingToken;
 use crate::limits;
@@ -11,12 +11,12 @@
     pub node: usize,
     /// Its fencing token.
     pub token: FencingToken,
-    /// The send time of its last heartbeat, on its clock. A leaseholder's frames echo it, so that the leader can tell
-    /// how old they are.
+    /// The send time of its last heartbeat, on its clock. Frames of a leaseholder echo it, so that the leader
+    /// can tell how old they are.
     pub heartbeat_stamp: Timestamp,
     /// When its last heartbeat arrived, on the local clock.
     pub(super) last_heartbeat_at: Timestamp,
-    /// It has reported, under this token, that workers reach it.
+    /// Whether it has reported, under this token, that workers reach it.
     pub(super) reached_by_workers: bool,
 }
 
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -1,4 +1,6 @@
-//! How a leader stops: it hands over to a peer that can do more, steps down, or learns that another node leads.
+//! End of a leader's term: handover to a peer that reaches the key-value store or the workers, stepping down,
+//! and the observation of a higher fencing token. Called on each tick and when messages or store responses
+//! arrive; the controller passes in the tokens that workers show.
 
 use super::role::{Role, Term};
 use super::{Action, Leadership, Message};
@@ -10,14 +12,14 @@
 /// Whether workers reach this leader.
 #[derive(Debug, Default)]
 pub(super) struct WorkerReachability {
-    /// A worker has sent this leader a heartbeat since it was elected.
+    /// Whether a worker has sent this leader a heartbeat since it was elected.
     reached: bool,
-    /// Since when no worker reaches it, although workers reach a peer or no peer is in contact at all.
+    /// Since when no worker reaches this leader, although a peer could lead instead or no peer is in contact.
     unreached_since: Option<Timestamp>,
 }
 
 impl WorkerReachability {
-    /// This node was elected: no worker has reached it as a leader yet.
+    /// Starts a new term, in which no worker has reached this leader yet.
     pub(super) fn begin_term(&mut self) {
         self.reached = false;
     }
@@ -28,17 +30,17 @@
 }
 
 impl Leadership {
-    /// A leader that no worker reaches is of no use to them, whatever else it reaches: it hands over, or steps down if
-    /// no peer is in contact.
+    /// Hands over if no worker reaches this leader any more, or steps down if no peer is in contact either.
+    /// Without workers' heartbeats a leader can do nothing, whatever else it reaches.
     pub(super) fn check_reachability(&mut self, term: Term, now: Timestamp, actions: &mut Vec<Action>) {
         let first_alive = self.peers.first_alive(now);
         let isolated = !self.peers.is_empty() && first_alive.is_none();
-        // When several machines fall silent at once, this node is cut off, not they. A peer should be ready before they
-        // have given up on this node and report to it.
+        // Several machines that become silent at once point to a fault of this node, not of the machines. A
+        // peer should lead before the workers stop trying this node and report to the peer.
         let many_machines = self.status.machines >= limits::MIN_CORRELATED_SILENCE;
         let successor = self.peers.reached_by_most_workers(now).or(first_alive.filter(|_| many_machines));
         self.reachability.reached |= self.status.workers > 0;
-        // Before any worker has reached this leader, the first ones may well report to a peer first.
+        // As long as no worker has reached this leader, the first heartbeats may well go to a peer.
         let unreached =
             self.reachability.reached && self.status.workers == 0 && (successor.is_some() || isolated);
         if !unreached || now < term.elected_at + limits::GRANT_DURATION {
@@ -52,17 +54,17 @@
         if let Some(successor) = successor {
             info!(
                 successor = self.peers.name(successor),
-                "leadership handed over: workers reach only a peer"
+                "leadership handed over: no worker reaches this leader"
             );
             self.hand_over(term.token, successor, now, actions);
         } else {
-            info!("leadership released: unreachable by peers and workers");
+            info!("leadership released: neither workers nor peers reach this leader");
             self.step_down(now, actions);
             self.next_campaign_at = now + limits::STEP_DOWN_BACKOFF;
         }
     }
 
-    /// Steps down in favour of a peer.
+    /// Steps down and names the peer that should lead next.
     pub(super) fn hand_over(
         &mut self,
         token: FencingToken,
@@ -75,7 +77,8 @@
         self.next_campaign_at = now + limits::STEP_DOWN_BACKOFF;
     }
 
-    /// Becomes a follower. A former leader may keep its workers alive for a while, as any leaseholder.
+    /// Becomes a follower. Like any leaseholder, a former leader may keep its workers alive for a limited
+    /// time.
     pub(super) fn step_down(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if let Some(term) = self.role.term().copied() {
             actions.extend(term.lease.map(|lease| Action::Release { lease }));
@@ -88,20 +91,22 @@
         self.peers.clear_grants();
     }
 
-    /// Counted from the last time at which the leader surely had authority: the process may have been suspended since.
+    /// Until when this node may keep its workers alive after its term. Counted from the last time at which it
+    /// surely had authority, because the process may have been suspended since.
     fn keep_alive_after_term(&self, term: Term, now: Timestamp) -> Timestamp {
         let granted_until = self.peers.granted_until(self.commitments.own_vote_counts(now));
         let acted_until = granted_until.max(term.lease_until).min(now);
         (acted_until + shortened(self.longest_autonomy)).min(self.cancellations.keep_alive_until())
     }
 
-    /// A worker, a peer or the epoch record has shown a fencing token. A leader with a lower one steps down.
+    /// Records a fencing token that a worker, a peer or the epoch record has shown. A leader with a lower
+    /// token steps down.
     #[must_use = "the actions are to be carried out"]
     pub fn observe_token(&mut self, token: FencingToken, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
         self.highest_token = self.highest_token.max(token);
         if self.role.term().is_some_and(|term| term.token < token) {
-            warn!(%token, "higher fencing token observed");
+            warn!(%token, "leadership lost: higher fencing token observed");
             self.step_down(now, &mut actions);
         }
         actions
--- a/src/leadership/interface.rs
+++ b/src/leadership/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into leadership and what comes out: messages of the peers, responses of the key-value store, and actions
+//! Inputs and outputs of leadership: messages of the peers, responses of the key-value store, and the actions
 //! that the controller's event loop carries out.
 
 use crate::fencing_token::FencingToken;
@@ -8,16 +8,17 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// What a node reports of itself to its peers in every message.
+/// The status of the sender, which every message between controllers carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Status {
     /// Time since the key-value store last answered this node.
     pub state_age: Duration,
-    /// Workers that sent a heartbeat to this node lately.
+    /// Number of heartbeats that workers sent to this node within `limits::reach_window`.
     pub workers: u32,
-    /// Machines that a leader counts as ready; not sent to peers.
+    /// Number of machines that a leader counts as ready; not sent to peers.
     pub machines: u32,
-    /// It gives attestations of cancellations and takes those of others (`cancellation_log`); earlier versions do not.
+    /// Whether the node gives attestations of cancellations and accepts those of others (`cancellation_log`);
+    /// earlier versions do not.
     pub attests: bool,
 }
 
@@ -26,7 +27,7 @@
 pub enum Message {
     /// Sent by every node to all others. Asks for a grant if the sender leads or is in keep-alive mode.
     Heartbeat {
-        /// Fencing token of a leader or of a node in keep-alive mode; zero: of neither.
+        /// Fencing token of a sender that leads or is in keep-alive mode; zero: it does neither.
         token: FencingToken,
         /// Send time on the sender's clock.
         sent: Timestamp,
@@ -57,23 +58,23 @@
     },
 }
 
-/// What the controller has to do for leadership, in this order.
+/// What the controller has to do for leadership. Actions are carried out in the order of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send a message to the node with this number.
     Send(usize, Message),
-    /// Send the node with this number what this node attests of cancellations.
+    /// Send this node's attestation of cancellations to the node with this number.
     Attest(usize, Attestation),
     /// Read epoch and lock from the key-value store.
     Probe,
-    /// One compare-and-swap with a new lock lease: write epoch and lock, if the epoch is still at `version` and, unless
-    /// `ignore_lock`, the lock is absent.
+    /// Write epoch and lock with a new lock lease in one compare-and-swap transaction, on condition that the
+    /// epoch is still at `version` and, unless `ignore_lock`, the lock is absent.
     TakeOver {
         /// Fencing token of the new epoch.
         token: FencingToken,
-        /// Version of the present epoch record; zero: there is none.
+        /// Version of the epoch record to be replaced; zero: there is none.
         version: u64,
-        /// Take the lock although it is held.
+        /// Whether to take the lock although it is held.
         ignore_lock: bool,
     },
     /// Renew the lock lease.
@@ -93,21 +94,21 @@
         /// Version of its epoch record.
         version: u64,
     },
-    /// This node no longer leads. Like any leaseholder it may keep its workers alive for a while.
+    /// This node no longer leads. Like any leaseholder it may keep its workers alive for a limited time.
     Deposed {
-        /// Until then, on its own clock.
+        /// End of that time, on its own clock.
         keep_until: Timestamp,
     },
 }
 
-/// What a request to the key-value store led to.
+/// Outcome of a request to the key-value store.
 #[derive(Debug, Clone)]
 pub enum StoreResponse {
     /// The answer to [`Action::Probe`].
     Probed {
         /// The epoch and the version of its record.
         epoch: Option<(Epoch, u64)>,
-        /// The lock is held.
+        /// Whether the lock is held.
         locked: bool,
     },
     /// The answer to [`Action::TakeOver`]: the transaction was committed.
@@ -121,7 +122,7 @@
     },
     /// The answer to [`Action::TakeOver`]: refused, or no answer.
     TakeoverFailed {
-        /// The lease that was obtained for it, if any, is to be ended.
+        /// The lease that was created for it, if any. It has to be revoked.
         lease: Option<u64>,
     },
     /// The answer to [`Action::Renew`].
@@ -133,27 +134,28 @@
         /// Whether the lease still runs.
         alive: bool,
     },
-    /// A probe, renewal or release without an answer.
+    /// A probe, renewal or release got no answer.
     Failed,
 }
 
-/// What follows from a member's attestation.
+/// Outcome of a member's attestation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[must_use = "the actions are to be carried out"]
 pub struct AttestationOutcome {
-    /// Jobs that turned out to be cancelled.
+    /// Jobs that this node learnt from it to be cancelled.
     pub terminated: Vec<JobId>,
     /// To be carried out.
     pub actions: Vec<Action>,
 }
 
-/// What follows from the request to confirm a cancellation to a user.
+/// Outcome of a request to confirm a cancellation to a user.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[must_use = "the actions are to be carried out"]
 pub struct CancellationOutcome {
-    /// This node did not know yet that the job is over, or had not recorded a confirmation of its own.
+    /// Whether this node did not know yet that the job is over, or had not recorded a confirmation of its
+    /// own.
     pub is_new: bool,
-    /// The cancellation may be confirmed to the user now.
+    /// Whether the cancellation may be confirmed to the user now.
     pub is_permitted: bool,
     /// To be carried out.
     pub actions: Vec<Action>,
--- a/src/leadership/lock_observation.rs
+++ b/src/leadership/lock_observation.rs
@@ -1,4 +1,5 @@
-//! Epoch and lock as this node last read them from the key-value store, and when it reads them next.
+//! Epoch record and lock as this node last read them from the key-value store, and when the next reading is
+//! due.
 //!
 //! Owned by [`super::Leadership`].
 
@@ -15,21 +16,22 @@
     pub(super) version: u64,
 }
 
-/// A lock that was seen free, without losing the key-value store since.
+/// A lock that every reading from `since` on has shown free, under the same epoch record and without a loss
+/// of the key-value store.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FreeLock {
-    /// Version of the epoch record meanwhile; zero: there is none.
+    /// Version of the epoch record during that time; zero: there is none.
     pub(super) epoch_version: u64,
-    /// Since when it was seen free.
+    /// Arrival of the first reading that showed it free.
     pub(super) since: Timestamp,
 }
 
-/// The last reading of epoch and lock.
+/// The last reading of epoch record and lock.
 #[derive(Debug)]
 pub(super) struct LockObservation {
     epoch: Option<EpochRecord>,
     locked: bool,
-    /// When the answer to the last probe arrived; None: not in this incarnation.
+    /// When the last successful reading arrived; None: not in this incarnation.
     probed_at: Option<Timestamp>,
     next_probe_at: Timestamp,
     probe_in_flight: bool,
@@ -37,7 +39,7 @@
 }
 
 impl LockObservation {
-    /// Nothing was read yet: the first probe is due at `now`.
+    /// The state before the first probe, which is due at `now`.
     pub(super) fn new(now: Timestamp) -> Self {
         LockObservation {
             epoch: None,
@@ -67,18 +69,20 @@
         self.locked
     }
 
-    /// Whether a recent reading shows the lock free. A takeover transaction needs one: without it there is nothing to
-    /// compare with.
+    /// Whether a reading within `limits::PROBE_INTERVAL` shows the lock free. A takeover transaction needs
+    /// one: it compares the version of the epoch record that was read.
     pub(super) fn is_known_free(&self, now: Timestamp) -> bool {
         self.probed_at.is_some_and(|at| now < at + limits::PROBE_INTERVAL) && !self.locked
     }
 
-    /// The lock, if it has been seen free ever since.
+    /// The lock, if all readings since its release showed it free. None: held, or not known to be free
+    /// throughout.
     pub(super) fn free(&self) -> Option<FreeLock> {
         self.free
     }
 
-    /// The key-value store is lost: the lock may be taken unseen.
+    /// Forgets since when the lock has been free: while the key-value store is lost, another node may take
+    /// the lock unnoticed.
     pub(super) fn forget_free(&mut self) {
         self.free = None;
     }
@@ -87,23 +91,23 @@
         now >= self.next_probe_at && !self.probe_in_flight
     }
 
-    /// A probe is sent, and the next one is due after `interval`.
+    /// Records that a probe is sent, and that the next one is due after `interval`.
     pub(super) fn start_probe(&mut self, now: Timestamp, interval: Duration) {
         self.probe_in_flight = true;
         self.next_probe_at = now + interval;
     }
 
-    /// The probe under way, if there is one, was answered or given up.
+    /// Records that the probe under way, if there is one, was answered or failed.
     pub(super) fn end_probe(&mut self) {
         self.probe_in_flight = false;
     }
 
-    /// The next probe is due now.
+    /// Makes the next probe due now.
     pub(super) fn probe_soon(&mut self, now: Timestamp) {
         self.next_probe_at = now;
     }
 
-    /// Whether this node already knows a later version of the epoch record.
+    /// Whether this node knows a later version of the epoch record than this one.
     pub(super) fn is_newer_than(&self, epoch: Option<&(Epoch, u64)>) -> bool {
         match (epoch, &self.epoch) {
             (Some((_, read)), Some(known)) => *read < known.version,
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -1,4 +1,5 @@
-//! Messages of the other controllers, and what they and this node attest of cancellations.
+//! Handles the other controllers' messages and attestations of cancellations, and creates those of this node.
+//! Called by the controller's event loop.
 
 use super::role::Role;
 use super::{Action, AttestationOutcome, CancellationOutcome, FollowedLeader, Leadership, Message, Status};
@@ -10,8 +11,9 @@
 use std::time::Duration;
 
 impl Leadership {
-    /// A member's attestation arrived, sent by the process with this incarnation. The member may need our
-    /// acknowledgement to confirm a cancellation to a user, so the answer does not wait for the next heartbeat.
+    /// Applies a member's attestation, sent by the process with this incarnation. The member may need this
+    /// node's acknowledgement before it can confirm a cancellation to a user, so the answer does not wait for
+    /// the next heartbeat.
     pub fn handle_attestation(
         &mut self,
         now: Timestamp,
@@ -21,16 +23,17 @@
     ) -> AttestationOutcome {
         let applied = self.cancellations.apply_attestation(now, from, incarnation, attestation);
         let mut actions = Vec::new();
-        // Only an attestation with something new is answered. Two members that do not take each other's attestations,
-        // those of other incarnations for example, answered each other without end, and every repeated message doubled
-        // the number under way (found by the network test).
+        // Only an attestation with something new is answered. Before this rule, two members that rejected
+        // each other's attestations, those of other incarnations for example, answered each other without
+        // end, and every repeated message doubled the number in flight (found by the network test).
         if applied.has_new {
             self.attest(now, from, &mut actions);
         }
         AttestationOutcome { terminated: applied.terminated, actions }
     }
 
-    /// A cancellation is about to be confirmed to a user. The other members are informed at once.
+    /// Records a cancellation that is about to be confirmed to a user. The other members are informed at
+    /// once.
     pub fn confirm_cancellation(&mut self, now: Timestamp, job_id: JobId) -> CancellationOutcome {
         let outcome = self.cancellations.confirm(now, job_id);
         let mut actions = Vec::new();
@@ -47,7 +50,8 @@
             StoreAccess::Available
         };
         let Some(attestation) = self.cancellations.attest_to(now, to, store_access) else { return };
-        // It proves nothing beyond the heartbeat that it answers, except for the promise to suspend confirmations.
+        // The attestation proves nothing beyond the heartbeat that it answers, except for the promise to
+        // suspend confirmations.
         let suspension = match store_access {
             StoreAccess::Lost => limits::CONFIRMATION_SUSPENSION,
             StoreAccess::Available => Duration::ZERO,
@@ -57,7 +61,7 @@
         actions.push(Action::Attest(to, attestation));
     }
 
-    /// A message of a peer arrived, sent by the process with this incarnation.
+    /// Handles a message of a peer, sent by the process with this incarnation.
     #[must_use = "the actions are to be carried out"]
     pub fn handle_message(
         &mut self,
@@ -98,7 +102,7 @@
         actions: &mut Vec<Action>,
     ) {
         if token < self.highest_token {
-            // Of a deposed leader, or delayed on its way.
+            // From a deposed leader, or delayed in transit.
             return;
         }
         if self.role.term().is_some_and(|term| term.token >= token) {
@@ -151,8 +155,8 @@
     ) {
         let has_precedence = from < self.peers.local_node();
         if self.commitments.voted_for_itself() && has_precedence && self.role.is_follower() {
-            // Two candidates that vote only for themselves would block each other for the duration of a grant, again
-            // and again: the one with the lower number has precedence.
+            // Two candidates that vote only for themselves would block each other for the duration of a
+            // grant, again and again: the one with the lower number has precedence.
             self.campaigning = false;
             self.commitments.withdraw_own_vote();
             self.next_campaign_at = now + limits::GRANT_DURATION / 2;
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,15 +1,16 @@
-//! Who may act for the controllers: election, votes, the lock lease, authority and handover. A state machine without
-//! I/O or clock.
+//! Decides which controller node leads: election, votes, the lock lease, authority to act and handover.
+//! [`Leadership`] is a state machine without I/O or clock and owns all of this state, the cancellation log
+//! included. The controller's event loop is its only caller: it passes in ticks, messages and responses of
+//! the key-value store, and carries out the returned [`Action`]s. Nodes are numbered in the order of the
+//! settings.
 //!
-//! A leader has two independent proofs: the lock lease behind `leader/lock` in the key-value store, and grants by a
-//! majority of controllers. Either suffices to act. Both must have ended before another node may take over.
-//! Every deadline counts from when the request was sent and is shortened for clock drift. The granting side counts from
-//! receipt and lengthens it. Without the lock lease a leader acts only for a bounded time after the moment up to which
-//! it knows every cancellation (`cancellation_log`). The same bound holds for every node that keeps workers alive.
+//! A leader has two independent proofs of leadership: the lock lease behind `leader/lock` in the key-value
+//! store, and grants by a majority of controllers. Either proof suffices to act, and another node may take
+//! over only after both have expired. The side that relies on a deadline counts it from when its request was
+//! sent and shortens it for clock drift. The side that granted it counts from receipt and lengthens it.
 //!
-//! [`Leadership`] owns all of this state, the cancellation log included. The controller's event loop is the only caller:
-//! it passes in ticks, messages and responses of the key-value store, and carries out the [`Action`]s. Nodes
-//! are numbered in the order of the settings.
+//! Without the lock lease a leader acts only for a bounded time after the moment up to which it knows every
+//! cancellation (`cancellation_log`). The same bound holds for every node that keeps workers alive.
 
 mod authority;
 mod commitments;
@@ -40,10 +41,10 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// One node's part in leadership.
+/// The leadership state of one controller node.
 #[derive(Debug)]
 pub struct Leadership {
-    /// Of this process.
+    /// Random number of this process.
     incarnation: u64,
     role: Role,
     peers: Peers,
@@ -53,34 +54,38 @@
     highest_token: FencingToken,
     /// The leader whose heartbeat arrived last.
     followed: Option<FollowedLeader>,
-    /// Epoch and lock as last read.
+    /// Epoch record and lock as last read from the key-value store.
     lock: LockObservation,
     next_heartbeat_at: Timestamp,
     /// When a leader next renews its lock lease.
     next_renewal_at: Timestamp,
     next_campaign_at: Timestamp,
-    /// Votes are being collected.
+    /// Whether this node is collecting votes.
     campaigning: bool,
-    /// This incarnation has not led yet, so the epoch of the previous one may be resumed.
+    /// True until this incarnation first leads. Until then it may resume the epoch of its previous
+    /// incarnation without votes.
     may_resume: bool,
     /// This node's own status at the last tick.
     status: Status,
     /// Whether workers reach this leader.
     reachability: WorkerReachability,
-    /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader, as far as is
-    /// recorded; [`Leadership::autonomous_until`] completes it.
+    /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader, as
+    /// recorded at the election and at each grant. [`Leadership::autonomous_until`] gives the present value.
     autonomous_until: Timestamp,
-    /// How long workers may be kept alive without news of cancellations.
+    /// How long workers may be kept alive beyond the moment up to which every cancellation is known, the lock
+    /// lease aside ([`limits::longest_autonomy`]).
     longest_autonomy: Duration,
-    /// Which cancellations are known here, and up to when all of them.
+    /// The cancellations that this node knows, and up to when it knows all of them.
     pub cancellations: CancellationLog,
-    /// Up to when others may take what this node attested as proof of what it confirmed.
+    /// Up to when other members may rely on this node's attestations that they know every cancellation it
+    /// confirmed.
     attested_until: Timestamp,
     rng: SmallRng,
 }
 
 impl Leadership {
-    /// A process that has just started, as node `local_node` of `node_names`. `seed`: of the random campaign delays.
+    /// The state of a process that has just started as node `local_node` of `node_names`. `seed`: of the
+    /// random campaign delays.
     pub fn new(
         node_names: Vec<String>,
         local_node: usize,
@@ -118,8 +123,9 @@
         self.role.term().is_some()
     }
 
-    /// Name of the leader that a worker should report to. None while that leader reports that workers have stopped
-    /// reaching it: they would wait for it in vain.
+    /// Name of the leader that a worker should report to. None without contact with a leader, and while the
+    /// leader reports that workers have stopped reaching it: redirected workers would wait for its response
+    /// in vain.
     pub fn leader_name(&self, now: Timestamp) -> Option<&str> {
         let leader = self.followed.filter(|leader| leader.is_in_contact(now))?;
         let lost_by_workers = leader.reached_by_workers && self.peers.get(leader.node).status().workers == 0;
@@ -131,29 +137,29 @@
         self.followed.filter(|leader| leader.is_in_contact(now) && !self.is_leader())
     }
 
-    /// Nodes that this leader is not in contact with both ways. Their grants echo its heartbeats, so a node whose
-    /// messages arrive but that does not receive ours is among them.
+    /// Nodes without a running grant to this leader. Grants echo the leader's heartbeats, so a node whose
+    /// messages arrive but that does not receive the heartbeats is among them.
     pub fn unreachable_peers(&self, now: Timestamp) -> impl Iterator<Item = usize> + '_ {
         self.peers.without_grant(now)
     }
 
-    /// Whether some peer reaches the key-value store.
+    /// Whether a peer in contact reaches the key-value store.
     pub fn peer_has_state(&self, now: Timestamp) -> bool {
         self.peers.first_reaching_store(now, limits::STORE_LOST_TIMEOUT).is_some()
     }
 
-    /// Whether a peer is in contact, or there is none.
+    /// Whether a peer is in contact, or the cluster has no other node.
     pub fn has_live_peer(&self, now: Timestamp) -> bool {
         self.peers.is_empty() || self.peers.first_alive(now).is_some()
     }
 
-    /// Time has passed. `status`: this node's own.
+    /// Advances the state machine to `now`. `status`: this node's own.
     #[must_use = "the actions are to be carried out"]
     pub fn tick(&mut self, now: Timestamp, status: Status) -> Vec<Action> {
         self.status = status;
         let mut actions = Vec::new();
         if self.is_leader() && self.authority(now).is_none() {
-            warn!("authority expired");
+            warn!("leadership lost: authority to act expired");
             self.step_down(now, &mut actions);
         }
         match self.role.term().copied() {
@@ -182,12 +188,12 @@
             Some(_) | None => {}
         }
         if self.is_store_lost() {
-            // A peer that the key-value store answers can do more.
+            // A peer that reaches the key-value store can still commit changes.
             let successor = self.peers.first_reaching_store(now, limits::HEARTBEAT_INTERVAL * 2);
             if let Some(successor) = successor {
                 info!(
                     successor = self.peers.name(successor),
-                    "leadership handed over: only a peer reaches the key-value store"
+                    "leadership handed over: the key-value store answers the successor, but not this leader"
                 );
                 return self.hand_over(term.token, successor, now, actions);
             }
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -1,4 +1,5 @@
-//! The other controllers, as this node knows them: their grants and votes for it, and what they last reported.
+//! The other controllers: the grants and votes that they gave this node, when they were last in contact, and
+//! their last reported status.
 //!
 //! Owned by [`super::Leadership`]. Nodes are numbered in the order of the settings.
 
@@ -18,9 +19,9 @@
 /// One other controller.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Peer {
-    /// Its grant to this node runs until then; zero: none.
+    /// When its grant to this node expires; zero: none.
     grant_until: Timestamp,
-    /// Its vote for this node runs until then; zero: none.
+    /// When its vote for this node expires; zero: none.
     vote_until: Timestamp,
     /// When its last message arrived; zero: never.
     last_message_at: Timestamp,
@@ -30,12 +31,12 @@
 }
 
 impl Peer {
-    /// Whether it is in contact: a message of it has arrived lately.
+    /// Whether it is in contact: a message arrived from it within `limits::PEER_TIMEOUT`.
     pub(super) fn is_alive(&self, now: Timestamp) -> bool {
         now < self.last_message_at + limits::PEER_TIMEOUT && self.last_message_at > Timestamp::ZERO
     }
 
-    /// Whether it is in contact, and the key-value store answered it within this time.
+    /// Whether it is in contact, and the key-value store answered it less than `age` before its last message.
     pub(super) fn reaches_store_within(&self, now: Timestamp, age: Duration) -> bool {
         self.is_alive(now) && self.status.state_age < age
     }
@@ -45,7 +46,7 @@
         self.last_heartbeat_at
     }
 
-    /// What it last reported.
+    /// Its last reported status.
     pub(super) fn status(&self) -> &Status {
         &self.status
     }
@@ -72,7 +73,7 @@
         &self.peers[node]
     }
 
-    /// Whether the number is that of another node of the cluster.
+    /// Whether `node` is the number of another node of the cluster.
     pub(super) fn is_peer(&self, node: usize) -> bool {
         node < self.names.len() && node != self.local_node
     }
@@ -93,14 +94,15 @@
         self.names.len() == 1
     }
 
-    /// The other node in contact to which most workers send heartbeats.
+    /// The other node in contact to which most workers send heartbeats. None: no worker sends any to a node
+    /// in contact.
     pub(super) fn reached_by_most_workers(&self, now: Timestamp) -> Option<usize> {
         self.others()
             .filter(|node| self.peers[*node].is_alive(now) && self.peers[*node].status.workers > 0)
             .max_by_key(|node| self.peers[*node].status.workers)
     }
 
-    /// The first other node in contact that the key-value store answered within this time.
+    /// The first other node in contact that reported an answer of the key-value store less than `age` old.
     pub(super) fn first_reaching_store(&self, now: Timestamp, age: Duration) -> Option<usize> {
         self.others().find(|node| self.peers[*node].reaches_store_within(now, age))
     }
@@ -110,24 +112,24 @@
         self.others().filter(move |node| self.peers[*node].grant_until <= now)
     }
 
-    /// A message of the node arrived.
+    /// Records the arrival of a message from a node, with its status.
     pub(super) fn observe_message(&mut self, now: Timestamp, from: usize, status: Status) {
         self.peers[from].last_message_at = now;
         self.peers[from].status = status;
     }
 
-    /// A heartbeat of the node arrived.
+    /// Records the arrival of a heartbeat from a node.
     pub(super) fn observe_heartbeat(&mut self, now: Timestamp, from: usize) {
         self.peers[from].last_heartbeat_at = now;
     }
 
-    /// The node's grant counts from when the heartbeat that it answers was sent.
+    /// Records a grant from a node. It counts from when the heartbeat that it answers was sent.
     pub(super) fn record_grant(&mut self, from: usize, heartbeat_sent: Timestamp) {
         let until = heartbeat_sent + shortened(limits::GRANT_DURATION);
         self.peers[from].grant_until = self.peers[from].grant_until.max(until);
     }
 
-    /// The node's vote counts from when the request that it answers was sent.
+    /// Records a vote from a node. It counts from when the request that it answers was sent.
     pub(super) fn record_vote(&mut self, from: usize, request_sent: Timestamp) {
         let until = request_sent + shortened(limits::GRANT_DURATION);
         self.peers[from].vote_until = self.peers[from].vote_until.max(until);
@@ -143,12 +145,13 @@
             .for_each(|peer| (peer.grant_until, peer.vote_until) = (Timestamp::ZERO, Timestamp::ZERO));
     }
 
-    /// Until when a majority grants this node leadership, its own vote included if that counts.
+    /// Until when a majority grants this node leadership. `own_vote_counts`: the node is part of the majority
+    /// itself.
     pub(super) fn granted_until(&self, own_vote_counts: bool) -> Timestamp {
         self.majority_until(own_vote_counts, |peer| peer.grant_until)
     }
 
-    /// Until when a majority votes for this node, its own vote included if that counts.
+    /// Until when a majority votes for this node. `own_vote_counts`: the node is part of the majority itself.
     pub(super) fn voted_until(&self, own_vote_counts: bool) -> Timestamp {
         self.majority_until(own_vote_counts, |peer| peer.vote_until)
     }
--- a/src/leadership/role.rs
+++ b/src/leadership/role.rs
@@ -1,18 +1,20 @@
-//! What a node is at present: follower, candidate that takes over, node in keep-alive mode, or leader.
+//! The role of a controller node: follower, candidate with a takeover under way, node in keep-alive mode, or
+//! leader. Held by [`super::Leadership`].
 
 use crate::fencing_token::FencingToken;
 use crate::time::Timestamp;
+
 /// The role of this node.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Role {
-    /// It follows a leader, or looks for one.
+    /// Follows a leader, or looks for one.
     Follower,
     /// The takeover transaction is under way.
     TakingOver { token: FencingToken, proof: TakeoverProof },
-    /// In a store outage without a leader: it keeps workers alive under the last token, by grants of a majority, and
-    /// gives no commands.
+    /// Keeps workers alive under the last token during an outage of the key-value store without a leader, by
+    /// votes and grants of a majority. Starts no tasks, and stops only those of cancelled jobs.
     KeepAlive { token: FencingToken },
-    /// It leads.
+    /// Leads.
     Leader(Term),
 }
 
@@ -21,15 +23,15 @@
 pub(super) struct Term {
     /// The fencing token.
     pub(super) token: FencingToken,
-    /// Id of the lock lease; None: it has ended.
+    /// Id of the lock lease; None: it has expired.
     pub(super) lease: Option<u64>,
-    /// Until when the lock lease surely runs.
+    /// Until when the lock lease runs at least.
     pub(super) lease_until: Timestamp,
     /// When the takeover was confirmed.
     pub(super) elected_at: Timestamp,
 }
 
-/// What shows that nobody else acts, besides the lock being free.
+/// The evidence that no other node acts. All but `PreviousIncarnation` need the lock to be free as well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TakeoverProof {
     /// A majority voted for this node.
@@ -41,7 +43,7 @@
 }
 
 impl Role {
-    /// The term of a leader.
+    /// The term, if this node leads.
     pub(super) fn term(&self) -> Option<&Term> {
         match self {
             Role::Leader(term) => Some(term),
@@ -49,7 +51,7 @@
         }
     }
 
-    /// The token for which this node asks its peers for grants.
+    /// The token for which this node asks its peers for grants. None: it asks for none.
     pub(super) fn token_for_grants(&self) -> Option<FencingToken> {
         match self {
             Role::Leader(Term { token, .. }) | Role::KeepAlive { token } => Some(*token),
--- a/src/leadership/store_responses.rs
+++ b/src/leadership/store_responses.rs
@@ -1,4 +1,5 @@
-//! Responses of the key-value store to what leadership requested from it.
+//! Handles the key-value store's responses to probes, takeovers and renewals of the lock lease. Called by the
+//! controller's event loop.
 
 use super::role::{Role, TakeoverProof, Term};
 use super::{Action, Leadership, StoreResponse};
@@ -18,7 +19,7 @@
 }
 
 impl Leadership {
-    /// A request of an earlier action was answered or given up.
+    /// Handles the outcome of a request that an earlier action asked for.
     #[must_use = "the actions are to be carried out"]
     pub fn handle_store_response(&mut self, now: Timestamp, response: StoreResponse) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -47,13 +48,13 @@
             return;
         };
         let lease_until = takeover.lease_sent + shortened(limits::LOCK_LEASE);
-        // The response must have arrived while the votes still run.
+        // The response must have arrived before the votes expire.
         let proof_holds = match proof {
             TakeoverProof::Votes => self.votes_until(now) > now,
             TakeoverProof::PreviousIncarnation | TakeoverProof::LockExpired => true,
         };
         if !proof_holds || lease_until <= now + limits::AUTHORITY_MARGIN {
-            info!("takeover committed too late");
+            info!("takeover abandoned: commit response arrived too late for the votes or the lock lease");
             self.role = Role::Follower;
             actions.push(Action::Release { lease: takeover.lease });
             return;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The term, if this node leads by this lock lease.
+    /// This node's term, if it leads under this lock lease.
     fn term_with_lease(&mut self, lease: u64) -> Option<&mut Term> {
         match &mut self.role {
             Role::Leader(term) => Some(term).filter(|term| term.lease == Some(lease)),
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Grants may carry the leader on, but the lock is open to other nodes.
+    /// The lock lease has expired. The leader may go on by the grants of its peers, but other nodes may take
+    /// the lock.
     fn end_lock_lease(&mut self, now: Timestamp, lease: u64) {
         if let Some(term) = self.term_with_lease(lease) {
             term.lease = None;
@@ -123,12 +125,12 @@
             return;
         }
         if let Some((epoch, _)) = &epoch {
-            // The epoch may be another node's: then this leader has been replaced.
+            // The epoch may name another node: then this leader has been replaced.
             actions.extend(self.observe_token(epoch.token, now));
         }
         self.lock.record_probe(now, epoch, locked);
         if self.role.term().is_some_and(|term| term.lease.is_none()) {
-            // The lock lease has ended while peers still grant: take the lock anew under a new token.
+            // The lock lease has expired while grants still run: take the lock again, under a new token.
             if !locked {
                 self.step_down(now, actions);
                 self.next_campaign_at = now;
@@ -138,7 +140,8 @@
         self.try_resume(actions);
     }
 
-    /// The epoch names this very node before it restarted: that process has ended, and nobody acts.
+    /// Resumes if the epoch names this node before it restarted: that process has ended, so no other node
+    /// acts.
     fn try_resume(&mut self, actions: &mut Vec<Action>) {
         let Some(record) = self.lock.epoch() else { return };
         let is_previous_incarnation =
--- a/src/leadership/tests/cancellation_scenarios.rs
+++ b/src/leadership/tests/cancellation_scenarios.rs
@@ -1,14 +1,15 @@
-//! Workers, leaseholders and cancellations under faults: no lease is counted as expired that is renewed, and no task of a
-//! cancelled job outlives the deadline. `check_expired_leases` and `check_cancelled_tasks_ended` check both.
+//! Workers, leaseholders and cancellations under faults: no lease is counted as expired that is renewed, and
+//! no task of a cancelled job outlives the deadline. `check_expired_leases` and `check_cancelled_tasks_ended`
+//! check both.
 
 use super::cluster::Cluster;
 use super::random_duration;
 use super::{AUTONOMY, CANCELLATION_DEADLINE, MS, NODES};
 use crate::limits::{self, SECOND};
 
-/// Leaders, leaseholders and nodes in keep-alive mode together: whichever node renews a worker's lease, the leader knows
-/// how long that lease may last. No task of a job runs longer than `CANCELLATION_DEADLINE` after its cancellation was
-/// confirmed.
+/// Leaders, leaseholders and nodes in keep-alive mode together: whichever node renews a worker's lease, the
+/// leader knows how long that lease may last. No task of a job runs longer than `CANCELLATION_DEADLINE` after
+/// its cancellation was confirmed.
 #[test]
 fn under_random_faults_no_renewed_lease_is_counted_as_expired() {
     let (mut expired, mut autonomous, mut confirmed) = (0, 0, 0);
@@ -32,10 +33,10 @@
     );
 }
 
-/// The key-value store refuses only the leader, and another node confirms cancellations to users. Then the store is down
-/// for all nodes, for longer than `CANCELLATION_DEADLINE`, while the workers go on reporting. Members attested that they
-/// could not commit at present, and the leader kept alive tasks whose cancellation it had not received.
-/// `additional_fault`: begins right after the outage does.
+/// The key-value store refuses only the leader, and another node confirms cancellations to users. Then the
+/// store is down for all nodes, for longer than `CANCELLATION_DEADLINE`, while the workers go on reporting.
+/// Members attested that they could not commit at present, and the leader kept alive tasks whose cancellation
+/// it had not received. `additional_fault`: begins right after the outage does.
 fn run_outage_after_refused_leader(additional_fault: impl Fn(&mut Cluster, usize)) {
     let mut confirmed = 0;
     for seed in 0..20 {
@@ -90,8 +91,8 @@
     });
 }
 
-/// While every member attests that there are no cancellations, an outage for all nodes has no effect on the workers,
-/// whatever its length, also with a crash in it.
+/// While every member attests that there are no cancellations, an outage for all nodes has no effect on the
+/// workers, whatever its length, also with a crash in it.
 #[test]
 fn in_a_store_outage_without_cancellations_no_worker_loses_its_lease() {
     for crash in [false, true] {
@@ -111,8 +112,9 @@
     }
 }
 
-/// A member of an earlier version gives no attestations. What it confirmed is not known, so a leader beside it is bounded.
-/// In turn, a leader of an earlier version is not sent a status that it would take as proof of no cancellations.
+/// A member of an earlier version gives no attestations. What it confirmed is not known, so a leader beside
+/// it is bounded. In turn, a leader of an earlier version is not sent a status that it would take as proof of
+/// no cancellations.
 #[test]
 fn beside_an_earlier_version_authority_without_the_store_is_bounded() {
     for seed in 0..10 {
@@ -132,8 +134,8 @@
     }
 }
 
-/// Jobs are cancelled in the seconds in which another node takes over from a controller: its process ends, for long or for
-/// a moment, it is cut off, or it loses the key-value store.
+/// Jobs are cancelled in the seconds in which another node takes over from a controller: its process ends,
+/// for long or for a moment, it is cut off, or it loses the key-value store.
 #[test]
 fn jobs_cancelled_during_a_failover_end_in_time() {
     type Fault = fn(&mut Cluster, usize);
--- a/src/leadership/tests/election_scenarios.rs
+++ b/src/leadership/tests/election_scenarios.rs
@@ -126,9 +126,9 @@
     assert_eq!(cluster.elected_tokens.len(), 1, "{:?}", cluster.elected_tokens);
 }
 
-/// The zone with the leader and a majority is cut off from the key-value store too. The nodes inside may act and keep
-/// workers alive for the bounded time only, since cancellations outside do not reach them (a node in keep-alive mode went
-/// on without end). After that time the node outside leads, without any votes.
+/// The zone with the leader and a majority is cut off from the key-value store too. The nodes inside may act
+/// and keep workers alive for the bounded time only, since cancellations outside do not reach them (a node in
+/// keep-alive mode went on without end). After that time the node outside leads, without any votes.
 #[test]
 fn a_majority_cut_off_from_the_store_stops_and_the_node_outside_leads() {
     for seed in 0..20 {
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -53,8 +53,8 @@
         self.floor = self.floor.max(time);
     }
 
-    /// Until when every leaseholder that may still renew leases is covered. `validity`: of a shard lease and the worker
-    /// leases that it may have renewed.
+    /// Until when every leaseholder that may still renew leases is covered. `validity`: of a shard lease and
+    /// the worker leases that it may have renewed.
     pub(super) fn covered_until(&self, now: Timestamp, validity: Duration) -> Timestamp {
         let records = self.leaseholders.values();
         let open = records.filter(|record| now < record.last_heartbeat_at + validity);
--- a/src/leadership/tests/mod.rs
+++ b/src/leadership/tests/mod.rs
@@ -1,5 +1,6 @@
-//! Leadership of three controllers in a small simulated network: drifting clocks, delayed, repeated and reordered
-//! messages, crashes that lose all state, store outages and refusals, in virtual time with fixed seeds.
+//! Leadership of three controllers in a small simulated network: drifting clocks, delayed, repeated and
+//! reordered messages, crashes that lose all state, store outages and refusals, in virtual time with fixed
+//! seeds.
 //!
 //! - `cluster`: the nodes, their clocks and what is wrong at present;
 //! - `network`: what is under way between nodes and the key-value store;
@@ -38,8 +39,8 @@
 const AUTONOMY: Duration = Duration::from_secs(10);
 /// The lease of a worker.
 const WORKER_LEASE: Duration = Duration::from_secs(10);
-/// The tasks of a cancelled job must be gone this long after the user was told: `limits::longest_autonomy` solved for
-/// `cancel_s`.
+/// The tasks of a cancelled job must be gone this long after the user was told: `limits::longest_autonomy`
+/// solved for `cancel_s`.
 const CANCELLATION_DEADLINE: Duration = AUTONOMY
     .saturating_add(WORKER_LEASE)
     .saturating_add(limits::LOCK_LEASE)
--- a/src/leadership/tests/network.rs
+++ b/src/leadership/tests/network.rs
@@ -1,5 +1,5 @@
-//! The network between the nodes and the key-value store: carries out actions, and delivers what is under way late,
-//! twice or not at all.
+//! The network between the nodes and the key-value store: carries out actions, and delivers what is under way
+//! late, twice or not at all.
 
 use super::cluster::Cluster;
 use super::key_value_store::Request;
@@ -47,7 +47,8 @@
         sent: Timestamp,
         live: BTreeSet<JobId>,
     },
-    /// A job that the node's transaction cancelled. The node confirms it to the user when the response arrives.
+    /// A job that the node's transaction cancelled. The node confirms it to the user when the response
+    /// arrives.
     CancellationCommitted {
         node: usize,
         process: u64,
--- a/src/leadership/tests/single_node.rs
+++ b/src/leadership/tests/single_node.rs
@@ -29,8 +29,9 @@
     assert!(node.votes_until(later) <= later);
 }
 
-/// A node resumes its own epoch without votes. What it granted to a node in keep-alive mode a moment ago still binds it.
-/// With its own vote and one grant it took itself for backed by a majority, and counted worker leases as expired.
+/// A node resumes its own epoch without votes. What it granted to a node in keep-alive mode a moment ago
+/// still binds it. With its own vote and one grant it took itself for backed by a majority, and counted
+/// worker leases as expired.
 #[test]
 fn a_resumed_leader_does_not_count_its_own_vote_while_its_grant_to_another_runs() {
     let names = NAMES.map(String::from).to_vec();
