--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -26,8 +26,8 @@
     /// lead. `limits::AUTHORITY_MARGIN` is already subtracted.
     pub fn authority_until(&self, now: Timestamp) -> Timestamp {
         let Some(term) = self.role.term() else { return Timestamp::ZERO };
-        let by_peers = self.granted_until(now).min(self.peer_authority_until(term.lease_until));
-        by_peers.max(term.lease_until) - limits::AUTHORITY_MARGIN
+        let peer_proof_until = self.granted_until(now).min(self.peer_authority_until(term.lease_until));
+        peer_proof_until.max(term.lease_until) - limits::AUTHORITY_MARGIN
     }
 
     /// The fencing token under which this node, in keep-alive mode, may renew worker leases. None: it may
@@ -41,8 +41,8 @@
     /// without the bound by the cancellation log, a zone cut off with a majority in it would keep the tasks
     /// of a cancelled job alive for as long as it is cut off.
     fn keep_alive_until(&self, now: Timestamp) -> Timestamp {
-        let by_peers = self.granted_until(now).max(self.votes_until(now));
-        by_peers.min(self.cancellations.keep_alive_until())
+        let peer_proof_until = self.granted_until(now).max(self.votes_until(now));
+        peer_proof_until.min(self.cancellations.keep_alive_until())
     }
 
     /// Until when a leader may act by the grants of its peers alone. Its readings of the key-value store
--- a/src/leadership/commitments.rs
+++ b/src/leadership/commitments.rs
@@ -56,8 +56,9 @@
     }
 
     /// Whether this node's own vote counts for itself. It does not while a grant or vote for another node
-    /// runs that was given before the takeover. Otherwise a leader that resumed its epoch counted worker
-    /// leases as expired beside the node in keep-alive mode that it had granted (found by the network test).
+    /// runs that was given before the takeover. Without this rule a leader that resumed its epoch counted
+    /// worker leases as expired beside the node in keep-alive mode that it had granted (found by the network
+    /// test).
     pub(super) fn own_vote_counts(&self, now: Timestamp) -> bool {
         !self.in_restart_grace(now) && now >= self.bound_to_others_until
     }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -35,7 +35,7 @@
             self.next_campaign_at = now;
         }
         if self.is_store_lost() {
-            self.lock.forget_free();
+            self.lock.forget_free_lock();
         }
         if self.role.is_taking_over() || has_leader || now < self.next_campaign_at {
             return;
@@ -83,13 +83,13 @@
         self.try_takeover(now, actions);
     }
 
-    /// When the former holder of a lock that has been free since `unlocked` can no longer act by its peers
+    /// When the former holder of a lock that has been free since `unlocked_at` can no longer act by its peers
     /// alone. That leader relies on its readings from before the lock was freed, or on the attestations of
     /// all members, this node's among them. Added to the later of both are the longest autonomy, the time for
     /// which an earlier version trusts a peer's status, and the duration of a grant.
-    fn former_leader_authority_until(&self, unlocked: Timestamp) -> Timestamp {
+    fn former_leader_authority_until(&self, unlocked_at: Timestamp) -> Timestamp {
         let attested = self.attested_until + limits::LOCK_LEASE;
-        unlocked.max(attested)
+        unlocked_at.max(attested)
             + lengthened(self.longest_autonomy)
             + limits::PEER_TIMEOUT
             + limits::GRANT_DURATION
@@ -129,7 +129,10 @@
     /// a former leader have expired. A former leader that acts by its lock lease alone expires no worker
     /// lease meanwhile.
     fn enter_keep_alive(&mut self, now: Timestamp) {
-        info!(token = %self.highest_token, "keep-alive mode started: no leader in contact, key-value store does not answer");
+        info!(
+            token = %self.highest_token,
+            "keep-alive mode started: no leader, and the key-value store does not answer"
+        );
         self.campaigning = false;
         self.role = Role::KeepAlive { token: self.highest_token };
         self.peers.clear_grants();
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -30,20 +30,20 @@
 }
 
 impl Leadership {
-    /// Hands over if no worker reaches this leader any more, or steps down if no peer is in contact either.
-    /// Without workers' heartbeats a leader can do nothing, whatever else it reaches.
+    /// Hands over if no worker reaches this leader any more, or steps down if no peer is in contact either. A
+    /// leader without heartbeats is of no use to the workers, whatever else it reaches.
     pub(super) fn check_reachability(&mut self, term: Term, now: Timestamp, actions: &mut Vec<Action>) {
         let first_alive = self.peers.first_alive(now);
-        let isolated = !self.peers.is_empty() && first_alive.is_none();
+        let is_isolated = !self.peers.is_empty() && first_alive.is_none();
         // Several machines that become silent at once point to a fault of this node, not of the machines. A
         // peer should lead before the workers stop trying this node and report to the peer.
         let many_machines = self.status.machines >= limits::MIN_CORRELATED_SILENCE;
         let successor = self.peers.reached_by_most_workers(now).or(first_alive.filter(|_| many_machines));
         self.reachability.reached |= self.status.workers > 0;
         // As long as no worker has reached this leader, the first heartbeats may well go to a peer.
-        let unreached =
-            self.reachability.reached && self.status.workers == 0 && (successor.is_some() || isolated);
-        if !unreached || now < term.elected_at + limits::GRANT_DURATION {
+        let is_unreached =
+            self.reachability.reached && self.status.workers == 0 && (successor.is_some() || is_isolated);
+        if !is_unreached || now < term.elected_at + limits::GRANT_DURATION {
             self.reachability.clear();
             return;
         }
@@ -87,7 +87,7 @@
         self.role = Role::Follower;
         self.followed = None;
         self.reachability.clear();
-        self.lock.probe_soon(now);
+        self.lock.make_probe_due(now);
         self.peers.clear_grants();
     }
 
--- a/src/leadership/lock_observation.rs
+++ b/src/leadership/lock_observation.rs
@@ -83,7 +83,7 @@
 
     /// Forgets since when the lock has been free: while the key-value store is lost, another node may take
     /// the lock unnoticed.
-    pub(super) fn forget_free(&mut self) {
+    pub(super) fn forget_free_lock(&mut self) {
         self.free = None;
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Makes the next probe due now.
-    pub(super) fn probe_soon(&mut self, now: Timestamp) {
+    pub(super) fn make_probe_due(&mut self, now: Timestamp) {
         self.next_probe_at = now;
     }
 
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -182,7 +182,7 @@
         if self.followed.is_some_and(|leader| leader.node == from && leader.token <= token) {
             self.followed = None;
         }
-        self.lock.probe_soon(now);
+        self.lock.make_probe_due(now);
         // The other nodes give the successor a head start.
         let delay =
             if successor == self.peers.local_node() { Duration::ZERO } else { limits::GRANT_DURATION };
--- a/src/leadership/store_responses.rs
+++ b/src/leadership/store_responses.rs
@@ -85,7 +85,7 @@
         actions.extend(lease.map(|lease| Action::Release { lease }));
         if self.role.is_taking_over() {
             self.role = Role::Follower;
-            self.lock.probe_soon(now);
+            self.lock.make_probe_due(now);
         }
     }
 
@@ -109,7 +109,7 @@
     fn end_lock_lease(&mut self, now: Timestamp, lease: u64) {
         if let Some(term) = self.term_with_lease(lease) {
             term.lease = None;
-            self.lock.probe_soon(now);
+            self.lock.make_probe_due(now);
         }
     }
 
--- a/src/leadership/tests/cancellation_scenarios.rs
+++ b/src/leadership/tests/cancellation_scenarios.rs
@@ -1,15 +1,15 @@
-//! Workers, leaseholders and cancellations under faults: no lease is counted as expired that is renewed, and
-//! no task of a cancelled job outlives the deadline. `check_expired_leases` and `check_cancelled_tasks_ended`
-//! check both.
+//! Worker leases and cancellations under faults. `check_expired_leases` checks that a leader counts no
+//! running worker lease as expired, `check_cancelled_tasks_ended` that no task of a cancelled job outlives
+//! the deadline.
 
 use super::cluster::Cluster;
 use super::random_duration;
-use super::{AUTONOMY, CANCELLATION_DEADLINE, MS, NODES};
+use super::{CANCELLATION_DEADLINE, LONGEST_AUTONOMY, MS, NODE_COUNT};
 use crate::limits::{self, SECOND};
 
-/// Leaders, leaseholders and nodes in keep-alive mode together: whichever node renews a worker's lease, the
-/// leader knows how long that lease may last. No task of a job runs longer than `CANCELLATION_DEADLINE` after
-/// its cancellation was confirmed.
+/// Leaders, leaseholders and nodes in keep-alive mode renew worker leases side by side. Whichever node renews
+/// a lease, the leader must know how long it may run, and no task of a job may run longer than
+/// `CANCELLATION_DEADLINE` after its cancellation was confirmed.
 #[test]
 fn under_random_faults_no_renewed_lease_is_counted_as_expired() {
     let (mut expired, mut autonomous, mut confirmed) = (0, 0, 0);
@@ -26,17 +26,19 @@
             confirmed + cluster.confirmed.len(),
         );
     }
-    // Without expired leases, responses without a leader and confirmed cancellations nothing would be tested.
+    // The test is meaningful only if leases expired, nodes responded without a leader, and cancellations were
+    // confirmed.
     assert!(
         expired > 500 && autonomous > 5_000 && confirmed > 500,
         "{expired} expired leases, {autonomous} autonomous responses, {confirmed} confirmed"
     );
 }
 
-/// The key-value store refuses only the leader, and another node confirms cancellations to users. Then the
-/// store is down for all nodes, for longer than `CANCELLATION_DEADLINE`, while the workers go on reporting.
-/// Members attested that they could not commit at present, and the leader kept alive tasks whose cancellation
-/// it had not received. `additional_fault`: begins right after the outage does.
+/// The key-value store refuses only the leader, while other nodes confirm cancellations to users. Then it is
+/// down for all nodes, for longer than `CANCELLATION_DEADLINE`, while the workers go on reporting. Guards
+/// against a leader that keeps alive tasks whose cancellation it has not received, because the members attest
+/// only that they cannot commit at present. `additional_fault`: begins right after the outage does; its
+/// arguments are the cluster and the leader's number.
 fn run_outage_after_refused_leader(additional_fault: impl Fn(&mut Cluster, usize)) {
     let mut confirmed = 0;
     for seed in 0..20 {
@@ -64,15 +66,15 @@
 }
 
 #[test]
-fn such_jobs_end_also_when_the_confirming_nodes_crash_in_the_outage() {
+fn jobs_cancelled_while_the_store_refuses_the_leader_end_when_the_confirming_nodes_crash() {
     run_outage_after_refused_leader(|cluster, leader| {
-        (0..NODES).filter(|n| *n != leader).for_each(|n| cluster.crash(n, 3 * SECOND))
+        (0..NODE_COUNT).filter(|n| *n != leader).for_each(|n| cluster.crash(n, 3 * SECOND))
     });
-    run_outage_after_refused_leader(|cluster, leader| cluster.crash((leader + 1) % NODES, 300 * MS));
+    run_outage_after_refused_leader(|cluster, leader| cluster.crash((leader + 1) % NODE_COUNT, 300 * MS));
 }
 
 #[test]
-fn such_jobs_end_also_when_the_leader_changes_in_the_outage() {
+fn jobs_cancelled_while_the_store_refuses_the_leader_end_when_the_leader_changes_in_the_outage() {
     run_outage_after_refused_leader(|cluster, leader| cluster.crash(leader, 3 * SECOND));
     run_outage_after_refused_leader(|cluster, leader| {
         cluster.run(4 * SECOND);
@@ -81,18 +83,18 @@
 }
 
 #[test]
-fn such_jobs_end_also_when_the_leader_is_cut_off_from_the_confirming_nodes() {
+fn jobs_cancelled_while_the_store_refuses_the_leader_end_when_it_is_cut_off_from_the_confirming_nodes() {
     run_outage_after_refused_leader(|cluster, leader| {
         cluster.cut_off(vec![leader], true, cluster.now + 60 * SECOND);
     });
     run_outage_after_refused_leader(|cluster, leader| {
-        let inside = (0..NODES).filter(|n| *n != (leader + 1) % NODES).collect();
+        let inside = (0..NODE_COUNT).filter(|n| *n != (leader + 1) % NODE_COUNT).collect();
         cluster.cut_off(inside, true, cluster.now + 30 * SECOND);
     });
 }
 
-/// While every member attests that there are no cancellations, an outage for all nodes has no effect on the
-/// workers, whatever its length, also with a crash in it.
+/// While all members attest and no job is cancelled, an outage of the key-value store for all nodes ends no
+/// worker lease, however long it lasts, also if the leader crashes in it.
 #[test]
 fn in_a_store_outage_without_cancellations_no_worker_loses_its_lease() {
     for crash in [false, true] {
@@ -112,16 +114,16 @@
     }
 }
 
-/// A member of an earlier version gives no attestations. What it confirmed is not known, so a leader beside
-/// it is bounded. In turn, a leader of an earlier version is not sent a status that it would take as proof of
-/// no cancellations.
+/// A member of an earlier version gives no attestations. The other members do not know what it confirmed, so
+/// their authority without the key-value store is bounded. In turn, it must not be sent a status that it
+/// would take as proof of no cancellations.
 #[test]
-fn beside_an_earlier_version_authority_without_the_store_is_bounded() {
+fn authority_without_the_store_is_bounded_while_a_member_runs_an_earlier_version() {
     for seed in 0..10 {
         let mut cluster = Cluster::with_workers(seed, 60);
         cluster.run(12 * SECOND);
         let leader = cluster.leader().expect("a leader");
-        let other = (leader + 1) % NODES;
+        let other = (leader + 1) % NODE_COUNT;
         cluster.nodes[other].is_earlier_version = true;
         cluster.run(2 * SECOND);
         let now = cluster.local_time(leader);
@@ -129,13 +131,13 @@
         let proves_none = cluster.nodes[leader].leadership.cancellations.proves_no_recent_cancellation(now);
         assert_eq!(reported(limits::STORE_LOST_TIMEOUT) >= limits::STORE_LOST_TIMEOUT, proves_none);
         cluster.store_down = true;
-        cluster.run(AUTONOMY + 6 * SECOND);
+        cluster.run(LONGEST_AUTONOMY + 6 * SECOND);
         assert_eq!(cluster.leader(), None, "seed {seed}");
     }
 }
 
-/// Jobs are cancelled in the seconds in which another node takes over from a controller: its process ends,
-/// for long or for a moment, it is cut off, or it loses the key-value store.
+/// Jobs are cancelled in the seconds after a controller restarts at once, crashes for longer, loses the
+/// key-value store or is cut off, and another node may take over.
 #[test]
 fn jobs_cancelled_during_a_failover_end_in_time() {
     type Fault = fn(&mut Cluster, usize);
@@ -148,11 +150,11 @@
     for (case, fault) in [restarts_at_once, crashes, refused, cut_off].into_iter().enumerate() {
         let mut confirmed = 0;
         for seed in 0..12 {
-            // With every other seed it is the leader.
+            // The leader itself for even seeds, the next node for odd ones.
             let mut cluster = Cluster::with_workers(seed, 40);
             cluster.run(12 * SECOND);
             let leader = cluster.leader().expect("a leader");
-            let node = (leader + seed as usize % 2) % NODES;
+            let node = (leader + seed as usize % 2) % NODE_COUNT;
             let before = cluster.confirmed.len();
             fault(&mut cluster, node);
             cluster.run(6 * SECOND);
--- a/src/leadership/tests/cluster.rs
+++ b/src/leadership/tests/cluster.rs
@@ -1,10 +1,10 @@
-//! The simulated cluster: three nodes with clocks of their own, and the faults that are in effect.
+//! The simulated cluster: three nodes, each with its own clock, and the active faults.
 
 use super::key_value_store::KeyValueStore;
 use super::lease_ledger::LeaseLedger;
 use super::network::Delivery;
 use super::workers::Worker;
-use super::{BOUNDS, NAMES, NODES};
+use super::{BOUNDS, NODE_COUNT, NODE_NAMES};
 use crate::fencing_token::FencingToken;
 use crate::leadership::{Leadership, Status};
 use crate::lease::shard::Shard;
@@ -15,14 +15,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How far one step advances true time.
+/// By how much one step advances true time.
 const STEP: Duration = Duration::from_millis(10);
 
-/// One controller.
+/// One controller node.
 pub(super) struct Node {
     pub(super) leadership: Leadership,
     pub(super) shard: Shard,
-    /// What it accounts for while it leads.
+    /// The worker leases as it records them while it leads.
     pub(super) ledger: LeaseLedger,
     /// Number of its process, counted from one.
     pub(super) process: u64,
@@ -34,21 +34,22 @@
     pub(super) store_answered_at: Timestamp,
     /// When it next reads the live jobs, on its clock.
     pub(super) next_job_read_at: Timestamp,
-    /// When it last read the live jobs, on its clock; 0: not yet. A leader has loaded its state once it has.
+    /// When it last read the live jobs, on its clock; zero: not in this process or this term as leader. A
+    /// leader has loaded its state once it has read them.
     pub(super) jobs_read_at: Timestamp,
-    /// It runs an earlier version, which gives no attestations.
+    /// Whether it runs an earlier version, which gives no attestations.
     pub(super) is_earlier_version: bool,
 }
 
-/// Nodes that are cut off from the others, from users and from workers.
+/// Nodes that are cut off from the other nodes, and from the workers on the other nodes' side.
 pub(super) struct Partition {
     pub(super) inside: Vec<usize>,
-    /// The key-value store is outside.
+    /// Whether the nodes are cut off from the key-value store too.
     pub(super) cuts_off_store: bool,
     pub(super) until: Timestamp,
 }
 
-/// A node that stands still while its clock runs on.
+/// A node whose process is suspended while its clock goes on.
 #[derive(Clone, Copy)]
 pub(super) struct Suspension {
     pub(super) node: usize,
@@ -61,25 +62,26 @@
     pub(super) rng: SmallRng,
     pub(super) store: KeyValueStore,
     pub(super) nodes: Vec<Node>,
-    /// What is under way, by arrival time and serial number.
+    /// Messages in transit, by arrival time and serial number.
     pub(super) deliveries: BTreeMap<(Timestamp, u64), Delivery>,
     pub(super) last_serial: u64,
 
-    /// No node reaches the key-value store.
+    /// Whether the key-value store is down for all nodes.
     pub(super) store_down: bool,
-    /// The key-value store refuses this node.
+    /// The node that the key-value store refuses.
     pub(super) refused_by_store: Option<usize>,
     pub(super) partition: Option<Partition>,
     pub(super) suspension: Option<Suspension>,
-    /// No worker reaches this node.
+    /// The node that no worker reaches.
     pub(super) cut_off_from_workers: Option<usize>,
-    /// The first workers report to the peers, and none has reported to the leader yet.
+    /// Whether workers report to the peers only, and none has reported to the leader yet.
     pub(super) first_workers_at_peers: bool,
 
     pub(super) workers: Vec<Worker>,
-    /// A job is cancelled once in so many steps of a node; 0: never.
+    /// In each step, a node that reaches the key-value store cancels a job with a probability of one in this
+    /// number; zero: never.
     pub(super) cancellation_period: u32,
-    /// Cancellations that were confirmed to users, and when.
+    /// Cancelled jobs, and when the cancellation was confirmed to the user, in true time.
     pub(super) confirmed: BTreeMap<JobId, Timestamp>,
 
     /// How often a leader counted a worker's lease as expired.
@@ -88,7 +90,7 @@
     pub(super) autonomous_responses: u64,
     /// Fencing tokens of all leaders, in the order of their elections.
     pub(super) elected_tokens: Vec<FencingToken>,
-    /// Which node and process acted with each token.
+    /// The node and process that acted with each token.
     pub(super) process_by_token: BTreeMap<FencingToken, (usize, u64)>,
     /// Steps in which a leader had authority.
     pub(super) led_steps: u64,
@@ -121,16 +123,16 @@
             led_steps: 0,
             keep_alive_steps: 0,
         };
-        for node in 0..NODES {
+        for node in 0..NODE_COUNT {
             let node = cluster.start_process(node, 1);
             cluster.nodes.push(node);
         }
         cluster
     }
 
-    /// A process without any state, with a new clock.
+    /// A new process of the node, without state and with a new clock.
     fn start_process(&mut self, node: usize, process: u64) -> Node {
-        let names = NAMES.map(String::from).to_vec();
+        let names = NODE_NAMES.map(String::from).to_vec();
         let clock_base = self.rng.random_range(1 << 40..1 << 50);
         let clock_rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
         let now = clock_time(clock_base, clock_rate, self.now);
@@ -151,7 +153,7 @@
         }
     }
 
-    // ---- what holds at present ----
+    // ---- present state ----
 
     /// The present time on the node's clock.
     pub(super) fn local_time(&self, node: usize) -> Timestamp {
@@ -168,10 +170,12 @@
 
     /// Whether the node is on the other side of a partition than the key-value store.
     pub(super) fn is_partitioned_from_store(&self, node: usize) -> bool {
-        self.partition.as_ref().is_some_and(|cut| cut.cuts_off_store && cut.inside.contains(&node))
+        self.partition
+            .as_ref()
+            .is_some_and(|partition| partition.cuts_off_store && partition.inside.contains(&node))
     }
 
-    /// Whether the node neither is down nor stands still.
+    /// Whether the node is neither down nor suspended.
     pub(super) fn is_running(&self, node: usize) -> bool {
         self.nodes[node].down_until.is_none() && !self.is_suspended(node)
     }
@@ -190,7 +194,7 @@
 
     /// The node that has authority to act.
     pub(super) fn leader(&self) -> Option<usize> {
-        (0..NODES).find(|node| {
+        (0..NODE_COUNT).find(|node| {
             self.nodes[*node].down_until.is_none()
                 && self.nodes[*node].leadership.authority(self.local_time(*node)).is_some()
         })
@@ -205,22 +209,22 @@
             let workers = if leads { 0 } else { 2 };
             return Status { state_age, workers, machines: 0, attests };
         }
-        let is_alone = self.partition.as_ref().is_some_and(|cut| cut.inside == [node]);
+        let is_alone = self.partition.as_ref().is_some_and(|partition| partition.inside == [node]);
         let cut_off = is_alone || self.cut_off_from_workers == Some(node);
-        // No worker has reported to a peer yet: only the leader has workers.
-        let not_yet = self.cut_off_from_workers.is_some() && !leads;
-        let workers = if cut_off || not_yet { 0 } else { 3 };
+        // Only the leader has workers: none has reported to a peer yet.
+        let has_no_workers_yet = self.cut_off_from_workers.is_some() && !leads;
+        let workers = if cut_off || has_no_workers_yet { 0 } else { 3 };
         Status { state_age, workers, machines: 3, attests }
     }
 
     // ---- faults ----
 
-    /// The node loses its process and starts a new one after `back`.
-    pub(super) fn crash(&mut self, node: usize, back: Duration) {
-        self.nodes[node].down_until = Some(self.now + back);
+    /// Ends the node's process. A new one starts after `downtime`.
+    pub(super) fn crash(&mut self, node: usize, downtime: Duration) {
+        self.nodes[node].down_until = Some(self.now + downtime);
     }
 
-    /// Cuts off these nodes, and the key-value store with them or not.
+    /// Cuts off these nodes, also from the key-value store if `cuts_off_store`.
     pub(super) fn cut_off(&mut self, inside: Vec<usize>, cuts_off_store: bool, until: Timestamp) {
         self.partition = Some(Partition { inside, cuts_off_store, until });
     }
@@ -245,12 +249,12 @@
         self.now += STEP;
         self.suspension = self.suspension.filter(|suspension| self.now < suspension.until);
         self.deliver_due();
-        for node in 0..NODES {
+        for node in 0..NODE_COUNT {
             if !self.is_suspended(node) {
                 self.tick(node);
             }
         }
-        if self.partition.as_ref().is_some_and(|cut| self.now > cut.until) {
+        if self.partition.as_ref().is_some_and(|partition| self.now > partition.until) {
             self.partition = None;
         }
         self.check_leadership();
@@ -276,7 +280,7 @@
     }
 }
 
-/// What a clock shows at this true time.
+/// The time that a clock with this base and rate shows at true time `now`.
 fn clock_time(base: u64, rate: f64, now: Timestamp) -> Timestamp {
     Timestamp::from_micros(base + (now.as_micros() as f64 * rate) as u64)
 }
--- a/src/leadership/tests/parts.rs
+++ b/src/leadership/tests/components.rs
@@ -1,6 +1,7 @@
-//! The parts of leadership by themselves: commitments, peers and the observation of the lock.
+//! Unit tests of the grants and votes that a node gives, its record of the peers, and its observation of the
+//! lock.
 
-use super::{NAMES, NODES};
+use super::{NODE_COUNT, NODE_NAMES};
 use crate::fencing_token::FencingToken;
 use crate::leadership::commitments::Commitments;
 use crate::leadership::lock_observation::LockObservation;
@@ -14,18 +15,18 @@
 const START: Timestamp = Timestamp::from_micros(1 << 45);
 /// After the restart grace.
 const NOW: Timestamp = Timestamp::from_micros(START.as_micros() + 10_000_000);
-const LOCAL: usize = 0;
+const LOCAL_NODE: usize = 0;
 
 fn commitments() -> Commitments {
-    Commitments::new(LOCAL, START)
+    Commitments::new(LOCAL_NODE, START)
 }
 
 fn peers() -> Peers {
-    Peers::new(NAMES.map(String::from).to_vec(), LOCAL)
+    Peers::new(NODE_NAMES.map(String::from).to_vec(), LOCAL_NODE)
 }
 
 fn epoch(token: FencingToken) -> Epoch {
-    Epoch { token, node: NAMES[1].into(), incarnation: 7 }
+    Epoch { token, node: NODE_NAMES[1].into(), incarnation: 7 }
 }
 
 #[test]
@@ -43,18 +44,21 @@
     for give in [Commitments::give_grant, Commitments::give_vote] {
         let mut commitments = commitments();
         give(&mut commitments, NOW, 1);
-        let ends = NOW + lengthened(limits::GRANT_DURATION);
-        assert!(commitments.permit(ends - Duration::from_micros(1), 1), "the same node may get another one");
-        assert!(!commitments.permit(ends - Duration::from_micros(1), 2));
-        assert!(commitments.exclude(ends - Duration::from_micros(1), LOCAL));
-        assert!(commitments.permit(ends, 2));
+        let expires_at = NOW + lengthened(limits::GRANT_DURATION);
+        assert!(
+            commitments.permit(expires_at - Duration::from_micros(1), 1),
+            "the same node may get another one"
+        );
+        assert!(!commitments.permit(expires_at - Duration::from_micros(1), 2));
+        assert!(commitments.exclude(expires_at - Duration::from_micros(1), LOCAL_NODE));
+        assert!(commitments.permit(expires_at, 2));
     }
 }
 
 #[test]
 fn a_withdrawn_own_vote_or_released_grant_excludes_no_node() {
     let mut commitments = commitments();
-    commitments.give_vote(NOW, LOCAL);
+    commitments.give_vote(NOW, LOCAL_NODE);
     assert!(commitments.own_vote(NOW).is_some() && !commitments.permit(NOW, 1));
     commitments.withdraw_own_vote();
     commitments.give_grant(NOW, 1);
@@ -65,17 +69,17 @@
 }
 
 #[test]
-fn a_new_leader_is_bound_by_what_it_gave_to_others_but_not_by_its_own_vote() {
+fn a_new_leader_is_bound_by_its_grant_to_another_node_but_not_by_its_own_vote() {
     let mut own_vote_only = commitments();
-    own_vote_only.give_vote(NOW, LOCAL);
+    own_vote_only.give_vote(NOW, LOCAL_NODE);
     own_vote_only.bind_leader();
     assert!(own_vote_only.own_vote_counts(NOW));
     let mut granted = commitments();
     granted.give_grant(NOW, 1);
     granted.bind_leader();
-    let ends = NOW + lengthened(limits::GRANT_DURATION);
-    assert!(!granted.own_vote_counts(ends - Duration::from_micros(1)));
-    assert!(granted.own_vote_counts(ends));
+    let expires_at = NOW + lengthened(limits::GRANT_DURATION);
+    assert!(!granted.own_vote_counts(expires_at - Duration::from_micros(1)));
+    assert!(granted.own_vote_counts(expires_at));
 }
 
 #[test]
@@ -84,7 +88,7 @@
     assert_eq!(peers.granted_until(true), Timestamp::ZERO);
     peers.record_grant(1, NOW);
     peers.record_grant(2, NOW + SECOND);
-    // Older than the one recorded.
+    // An older grant does not shorten the recorded one.
     peers.record_grant(2, NOW - SECOND);
     assert_eq!(peers.granted_until(true), NOW + SECOND + shortened(limits::GRANT_DURATION));
     assert_eq!(peers.granted_until(false), NOW + shortened(limits::GRANT_DURATION));
@@ -96,7 +100,7 @@
 
 #[test]
 fn a_single_node_is_its_own_majority() {
-    let alone = Peers::new(vec![NAMES[LOCAL].into()], LOCAL);
+    let alone = Peers::new(vec![NODE_NAMES[LOCAL_NODE].into()], LOCAL_NODE);
     assert!(alone.is_empty());
     assert_eq!(alone.granted_until(true), Timestamp::MAX);
     assert_eq!(alone.granted_until(false), Timestamp::ZERO);
@@ -108,16 +112,16 @@
     assert_eq!(peers.first_alive(NOW), None);
     let status = Status { state_age: SECOND, workers: 2, ..Status::default() };
     peers.observe_message(NOW, 2, status);
-    let ends = NOW + limits::PEER_TIMEOUT;
-    assert_eq!(peers.first_alive(ends - Duration::from_micros(1)), Some(2));
-    assert_eq!(peers.reached_by_most_workers(ends - Duration::from_micros(1)), Some(2));
+    let expires_at = NOW + limits::PEER_TIMEOUT;
+    assert_eq!(peers.first_alive(expires_at - Duration::from_micros(1)), Some(2));
+    assert_eq!(peers.reached_by_most_workers(expires_at - Duration::from_micros(1)), Some(2));
     assert_eq!(
-        peers.first_reaching_store(ends - Duration::from_micros(1), SECOND + Duration::from_micros(1)),
+        peers.first_reaching_store(expires_at - Duration::from_micros(1), SECOND + Duration::from_micros(1)),
         Some(2)
     );
-    assert_eq!(peers.first_reaching_store(ends - Duration::from_micros(1), SECOND), None);
-    assert_eq!(peers.first_alive(ends), None);
-    assert!(!peers.is_peer(LOCAL) && !peers.is_peer(NODES));
+    assert_eq!(peers.first_reaching_store(expires_at - Duration::from_micros(1), SECOND), None);
+    assert_eq!(peers.first_alive(expires_at), None);
+    assert!(!peers.is_peer(LOCAL_NODE) && !peers.is_peer(NODE_COUNT));
 }
 
 #[test]
@@ -135,7 +139,7 @@
 }
 
 #[test]
-fn the_time_of_a_free_lock_starts_anew_with_another_epoch_or_a_lost_store() {
+fn the_time_since_which_a_lock_is_free_restarts_with_another_epoch_or_a_lost_store() {
     let mut lock = LockObservation::new(START);
     let free_since = |lock: &LockObservation| lock.free().map(|free| (free.epoch_version, free.since));
     lock.record_probe(NOW, Some((epoch(FencingToken(3)), 11)), false);
@@ -143,7 +147,7 @@
     assert_eq!(free_since(&lock), Some((11, NOW)));
     lock.record_probe(NOW + 2 * SECOND, Some((epoch(FencingToken(4)), 12)), false);
     assert_eq!(free_since(&lock), Some((12, NOW + 2 * SECOND)));
-    lock.forget_free();
+    lock.forget_free_lock();
     assert_eq!(free_since(&lock), None);
     lock.record_probe(NOW + 3 * SECOND, Some((epoch(FencingToken(4)), 12)), true);
     assert_eq!(free_since(&lock), None);
@@ -151,7 +155,7 @@
 }
 
 #[test]
-fn a_reading_with_an_earlier_epoch_record_is_recognized() {
+fn a_reading_of_an_earlier_epoch_record_is_older_than_the_known_one() {
     let mut lock = LockObservation::new(START);
     assert!(!lock.is_newer_than(None));
     lock.record_own_epoch(epoch(FencingToken(5)), 20);
--- a/src/leadership/tests/election_scenarios.rs
+++ b/src/leadership/tests/election_scenarios.rs
@@ -1,8 +1,8 @@
-//! Who leads after which fault.
+//! Elections: which node leads after which fault.
 
 use super::cluster::{Cluster, Suspension};
 use super::random_duration;
-use super::{MS, NODES};
+use super::{MS, NODE_COUNT};
 use crate::fencing_token::FencingToken;
 use crate::limits::SECOND;
 
@@ -126,21 +126,21 @@
     assert_eq!(cluster.elected_tokens.len(), 1, "{:?}", cluster.elected_tokens);
 }
 
-/// The zone with the leader and a majority is cut off from the key-value store too. The nodes inside may act
-/// and keep workers alive for the bounded time only, since cancellations outside do not reach them (a node in
-/// keep-alive mode went on without end). After that time the node outside leads, without any votes.
+/// The zone with the leader and a majority of nodes is cut off, also from the key-value store. Cancellations
+/// outside do not reach the nodes inside, so these may act and keep workers alive for a bounded time only (a
+/// node in keep-alive mode once continued without end). After that time the node outside leads without votes.
 #[test]
 fn a_majority_cut_off_from_the_store_stops_and_the_node_outside_leads() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed);
         cluster.cancellation_period = 400;
-        // Until the promises that an earlier incarnation may have given have run out.
+        // Until promises that an earlier incarnation may have given have expired.
         cluster.run(12 * SECOND);
         let leader = cluster.leader().expect("a leader");
-        let outside = (leader + 1) % NODES;
-        let inside = (0..NODES).filter(|n| *n != outside).collect();
+        let outside = (leader + 1) % NODE_COUNT;
+        let inside = (0..NODE_COUNT).filter(|n| *n != outside).collect();
         cluster.cut_off(inside, true, cluster.now + 60 * SECOND);
-        // The lock lease, the bound, and the time for which the node outside waits beyond it.
+        // `LONGEST_AUTONOMY`, the lock lease, and the time for which the node outside waits beyond both.
         cluster.run(10 * SECOND + 3 * SECOND + 6 * SECOND);
         assert_eq!(cluster.leader(), Some(outside), "seed {seed}");
         let keep_alive_steps = cluster.keep_alive_steps;
@@ -155,16 +155,17 @@
     }
 }
 
-/// Nothing that a leader was about to send when it was suspended may leave under authority that has expired.
+/// A leader is suspended until its authority has expired. When it resumes, it must not send what was pending,
+/// although it has not noticed the expiry yet.
 #[test]
-fn a_suspended_leader_has_no_authority_when_it_goes_on() {
+fn a_leader_suspended_past_its_authority_has_none_when_it_resumes() {
     let mut cluster = Cluster::new(7);
     cluster.run(5 * SECOND);
     let leader = cluster.leader().expect("a leader");
     cluster.suspension = Some(Suspension { node: leader, until: cluster.now + 30 * SECOND });
     cluster.run(29 * SECOND + 900 * MS);
     let node = &cluster.nodes[leader].leadership;
-    assert!(node.is_leader(), "it has not observed it yet");
+    assert!(node.is_leader(), "the leader has noticed the expiry before its next tick");
     assert_eq!(node.authority(cluster.local_time(leader)), None);
     assert!(cluster.leader().is_some_and(|n| n != leader));
     cluster.run(SECOND);
--- a/src/leadership/tests/invariants.rs
+++ b/src/leadership/tests/invariants.rs
@@ -1,26 +1,28 @@
-//! What must hold after every step.
+//! Invariants that are checked after every step.
 
 use super::cluster::Cluster;
-use super::{AUTONOMY, NODES, WORKER_LEASE};
+use super::{LONGEST_AUTONOMY, NODE_COUNT, WORKER_LEASE};
 use crate::fencing_token::FencingToken;
 use crate::limits::{self, lengthened};
 
 impl Cluster {
-    /// Never two nodes with authority at once, nor two in keep-alive mode, and tokens rise.
+    /// Checks that at most one node has authority and at most one is in keep-alive mode, that each fencing
+    /// token belongs to one process, and that no lower token acts after a higher one.
     pub(super) fn check_leadership(&mut self) {
-        let up: Vec<usize> = (0..NODES).filter(|node| self.nodes[*node].down_until.is_none()).collect();
-        let acting: Vec<(usize, FencingToken)> = up
+        let nodes_up: Vec<usize> =
+            (0..NODE_COUNT).filter(|node| self.nodes[*node].down_until.is_none()).collect();
+        let acting: Vec<(usize, FencingToken)> = nodes_up
             .iter()
             .filter_map(|node| Some((*node, self.nodes[*node].leadership.authority(self.local_time(*node))?)))
             .collect();
         assert!(acting.len() <= 1, "two leaders at {}: {acting:?}", self.now);
-        let in_keep_alive: Vec<usize> = up
+        let in_keep_alive: Vec<usize> = nodes_up
             .into_iter()
             .filter(|node| self.nodes[*node].leadership.keep_alive_token(self.local_time(*node)).is_some())
             .collect();
         assert!(in_keep_alive.len() <= 1, "two nodes in keep-alive mode at {}: {in_keep_alive:?}", self.now);
         if let (Some((leader, _)), Some(other)) = (acting.first(), in_keep_alive.first()) {
-            // A leader beside a node in keep-alive mode must know that there may be one.
+            // A leader has to take into account that a node in keep-alive mode may renew leases.
             let now = self.local_time(*leader);
             let autonomous_until = self.nodes[*leader].leadership.autonomous_until(now);
             assert!(
@@ -33,13 +35,17 @@
         if let Some((node, token)) = acting.first() {
             self.led_steps += 1;
             let process = (*node, self.nodes[*node].process);
-            assert_eq!(*self.process_by_token.entry(*token).or_insert(process), process, "token used twice");
+            assert_eq!(
+                *self.process_by_token.entry(*token).or_insert(process),
+                process,
+                "two processes acted with one token"
+            );
             let highest = self.process_by_token.last_key_value().map(|(token, _)| *token);
-            assert_eq!(highest, Some(*token), "an old token acts again");
+            assert_eq!(highest, Some(*token), "a leader acts with a token lower than the highest");
         }
     }
 
-    /// A leader that counts a lease as expired is right.
+    /// Checks that each worker lease that the leader counts as expired has expired.
     pub(super) fn check_expired_leases(&mut self) {
         let Some(leader) = self.leader().filter(|node| self.is_running(*node)) else { return };
         let now = self.local_time(leader);
@@ -47,7 +53,7 @@
         let ledger = &mut self.nodes[leader].ledger;
         ledger.leases_begin_no_earlier_than(autonomous_until);
         let lease = lengthened(WORKER_LEASE) + limits::LEASE_MARGIN;
-        let covered_until = ledger.covered_until(now, lengthened(AUTONOMY) + lease);
+        let covered_until = ledger.covered_until(now, lengthened(LONGEST_AUTONOMY) + lease);
         for (number, worker) in self.workers.iter().enumerate() {
             let renewal = ledger.last_renewal(number);
             if now.min(covered_until) < renewal.at_leader + lease {
--- a/src/leadership/tests/key_value_store.rs
+++ b/src/leadership/tests/key_value_store.rs
@@ -1,6 +1,7 @@
-//! A stand-in for the key-value store, as far as leadership uses it: epoch, lock, leases and live jobs.
+//! An in-memory substitute for the key-value store with what leadership uses: epoch, lock, leases and live
+//! jobs.
 
-use super::NAMES;
+use super::NODE_NAMES;
 use crate::fencing_token::FencingToken;
 use crate::leadership::{Action, StoreResponse};
 use crate::limits;
@@ -17,16 +18,16 @@
     revision: u64,
     /// The epoch and the revision that wrote it.
     epoch: Option<(Epoch, u64)>,
-    /// Lease that the lock is attached to.
+    /// Id of the lease that the lock is attached to.
     lock: Option<u64>,
-    /// Lease id to the time at which the lease ends.
+    /// By lease id, the time at which the lease expires.
     leases: BTreeMap<u64, Timestamp>,
     last_lease: u64,
     pub(super) live_jobs: BTreeSet<JobId>,
     pub(super) last_job: u64,
 }
 
-/// Who sent a request, and when.
+/// The sender and the send time of a request.
 pub(super) struct Request {
     pub(super) node: usize,
     pub(super) incarnation: u64,
@@ -39,14 +40,14 @@
         KeyValueStore { revision: 1, ..KeyValueStore::default() }
     }
 
-    /// Carries out what a node requests.
+    /// Carries out a request of a node.
     pub(super) fn apply(&mut self, now: Timestamp, action: Action, request: Request) -> StoreResponse {
         self.expire_leases(now);
         match action {
             Action::Probe => StoreResponse::Probed { epoch: self.epoch.clone(), locked: self.lock.is_some() },
             Action::TakeOver { token, version, ignore_lock } => {
-                let present = self.epoch.as_ref().map_or(0, |(_, version)| *version);
-                if present != version || !ignore_lock && self.lock.is_some() {
+                let current_version = self.epoch.as_ref().map_or(0, |(_, version)| *version);
+                if current_version != version || !ignore_lock && self.lock.is_some() {
                     return StoreResponse::TakeoverFailed { lease: None };
                 }
                 self.take_over(now, token, request)
@@ -74,7 +75,7 @@
         let lease = self.last_lease;
         self.leases.insert(lease, now + LOCK_LEASE);
         self.lock = Some(lease);
-        let epoch = Epoch { token, node: NAMES[request.node].into(), incarnation: request.incarnation };
+        let epoch = Epoch { token, node: NODE_NAMES[request.node].into(), incarnation: request.incarnation };
         self.epoch = Some((epoch, self.revision));
         StoreResponse::TakeoverCommitted { lease, version: self.revision, lease_sent: request.sent }
     }
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -1,6 +1,6 @@
-//! What a leader accounts for of workers' leases, counted as the scheduler does (`Scheduler::expire`).
+//! A leader's record of worker leases, by the same rules as the scheduler's (`Scheduler::expire_leases`).
 
-use super::AUTONOMY;
+use super::LONGEST_AUTONOMY;
 use crate::fencing_token::FencingToken;
 use crate::lease::shard::ShardHeartbeat;
 use crate::limits::lengthened;
@@ -8,31 +8,32 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A response that renewed a worker's lease.
+/// The time of a renewal of a worker lease, or of the arrival of a shard heartbeat, on two clocks.
 #[derive(Clone, Copy)]
 pub(super) struct Renewal {
-    /// On the leader's clock.
+    /// Time on the leader's clock.
     pub(super) at_leader: Timestamp,
-    /// In true time.
+    /// The same time in true time.
     pub(super) at: Timestamp,
 }
 
-/// What a leader knows of a leaseholder. Times on the leader's clock.
+/// What a leader knows of a leaseholder. Times are on the leader's clock.
 #[derive(Default)]
 struct LeaseholderRecord {
-    /// The leader knows every response that the leaseholder gave before then.
+    /// Up to this time the leader knows every response that the leaseholder gave.
     covered_until: Timestamp,
     last_heartbeat_at: Timestamp,
 }
 
-/// A leader's account of all workers' leases.
+/// A leader's record of all workers' leases.
 #[derive(Default)]
 pub(super) struct LeaseLedger {
     token: FencingToken,
-    /// In true time.
+    /// When the leader was elected, in true time.
     elected_at: Timestamp,
-    /// Leases of workers without a later renewal are counted from then, on the leader's clock.
-    floor: Timestamp,
+    /// Leases of workers without a later renewal are assumed to have begun at this time, on the leader's
+    /// clock.
+    assumed_lease_start: Timestamp,
     /// By worker.
     renewals: BTreeMap<usize, Renewal>,
     /// By node.
@@ -41,8 +42,8 @@
 
 impl LeaseLedger {
     pub(super) fn new(token: FencingToken, elected_at: Timestamp, leader_time: Timestamp) -> Self {
-        let floor = leader_time + lengthened(AUTONOMY);
-        LeaseLedger { token, elected_at, floor, ..LeaseLedger::default() }
+        let assumed_lease_start = leader_time + lengthened(LONGEST_AUTONOMY);
+        LeaseLedger { token, elected_at, assumed_lease_start, ..LeaseLedger::default() }
     }
 
     pub(super) fn token(&self) -> FencingToken {
@@ -50,29 +51,30 @@
     }
 
     pub(super) fn leases_begin_no_earlier_than(&mut self, time: Timestamp) {
-        self.floor = self.floor.max(time);
+        self.assumed_lease_start = self.assumed_lease_start.max(time);
     }
 
-    /// Until when every leaseholder that may still renew leases is covered. `validity`: of a shard lease and
-    /// the worker leases that it may have renewed.
+    /// The time up to which the leader knows every response of the leaseholders that may still renew leases.
+    /// `validity`: for how long after its last shard heartbeat the shard lease of a leaseholder, and worker
+    /// leases renewed under it, may run.
     pub(super) fn covered_until(&self, now: Timestamp, validity: Duration) -> Timestamp {
         let records = self.leaseholders.values();
-        let open = records.filter(|record| now < record.last_heartbeat_at + validity);
-        open.map(|record| record.covered_until).min().unwrap_or(Timestamp::MAX)
+        let unexpired = records.filter(|record| now < record.last_heartbeat_at + validity);
+        unexpired.map(|record| record.covered_until).min().unwrap_or(Timestamp::MAX)
     }
 
     /// The last time at which the worker's lease may have begun.
     pub(super) fn last_renewal(&self, worker: usize) -> Renewal {
         let unknown = Renewal { at_leader: Timestamp::ZERO, at: self.elected_at };
         let renewal = self.renewals.get(&worker).copied().unwrap_or(unknown);
-        Renewal { at_leader: renewal.at_leader.max(self.floor), at: renewal.at }
+        Renewal { at_leader: renewal.at_leader.max(self.assumed_lease_start), at: renewal.at }
     }
 
     pub(super) fn record_renewal(&mut self, worker: usize, renewal: Renewal) {
         self.renewals.insert(worker, renewal);
     }
 
-    /// A shard heartbeat arrived, which echoes the leader's heartbeat of `stamp`.
+    /// Records the arrival of a shard heartbeat, which echoes `stamp` of the leader's heartbeat.
     pub(super) fn record_shard_heartbeat(
         &mut self,
         node: usize,
--- a/src/leadership/tests/mod.rs
+++ b/src/leadership/tests/mod.rs
@@ -1,25 +1,25 @@
-//! Leadership of three controllers in a small simulated network: drifting clocks, delayed, repeated and
-//! reordered messages, crashes that lose all state, store outages and refusals, in virtual time with fixed
-//! seeds.
+//! Leadership of three controllers in a simulated network: drifting clocks, delayed, repeated and reordered
+//! messages, crashes that lose all state, store outages and refusals, in virtual time with fixed seeds.
 //!
-//! - `cluster`: the nodes, their clocks and what is wrong at present;
-//! - `network`: what is under way between nodes and the key-value store;
-//! - `key_value_store`: the stand-in for the store;
+//! - `cluster`: the nodes, their clocks and the active faults;
+//! - `network`: messages in transit between nodes, and to and from the key-value store;
+//! - `key_value_store`: an in-memory substitute for the store;
 //! - `workers`: workers, leaseholders and jobs;
-//! - `lease_ledger`: the leader's account of workers' leases;
-//! - `invariants`: what must hold after every step;
+//! - `lease_ledger`: the leader's record of worker leases;
+//! - `invariants`: checks after every step;
 //! - `faults`: random faults;
-//! - `election_scenarios`, `cancellation_scenarios`, `single_node`, `parts`: the tests.
+//! - `election_scenarios`, `cancellation_scenarios`: tests in the simulated cluster;
+//! - `single_node`, `components`: tests without a network.
 
 mod cancellation_scenarios;
 mod cluster;
+mod components;
 mod election_scenarios;
 mod faults;
 mod invariants;
 mod key_value_store;
 mod lease_ledger;
 mod network;
-mod parts;
 mod single_node;
 mod workers;
 
@@ -33,21 +33,24 @@
 
 /// One millisecond.
 const MS: Duration = Duration::from_millis(1);
-const NODES: usize = 3;
-const NAMES: [&str; NODES] = ["a", "b", "c"];
-/// How long workers may be kept alive without news of cancellations.
-const AUTONOMY: Duration = Duration::from_secs(10);
+const NODE_COUNT: usize = 3;
+const NODE_NAMES: [&str; NODE_COUNT] = ["a", "b", "c"];
+/// How long workers may be kept alive beyond the moment up to which every cancellation is known, the lock
+/// lease aside.
+const LONGEST_AUTONOMY: Duration = Duration::from_secs(10);
 /// The lease of a worker.
 const WORKER_LEASE: Duration = Duration::from_secs(10);
-/// The tasks of a cancelled job must be gone this long after the user was told: `limits::longest_autonomy`
-/// solved for `cancel_s`.
-const CANCELLATION_DEADLINE: Duration = AUTONOMY
+/// How long tasks of a cancelled job may run after the cancellation was confirmed to the user:
+/// `limits::longest_autonomy` solved for `cancel_s`.
+const CANCELLATION_DEADLINE: Duration = LONGEST_AUTONOMY
     .saturating_add(WORKER_LEASE)
     .saturating_add(limits::LOCK_LEASE)
     .saturating_add(limits::LEASE_MARGIN)
     .saturating_add(SECOND);
-const BOUNDS: CancellationBounds =
-    CancellationBounds { longest_autonomy: AUTONOMY, retention: CANCELLATION_DEADLINE.saturating_mul(2) };
+const BOUNDS: CancellationBounds = CancellationBounds {
+    longest_autonomy: LONGEST_AUTONOMY,
+    retention: CANCELLATION_DEADLINE.saturating_mul(2),
+};
 
 /// A random duration of whole microseconds.
 fn random_duration(rng: &mut SmallRng, range: Range<Duration>) -> Duration {
--- a/src/leadership/tests/network.rs
+++ b/src/leadership/tests/network.rs
@@ -1,5 +1,5 @@
-//! The network between the nodes and the key-value store: carries out actions, and delivers what is under way
-//! late, twice or not at all.
+//! The simulated network between the nodes and the key-value store: carries out actions, and delivers
+//! messages late, twice or not at all.
 
 use super::cluster::Cluster;
 use super::key_value_store::Request;
@@ -15,7 +15,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What is under way.
+/// A message in transit.
 pub(super) enum Delivery {
     Message {
         from: usize,
@@ -40,15 +40,15 @@
         process: u64,
         response: StoreResponse,
     },
-    /// The live jobs as the key-value store had them, for a request that was sent then.
+    /// The live jobs as the key-value store had them when the node requested them at `sent`.
     LiveJobs {
         node: usize,
         process: u64,
         sent: Timestamp,
         live: BTreeSet<JobId>,
     },
-    /// A job that the node's transaction cancelled. The node confirms it to the user when the response
-    /// arrives.
+    /// The response to the node's transaction that cancelled a job. On its arrival the node confirms the
+    /// cancellation to the user.
     CancellationCommitted {
         node: usize,
         process: u64,
@@ -69,7 +69,7 @@
         random_duration(&mut self.rng, MS..12 * MS)
     }
 
-    /// What a partition holds back arrives after it, and some frames arrive twice.
+    /// Frames that a partition holds back arrive after its end, and some frames arrive twice.
     fn send_to_peer(&mut self, from: usize, to: usize, delivery: impl Fn() -> Delivery) {
         let held_back = match &self.partition {
             Some(partition) if self.are_partitioned(from, to) => partition.until.since(self.now),
@@ -99,7 +99,7 @@
                 Action::Elected { token, version: _ } => {
                     self.elected_tokens.push(token);
                     self.nodes[node].ledger = LeaseLedger::new(token, self.now, self.local_time(node));
-                    // It loads its state before it knows anything by its own reading.
+                    // The leader has not read the live jobs in this term yet.
                     self.nodes[node].jobs_read_at = Timestamp::ZERO;
                 }
                 Action::Deposed { keep_until } => {
@@ -144,7 +144,7 @@
                 | Delivery::CancellationCommitted { .. } => None,
             };
             match self.suspension.filter(|suspension| Some(suspension.node) == receiver) {
-                // What arrives while a node stands still is there when it goes on.
+                // A response or message for a suspended node is delivered when the node resumes.
                 Some(suspension) => self.send(suspension.until.since(self.now), delivery),
                 None => self.deliver(delivery),
             }
@@ -173,7 +173,7 @@
                 self.apply_actions(to, outcome.actions);
             }
             Delivery::StoreRequest { node, process, action, sent } => {
-                // The response to a process that has ended is lost, but the change stands.
+                // The response to a process that has ended is lost, but the transaction remains in effect.
                 let incarnation = self.nodes[node].leadership.incarnation;
                 let response = self.store.apply(self.now, action, Request { node, incarnation, sent });
                 let delay = self.random_delay();
@@ -196,7 +196,7 @@
             return;
         }
         let now = self.local_time(node);
-        // A response that does not arrive is given up.
+        // A response that does not arrive fails its request.
         let lost = !self.reaches_store(node);
         let response = match response {
             StoreResponse::TakeoverCommitted { .. } | StoreResponse::TakeoverFailed { .. } if lost => {
@@ -224,7 +224,7 @@
     }
 
     fn confirm_cancellation(&mut self, node: usize, process: u64, job_id: JobId) {
-        // Without a response no user is told.
+        // Without a response the node confirms nothing to the user.
         if self.nodes[node].process != process || !self.reaches_store(node) {
             return;
         }
@@ -234,7 +234,7 @@
         if outcome.is_permitted {
             self.confirmed.entry(job_id).or_insert(self.now);
         } else {
-            // The user asks again.
+            // The user retries.
             self.send(SECOND, Delivery::CancellationCommitted { node, process, job_id });
         }
     }
--- a/src/leadership/tests/single_node.rs
+++ b/src/leadership/tests/single_node.rs
@@ -1,6 +1,7 @@
-//! One node alone: its answers to messages and responses that are hard to produce in the simulated cluster.
+//! Tests of one node without a network: its reactions to messages and responses that are hard to produce in
+//! the simulated cluster.
 
-use super::{BOUNDS, NAMES};
+use super::{BOUNDS, NODE_NAMES};
 use crate::fencing_token::FencingToken;
 use crate::leadership::{Action, Leadership, Message, Status, StoreResponse};
 use crate::lease::cancellation_log::CancellationBounds;
@@ -11,7 +12,7 @@
 
 #[test]
 fn a_vote_that_echoes_an_earlier_incarnation_is_ignored() {
-    let names = NAMES.map(String::from).to_vec();
+    let names = NODE_NAMES.map(String::from).to_vec();
     let now = Timestamp::from_micros(1 << 45);
     let mut node = Leadership::new(
         names,
@@ -21,7 +22,8 @@
         CancellationBounds { longest_autonomy: SECOND, retention: Duration::ZERO },
         0,
     );
-    // The echo of a clock that began elsewhere: later than ours, or long past.
+    // The earlier incarnation's clock had another origin, so its stamps lie in the future of the new clock or
+    // far in the past.
     let later = now + Duration::from_micros(1);
     for echo in [now + Duration::from_micros(9), now - 10 * SECOND] {
         assert_eq!(node.handle_message(later, 1, 7, Status::default(), Message::Vote { echo }), []);
@@ -29,12 +31,12 @@
     assert!(node.votes_until(later) <= later);
 }
 
-/// A node resumes its own epoch without votes. What it granted to a node in keep-alive mode a moment ago
-/// still binds it. With its own vote and one grant it took itself for backed by a majority, and counted
+/// A node resumes its own epoch without votes, while its grant to a node in keep-alive mode still runs.
+/// Guards against counting its own vote then: with that vote and one grant it assumed a majority, and counted
 /// worker leases as expired.
 #[test]
 fn a_resumed_leader_does_not_count_its_own_vote_while_its_grant_to_another_runs() {
-    let names = NAMES.map(String::from).to_vec();
+    let names = NODE_NAMES.map(String::from).to_vec();
     let started_at = Timestamp::from_micros(1 << 45);
     let mut node = Leadership::new(names, 0, 2, started_at, BOUNDS, 0);
     let now = started_at + 2 * limits::GRANT_DURATION;
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -1,10 +1,10 @@
-//! Workers, leaseholders and jobs around the three controllers.
+//! Simulated workers, leaseholders and jobs around the three controllers.
 
 use super::cluster::Cluster;
 use super::lease_ledger::Renewal;
 use super::network::Delivery;
 use super::random_duration;
-use super::{CANCELLATION_DEADLINE, MS, NODES, WORKER_LEASE};
+use super::{CANCELLATION_DEADLINE, MS, NODE_COUNT, WORKER_LEASE};
 use crate::fencing_token::FencingToken;
 use crate::leadership::FollowedLeader;
 use crate::limits::{self, SECOND};
@@ -14,11 +14,11 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// A worker, of which only its lease matters: all its tasks end with it.
+/// A worker, reduced to its lease and tasks: all tasks end with the lease.
 pub(super) struct Worker {
-    /// Node that it reports to.
+    /// Number of the node that it reports to.
     node: usize,
-    /// Node whose side of a partition it is on.
+    /// Number of the node on whose side of a partition it is.
     home: usize,
     pub(super) agent_epoch: u64,
     /// When this agent epoch began, in true time.
@@ -27,12 +27,12 @@
     token: FencingToken,
     pub(super) lease_until: Timestamp,
     next_report_at: Timestamp,
-    /// Jobs of which it has a task.
+    /// Jobs that it runs a task of.
     tasks: BTreeSet<JobId>,
 }
 
 impl Worker {
-    /// A worker that has just started on this node's side, with a lease.
+    /// A worker that has just started on the side of `node`, with a lease.
     pub(super) fn new(node: usize) -> Self {
         Worker {
             node,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Its lease ended, and all its tasks with it.
+    /// Starts the next agent epoch: the lease has expired, and all tasks have ended with it.
     fn restart(&mut self, now: Timestamp) {
         self.agent_epoch += 1;
         self.agent_epoch_began_at = now;
@@ -93,11 +93,11 @@
 }
 
 impl Cluster {
-    /// Six workers, two on each node's side, and jobs that are submitted and cancelled.
+    /// A cluster with six workers, two on the side of each node, and jobs that are submitted and cancelled.
     pub(super) fn with_workers(seed: u64, cancellation_period: u32) -> Self {
         let mut cluster = Cluster::new(seed);
         cluster.cancellation_period = cancellation_period;
-        cluster.workers = (0..6).map(|number| Worker::new(number % NODES)).collect();
+        cluster.workers = (0..6).map(|number| Worker::new(number % NODE_COUNT)).collect();
         cluster
     }
 
@@ -105,12 +105,13 @@
         self.workers.iter().map(|worker| worker.agent_epoch).collect()
     }
 
-    /// Jobs are submitted and cancelled, and every node reads which are live.
+    /// Lets every node that reaches the key-value store read the live jobs when due, and submits and cancels
+    /// jobs at random.
     pub(super) fn run_jobs(&mut self) {
         if self.cancellation_period == 0 {
             return;
         }
-        for node in 0..NODES {
+        for node in 0..NODE_COUNT {
             if !self.reaches_store(node) {
                 continue;
             }
@@ -133,7 +134,7 @@
         self.send(delay, Delivery::LiveJobs { node, process, sent: now, live });
     }
 
-    /// Every worker that the leader reaches gets a task of every job.
+    /// Submits a job, and gives a task of it to every worker that the leader reaches.
     fn submit_job(&mut self) {
         self.store.last_job += 1;
         let job_id = JobId(self.store.last_job);
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The newest jobs are not cancelled: some nodes have not read them yet.
+    /// Cancels the oldest live job while more than four are live: some nodes have not read the newest ones yet.
     fn cancel_oldest_job(&mut self, node: usize) {
         if self.store.live_jobs.len() <= 4 {
             return;
@@ -157,9 +158,9 @@
         self.send(delay, Delivery::CancellationCommitted { node, process, job_id });
     }
 
-    /// Leaseholders send shard heartbeats to the leader. These and their acknowledgements may be lost.
+    /// Sends the leaseholders' shard heartbeats to the leader. These and their acknowledgements may be lost.
     pub(super) fn run_leaseholders(&mut self) {
-        for node in 0..NODES {
+        for node in 0..NODE_COUNT {
             if self.is_running(node) {
                 self.run_leaseholder(node);
             }
@@ -214,13 +215,14 @@
             }
             Some(_) => {}
             None => {
-                worker.node = (node + 1) % NODES;
+                worker.node = (node + 1) % NODE_COUNT;
                 worker.next_report_at = self.now + if is_cut_off { 5 * SECOND } else { SECOND };
             }
         }
     }
 
-    /// Checked when a worker reports, after the last response had its effect.
+    /// Checks that the worker runs no task past `CANCELLATION_DEADLINE`. Called when it reports, so that its
+    /// last response has taken effect.
     fn check_cancelled_tasks_ended(&self, number: usize) {
         for (job_id, confirmed_at) in &self.confirmed {
             let runs = self.workers[number].tasks.contains(job_id);
@@ -231,7 +233,7 @@
         }
     }
 
-    /// The node's response to the worker's heartbeat, if it may give one.
+    /// The node's response to the worker's heartbeat. None: it may not give one.
     fn report_to(&mut self, number: usize, node: usize) -> Option<WorkerResponse> {
         let now = self.local_time(node);
         let heartbeat = self.workers[number].heartbeat(number.to_string());
@@ -267,7 +269,7 @@
         None
     }
 
-    /// The leader's response to a heartbeat that the node relays.
+    /// The leader's response to a heartbeat that the node relays. None: the leader gives none.
     fn relay(
         &mut self,
         number: usize,
@@ -312,7 +314,7 @@
             return Some(Vec::new());
         }
         let (now, cancellations) = (self.local_time(node), &self.nodes[node].leadership.cancellations);
-        // It stops the tasks that it has no job for, as the scheduler does.
+        // Like the scheduler, the leader also stops tasks whose job it does not know.
         let orphaned = heartbeat.tasks.iter().filter(|task| !cancellations.is_live(task.id.job_id));
         let stop =
             |task: &ReportedTask| TaskCommand::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 };
