--- a/src/leadership/lock_observation.rs
+++ b/src/leadership/lock_observation.rs
@@ -75,8 +75,8 @@
         self.probed_at.is_some_and(|at| now < at + limits::PROBE_INTERVAL) && !self.locked
     }
 
-    /// The lock, if all readings since its release showed it free. None: held, or not known to be free
-    /// throughout.
+    /// The lock, if the last reading showed it free and the key-value store has not been lost since. None:
+    /// held, or not known.
     pub(super) fn free(&self) -> Option<FreeLock> {
         self.free
     }
@@ -107,7 +107,7 @@
         self.next_probe_at = now;
     }
 
-    /// Whether this node knows a later version of the epoch record than this one.
+    /// Whether this node knows a later version of the epoch record than `epoch`.
     pub(super) fn is_newer_than(&self, epoch: Option<&(Epoch, u64)>) -> bool {
         match (epoch, &self.epoch) {
             (Some((_, read)), Some(known)) => *read < known.version,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -44,7 +44,7 @@
 /// The leadership state of one controller node.
 #[derive(Debug)]
 pub struct Leadership {
-    /// Random number of this process.
+    /// Random number that identifies this process.
     incarnation: u64,
     role: Role,
     peers: Peers,
--- a/src/leadership/tests/cluster.rs
+++ b/src/leadership/tests/cluster.rs
@@ -78,8 +78,8 @@
     pub(super) first_workers_at_peers: bool,
 
     pub(super) workers: Vec<Worker>,
-    /// In each step, a node that reaches the key-value store cancels a job with a probability of one in this
-    /// number; zero: never.
+    /// In each step, a node that reaches the key-value store cancels the oldest job with a probability of one
+    /// in this number; zero: never.
     pub(super) cancellation_period: u32,
     /// Cancelled jobs, and when the cancellation was confirmed to the user, in true time.
     pub(super) confirmed: BTreeMap<JobId, Timestamp>,
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Cancels the oldest live job while more than four are live: some nodes have not read the newest ones yet.
+    /// Cancels the oldest live job while more than four are live: some nodes have not read the newest ones
+    /// yet.
     fn cancel_oldest_job(&mut self, node: usize) {
         if self.store.live_jobs.len() <= 4 {
             return;
