--- a/src/fencing_token.rs
+++ b/src/fencing_token.rs
@@ -1,10 +1,11 @@
-//! The number of a leadership.
+//! Fencing tokens: the numbers of leaders' terms, in frames between nodes, responses to workers and stored
+//! records.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A fencing token: the number of a leadership. Each new leader takes a higher one, and whoever has seen a token refuses
-/// what comes under a lower one.
+/// A fencing token: the number of a leader's term. Each new leader takes a higher one, and a node or worker
+/// that has seen a token rejects messages with a lower one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FencingToken(pub u64);
--- a/src/fleet_limits.rs
+++ b/src/fleet_limits.rs
@@ -1,81 +1,88 @@
-//! Warns operators of settings that are too small for the fleet. The service works on, and each warning says once what
-//! the setting costs. The settings name no number of machines, so this shows only when the machines are there.
+//! Warns operators of settings that are too small for the fleet. The service keeps working, and each warning
+//! is logged once with the consequence. The settings name no number of machines, so the check is possible
+//! only while the service runs. Called by the leader's `controller::health`.
 
 use crate::limits;
 use crate::settings::Deployment;
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// Processor time of one heartbeat, in seconds of a full core. Measured on simulated machines: a third of 4,000 workers
-/// that heartbeat every 2.5 s take 0.07 of a core of a controller that does not lead.
+/// Processor time of one heartbeat, in seconds of a full core: a third of 4,000 workers that send a heartbeat
+/// every 2.5 s take 0.07 of a core of a controller that does not lead.
 const HEARTBEAT_CPU_S: f64 = 0.000_15;
 /// Memory of a process without machines, in MB.
 const BASE_MEMORY_MB: f64 = 24.0;
-/// Memory of a process for each machine of the fleet, in MB. Measured: 80 MB at 4,000 machines.
+/// Memory of a process for each machine of the fleet, in MB: a process takes 80 MB at 4,000 machines.
 const MACHINE_MEMORY_MB: f64 = 0.015;
-/// The longest that recording all machines, or reading the whole machine list, should take, in seconds.
+/// The longest time that recording all machines, or reading the whole machine list, should take, in seconds.
 const MAX_PASS_S: f64 = 30.0;
 
 /// A setting that is too small.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SmallLimit {
-    /// Its field in the platform's settings.
+    /// Its path in the platform's settings.
     pub field: &'static str,
-    /// What the deployment suffers from it.
-    pub cost: &'static str,
+    /// What goes wrong in the deployment because of it.
+    pub consequence: &'static str,
 }
 
 /// The settings that are too small for a fleet of this many machines.
 pub fn too_small(machines: usize, deployment: &Deployment) -> Vec<SmallLimit> {
-    let fleet = machines as f64;
+    let machine_count = machines as f64;
     let resources = &deployment.resources;
-    let records = fleet / limits::record_machines(deployment.state.value_kb) as f64;
-    let writes = deployment.state.write_rps * limits::LEADER_WRITE_SHARE;
-    let pages = fleet / f64::from(limits::MACHINE_LIST_PAGE_SIZE);
-    let rules = [
+    let records = machine_count / limits::record_machines(deployment.state.value_kb) as f64;
+    let leader_writes_per_s = deployment.state.write_rps * limits::LEADER_WRITE_SHARE;
+    let pages = machine_count / f64::from(limits::MACHINE_LIST_PAGE_SIZE);
+    // Whether the setting is too small, its path, and the consequence.
+    let checks = [
         (
             resources.max_sockets < machines,
             "deployment.resources.max_sockets",
-            "one controller can't serve every worker: while the others are away, leases of the rest run out",
+            "one controller can't serve every worker: while the others are down, some workers' leases expire",
         ),
         (
-            resources.memory_mb < BASE_MEMORY_MB + fleet * MACHINE_MEMORY_MB,
+            resources.memory_mb < BASE_MEMORY_MB + machine_count * MACHINE_MEMORY_MB,
             "deployment.resources.memory_mb",
-            "a controller may be ended for memory when it leads",
+            "the leader may be killed for exceeding its memory limit",
         ),
         (
-            resources.cpu < fleet / deployment.workers.report_s * HEARTBEAT_CPU_S,
+            resources.cpu < machine_count / deployment.workers.report_s * HEARTBEAT_CPU_S,
             "deployment.resources.cpu",
-            "one controller can't answer every worker in time: while the others are away, starts and answers wait",
+            "one controller can't keep up: while the others are down, responses and task starts are late",
         ),
         (
-            records / writes > MAX_PASS_S,
+            records / leader_writes_per_s > MAX_PASS_S,
             "deployment.state.write_rps",
-            "new machines wait for their record before they get work",
+            "recording all machines takes too long: new machines get no tasks until they are recorded",
         ),
         (
             pages * limits::MACHINE_LIST_PACE / deployment.cloud.rps > MAX_PASS_S,
             "deployment.cloud.rps",
-            "the machine list takes long to read: machines that the cloud took are noticed late",
+            "reading the machine list takes too long: machines that the cloud reclaimed are noticed late",
         ),
     ];
-    let small = rules.into_iter().filter(|(small, ..)| *small);
-    small.map(|(_, field, cost)| SmallLimit { field, cost }).collect()
+    let failed = checks.into_iter().filter(|(is_too_small, ..)| *is_too_small);
+    failed.map(|(_, field, consequence)| SmallLimit { field, consequence }).collect()
 }
 
-/// Logs a warning of each setting that is too small, once.
+/// Logs one warning for each setting that is too small.
 #[derive(Debug, Default)]
 pub struct LimitWarnings(BTreeSet<SmallLimit>);
 
 impl LimitWarnings {
-    /// Checks the settings against the present number of machines; returns the number of new warnings.
+    /// Checks the settings against the current number of machines. Returns the number of new warnings.
     pub fn judge(&mut self, machines: usize, deployment: &Deployment) -> usize {
-        let before = self.0.len();
+        let warned_before = self.0.len();
         for limit in too_small(machines, deployment) {
             if self.0.insert(limit) {
-                warn!(field = limit.field, machines, cost = limit.cost, "setting too small for the fleet");
+                warn!(
+                    setting = limit.field,
+                    machines,
+                    consequence = limit.consequence,
+                    "setting too small for the fleet"
+                );
             }
         }
-        self.0.len() - before
+        self.0.len() - warned_before
     }
 }
--- a/src/lease/cancellation_log.rs
+++ b/src/lease/cancellation_log.rs
@@ -1,20 +1,23 @@
-//! Which jobs are cancelled, as far as this node knows, and up to when it knows every cancellation.
+//! Records the cancelled jobs that this node knows, and up to when it knows every cancellation.
 //!
-//! A response to a worker keeps alive what runs there. A cancellation that was confirmed to a user must reach every
-//! task within `cancel_s`, whichever node leads, is a leaseholder, is in keep-alive mode or has led by then, and
-//! whatever fails. So one rule holds for all of them: a node responds to workers only for a bounded time after the
-//! moment up to which it knows every cancellation, and each response contains the stop commands that it knows of.
+//! [`crate::leadership::Leadership`] owns the log. The controller's event loop reads it for each response to
+//! a worker.
 //!
-//! That moment has two proofs, and the later one counts:
-//! 1. the key-value store: a copy of the live jobs, read by a request that was sent at that moment;
-//! 2. the attestations of all other members, each counted by itself: everything that the member confirmed to users is
-//!    known here up to the moment at which the heartbeat was sent that its attestation answers. An attestation covers
-//!    the incarnation that gives it and no more, since a member that has restarted does not know what its earlier
-//!    incarnation confirmed. Attestations must therefore follow one another without a gap. A member that has lost the
-//!    key-value store also promises to confirm nothing for a while that this node has not acknowledged. Its
-//!    attestation covers that time too, a restart within it included.
+//! A response to a worker keeps the tasks there alive. A cancellation that was confirmed to a user must reach
+//! every task within `cancel_s`, whatever fails, and whether the responding node is the leader, a
+//! leaseholder, in keep-alive mode or a former leader. One rule therefore applies to all of them: a node
+//! responds to workers only for a bounded time after the time up to which it knows every cancellation, and
+//! each response contains the stop commands for the cancellations that the node knows.
 //!
-//! [`crate::leadership::Leadership`] owns the log. The controller's event loop reads it for each response to a worker.
+//! The time up to which a node knows every cancellation has two proofs, and the later one applies:
+//! 1. the key-value store: a copy of the live jobs. Its time is when the request that read them was sent;
+//! 2. the attestations of all other members. Each member's attestation proves that this node knows every
+//!    cancellation that the member confirmed to users before this node sent the heartbeat which the
+//!    attestation answers; the earliest of these times applies. An attestation covers only the incarnation
+//!    that gives it, since a restarted member does not know what its earlier incarnation confirmed.
+//!    Attestations must therefore follow one another without a gap. A member that has lost the key-value
+//!    store also promises that for a while it will confirm no cancellation that this node has not
+//!    acknowledged. Its attestation covers that time too, even if the member restarts within it.
 
 use super::cancellation_log_member::Member;
 use crate::limits::{self, shortened};
@@ -24,16 +27,17 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
-/// What a member attests of the cancellations that it confirmed, in answer to a heartbeat of the receiver's.
+/// What a member states about the cancellations that it confirmed, in answer to a heartbeat of the receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Attestation {
-    /// The incarnation of the receiver that it is for.
+    /// The incarnation of the receiver for which it is valid.
     pub for_incarnation: u64,
-    /// The stamp of the heartbeat that it answers, on the receiver's clock.
+    /// Send time of the heartbeat that it answers, on the receiver's clock.
     pub echo: Timestamp,
-    /// How long the sender's incarnation has lasted.
+    /// How long the sender's process has been running.
     pub incarnation_age: Duration,
-    /// For `limits::CONFIRMATION_SUSPENSION` the sender confirms nothing that the receiver has not acknowledged.
+    /// Whether the sender promises to confirm no cancellation that the receiver has not acknowledged, for
+    /// `limits::CONFIRMATION_SUSPENSION`.
     pub confirmations_suspended: bool,
     /// The highest number of the receiver's own cancellations that the sender knows.
     pub acknowledged: u64,
@@ -43,49 +47,51 @@
     pub cancelled: Vec<u64>,
 }
 
-/// Durations that bound what a node may do without news of cancellations. Both follow from the settings.
+/// Durations that follow from the settings and bound how long a node may act without news of cancellations,
+/// and how long it remembers them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancellationBounds {
-    /// How long workers may be kept alive beyond the moment up to which every cancellation is known, the lock lease
-    /// aside ([`limits::longest_autonomy`]).
+    /// How long workers may be kept alive beyond the time up to which every cancellation is known, not
+    /// counting the lock lease ([`limits::longest_autonomy`]).
     pub longest_autonomy: Duration,
     /// How long a cancellation is remembered ([`limits::cancellation_retention`]).
     pub retention: Duration,
 }
 
-/// Whether this node has access to the key-value store, as its attestations state it.
+/// Whether this node has access to the key-value store. Decides whether its attestations suspend
+/// confirmations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreAccess {
-    /// The store answers.
+    /// The store responds.
     Available,
-    /// The store has not answered for `limits::CONFIRMATION_SUSPENSION_DELAY`: confirmations are suspended.
+    /// The store has not responded for `limits::CONFIRMATION_SUSPENSION_DELAY`: confirmations are suspended.
     Lost,
 }
 
-/// What became of a request to confirm a cancellation to a user.
+/// The result of a request to confirm a cancellation to a user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use = "a cancellation may be confirmed only where this permits it"]
 pub struct ConfirmOutcome {
-    /// This node did not know yet that the job is over, or had not recorded a confirmation of its own.
+    /// Whether this node did not yet know that the job has ended, or had no confirmation of its own recorded.
     pub is_new: bool,
-    /// It may be confirmed now. False while a member that this node promised to suspend confirmations to has not
-    /// acknowledged it.
+    /// Whether the cancellation may be confirmed now. False while any member that was promised a suspension
+    /// of confirmations has not acknowledged the cancellation.
     pub is_permitted: bool,
 }
 
-/// What an attestation changed.
+/// The changes made by an attestation.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct AppliedAttestation {
-    /// Jobs that turned out to be cancelled.
+    /// Jobs that this node did not yet know to be cancelled.
     pub terminated: Vec<JobId>,
-    /// The member reported cancellations that it had not reported before.
+    /// Whether the member reported cancellations that it had not reported before.
     pub has_new: bool,
 }
 
 /// A cancellation that this incarnation confirmed, or is about to confirm, to a user.
 #[derive(Debug)]
 struct OwnConfirmation {
-    /// Counts from one in each incarnation.
+    /// Consecutive number, from one in each incarnation.
     number: u64,
     recorded_at: Timestamp,
     job_id: JobId,
@@ -97,20 +103,23 @@
     local_node: usize,
     incarnation: u64,
     started_at: Timestamp,
-    /// How long workers may be kept alive beyond what is known: the bound of the settings and the lock lease.
+    /// How long workers may be kept alive beyond the time up to which every cancellation is known: the bound
+    /// of the settings plus the lock lease.
     longest_autonomy: Duration,
-    /// How long a cancellation is remembered. After `cancel_s` its tasks are gone and nothing depends on it.
+    /// How long a cancellation is remembered. Its tasks have ended after `cancel_s`, and nothing depends on
+    /// it any more.
     retention: Duration,
     /// By node number; the local node's entry is unused.
     members: Vec<Member>,
     /// The oldest first.
     own_confirmations: VecDeque<OwnConfirmation>,
-    /// The highest number among them; zero: none.
+    /// The highest number of a confirmation of this incarnation; zero: none.
     last_number: u64,
-    /// Jobs that are over, from whatever source, and when this node learnt it.
+    /// Jobs that have ended, by any source, and when this node learnt it.
     terminated: HashMap<JobId, Timestamp>,
+    /// The live jobs as last read, without those that are known to have ended.
     live: HashSet<JobId>,
-    /// When the request was sent that `live` was last read by; zero: not in this incarnation.
+    /// When the request was sent that last read `live`; [`Timestamp::ZERO`]: not read in this incarnation.
     store_read_at: Timestamp,
 }
 
@@ -142,23 +151,28 @@
         self.members.iter().enumerate().filter(|(node, _)| *node != self.local_node).map(|(_, member)| member)
     }
 
-    // ---- what is known ----
+    // ---- known cancellations ----
 
-    /// Every cancellation confirmed before then is known here by the members' attestations; zero: nothing is known.
+    /// The time up to which this node knows every cancellation by the members' attestations;
+    /// [`Timestamp::ZERO`]: the live jobs were not read in this incarnation, or a member has attested
+    /// nothing.
     pub fn member_freshness(&self) -> Timestamp {
         if self.store_read_at == Timestamp::ZERO {
             return Timestamp::ZERO;
         }
-        // Without other members no cancellation is unknown; half of the range leaves room for additions.
+        // Without other members every cancellation is known at any time. Half of the range leaves room for
+        // additions.
         self.other_members().map(Member::known_until).min().unwrap_or(Timestamp::from_micros(u64::MAX / 2))
     }
 
-    /// When the request was sent that the live jobs were last read by; zero: not in this incarnation.
+    /// The time up to which this node knows every cancellation by the key-value store: when the request was
+    /// sent that last read the live jobs; [`Timestamp::ZERO`]: not read in this incarnation.
     pub fn store_freshness(&self) -> Timestamp {
         self.store_read_at
     }
 
-    /// Until when workers may be kept alive by a node that knows every cancellation up to `known_until`; zero: not at all.
+    /// Until when a node that knows every cancellation up to `known_until` may keep workers alive;
+    /// [`Timestamp::ZERO`]: not at all.
     pub fn keep_alive_limit(&self, known_until: Timestamp) -> Timestamp {
         if known_until == Timestamp::ZERO {
             Timestamp::ZERO
@@ -172,7 +186,7 @@
         self.keep_alive_limit(self.store_freshness().max(self.member_freshness()))
     }
 
-    /// Whether the job is over: nothing of it may start.
+    /// Whether the job has ended, so that none of its tasks may start.
     pub fn is_terminated(&self, job_id: JobId) -> bool {
         self.terminated.contains_key(&job_id)
     }
@@ -182,8 +196,9 @@
         self.live.contains(&job_id)
     }
 
-    /// Stop commands for the tasks in the heartbeat whose jobs are over. None where this node, without a leader's list
-    /// of jobs, cannot decide: a job that its copy lacks was cancelled before this incarnation began, or is too new.
+    /// Stop commands for the tasks in the heartbeat whose jobs have ended. None if the heartbeat lists a task
+    /// of a job that this node does not know: without a leader's list of jobs it cannot decide whether the
+    /// job was cancelled before this incarnation began or is too new for the copy of the live jobs.
     pub fn stop_commands(&self, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let mut stops = Vec::new();
         for task in heartbeat.tasks.iter().filter(|task| is_alive(task)) {
@@ -196,7 +211,8 @@
         Some(stops)
     }
 
-    /// The response's commands, completed by the stop commands that it must contain.
+    /// The commands of a response to the heartbeat, with the missing stop commands for tasks of ended jobs
+    /// added.
     pub fn with_stop_commands(
         &self,
         mut task_commands: Vec<TaskCommand>,
@@ -211,9 +227,9 @@
         task_commands
     }
 
-    /// Applies the live jobs as read by a request that was sent at `requested_at`. `complete`: `added` lists all live
-    /// jobs; otherwise `added` and `removed` are the changes since the last reading. Returns the jobs that turned out
-    /// to be over.
+    /// Applies the live jobs as read by a request that was sent at `requested_at`. If `complete`, `added`
+    /// lists all live jobs; otherwise `added` and `removed` are the changes since the last reading. Returns
+    /// the jobs that this node did not yet know to have ended.
     pub fn apply_live_jobs(
         &mut self,
         now: Timestamp,
@@ -232,7 +248,7 @@
         }
         let newly_terminated =
             candidates.into_iter().filter(|job_id| self.record_terminated(now, *job_id)).collect();
-        // A cancellation that a member attested may be ahead of the copy.
+        // A member may have attested a cancellation that this reading does not show yet.
         self.live.retain(|job_id| !self.terminated.contains_key(job_id));
         self.store_read_at = self.store_read_at.max(requested_at);
         self.forget_old_cancellations(now);
@@ -247,15 +263,15 @@
         }
     }
 
-    /// Returns whether this node did not know yet that the job is over.
+    /// Returns whether this is new: this node did not yet know that the job has ended.
     fn record_terminated(&mut self, now: Timestamp, job_id: JobId) -> bool {
         self.live.remove(&job_id);
         self.terminated.insert(job_id, now).is_none()
     }
 
-    // ---- what is confirmed and attested ----
+    // ---- confirmations and attestations ----
 
-    /// This node is about to confirm to a user that the job is cancelled.
+    /// Records that this node is about to confirm to a user that the job is cancelled.
     pub fn confirm(&mut self, now: Timestamp, job_id: JobId) -> ConfirmOutcome {
         let known = self.own_confirmations.iter().rev().find(|own| own.job_id == job_id);
         let known = known.map(|own| own.number);
@@ -270,15 +286,16 @@
         ConfirmOutcome { is_new, is_permitted }
     }
 
-    /// A heartbeat of a member arrived, sent at `stamp` on its clock. `attests`: the member gives attestations and
-    /// takes ours.
+    /// A heartbeat of the member `from` arrived, sent at `stamp` on its clock. `attests`: the member sends
+    /// attestations and accepts them.
     pub fn observe_heartbeat(&mut self, from: usize, incarnation: u64, attests: bool, stamp: Timestamp) {
         if let Some(member) = self.members.get_mut(from) {
             member.observe_heartbeat(incarnation, attests, stamp);
         }
     }
 
-    /// Our attestation for a member that takes it. While the store is lost it includes the promise to suspend
+    /// The attestation for the member `to`. None if the member is not known to accept attestations, or if
+    /// there are too many cancellations for one. While the store is lost it includes the promise to suspend
     /// confirmations.
     #[must_use = "a promise to suspend confirmations is recorded here, so the attestation should be sent"]
     pub fn attest_to(&mut self, now: Timestamp, to: usize, store_access: StoreAccess) -> Option<Attestation> {
@@ -290,7 +307,8 @@
         let cancelled: Vec<u64> =
             missing.map(|own| own.job_id.0).take(limits::MAX_ATTESTED_CANCELLATIONS + 1).collect();
         if cancelled.len() > limits::MAX_ATTESTED_CANCELLATIONS {
-            // Not reached within the key-value store's limits: committing as many would take minutes.
+            // Not reached within the key-value store's limits: committing so many cancellations would take
+            // minutes.
             return None;
         }
         if suspended {
@@ -300,7 +318,7 @@
         Some(Attestation { incarnation_age, last: self.last_number, cancelled, ..attestation })
     }
 
-    /// Applies what a member attests. `incarnation`: of the process that sent it.
+    /// Applies an attestation of the member `from`. `incarnation`: that of the sending process.
     pub fn apply_attestation(
         &mut self,
         now: Timestamp,
@@ -312,7 +330,7 @@
         else {
             return AppliedAttestation::default();
         };
-        // For another incarnation of this node, or an answer to a heartbeat from before this one.
+        // It is for another incarnation of this node, or answers a heartbeat from before this incarnation.
         if attestation.for_incarnation != self.incarnation
             || attestation.echo > now
             || attestation.echo < self.started_at
@@ -325,8 +343,10 @@
         AppliedAttestation { terminated, has_new }
     }
 
-    /// Whether a member of an earlier version may conclude from our missing access to the key-value store that no
-    /// cancellation is in effect without it.
+    /// Whether this node has confirmed no cancellation within the retention time. After a restart it knows so
+    /// only once it has read the live jobs or the retention time has passed. Members of an earlier version
+    /// conclude from a node's loss of the key-value store that no cancellation is in effect without the
+    /// store.
     pub fn proves_no_recent_cancellation(&self, now: Timestamp) -> bool {
         let is_recent = |own: &OwnConfirmation| now < own.recorded_at + self.retention;
         let has_recent = self.own_confirmations.back().is_some_and(is_recent);
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `cancellation_log`: two logs that exchange attestations.
+//! Tests of `cancellation_log`: the logs of two nodes that exchange attestations.
 
 use super::{
     AppliedAttestation, Attestation, CancellationBounds, CancellationLog, ConfirmOutcome, StoreAccess,
@@ -17,17 +17,18 @@
     CancellationBounds { longest_autonomy: Duration::from_secs(10), retention: RETENTION };
 const NOTHING_APPLIED: AppliedAttestation = AppliedAttestation { terminated: Vec::new(), has_new: false };
 
-fn pair() -> (CancellationLog, CancellationLog) {
-    let mut a = CancellationLog::new(2, 0, 70, NOW, BOUNDS);
-    let mut b = CancellationLog::new(2, 1, 71, NOW, BOUNDS);
-    for node in [&mut a, &mut b] {
-        node.apply_live_jobs(NOW + SECOND, NOW + SECOND, true, &[JobId(1), JobId(2)], &[]);
+/// The logs of nodes 0 and 1, of incarnations 70 and 71. Both have read jobs 1 and 2 as live.
+fn two_nodes() -> (CancellationLog, CancellationLog) {
+    let mut node_0 = CancellationLog::new(2, 0, 70, NOW, BOUNDS);
+    let mut node_1 = CancellationLog::new(2, 1, 71, NOW, BOUNDS);
+    for log in [&mut node_0, &mut node_1] {
+        log.apply_live_jobs(NOW + SECOND, NOW + SECOND, true, &[JobId(1), JobId(2)], &[]);
     }
-    (a, b)
+    (node_0, node_1)
 }
 
-/// Exchanges one heartbeat of `receiver` and the attestation of `sender` that answers it. Returns the jobs that turned
-/// out to be over.
+/// Delivers a heartbeat of `receiver` to `sender`, and the attestation of `sender` that answers it. Returns
+/// the jobs that `receiver` did not yet know to be cancelled.
 fn exchange(
     now: Timestamp,
     sender: &mut CancellationLog,
@@ -59,113 +60,124 @@
 
 #[test]
 fn an_attested_cancellation_adds_stop_commands_to_every_response() {
-    let (mut a, mut b) = pair();
-    assert_eq!(b.stop_commands(&heartbeat(&[1, 2])), Some(Vec::new()));
-    assert!(a.confirm(NOW + 2 * SECOND, JobId(1)).is_new);
-    b.observe_heartbeat(0, 70, true, NOW);
-    assert_eq!(exchange(NOW + 2 * SECOND, &mut a, &mut b, StoreAccess::Available), [JobId(1)]);
+    let (mut node_0, mut node_1) = two_nodes();
+    assert_eq!(node_1.stop_commands(&heartbeat(&[1, 2])), Some(Vec::new()));
+    assert!(node_0.confirm(NOW + 2 * SECOND, JobId(1)).is_new);
+    node_1.observe_heartbeat(0, 70, true, NOW);
+    assert_eq!(exchange(NOW + 2 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available), [JobId(1)]);
     let stop = TaskCommand::Stop { id: TaskId { job_id: JobId(1), task: 0 }, attempt: 3, grace_s: 0.0 };
-    assert_eq!(b.stop_commands(&heartbeat(&[1, 2])), Some(vec![stop.clone()]));
-    assert_eq!(b.with_stop_commands(vec![stop.clone()], &heartbeat(&[1, 2])), [stop]);
-    // A job that the copy lacks may have been cancelled before this incarnation began: not to be kept alive.
-    assert_eq!(b.stop_commands(&heartbeat(&[2, 9])), None);
-    // A copy that lags behind the attestation does not bring the job back.
-    b.apply_live_jobs(NOW + 3 * SECOND, NOW + 3 * SECOND, true, &[JobId(1), JobId(2)], &[]);
-    assert!(b.is_terminated(JobId(1)) && !b.is_live(JobId(1)));
+    assert_eq!(node_1.stop_commands(&heartbeat(&[1, 2])), Some(vec![stop.clone()]));
+    assert_eq!(node_1.with_stop_commands(vec![stop.clone()], &heartbeat(&[1, 2])), [stop]);
+    // A job that is not among the live jobs may have been cancelled before this incarnation began: it is not
+    // kept alive.
+    assert_eq!(node_1.stop_commands(&heartbeat(&[2, 9])), None);
+    // A reading of the store that lags behind the attestation does not make the job live again.
+    node_1.apply_live_jobs(NOW + 3 * SECOND, NOW + 3 * SECOND, true, &[JobId(1), JobId(2)], &[]);
+    assert!(node_1.is_terminated(JobId(1)) && !node_1.is_live(JobId(1)));
 }
 
 #[test]
-fn attestations_of_a_new_incarnation_count_only_after_a_read_of_the_store() {
-    let (mut a, mut b) = pair();
-    b.observe_heartbeat(0, 70, true, NOW);
-    exchange(NOW + 2 * SECOND, &mut a, &mut b, StoreAccess::Available);
-    assert_eq!(b.member_freshness(), NOW + 2 * SECOND);
-    // A new incarnation of the member does not know what the last one confirmed before it ended.
-    let mut a = CancellationLog::new(2, 0, 72, NOW + 4 * SECOND, BOUNDS);
-    b.observe_heartbeat(0, 72, true, NOW);
-    exchange(NOW + 5 * SECOND, &mut a, &mut b, StoreAccess::Available);
-    assert_eq!(b.member_freshness(), NOW + 2 * SECOND);
-    // Once the live jobs have been read since, its attestations count again.
-    b.apply_live_jobs(NOW + 6 * SECOND, NOW + 6 * SECOND, false, &[], &[]);
-    exchange(NOW + 7 * SECOND, &mut a, &mut b, StoreAccess::Available);
-    assert_eq!(b.member_freshness(), NOW + 7 * SECOND);
+fn attestations_of_a_new_incarnation_apply_only_after_a_read_of_the_store() {
+    let (mut node_0, mut node_1) = two_nodes();
+    node_1.observe_heartbeat(0, 70, true, NOW);
+    exchange(NOW + 2 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available);
+    assert_eq!(node_1.member_freshness(), NOW + 2 * SECOND);
+    // A new incarnation of the member does not know what the previous one confirmed before it ended.
+    let mut node_0 = CancellationLog::new(2, 0, 72, NOW + 4 * SECOND, BOUNDS);
+    node_1.observe_heartbeat(0, 72, true, NOW);
+    exchange(NOW + 5 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available);
+    assert_eq!(node_1.member_freshness(), NOW + 2 * SECOND);
+    // Its attestations apply again once the live jobs have been read after its start.
+    node_1.apply_live_jobs(NOW + 6 * SECOND, NOW + 6 * SECOND, false, &[], &[]);
+    exchange(NOW + 7 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available);
+    assert_eq!(node_1.member_freshness(), NOW + 7 * SECOND);
 }
 
 #[test]
 fn suspended_confirmations_cover_a_restart_and_last_until_members_acknowledge() {
-    let (mut a, mut b) = pair();
-    b.observe_heartbeat(0, 70, true, NOW);
-    exchange(NOW + 20 * SECOND, &mut a, &mut b, StoreAccess::Lost);
+    let (mut node_0, mut node_1) = two_nodes();
+    node_1.observe_heartbeat(0, 70, true, NOW);
+    exchange(NOW + 20 * SECOND, &mut node_0, &mut node_1, StoreAccess::Lost);
     assert_eq!(
-        a.confirm(NOW + 21 * SECOND, JobId(1)),
+        node_0.confirm(NOW + 21 * SECOND, JobId(1)),
         ConfirmOutcome { is_new: true, is_permitted: false },
-        "suspension promised, and not acknowledged"
+        "confirmations are suspended, and the cancellation is not acknowledged"
     );
-    exchange(NOW + 22 * SECOND, &mut a, &mut b, StoreAccess::Lost);
-    a.observe_heartbeat(1, 71, true, NOW);
-    exchange(NOW + 22 * SECOND, &mut b, &mut a, StoreAccess::Lost);
-    assert_eq!(a.confirm(NOW + 22 * SECOND, JobId(1)), ConfirmOutcome { is_new: false, is_permitted: true });
-    // Its next incarnation keeps the promise, so that no gap is left.
-    let mut a = CancellationLog::new(2, 0, 72, NOW + 28 * SECOND, BOUNDS);
-    assert_eq!(a.confirm(NOW + 29 * SECOND, JobId(2)), ConfirmOutcome { is_new: true, is_permitted: false });
-    b.observe_heartbeat(0, 72, true, NOW);
-    exchange(NOW + 29 * SECOND, &mut a, &mut b, StoreAccess::Available);
+    exchange(NOW + 22 * SECOND, &mut node_0, &mut node_1, StoreAccess::Lost);
+    node_0.observe_heartbeat(1, 71, true, NOW);
+    exchange(NOW + 22 * SECOND, &mut node_1, &mut node_0, StoreAccess::Lost);
+    assert_eq!(
+        node_0.confirm(NOW + 22 * SECOND, JobId(1)),
+        ConfirmOutcome { is_new: false, is_permitted: true }
+    );
+    // The member's next incarnation keeps the promise, so that there is no gap.
+    let mut node_0 = CancellationLog::new(2, 0, 72, NOW + 28 * SECOND, BOUNDS);
+    assert_eq!(
+        node_0.confirm(NOW + 29 * SECOND, JobId(2)),
+        ConfirmOutcome { is_new: true, is_permitted: false }
+    );
+    node_1.observe_heartbeat(0, 72, true, NOW);
+    exchange(NOW + 29 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available);
     let promised = NOW + 22 * SECOND + limits::shortened(limits::CONFIRMATION_SUSPENSION);
-    assert_eq!(b.member_freshness(), promised.max(NOW + 29 * SECOND));
-    assert!(a.confirm(NOW + 28 * SECOND + limits::CONFIRMATION_SUSPENSION, JobId(2)).is_permitted);
+    assert_eq!(node_1.member_freshness(), promised.max(NOW + 29 * SECOND));
+    assert!(node_0.confirm(NOW + 28 * SECOND + limits::CONFIRMATION_SUSPENSION, JobId(2)).is_permitted);
 }
 
 #[test]
 fn attestations_for_or_from_another_incarnation_are_ignored() {
-    let (mut a, mut b) = pair();
-    assert!(a.confirm(NOW + 2 * SECOND, JobId(1)).is_new);
-    a.observe_heartbeat(1, 71, true, NOW + 2 * SECOND);
-    let attestation = a.attest_to(NOW + 2 * SECOND, 1, StoreAccess::Available).unwrap();
-    // Its sender has not shown that it attests, or is another incarnation of that node.
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), NOTHING_APPLIED);
-    b.observe_heartbeat(0, 72, true, NOW);
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), NOTHING_APPLIED);
-    b.observe_heartbeat(0, 70, true, NOW);
-    let other = Attestation { for_incarnation: 73, ..attestation.clone() };
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &other), NOTHING_APPLIED);
-    let early = Attestation { echo: NOW - Duration::from_micros(1), ..attestation.clone() };
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &early), NOTHING_APPLIED);
+    let (mut node_0, mut node_1) = two_nodes();
+    assert!(node_0.confirm(NOW + 2 * SECOND, JobId(1)).is_new);
+    node_0.observe_heartbeat(1, 71, true, NOW + 2 * SECOND);
+    let attestation = node_0.attest_to(NOW + 2 * SECOND, 1, StoreAccess::Available).unwrap();
+    // No heartbeat has shown that the sender attests, or the last one was of another incarnation of the
+    // sender.
+    assert_eq!(node_1.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), NOTHING_APPLIED);
+    node_1.observe_heartbeat(0, 72, true, NOW);
+    assert_eq!(node_1.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), NOTHING_APPLIED);
+    node_1.observe_heartbeat(0, 70, true, NOW);
+    let for_other_incarnation = Attestation { for_incarnation: 73, ..attestation.clone() };
+    assert_eq!(node_1.apply_attestation(NOW + 2 * SECOND, 0, 70, &for_other_incarnation), NOTHING_APPLIED);
+    let before_start = Attestation { echo: NOW - Duration::from_micros(1), ..attestation.clone() };
+    assert_eq!(node_1.apply_attestation(NOW + 2 * SECOND, 0, 70, &before_start), NOTHING_APPLIED);
     assert_eq!(
-        b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation),
+        node_1.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation),
         AppliedAttestation { terminated: vec![JobId(1)], has_new: true }
     );
-    // A repeated attestation has nothing new: an answer to it would be answered in turn, without end.
-    assert_eq!(b.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), NOTHING_APPLIED);
-    // Earlier versions drop the connection at a frame that they do not know.
-    a.observe_heartbeat(1, 71, false, NOW + 3 * SECOND);
-    assert_eq!(a.attest_to(NOW + 3 * SECOND, 1, StoreAccess::Available), None);
+    // A repeated attestation has nothing new: if it were answered, the answers would be answered in turn,
+    // without end.
+    assert_eq!(node_1.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation), NOTHING_APPLIED);
+    // Members of earlier versions get no attestation: they close the connection at a frame that they do not
+    // know.
+    node_0.observe_heartbeat(1, 71, false, NOW + 3 * SECOND);
+    assert_eq!(node_0.attest_to(NOW + 3 * SECOND, 1, StoreAccess::Available), None);
 }
 
 #[test]
 fn without_a_read_of_the_store_in_this_incarnation_no_worker_is_kept_alive() {
-    let mut b = CancellationLog::new(2, 1, 71, NOW, BOUNDS);
-    let mut a = CancellationLog::new(2, 0, 70, NOW, BOUNDS);
-    b.observe_heartbeat(0, 70, true, NOW);
-    exchange(NOW + 2 * SECOND, &mut a, &mut b, StoreAccess::Lost);
-    assert_eq!(b.keep_alive_until(), Timestamp::ZERO);
+    let mut node_1 = CancellationLog::new(2, 1, 71, NOW, BOUNDS);
+    let mut node_0 = CancellationLog::new(2, 0, 70, NOW, BOUNDS);
+    node_1.observe_heartbeat(0, 70, true, NOW);
+    exchange(NOW + 2 * SECOND, &mut node_0, &mut node_1, StoreAccess::Lost);
+    assert_eq!(node_1.keep_alive_until(), Timestamp::ZERO);
 }
 
-/// More cancellations than a frame holds are not attested: the other members' bound stands, so workers' leases expire
-/// rather than keep a cancelled task alive. Attestations continue once the cancellations are past their retention.
+/// If a node has more cancellations than one frame holds, it sends no attestations, so that workers' leases
+/// expire rather than keep a cancelled task alive: the other members' bounds do not advance. Attestations
+/// resume once the cancellations are older than their retention.
 #[test]
 fn more_cancellations_than_a_frame_holds_suspend_attestations_until_retention_ends() {
-    let (mut a, mut b) = pair();
-    b.observe_heartbeat(0, 70, true, NOW);
-    a.observe_heartbeat(1, 71, true, NOW);
-    let most = limits::MAX_ATTESTED_CANCELLATIONS as u64;
-    for id in 0..most {
-        assert!(a.confirm(NOW + SECOND, JobId(id)).is_new);
+    let (mut node_0, mut node_1) = two_nodes();
+    node_1.observe_heartbeat(0, 70, true, NOW);
+    node_0.observe_heartbeat(1, 71, true, NOW);
+    let max_attested = limits::MAX_ATTESTED_CANCELLATIONS as u64;
+    for job_id in 0..max_attested {
+        assert!(node_0.confirm(NOW + SECOND, JobId(job_id)).is_new);
     }
-    assert!(a.attest_to(NOW + SECOND, 1, StoreAccess::Available).is_some(), "as many as a frame holds");
-    assert!(a.confirm(NOW + SECOND, JobId(most)).is_new);
-    assert_eq!(a.attest_to(NOW + SECOND, 1, StoreAccess::Available), None);
-    let known = b.member_freshness();
-    a.apply_live_jobs(NOW + SECOND + RETENTION, NOW + SECOND + RETENTION, false, &[], &[]);
-    assert!(a.attest_to(NOW + SECOND + RETENTION, 1, StoreAccess::Available).is_some());
-    assert_eq!(b.member_freshness(), known, "nothing was attested meanwhile");
+    assert!(node_0.attest_to(NOW + SECOND, 1, StoreAccess::Available).is_some(), "as many as a frame holds");
+    assert!(node_0.confirm(NOW + SECOND, JobId(max_attested)).is_new);
+    assert_eq!(node_0.attest_to(NOW + SECOND, 1, StoreAccess::Available), None);
+    let known_until = node_1.member_freshness();
+    node_0.apply_live_jobs(NOW + SECOND + RETENTION, NOW + SECOND + RETENTION, false, &[], &[]);
+    assert!(node_0.attest_to(NOW + SECOND + RETENTION, 1, StoreAccess::Available).is_some());
+    assert_eq!(node_1.member_freshness(), known_until, "nothing was attested meanwhile");
 }
--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -1,9 +1,10 @@
-//! Responses to heartbeats that may renew a worker's lease.
+//! Records of the responses to heartbeats that may renew a worker's lease.
 //!
-//! A worker keeps its tasks for `lease_s` after it sent the last heartbeat that got a response, so the leader may start
-//! them elsewhere only after that. Every response must therefore be recorded where the leader counts it. A response is
-//! built from a [`LeaseRenewal`]. Only the record in which the response was entered hands out a renewal, or a place
-//! where another bound holds the leader back.
+//! A worker keeps its tasks for `lease_s` after it sent the last heartbeat that got a response, so the leader
+//! may start them elsewhere only after that. Every response must therefore be recorded where the leader
+//! counts it. A response is built from a [`LeaseRenewal`], which only two sources hand out: the record in
+//! which the response was entered, and cases in which another rule makes the leader wait long enough (see
+//! [`RenewalBasis`]).
 //!
 //! The scheduler owns a [`LastRenewal`] for each machine, [`crate::lease::shard::Shard`] the
 //! `UnacknowledgedRenewals`, and the controller's event loop the [`RenewalCounts`].
@@ -17,19 +18,20 @@
 pub enum RenewalBasis {
     /// The leader recorded the response to the machine.
     Leader,
-    /// A leader that has not loaded its state: leases count from the time of loading (`Scheduler::load`).
+    /// A leader that has not loaded its state responded: leases count from the time of loading
+    /// (`Scheduler::load`).
     BeforeLoad,
-    /// A node in keep-alive mode: the next leader counts leases from the last time at which that node may have
-    /// responded (`Leadership::autonomous_until`).
+    /// A node in keep-alive mode responded: the next leader counts leases from the last time at which that
+    /// node may have responded (`Leadership::autonomous_until`).
     KeepAlive,
-    /// A leaseholder entered the machine in its next shard heartbeat. Until that heartbeat arrives, the leader counts
-    /// no lease of the shard as expired.
+    /// A leaseholder responded and will name the machine in its next shard heartbeat. Until that heartbeat
+    /// arrives, the leader treats no lease of the shard as expired.
     Leaseholder,
-    /// The leader recorded the response before it sent it to the leaseholder that had relayed the heartbeat.
+    /// The leader recorded the response and then sent it to the leaseholder that had relayed the heartbeat.
     Relayed,
 }
 
-/// Proof that a response which may renew a worker's lease is accounted for.
+/// Proof that a response which may renew a worker's lease is recorded, or covered by another rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[must_use = "a response that was recorded should be sent"]
 pub struct LeaseRenewal {
@@ -37,23 +39,23 @@
 }
 
 impl LeaseRenewal {
-    fn on(basis: RenewalBasis) -> Self {
+    fn with_basis(basis: RenewalBasis) -> Self {
         LeaseRenewal { basis }
     }
 
-    /// For a leader that has not loaded its state.
+    /// A renewal by a leader that has not loaded its state.
     pub(crate) fn before_load() -> Self {
-        LeaseRenewal::on(RenewalBasis::BeforeLoad)
+        LeaseRenewal::with_basis(RenewalBasis::BeforeLoad)
     }
 
-    /// For a node in keep-alive mode.
+    /// A renewal by a node in keep-alive mode.
     pub(crate) fn by_keep_alive() -> Self {
-        LeaseRenewal::on(RenewalBasis::KeepAlive)
+        LeaseRenewal::with_basis(RenewalBasis::KeepAlive)
     }
 
-    /// For a leaseholder that has the leader's response.
+    /// A renewal by the leader, passed on by the leaseholder that relayed the heartbeat.
     pub(crate) fn relayed() -> Self {
-        LeaseRenewal::on(RenewalBasis::Relayed)
+        LeaseRenewal::with_basis(RenewalBasis::Relayed)
     }
 
     /// Why the lease may be renewed.
@@ -65,7 +67,7 @@
 /// When the leader last recorded a response that may have renewed a machine's lease.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LastRenewal {
-    /// On the leader's clock; zero: never.
+    /// On the leader's clock; [`Timestamp::ZERO`]: never.
     at: Timestamp,
 }
 
@@ -73,35 +75,37 @@
     /// Records a response of the leader itself at `now`.
     pub fn record(&mut self, now: Timestamp) -> LeaseRenewal {
         self.at = self.at.max(now);
-        LeaseRenewal::on(RenewalBasis::Leader)
+        LeaseRenewal::with_basis(RenewalBasis::Leader)
     }
 
-    /// Records at `now` that a leaseholder has reported a response of its own.
+    /// Records at `now` that a leaseholder has reported its own response to the machine.
     pub fn record_by_leaseholder(&mut self, now: Timestamp) {
         self.at = self.at.max(now);
     }
 
-    /// The last time at which a lease may have begun, on the leader's clock; zero: never.
+    /// The last time at which a lease may have begun, on the leader's clock; [`Timestamp::ZERO`]: never.
     pub fn at(&self) -> Timestamp {
         self.at
     }
 }
 
-/// Machines whose lease a leaseholder renewed and the leader has not acknowledged, each with the last shard heartbeat
-/// that has to name it.
+/// Machines whose lease a leaseholder renewed while the leader has not acknowledged the renewal. Each has the
+/// id of the first shard heartbeat after its last response: once the leader has acknowledged that one or a
+/// later one, the machine need not be named again.
 #[derive(Debug, Default)]
 pub(super) struct UnacknowledgedRenewals {
     machines: BTreeMap<String, u64>,
 }
 
 impl UnacknowledgedRenewals {
-    /// Records a response to the machine, to be named in the shard heartbeat with this id.
+    /// Records a response to the machine, which the shard heartbeat with this id will name.
     pub(super) fn record(&mut self, machine: &str, heartbeat_id: u64) -> LeaseRenewal {
         self.machines.insert(machine.to_string(), heartbeat_id);
-        LeaseRenewal::on(RenewalBasis::Leaseholder)
+        LeaseRenewal::with_basis(RenewalBasis::Leaseholder)
     }
 
-    /// The leader has acknowledged a shard heartbeat that named the machine.
+    /// The leader has acknowledged a shard heartbeat that named the machine. A later response stays
+    /// unacknowledged.
     pub(super) fn acknowledge(&mut self, machine: &str, heartbeat_id: u64) {
         if self.machines.get(machine).is_some_and(|recorded_for| *recorded_for <= heartbeat_id) {
             self.machines.remove(machine);
@@ -113,13 +117,14 @@
         self.machines.keys()
     }
 
-    /// How many machines.
+    /// The number of machines.
     pub(super) fn len(&self) -> usize {
         self.machines.len()
     }
 }
 
-/// Responses of this node since it started, by basis. Part of `/overview`, hence the serialized names.
+/// Numbers of this node's responses since it started, by basis. Part of `/overview`, hence the serialized
+/// names.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct RenewalCounts {
     leader: u64,
@@ -129,12 +134,12 @@
     #[serde(rename = "lessee")]
     leaseholder: u64,
     relayed: u64,
-    /// Heartbeats that got no renewal here.
+    /// Heartbeats whose response by this node renewed no lease.
     refused: u64,
 }
 
 impl RenewalCounts {
-    /// Counts a response.
+    /// Counts a response that renews a lease.
     pub fn count(&mut self, renewal: &LeaseRenewal) {
         let count = match renewal.basis {
             RenewalBasis::Leader => &mut self.leader,
@@ -146,7 +151,7 @@
         *count += 1;
     }
 
-    /// Counts a heartbeat that got no renewal here.
+    /// Counts a heartbeat whose response renews no lease.
     pub fn count_refused(&mut self) {
         self.refused += 1;
     }
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -1,13 +1,14 @@
-//! A controller's shard: the workers that send their heartbeats to it.
+//! A controller's shard: the workers that send their heartbeats to it while another controller leads.
 //!
-//! The leaseholder relays to the leader every heartbeat that brings a change. It responds itself, under the leader's
-//! fencing token and without commands, to heartbeats that are unchanged. Once a second it sends the leader a shard
-//! heartbeat that names the machines it responded to. Each one that the leader acknowledges extends the shard lease:
-//! the leaseholder counts the lease from when it sent the shard heartbeat, the leader from when it received it.
+//! The controller, as the leaseholder of its shard, relays every heartbeat with a change to the leader. To
+//! unchanged heartbeats it responds itself, under the leader's fencing token and without commands. Once a
+//! second it sends the leader a shard heartbeat that names the machines it responded to. Each one that the
+//! leader acknowledges extends the shard lease: the leaseholder counts the lease from when it sent the shard
+//! heartbeat, the leader from when it received it.
 //!
-//! While it has no leader, a leaseholder responds to every worker that shows the last token, so that a zone that is cut
-//! off keeps running as a whole, whichever node its workers reported to before. The leader always knows until when a
-//! leaseholder may have kept a worker alive.
+//! While it is not in contact with a leader, a leaseholder responds to every worker whose heartbeat has the
+//! last token, so that all workers of a partitioned zone keep running, whichever node they reported to
+//! before. The leader always knows until when a leaseholder may have kept a worker alive.
 //!
 //! The controller's heartbeat routing owns the [`Shard`] and is its only caller.
 
@@ -20,14 +21,14 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The last heartbeat of a machine that the leader knows.
+/// A machine's last heartbeat that got a response. The leader knows its content.
 struct CachedHeartbeat {
     agent_epoch: u64,
     sequence: u64,
     tasks: Vec<ReportedTask>,
-    /// The leader has a command for the machine: its next heartbeat is relayed even if it is unchanged.
+    /// The leader has a command for the machine: the next heartbeat is relayed even if it is unchanged.
     wake_requested: bool,
-    /// When the machine last got a response here.
+    /// When this node last responded to the machine.
     responded_at: Timestamp,
 }
 
@@ -36,8 +37,9 @@
         (heartbeat.agent_epoch, heartbeat.sequence) <= (self.agent_epoch, self.sequence)
     }
 
-    /// Whether the heartbeat tells the leader nothing that it does not know, and the leader has no command for it.
-    fn makes_relay_needless(&self, heartbeat: &Heartbeat) -> bool {
+    /// Whether this node may respond itself: the leader knows the heartbeat's content and has no command for
+    /// the machine.
+    fn allows_local_response(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.agent_epoch == self.agent_epoch
             && heartbeat.notice_s.is_none()
             && !self.wake_requested
@@ -45,41 +47,43 @@
     }
 }
 
-/// State of a worker with changes for a leader that this node has lost contact with.
+/// Whether a worker with changes was redirected to other nodes while this node is not in contact with a
+/// leader.
 enum Redirection {
     NotTried,
     /// Redirected to the other nodes, which may be in contact with the leader.
     Redirected,
-    /// It came back at this time: the other nodes have no contact with a leader either.
+    /// The worker came back at this time: the other nodes are not in contact with a leader either.
     Returned(Timestamp),
 }
 
-/// The leaseholder's periodic message to the leader, with the machines that it responded to.
+/// The leaseholder's periodic message to the leader. It names the machines that the leaseholder responded to.
 pub struct ShardHeartbeat {
     /// Number of the heartbeat, unique over the node's incarnations.
     pub id: u64,
-    /// It names every machine with a response since the last shard heartbeat that was acknowledged.
+    /// Whether it names every machine with a response since the last acknowledged shard heartbeat.
     pub complete: bool,
-    /// None was acknowledged yet: it proves nothing about responses of an earlier incarnation of this leaseholder.
+    /// Whether this shard has had no lease under its token. The node may then have just restarted, and an
+    /// earlier incarnation may have responded to machines that this heartbeat does not name.
     pub first_of_incarnation: bool,
     /// Names of the machines.
     pub machines: Vec<String>,
 }
 
-/// What a leaseholder does with a worker's heartbeat.
+/// How a leaseholder handles a worker's heartbeat.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a renewal that was recorded should be sent"]
 pub enum ShardResponse {
-    /// It responds itself, under this fencing token.
+    /// The leaseholder responds itself, under this fencing token.
     Renewed(FencingToken, LeaseRenewal),
-    /// A repeated or overtaken heartbeat: no response is due.
+    /// The heartbeat was repeated or overtaken: it renews nothing.
     Duplicate,
     /// The heartbeat is for the leader, or for another node.
     NotResponsible,
 }
 
 impl ShardResponse {
-    /// The fencing token that it responds with, if it does.
+    /// The fencing token of the response, if the leaseholder responds itself.
     pub fn token(&self) -> Option<FencingToken> {
         match self {
             ShardResponse::Renewed(token, _) => Some(*token),
@@ -95,36 +99,38 @@
     machines: Vec<String>,
 }
 
-/// The leaseholder's state: its shard lease, and the machines that it may respond to without the leader.
+/// State of a leaseholder: its shard lease, and the machines that it may respond to without the leader.
 #[derive(Default)]
 pub struct Shard {
-    /// Machines that are cached at most.
+    /// The most machines whose heartbeats are cached.
     max_cached: usize,
     /// Fencing token of the leader that this shard belongs to.
     token: FencingToken,
-    /// The shard lease: until then this node may respond itself; zero: none was granted under this token.
+    /// End of the shard lease, until which this node may respond itself; [`Timestamp::ZERO`]: none was
+    /// granted under this token.
     lease_until: Timestamp,
     /// By machine.
     cached: HashMap<String, CachedHeartbeat>,
     /// By machine.
     redirections: HashMap<String, Redirection>,
-    /// Machines with a response here that the leader has not acknowledged.
+    /// Machines with a response by this node that the leader has not acknowledged.
     unacknowledged: UnacknowledgedRenewals,
-    /// Shard heartbeats without acknowledgement, the oldest first.
+    /// Shard heartbeats that are not acknowledged, the oldest first.
     sent_heartbeats: VecDeque<SentHeartbeat>,
     heartbeat_ids: RequestIds,
     next_heartbeat_at: Timestamp,
 }
 
 impl Shard {
-    /// A shard without a lease. `max_cached`: how many machines it caches at most. `incarnation`: of this process.
+    /// A shard without a lease. `max_cached`: the most machines whose heartbeats it caches. `incarnation`:
+    /// that of this process.
     pub fn new(max_cached: usize, incarnation: u64) -> Self {
         Shard { max_cached, heartbeat_ids: RequestIds::of(incarnation), ..Shard::default() }
     }
 
-    /// A leader with this fencing token was observed. A new leader starts the shard anew: until it acknowledges a shard
-    /// heartbeat, no worker gets a response without it. Leases that an earlier leader granted may still keep workers
-    /// alive elsewhere.
+    /// A leader with this fencing token was observed. If it is new, the shard is reset: until the new leader
+    /// acknowledges a shard heartbeat, this node responds to no worker itself. Leases that an earlier leader
+    /// granted may still keep workers alive on other nodes.
     pub fn follow(&mut self, token: FencingToken) {
         if token > self.token {
             *self = Shard {
@@ -136,16 +142,17 @@
         }
     }
 
-    /// This node led under the token and no longer does: it may keep workers alive until then.
+    /// This node has stopped leading under `token` and may keep workers alive until `until`.
     pub fn retain_after_leadership(&mut self, token: FencingToken, until: Timestamp) {
         self.follow(token);
         self.lease_until = until;
     }
 
-    /// Decides on a heartbeat, and records the response if this node may give one without the leader. `has_leader`:
-    /// whether this node is in contact with the leader.
+    /// Decides how to handle a heartbeat, and records the response if this node may respond without the
+    /// leader. `has_leader`: whether this node is in contact with the leader.
     pub fn respond(&mut self, now: Timestamp, heartbeat: &Heartbeat, has_leader: bool) -> ShardResponse {
-        // A worker that has seen a higher token drops ours. It would stay here while its lease runs out.
+        // A worker that has seen a higher token ignores responses under ours: its lease would expire while it
+        // keeps sending heartbeats here.
         if heartbeat.token != self.token || now + limits::AUTHORITY_MARGIN >= self.lease_until {
             return ShardResponse::NotResponsible;
         }
@@ -153,7 +160,7 @@
         if cached.is_some_and(|cached| cached.is_as_recent_as(heartbeat)) {
             return ShardResponse::Duplicate;
         }
-        let unchanged = cached.is_some_and(|cached| cached.makes_relay_needless(heartbeat));
+        let unchanged = cached.is_some_and(|cached| cached.allows_local_response(heartbeat));
         if !unchanged && (has_leader || self.redirects(now, heartbeat)) {
             return ShardResponse::NotResponsible;
         }
@@ -165,9 +172,9 @@
         ShardResponse::Renewed(self.token, renewal)
     }
 
-    /// Without contact with a leader, a worker of this shard with changes tries the other nodes first: perhaps only
-    /// this node has lost the leader. A worker that has just come from there is kept alive; every worker that is not
-    /// cached counts as such.
+    /// Whether to redirect a worker with changes while this node is not in contact with a leader. A worker of
+    /// this shard tries the other nodes first, since perhaps only this node has lost the leader. A worker
+    /// that has just come back from them is kept alive, and a worker that is not cached is treated the same.
     fn redirects(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> bool {
         let is_cached = self.cached.contains_key(&heartbeat.machine);
         let initial = if is_cached { Redirection::NotTried } else { Redirection::Returned(now) };
@@ -185,8 +192,8 @@
         }
     }
 
-    /// The leader has responded to a heartbeat that was relayed. `cacheable`: later heartbeats that are unchanged need
-    /// not be relayed.
+    /// The leader has responded to a relayed heartbeat. `cacheable`: this node may respond to later unchanged
+    /// heartbeats of the machine itself.
     pub fn record_relayed_response(
         &mut self,
         now: Timestamp,
@@ -217,20 +224,21 @@
         }
     }
 
-    /// The shard heartbeat for the leader, when one is due. It repeats what was not acknowledged: a frame may be lost
-    /// with its connection, and the leader concludes from a complete one that no other machine got a response here
-    /// before it.
+    /// The shard heartbeat for the leader, if one is due. It repeats machines that were not acknowledged: a
+    /// frame may be lost with its connection, and from a complete shard heartbeat the leader concludes that
+    /// this node responded to no other machine before.
     #[must_use = "the shard lease is extended only by a heartbeat that is sent"]
     pub fn next_heartbeat(&mut self, now: Timestamp) -> Option<ShardHeartbeat> {
         if now < self.next_heartbeat_at {
             return None;
         }
-        // Machines that were deleted or report elsewhere leave the cache here, where it costs least.
+        // Machines that were deleted or report elsewhere are dropped from the cache here, where it costs
+        // least.
         self.cached.retain(|_, cached| now < cached.responded_at + limits::CACHED_HEARTBEAT_TTL);
         let id = self.heartbeat_ids.take();
         let machines = self.unacknowledged_names_that_fit();
         let complete = machines.len() == self.unacknowledged.len();
-        // The remaining names follow at once. What the leader acknowledges meanwhile need not be repeated.
+        // The remaining names follow soon. Machines that the leader acknowledges meanwhile are not repeated.
         let interval = if complete {
             limits::SHARD_HEARTBEAT_INTERVAL
         } else {
@@ -259,12 +267,12 @@
         self.unacknowledged.names().take_while(fits).cloned().collect()
     }
 
-    /// The leader has acknowledged a shard heartbeat: the shard lease runs for `lease` from when it was
-    /// sent. Returns whether the heartbeat is one of this shard's.
+    /// The leader has acknowledged the shard heartbeat `id`: the shard lease runs for `lease` from when it
+    /// was sent. Returns whether this shard sent it and waited for its acknowledgement.
     pub fn acknowledge(&mut self, id: u64, lease: Duration) -> bool {
-        let Some(at) = self.sent_heartbeats.iter().position(|sent| sent.id == id) else { return false };
-        // Earlier ones are covered: a shard heartbeat repeats what was not acknowledged.
-        let Some(acknowledged) = self.sent_heartbeats.drain(..=at).next_back() else { return false };
+        let Some(position) = self.sent_heartbeats.iter().position(|sent| sent.id == id) else { return false };
+        // Earlier ones are covered, since a shard heartbeat repeats machines that were not acknowledged.
+        let Some(acknowledged) = self.sent_heartbeats.drain(..=position).next_back() else { return false };
         self.lease_until = self.lease_until.max(acknowledged.sent_at + limits::shortened(lease));
         for name in acknowledged.machines {
             self.unacknowledged.acknowledge(&name, id);
--- a/src/lease/shard_tests.rs
+++ b/src/lease/shard_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `shard`: one leaseholder, its workers and its leader's acknowledgements.
+//! Tests of `shard`: one leaseholder, its workers, and its leader's acknowledgements.
 
 use super::{Shard, ShardResponse};
 use crate::fencing_token::FencingToken;
@@ -29,8 +29,9 @@
     }
 }
 
-/// A leaseholder whose lease runs from one second on.
-fn shard() -> Shard {
+/// A shard with a lease that runs from one second on, and with a cached heartbeat of one machine that has two
+/// tasks.
+fn shard_with_lease() -> Shard {
     let mut shard = Shard::new(8, 1);
     shard.follow(FencingToken(4));
     let heartbeat = shard.next_heartbeat(Timestamp::from_secs(1)).unwrap();
@@ -49,7 +50,7 @@
 
 #[test]
 fn only_unchanged_heartbeats_are_renewed_without_the_leader() {
-    let mut shard = shard();
+    let mut shard = shard_with_lease();
     assert_eq!(
         shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2, 2), true).token(),
         Some(FencingToken(4))
@@ -71,7 +72,8 @@
         shard.respond(Timestamp::from_secs(3), &Heartbeat { agent_epoch: 2, ..worker_heartbeat(1, 2) }, true),
         ShardResponse::NotResponsible
     );
-    // A worker that has seen a later leader's token would drop ours and stay here without a lease.
+    // A worker that has seen a later leader's token would ignore this node's responses and lose its lease
+    // here.
     assert_eq!(
         shard.respond(
             Timestamp::from_secs(3),
@@ -84,24 +86,25 @@
     assert_eq!(
         shard.respond(Timestamp::from_secs(3), &worker_heartbeat(3, 2), true),
         ShardResponse::NotResponsible,
-        "the leader has a command for it"
+        "the leader has a command for the machine"
     );
 }
 
 #[test]
 fn without_a_leader_workers_are_kept_alive_until_the_shard_lease_ends() {
-    let mut shard = shard();
+    let mut shard = shard_with_lease();
     assert_eq!(
         shard.respond(Timestamp::from_secs(3), &worker_heartbeat(2, 2), false).token(),
         Some(FencingToken(4))
     );
-    // With a change it tries the other nodes once: perhaps they are in contact with the leader.
+    // A worker with a change is redirected to the other nodes once: perhaps they are in contact with the
+    // leader.
     assert_eq!(
         shard.respond(Timestamp::from_secs(3), &worker_heartbeat(3, 3), false),
         ShardResponse::NotResponsible
     );
-    // Behind a cut it waited for both of them, four seconds each, with a second's pause. Redirected again at
-    // once, it would lose its lease.
+    // In a network partition it waited for two of them, four seconds each, with a pause of one second.
+    // Redirected again at once, it would lose its lease.
     assert_eq!(
         shard.respond(Timestamp::from_secs(14), &worker_heartbeat(4, 3), false).token(),
         Some(FencingToken(4))
@@ -110,7 +113,7 @@
         shard.respond(Timestamp::from_secs(17), &worker_heartbeat(5, 3), false).token(),
         Some(FencingToken(4))
     );
-    // What changed meanwhile is relayed as soon as there is a leader.
+    // Heartbeats with changes are relayed as soon as there is a leader.
     assert_eq!(
         shard.respond(Timestamp::from_secs(18), &worker_heartbeat(6, 3), true),
         ShardResponse::NotResponsible
@@ -121,29 +124,37 @@
     );
 }
 
-/// Two thirds of a cut zone's workers had reported to nodes outside it. They came to the one inside, which
-/// did not know them and let their leases expire.
+/// In a partitioned zone, two thirds of the workers had reported to nodes outside it. They were redirected to
+/// the node inside the zone, which had not cached them and let their leases expire.
 #[test]
 fn without_a_leader_workers_redirected_from_other_nodes_are_kept_alive() {
-    let mut shard = shard();
-    let stranger = Heartbeat { machine: "m-2".into(), ..worker_heartbeat(9, 1) };
+    let mut shard = shard_with_lease();
+    let redirected_worker = Heartbeat { machine: "m-2".into(), ..worker_heartbeat(9, 1) };
     assert_eq!(
-        shard.respond(Timestamp::from_secs(2), &stranger, true),
+        shard.respond(Timestamp::from_secs(2), &redirected_worker, true),
         ShardResponse::NotResponsible,
-        "the leader decides while there is contact"
+        "the leader decides while this node is in contact with it"
     );
-    assert_eq!(shard.respond(Timestamp::from_secs(8), &stranger, false).token(), Some(FencingToken(4)));
-    // Its token must be ours: a worker with none, or an earlier one, has no tasks that this shard may keep alive.
     assert_eq!(
-        shard.respond(Timestamp::from_secs(8), &Heartbeat { token: FencingToken(3), ..stranger }, false),
+        shard.respond(Timestamp::from_secs(8), &redirected_worker, false).token(),
+        Some(FencingToken(4))
+    );
+    // The worker must have the shard's token: one with none, or an earlier one, has no tasks that this shard
+    // may keep alive.
+    assert_eq!(
+        shard.respond(
+            Timestamp::from_secs(8),
+            &Heartbeat { token: FencingToken(3), ..redirected_worker },
+            false
+        ),
         ShardResponse::NotResponsible
     );
     assert_eq!(shard.next_heartbeat(Timestamp::from_secs(9)).unwrap().machines, ["m-2"]);
 }
 
 #[test]
-fn a_shard_lease_counts_from_the_send_time_of_an_acknowledged_heartbeat() {
-    let mut shard = shard();
+fn a_shard_lease_runs_from_the_send_time_of_an_acknowledged_heartbeat() {
+    let mut shard = shard_with_lease();
     assert!(shard.respond(Timestamp::from_secs(3), &worker_heartbeat(2, 2), true).token().is_some());
     let heartbeat = shard.next_heartbeat(Timestamp::from_secs(4)).unwrap();
     assert!(heartbeat.complete);
@@ -162,11 +173,11 @@
     );
 }
 
-/// The leader takes a shard heartbeat as proof that no other machine got a response before it. What it has not
-/// acknowledged must be in the next one, since a frame may be lost with its connection.
+/// From a shard heartbeat the leader concludes that no other machine got a response before. Machines that it
+/// has not acknowledged must be in the next one, since a frame may be lost with its connection.
 #[test]
 fn a_shard_heartbeat_names_every_machine_since_the_last_acknowledged_one() {
-    let mut shard = shard();
+    let mut shard = shard_with_lease();
     assert!(shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2, 2), true).token().is_some());
     let lost = shard.next_heartbeat(Timestamp::from_secs(3)).unwrap();
     let next = shard.next_heartbeat(Timestamp::from_secs(5)).unwrap();
@@ -182,13 +193,13 @@
 
 #[test]
 fn a_new_leader_starts_the_shard_without_lease_and_cache() {
-    let mut shard = shard();
+    let mut shard = shard_with_lease();
     shard.follow(FencingToken(5));
     let worker_heartbeat = |sequence| Heartbeat { token: FencingToken(5), ..worker_heartbeat(sequence, 2) };
     assert_eq!(
         shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2), false),
         ShardResponse::NotResponsible,
-        "its lease was the last leader's"
+        "the previous leader granted the lease"
     );
     let heartbeat = shard.next_heartbeat(Timestamp::from_secs(2)).unwrap();
     shard.acknowledge(heartbeat.id, LEASE);
@@ -196,7 +207,7 @@
         shard.respond(Timestamp::from_secs(2), &worker_heartbeat(2), true),
         ShardResponse::NotResponsible
     );
-    // A late response of the last leader leaves nothing to renew.
+    // A late response of the previous leader is not cached.
     shard.record_relayed_response(Timestamp::from_secs(2), worker_heartbeat(2), FencingToken(4), true);
     assert_eq!(
         shard.respond(Timestamp::from_secs(2), &worker_heartbeat(3), true),
@@ -206,7 +217,7 @@
 
 #[test]
 fn a_repeated_heartbeat_is_a_duplicate_and_renews_nothing() {
-    let mut shard = shard();
+    let mut shard = shard_with_lease();
     assert_eq!(
         shard.respond(Timestamp::from_secs(2), &worker_heartbeat(1, 2), true),
         ShardResponse::Duplicate
@@ -217,8 +228,9 @@
     );
 }
 
-/// 6,000 machines with names of sixty bytes do not fit into one frame. The leader counts no lease of the shard as
-/// expired before one heartbeat has named them all, so the remaining names have to follow faster than workers report.
+/// 6,000 machines with names of sixty bytes do not fit into one frame. The leader treats no lease of the
+/// shard as expired until shard heartbeats have named them all, so the remaining names must follow faster
+/// than workers report.
 #[test]
 fn a_large_shard_with_long_names_is_named_completely_within_one_report_interval() {
     const MACHINES: usize = 6_000;
@@ -236,7 +248,7 @@
             let worker = Heartbeat { machine: name(machine), ..worker_heartbeat(sequence, 1) };
             assert!(shard.respond(now, &worker, false).token().is_some(), "its lease runs");
             if let Some(heartbeat) = shard.next_heartbeat(now) {
-                let bytes: usize = heartbeat.machines.iter().map(|n| n.len() + 1).sum();
+                let bytes: usize = heartbeat.machines.iter().map(|name| name.len() + 1).sum();
                 assert!(bytes <= crate::limits::MAX_BODY_BYTES, "{bytes} bytes do not fit a frame");
                 named.extend(heartbeat.machines);
                 complete_at.extend(heartbeat.complete.then_some(now));
@@ -245,12 +257,13 @@
         }
     }
     assert_eq!(named.len(), MACHINES);
-    let apart = complete_at.windows(2).map(|pair| pair[1].since(pair[0])).max();
-    assert!(apart.is_some_and(|apart| apart <= REPORT_INTERVAL), "complete at {complete_at:?}");
+    let longest_gap = complete_at.windows(2).map(|pair| pair[1].since(pair[0])).max();
+    assert!(longest_gap.is_some_and(|gap| gap <= REPORT_INTERVAL), "complete at {complete_at:?}");
 }
 
-/// Shard heartbeats were numbered from one in every process. The acknowledgement of an earlier process's heartbeat, still
-/// on its way when this one had started, let this one renew leases unknown to the leader.
+/// Shard heartbeats must not be numbered from one in every process: the acknowledgement of an earlier
+/// process's heartbeat that arrives after a restart would let this process renew leases unknown to the
+/// leader.
 #[test]
 fn an_acknowledgement_for_an_earlier_incarnation_is_ignored() {
     let mut earlier = Shard::new(8, 1);
@@ -264,6 +277,6 @@
         shard.respond(Timestamp::from_secs(3), &worker_heartbeat(1, 2), false),
         ShardResponse::NotResponsible
     );
-    assert!(shard.acknowledge(own, LEASE), "its own still counts");
+    assert!(shard.acknowledge(own, LEASE), "the present incarnation sent it");
     assert!(shard.respond(Timestamp::from_secs(3), &worker_heartbeat(1, 2), false).token().is_some());
 }
--- a/src/limits/client.rs
+++ b/src/limits/client.rs
@@ -1,8 +1,8 @@
-//! The operators' client.
+//! Timeouts of the operators' client.
 
 use std::time::Duration;
 
-/// A node that does not answer the client within this is left for the next.
+/// Time limit of one request to a node. The client then tries the next node.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Between two questions of the client.
+/// Pause between two requests of the client.
 pub const CLIENT_RETRY_INTERVAL: Duration = Duration::from_millis(300);
--- a/src/limits/cold_start.rs
+++ b/src/limits/cold_start.rs
@@ -1,12 +1,16 @@
-//! Reconciliation after all controllers were lost.
+//! Reconciliation after a cold start, that is, after all controllers were lost. Used by
+//! `scheduler::cold_start`.
 
 use std::time::Duration;
 
-/// How often the phase is looked at: at 4,000 machines with some ten tasks each a look joins 40,000 facts.
+/// Interval between two checks of the cold-start phase: at 4,000 machines with some ten tasks each, one check
+/// joins 40,000 entries.
 pub const COLD_START_INTERVAL: Duration = Duration::from_secs(1);
-/// A job that reports name and nobody knows is asked about again after this.
+/// A job that workers report and the leader does not know is read from the key-value store again after this
+/// time.
 pub const COLD_START_RETRY_INTERVAL: Duration = Duration::from_secs(3);
-/// Jobs asked about at once, within the state service's limit.
+/// Unknown jobs that are read at once, within the request limit of the key-value store.
 pub const MAX_COLD_START_READS: usize = 8;
-/// Machines and tasks named in the heartbeat: it has to fit a value.
+/// Machines, and likewise tasks, that the cold-start report names: it must fit one value of the key-value
+/// store.
 pub const MAX_COLD_START_NAMES: usize = 10;
--- a/src/limits/drain.rs
+++ b/src/limits/drain.rs
@@ -1,25 +1,28 @@
-//! Draining of machines.
+//! Draining of machines. Used by `scheduler::drains`.
 
 use std::time::Duration;
 
-/// How often drains are looked at: stops and replacements take seconds each.
+/// Interval between two drain steps: stops and replacements take seconds each.
 pub const DRAIN_INTERVAL: Duration = Duration::from_millis(500);
-/// Time that the solver may take for one step, in seconds: it looks at 200 machines at most, and the answer in their
-/// order stands where it does not suffice.
+/// Time limit of the solver for one drain step, in seconds. It considers 200 machines at most; if the time
+/// does not suffice, machines are taken in their order of preference.
 pub const DRAIN_SOLVER_TIMEOUT_S: f64 = 0.02;
-/// For each machine that may begin, so many are offered to the planner.
+/// Candidates that are offered to the planner for each machine that may begin to drain.
 pub const MAX_DRAIN_CANDIDATES: usize = 8;
-/// Places looked for in one round, each a look at every machine: 16 at 4,000 machines take some 5 ms of a full core.
+/// Searches for a destination in one round, each over every machine: 16 at 4,000 machines take some 5 ms of a
+/// full core.
 pub const MAX_DRAIN_PLACEMENT_SEARCHES: usize = 16;
-/// A ledger that nothing waits for is written this often, so that a new leader misses little.
+/// A ledger that no stop waits for is written at this interval, so that a new leader misses little.
 pub const DRAIN_LEDGER_INTERVAL: Duration = Duration::from_secs(10);
-/// What operators are told of a drain is written this often.
+/// Interval at which a drain's summary for operators is written.
 pub const DRAIN_SUMMARY_INTERVAL: Duration = Duration::from_secs(2);
-/// A place is kept this long for a replica that has been told to stop: longer than a worker lease.
+/// How long a place stays reserved for a replica that was asked to stop: longer than a worker lease.
 pub const DRAIN_MOVE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Added to two heartbeats for how long a moved replica is down: the round of decisions and the way to its worker.
+/// Added to two heartbeat intervals to estimate how long a moved replica is down, in seconds: the round of
+/// decisions and the transfer to its worker.
 pub const MOVE_MARGIN_S: f64 = 1.0;
-/// A fetch takes up to a third longer than its rate says, and two may share the rate.
+/// Factor on the nominal duration of an image fetch: a fetch takes up to a third longer than its rate says,
+/// and two may share the rate.
 pub const FETCH_TIME_FACTOR: f64 = 1.5;
-/// What a fetch is taken to last where the rate is not known.
+/// Estimated duration of a fetch whose rate is not known, in seconds.
 pub const DEFAULT_FETCH_S: f64 = 60.0;
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,5 +1,5 @@
-//! Every constant of the service, with its unit and the reason for its value. What follows from the
-//! settings is a function of them. Times are durations unless the name says otherwise.
+//! Constants of the service: timeouts, intervals, sizes and shares, with their units and the reasons behind
+//! them. Values that depend on the settings are functions of these. Every module of the service uses them.
 
 mod autoscaling;
 mod client;
--- a/src/limits/persistence.rs
+++ b/src/limits/persistence.rs
@@ -1,29 +1,30 @@
-//! Records in the key-value store, and at what pace they are written.
+//! Records in the key-value store: their sizes, and when they are written. Used by `scheduler::records`.
 
 use std::time::Duration;
 
-/// Share of the state service's puts and deletes that the leader spends on its own records; the rest is
-/// for users' submissions and cancellations through any node.
+/// Share of the key-value store's puts and deletes that the leader spends on its own records. The rest is for
+/// users' submissions and cancellations through any node.
 pub const LEADER_WRITE_SHARE: f64 = 0.5;
-/// The leader's least burst: an ended job takes three writes at once.
+/// The smallest burst of the leader's write budget, in puts and deletes: a job that ends takes three at once.
 pub const MIN_WRITE_BURST: f64 = 4.0;
-/// Finished tasks of a job wait this long for others of it before they are written.
+/// Finished tasks of a job are written after this delay, in one write with others of the job.
 pub const FINISHED_TASKS_DELAY: Duration = Duration::from_secs(4);
-/// A machine that is gone stays in its record this long, and new images out of it, so that others join.
+/// A deleted machine is removed from its record after this delay, so that several changes share one write.
 pub const DELETED_MACHINE_RECORD_DELAY: Duration = Duration::from_secs(4);
-/// New images of a machine are recorded after this time.
+/// New images of a machine are recorded after this delay, so that several changes share one write.
 pub const IMAGE_RECORD_DELAY: Duration = Duration::from_secs(20);
-/// Bytes of image names that a record keeps for each machine, and bytes of everything else.
+/// Bytes of image names that a record keeps for each machine.
 pub const RECORD_IMAGE_BYTES: usize = 120;
-/// Bytes of a machine's record besides its images.
+/// Bytes of a machine's entry in a record besides its image names.
 pub const RECORD_MACHINE_BYTES: usize = 180;
 
-/// Bytes of a value of the state service, a margin left.
+/// Bytes that a value of the key-value store may have, less a margin. `value_kb`: its limit in KiB.
 pub fn value_bytes(value_kb: f64) -> usize {
     (value_kb * 1024.0 * 0.9) as usize
 }
 
-/// Machines in one record, so that it fits a value of the state service.
+/// Machines in one record, so that it fits a value of the key-value store. `value_kb`: the limit of a value
+/// in KiB.
 pub fn record_machines(value_kb: f64) -> usize {
     (value_bytes(value_kb) / (RECORD_IMAGE_BYTES + RECORD_MACHINE_BYTES)).max(1)
 }
--- a/src/limits/shard.rs
+++ b/src/limits/shard.rs
@@ -1,24 +1,27 @@
-//! Shards, their leaseholders, and heartbeats that are relayed. Used by `lease::shard` and by the controller's heartbeat
-//! routing.
+//! Shards, their leaseholders, and relayed heartbeats. Used by `lease::shard` and by the controller's
+//! heartbeat routing.
 
 use std::time::Duration;
 
-/// How often a leaseholder sends the leader a shard heartbeat with the machines that it responded to.
+/// Interval of a leaseholder's shard heartbeats, which name the machines that it responded to.
 pub const SHARD_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A worker with changes that no leader receives is redirected to the other nodes again this long after it came back.
-/// It may wait four seconds for each of two of them, with a pause of one second, and its lease must outlast that.
+/// A worker with changes that no leader receives is redirected to the other nodes again this long after it
+/// came back. There it may wait four seconds for each of two nodes, with a pause of one second, and its lease
+/// must outlast that.
 pub const REDIRECT_RETRY_INTERVAL: Duration = Duration::from_secs(8);
 /// Bytes of machine names in one shard heartbeat: a frame holds 64 KiB.
 pub const SHARD_HEARTBEAT_MAX_BYTES: usize = 60 * 1024;
-/// A shard heartbeat that could not name every machine is followed by the next after this time. The leader counts no
-/// lease of the shard as expired before one has named them all, and 6,000 machines with long names take several frames.
+/// A shard heartbeat that could not name every machine is followed by the next after this time. The leader
+/// treats no lease of the shard as expired until all have been named, and 6,000 machines with long names take
+/// several frames.
 pub const SHARD_HEARTBEAT_CONTINUATION_INTERVAL: Duration = Duration::from_millis(250);
-/// How many shard heartbeats without acknowledgement are remembered: those of four seconds while the names take several
-/// frames.
+/// Shard heartbeats without acknowledgement that a leaseholder remembers: those of four seconds while the
+/// names take several frames.
 pub const MAX_UNACKNOWLEDGED_SHARD_HEARTBEATS: usize = 16;
-/// A heartbeat that was relayed waits this long for the leader. Then the worker is kept alive if it may be, or redirected.
-/// Well within the 4 s for which a worker waits for a response (PROTOCOL).
+/// How long a relayed heartbeat waits for the leader's response. After that the leaseholder keeps the worker
+/// alive if it may, and otherwise redirects it. Well within the 4 s for which a worker waits for a response
+/// (PROTOCOL).
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The leader accepts a leaseholder's frames only within this time after it sent the heartbeat that they echo: bytes that
-/// a network partition held back must have no effect.
+/// The leader accepts a leaseholder's frames only within this time after it sent the heartbeat that they
+/// echo: frames that a network partition has delayed must have no effect.
 pub const RELAY_MAX_AGE: Duration = Duration::from_secs(3);
--- a/src/time.rs
+++ b/src/time.rs
@@ -5,10 +5,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// An instant of a node's steady clock: whole microseconds since an origin of its process's own.
+/// An instant of a node's steady clock: whole microseconds since an origin that differs between processes.
 ///
-/// Instants of different nodes can't be compared. A message may carry its sender's instant, which means something only
-/// when it is echoed back to that sender. Arithmetic saturates at both ends.
+/// Instants of different nodes can't be compared. A message may contain its sender's instant, which is
+/// meaningful only when it is echoed back to that sender. Arithmetic saturates at both ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
@@ -38,7 +38,7 @@
         self.0 / 1_000
     }
 
-    /// The time that has passed since `earlier`; zero if that is later than this instant.
+    /// The time that has passed since `earlier`; zero if `earlier` is later than this instant.
     pub const fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -73,7 +73,8 @@
     }
 }
 
-/// A [`Timestamp`] that the tasks of a process share. It is read and written by itself: nothing else is ordered by it.
+/// A [`Timestamp`] that the tasks of a process share. Loads and stores are relaxed: they order no other
+/// memory accesses.
 #[derive(Debug, Default)]
 pub struct AtomicTimestamp(AtomicU64);
 
@@ -89,13 +90,13 @@
     }
 }
 
-/// A duration in whole microseconds, the unit of frames between nodes; `u64::MAX` if it is longer than that.
+/// A duration in whole microseconds, the unit of frames between nodes; saturates at `u64::MAX`.
 pub fn to_micros(duration: Duration) -> u64 {
     let seconds = duration.as_secs().saturating_mul(1_000_000);
     seconds.saturating_add(u64::from(duration.subsec_micros()))
 }
 
-/// A duration in seconds, as rates and settings count them.
+/// A duration in seconds, the unit of rates and settings.
 pub fn as_seconds(duration: Duration) -> f64 {
     to_micros(duration) as f64 / 1e6
 }
