--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -1,4 +1,5 @@
-//! Admission and growth of one job: how many of its tasks may start now, and their placement.
+//! Admission and growth of one job: determines how many of its tasks may start now and places them. The
+//! passes of a round call `Scheduler::consider` for each job.
 
 use super::candidates::{PlacementRequest, SharedFetch};
 use super::capacity::FreeCapacity;
@@ -13,19 +14,19 @@
 /// The two passes of a round over the jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Pass {
-    /// Every job by its priority.
+    /// Considers every job in the order of priority.
     Regular,
-    /// Jobs inside their rescale gap take what is left. They preempt nothing.
+    /// Gives the remaining capacity to jobs inside their rescale gap, without preemption.
     Leftover,
 }
 
-/// What is left to do for a job after its tasks were placed.
+/// Whether a job may have to preempt after the attempt to place its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 enum Admission {
-    /// Nothing in this round.
+    /// Nothing more to do for the job in this round.
     Settled,
-    /// It found less room than it needs.
+    /// Not all tasks that the job needs were placed.
     ShortOfRoom,
 }
 
@@ -37,19 +38,20 @@
         last_resized_at > Timestamp::ZERO && self.now < last_resized_at + gap
     }
 
-    /// Starts what can start of the job (figure 2, and figure 3 for one that runs), and preempts where it may.
+    /// Starts as many pending tasks of the job as possible (figure 2; figure 3 if the job is already
+    /// running). In the regular pass, preempts other jobs if there is too little room.
     pub(super) fn consider(&mut self, job_id: JobId, pass: Pass, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id).filter(|job| !job.progress.pending.is_empty()) else { return };
         if let Some(reason) = self.reason_not_to_start(job) {
-            return self.wait(job_id, reason);
+            return self.set_pending_reason(job_id, reason);
         }
-        // A gang of which something is placed is completed or ended; it does not grow.
+        // A gang that is partly placed is either completed or stopped; it does not grow.
         if job.spec.kind == Kind::Gang && !job.placements.is_empty() {
             return self.repair_gang(job_id, round);
         }
         let tasks = match self.tasks_to_start(job_id, pass, &round.capacity.team_usage) {
             Ok(tasks) => tasks,
-            Err(reason) => return self.wait(job_id, reason),
+            Err(reason) => return self.set_pending_reason(job_id, reason),
         };
         match (self.admit(job_id, tasks, round), pass) {
             (Admission::Settled, _) | (Admission::ShortOfRoom, Pass::Leftover) => {}
@@ -57,21 +59,21 @@
         }
     }
 
-    /// What keeps every task of the job from starting, whatever room there is.
+    /// Why no task of the job may start now, regardless of free capacity. None: tasks may start.
     fn reason_not_to_start(&self, job: &Job) -> Option<PendingReason> {
         if job.failure_history.backoff_until > self.now {
             return Some(PendingReason::TasksFailed);
         }
-        // A task of an earlier leader's may be on a machine that has sent no heartbeat yet, if it is one that the job
-        // may use at all.
+        // A task that an earlier leader started may still be on a machine that has sent no heartbeat to this
+        // leader. Only machines that the job may use matter.
         if job.inherited && !self.reconciled_for(job) {
             return Some(PendingReason::UnreconciledMachines);
         }
         None
     }
 
-    /// How many tasks of the job may start now by its width, its team's quota and the pace of a cold start; an error:
-    /// none, and why.
+    /// How many tasks of the job may start now, given its width, its team's limit and the pace of a cold
+    /// start. At least 1; the error is the reason why none may start.
     fn tasks_to_start(
         &mut self,
         job_id: JobId,
@@ -79,27 +81,28 @@
         team_usage: &TeamUsage,
     ) -> Result<u32, PendingReason> {
         let Some(job) = self.jobs.get(&job_id) else { return Err(PendingReason::RescaleGap) };
-        let (placed, fewest) = (job.placements.len() as u32, job.admission());
+        let (placed, admission_minimum) = (job.placements.len() as u32, job.admission());
         let missing = self.missing_tasks(job, pass);
         if missing == 0 {
             return Err(PendingReason::RescaleGap);
         }
         let allowed = missing.min(self.tasks_within_limit(job, team_usage));
-        let allowed = if self.is_hurried(job, pass) { allowed.min(job.minimum()) } else { allowed };
+        let allowed =
+            if self.is_limited_to_minimum(job, pass) { allowed.min(job.minimum()) } else { allowed };
         let tasks = self.paced(&job_id, allowed);
         if tasks == 0 && allowed > 0 {
             return Err(PendingReason::ColdStartPace);
         }
-        // A gang of which only a part fits within its team's limit would start in part, be stopped as incomplete, and
-        // keep others out with it, again and again.
-        if tasks == 0 || placed + tasks < fewest {
+        // Without this check a gang that exceeds its team's limit would repeatedly be placed in part and
+        // stopped as incomplete, and its places would be closed to other jobs meanwhile.
+        if tasks == 0 || placed + tasks < admission_minimum {
             return Err(PendingReason::TeamLimit);
         }
         Ok(tasks)
     }
 
-    /// How many pending tasks the job may start by its width (figure 3). Width that it has lost is restored without
-    /// regard to the rescale gap; growth beyond it waits for the gap to pass.
+    /// How many pending tasks the job may start, given its width (figure 3). Restoring lost width ignores the
+    /// rescale gap; growth beyond the width waits until the gap has passed.
     fn missing_tasks(&self, job: &Job, pass: Pass) -> u32 {
         let placed = job.placements.len() as u32;
         let may_grow = placed == 0 || pass == Pass::Leftover || !self.is_in_rescale_gap(job);
@@ -107,25 +110,25 @@
         target.saturating_sub(placed).min(job.progress.pending.len() as u32)
     }
 
-    /// Exception 5 of `docs/design.md`: a job that owes its place to the wait for its first task gets its minimum by
-    /// that. More comes by its regular rank.
-    fn is_hurried(&self, job: &Job, pass: Pass) -> bool {
+    /// Exception 5 of `docs/design.md`: an array whose rank is raised because it has waited long for its
+    /// first task gets only its minimum width by that rank. It grows further by its regular rank.
+    fn is_limited_to_minimum(&self, job: &Job, pass: Pass) -> bool {
         pass == Pass::Regular
             && job.spec.kind == Kind::Array
             && self.rank(job) > self.regular_rank(job, self.relative_size(job))
     }
 
-    /// Places up to `tasks` tasks of the job, if there is room for the fewest that it starts with (figure 2).
+    /// Places up to `tasks` tasks of the job, if there is room for at least its admission minimum (figure 2).
     fn admit(&mut self, job_id: JobId, tasks: u32, round: &mut Round) -> Admission {
         let Some(job) = self.jobs.get(&job_id) else { return Admission::Settled };
         let placed = job.placements.len() as u32;
-        let fewest = job.admission().min(placed + tasks);
+        let admission_minimum = job.admission().min(placed + tasks);
         let request = PlacementRequest { job, tasks, shared_fetch: self.shared_fetch(job) };
         let found = self.find_machines(request, &round.capacity, &mut round.steps);
-        if found.is_empty() || placed + (found.len() as u32) < fewest {
+        if found.is_empty() || placed + (found.len() as u32) < admission_minimum {
             return Admission::ShortOfRoom;
         }
-        let running = placed.saturating_sub(round.capacity.stopping(job_id));
+        let running = placed.saturating_sub(round.capacity.stopping_task_count(job_id));
         self.widen(job_id, running + found.len() as u32);
         let attempt = self.next_attempt();
         for machine in found {
@@ -134,7 +137,8 @@
         self.admission_after_placement(job_id)
     }
 
-    /// Exception 6 of `docs/design.md`: a fetch is shared only after a while.
+    /// Exception 6 of `docs/design.md`: image fetches share a machine's rate only after the job has waited
+    /// for `FETCH_TIMEOUT`.
     fn shared_fetch(&self, job: &Job) -> SharedFetch {
         let waits_since = job.submitted_at.max(job.elasticity.last_resized_at);
         if self.now < waits_since + limits::FETCH_TIMEOUT {
@@ -144,7 +148,8 @@
         }
     }
 
-    /// A rescaling event, if the job was narrower: its rescale gap begins.
+    /// Raises the job's width to `width` and begins its rescale gap. No effect if the job is at least that
+    /// wide.
     fn widen(&mut self, job_id: JobId, width: u32) {
         let now = self.now;
         if let Some(job) = self.jobs.get_mut(&job_id).filter(|job| width > job.elasticity.width) {
@@ -153,22 +158,22 @@
         }
     }
 
-    /// Exception 2 of `docs/design.md`: the replicas of a service that are left may preempt. Other jobs have what
-    /// they start with.
+    /// Exception 2 of `docs/design.md`: the remaining replicas of a service may preempt. Other jobs have
+    /// their admission minimum.
     fn admission_after_placement(&mut self, job_id: JobId) -> Admission {
         let Some(job) = self.jobs.get(&job_id).filter(|job| !job.progress.pending.is_empty()) else {
             return Admission::Settled;
         };
         let kind = job.spec.kind;
-        self.wait(job_id, PendingReason::NoFurtherFreeSlot);
+        self.set_pending_reason(job_id, PendingReason::NoFurtherFreeSlot);
         match kind {
             Kind::Service => Admission::ShortOfRoom,
             Kind::Array | Kind::Gang => Admission::Settled,
         }
     }
 
-    /// Preempts lower tasks for what the job lacks of its minimum width (figure 2), for a service also for one
-    /// replica alone (exception 2 of `docs/design.md`).
+    /// Preempts tasks of lower jobs for the tasks missing from the job's minimum width (figure 2). If that is
+    /// impossible for a service, tries again for a single replica (exception 2 of `docs/design.md`).
     fn preempt_for_minimum(&mut self, job_id: JobId, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let placed = job.placements.len() as u32;
@@ -176,7 +181,7 @@
         let is_service = job.spec.kind == Kind::Service;
         match self.preempt_for(job_id, missing, round) {
             Preemption::UnderWay => {}
-            // Each replica serves by itself.
+            // Replicas serve independently of each other.
             Preemption::Impossible if is_service && missing > 1 => {
                 let _second_attempt = self.preempt_for(job_id, 1, round);
             }
@@ -184,7 +189,8 @@
         }
     }
 
-    /// Reserves a slot on the machine for the job's next pending task.
+    /// Places the job's next pending task on the machine under `attempt`, and takes its resources from
+    /// `capacity`.
     pub(in crate::scheduler) fn assign(
         &mut self,
         job_id: JobId,
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -1,9 +1,9 @@
-//! Machines for the tasks of a job: filter, score, assign.
+//! Selects machines for the tasks of a job in three steps: filter, score, assign. Called by `admission`,
+//! `preemption`, `victims` and the scheduling of gangs; it changes no state, and the callers decide what to
+//! do with the machines.
 //!
-//! It only names machines. Whether the job may start is decided in `admission`, and placements are reserved there.
-//!
-//! A machine that is best stays best until it is full, since each task only makes it fuller. So machines are filtered
-//! and scored once, and the zones are compared by their best ones for each task.
+//! The best machine of a zone remains the best until it is full, since each task only makes it fuller. So
+//! machines are filtered and scored once, and for each task only the best machines of the zones are compared.
 
 use super::capacity::FreeCapacity;
 use super::headroom_guard::HeadroomGuard;
@@ -13,39 +13,40 @@
 use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 
-/// Whether a task may go where its image would be fetched beside another one.
+/// Whether a task may go to a machine where its image would be fetched at the same time as another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::scheduler) enum SharedFetch {
-    /// Images that are fetched at the same time share the rate: fetched one after the other, the first is there
-    /// sooner and the last no later (exception 6 of `docs/design.md`).
+    /// Simultaneous fetches share the machine's rate. Fetched one after the other, the first image arrives
+    /// earlier and the last one no later (exception 6 of `docs/design.md`).
     Avoid,
     /// A fetch may be shared.
     Allow,
 }
 
-/// What machines are looked for.
+/// A request for machines for the tasks of one job.
 #[derive(Clone, Copy)]
 pub(in crate::scheduler) struct PlacementRequest<'a> {
     /// The job.
     pub job: &'a Job,
-    /// The most of its tasks that get a machine.
+    /// Maximum number of tasks to find machines for.
     pub tasks: u32,
-    /// Whether a fetch may be shared.
+    /// Whether image fetches may share a machine's rate.
     pub shared_fetch: SharedFetch,
 }
 
-/// A machine that has passed the filter, with its score.
+/// A machine that has passed the filter, and its score.
 struct Candidate<'a> {
     score: Score,
-    /// Best fit: what a further task would leave; see [`scoring::remainder`].
+    /// Resources left after one more task; smaller is a better fit. See [`scoring::remainder`].
     remainder: i64,
     machine: &'a Machine,
     available: Resources,
 }
 
 impl Scheduler {
-    /// Names of machines for the tasks of the request, the best first; one entry for each task that found room. What
-    /// figure 2 of the paper counts as free slots are places that fit a task here.
+    /// Names of machines for the tasks of the request, best first, with one entry per task: a machine that
+    /// takes several tasks is listed several times. The free slots of figure 2 of the paper are places that
+    /// fit a task here. Adds the decision steps taken to `steps`.
     pub(in crate::scheduler) fn find_machines(
         &self,
         request: PlacementRequest<'_>,
@@ -53,14 +54,14 @@
         steps: &mut usize,
     ) -> Vec<String> {
         let zone_choice = self.choose_zone(request.job, capacity);
-        if zone_choice == ZoneChoice::Nowhere {
+        if zone_choice == ZoneChoice::NoZone {
             return Vec::new();
         }
         let by_zone = self.filter_and_score(request, &zone_choice, capacity, steps);
         let mut pool = CandidatePool {
             job: request.job,
             by_zone,
-            zones: ZoneCount::of(request.job, &self.machines),
+            zone_count: ZoneCount::of(request.job, &self.machines),
             headroom: HeadroomGuard::new(request.job, capacity),
         };
         pool.sort(steps);
@@ -101,11 +102,12 @@
         by_zone
     }
 
-    /// Filter: whether the job may use the machine now, its room aside. A consolidation target is closed to work that
-    /// may use spot machines (exception 3 of `docs/design.md`), a replacement keeps its room for what moves off the
-    /// machine that it stands for, and a quarantined machine takes services only.
+    /// Filter: whether the job may use the machine now, regardless of the machine's free resources. A
+    /// consolidation target is closed to jobs that may use spot machines (exception 3 of `docs/design.md`). A
+    /// replacement is reserved for critical jobs and the tasks that move off the machine it replaces. A
+    /// quarantined machine takes services only.
     fn passes_filter(&self, job: &Job, machine: &Machine) -> bool {
-        // A job under suspicion would have nowhere else to go.
+        // A suspected job has failed on several machines; excluding them might leave it none.
         let failed_here = !job.is_suspected() && job.failure_history.machines.contains(&machine.name);
         scoring::is_eligible(job, machine)
             && !failed_here
@@ -114,12 +116,13 @@
             && (job.spec.kind == Kind::Service || machine.health.quarantined_until <= self.now)
     }
 
-    /// Score: the part of it that stays the same for every further task of the job on the machine.
+    /// Score: the part that is the same for every further task of the job on the machine.
     fn score(&self, job: &Job, machine: &Machine, capacity: &FreeCapacity) -> Score {
         let mut score = Score::of(job, machine, capacity.has_fixed_work);
-        // A task on a machine that will be drained would have to leave again.
+        // A task placed on a machine that will be drained would have to move again.
         score.penalty += i64::from(self.drains.is_targeted(&machine.name));
-        // All tasks of a gang wait for the last one: machines whose next heartbeat is due come first.
+        // All tasks of a gang wait for the last one to start, and starts are sent in responses to heartbeats:
+        // prefer machines whose next heartbeat is due soon.
         if job.spec.kind == Kind::Gang {
             score.penalty += 2 * self.heartbeat_due_s(machine);
         }
@@ -127,12 +130,12 @@
     }
 }
 
-/// The candidates for the tasks of a job, and what the tasks assigned so far leave.
+/// The candidates for the tasks of a job, updated with each task that is assigned.
 struct CandidatePool<'a> {
     job: &'a Job,
-    /// The candidates of each zone; once sorted, the best one is the last, where it is taken from.
+    /// The candidates of each zone. After `sort` the best one is last, so that it can be popped.
     by_zone: BTreeMap<&'a str, Vec<Candidate<'a>>>,
-    zones: ZoneCount,
+    zone_count: ZoneCount,
     headroom: HeadroomGuard,
 }
 
@@ -146,7 +149,8 @@
         }
     }
 
-    /// Assign: each task goes to the best candidate of the best zone, until no zone has one.
+    /// Assign: each task goes to the best candidate of the best zone, until no zone has a candidate. Returns
+    /// the names of the machines, one per task.
     fn assign(mut self, tasks: u32, steps: &mut usize) -> Vec<String> {
         let request = &self.job.spec.resource_request;
         let mut assigned = Vec::new();
@@ -160,7 +164,7 @@
                 continue;
             }
             self.headroom.take(best.machine, &best.available, request);
-            self.zones.add(&best.machine.zone);
+            self.zone_count.add(&best.machine.zone);
             assigned.push(best.machine.name.clone());
             best.available = best.available.minus(request);
             best.remainder = scoring::remainder(self.job, &best.available);
@@ -171,15 +175,16 @@
         assigned
     }
 
-    /// The zone with the best candidate, among those where the job's zone rules allow a further task. Critical jobs
-    /// spread over the zones where the scores are equal.
+    /// The zone with the best candidate, among the zones where the job's zone rules allow another task.
+    /// Between equal scores, critical jobs prefer the zone with fewest of their tasks.
     fn best_zone(&self) -> Option<&'a str> {
         let spreads = self.job.spec.priority == Priority::Critical;
-        let open = self.by_zone.iter().filter(|(zone, _)| self.zones.allows(self.job, zone));
-        open.filter_map(|(zone, candidates)| candidates.last().map(|best| (*zone, best)))
+        let allowed_zones = self.by_zone.iter().filter(|(zone, _)| self.zone_count.allows(self.job, zone));
+        allowed_zones
+            .filter_map(|(zone, candidates)| candidates.last().map(|best| (*zone, best)))
             .min_by_key(|(zone, best)| {
-                let tasks_there = if spreads { self.zones.get(zone) } else { 0 };
-                (best.score, tasks_there, best.remainder, &best.machine.name)
+                let tasks_in_zone = if spreads { self.zone_count.get(zone) } else { 0 };
+                (best.score, tasks_in_zone, best.remainder, &best.machine.name)
             })
             .map(|(zone, _)| zone)
     }
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -1,4 +1,5 @@
-//! Free capacity of a round: the room that its placements and stops leave, and what all its jobs have in common.
+//! Free capacity during a round: the resources available on each machine, and figures that are the same for
+//! all jobs of the round. Created once per round by `Scheduler::begin_round`; placements and stops update it.
 
 use super::equivalence_class::{ClassBuilder, EquivalenceClasses};
 use crate::scheduler::model::{Job, JobId, Kind, Machine, Priority, Resources};
@@ -7,43 +8,45 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Room on each machine as a round fills it, and what all jobs of the round have in common. Determined once a round,
-/// since a look at every machine for every job does not scale.
+/// Free resources of each machine as the round places tasks, and figures that are the same for all its jobs.
+/// Computed once per round, since examining every machine for every job does not scale.
 #[derive(Clone)]
 pub struct FreeCapacity {
-    /// Room on the machines that can take the smallest waiting task; the others take none.
+    /// Free resources by machine name, for machines that can hold the smallest waiting request (the least
+    /// amount of each resource). No waiting task fits on the others.
     pub(super) available: BTreeMap<String, Resources>,
-    /// The same machines by equivalence class.
+    /// The machines of `available` by equivalence class.
     pub(super) classes: EquivalenceClasses,
-    /// Places for the largest critical task on the ordinary ones of these machines, by zone.
+    /// By zone, the number of places for the largest critical task on those machines that are ordinary (not
+    /// spot).
     pub(super) critical_places: BTreeMap<String, i64>,
-    /// Room that stops under way will free, by machine.
+    /// By machine name, the resources that stops under way will free.
     pub(super) freed_by_stops: BTreeMap<String, Resources>,
-    /// Number of tasks of each job that were asked to stop.
+    /// By job, the number of its tasks that were asked to stop.
     pub(super) stopping_tasks: BTreeMap<JobId, u32>,
-    /// What a place for a critical task must hold. None: there are no critical jobs.
+    /// Resources of one place for a critical task. None: there are no critical jobs.
     pub(super) critical_place: Option<Resources>,
-    /// Places that are kept free in each zone for critical services.
+    /// Number of places kept free in each zone for critical services.
     pub(super) headroom_per_zone: i64,
-    /// The lowest priority of an array of which something is placed.
+    /// The lowest priority among arrays with placed tasks. None: there are no such arrays.
     pub(super) lowest_preemptible: Option<Priority>,
-    /// The order in which jobs are preempted, determined when it is first asked for.
+    /// The order in which jobs are preempted. None until it is first needed in the round.
     pub(super) preemption_order: Option<Arc<[JobId]>>,
     /// Whether some job may not use spot machines.
     pub(super) has_fixed_work: bool,
-    /// What each team uses.
+    /// Resources used by each team.
     pub(in crate::scheduler) team_usage: TeamUsage,
 }
 
 impl FreeCapacity {
-    /// A task with this request is placed on the machine.
+    /// Records that a task with this request is placed on the machine.
     pub(super) fn take(&mut self, machine: &Machine, request: &Resources) {
         let available = self.available_on(machine).minus(request);
         self.set(machine, available);
     }
 
-    /// Room on each of these machines is set aside for a task with this request, so that no later job of the round
-    /// takes it.
+    /// Sets resources aside on each listed machine for a task with this request, so that no later job of the
+    /// round takes them. A name that is listed several times counts for as many tasks.
     pub(super) fn take_on_each(
         &mut self,
         names: &[String],
@@ -55,13 +58,13 @@
         }
     }
 
-    /// A stop will free this room on the machine.
+    /// Adds resources that a stop on the machine frees.
     pub(super) fn release(&mut self, machine: &Machine, room: &Resources) {
         let available = self.available_on(machine).plus(room);
         self.set(machine, available);
     }
 
-    /// Only so much of the machine's room is open to every job.
+    /// Limits the resources of the machine that all jobs may use to `room`; the rest is reserved.
     pub(in crate::scheduler) fn limit(&mut self, machine: &Machine, room: Resources) {
         if self.available.contains_key(&machine.name) {
             self.set(machine, room);
@@ -78,18 +81,20 @@
         self.count_critical_places(machine, before, available);
     }
 
-    fn count_critical_places(&mut self, machine: &Machine, before: Option<Resources>, now: Resources) {
+    /// Updates `critical_places` for a machine whose free resources change from `before` to `after`. A
+    /// `before` of None: the machine was not counted yet.
+    fn count_critical_places(&mut self, machine: &Machine, before: Option<Resources>, after: Resources) {
         let Some(place) = self.critical_place.filter(|_| !machine.spot) else { return };
-        let more = place.count_in(&now) - before.map_or(0, |before| place.count_in(&before));
+        let change = place.count_in(&after) - before.map_or(0, |before| place.count_in(&before));
         match self.critical_places.get_mut(&machine.zone) {
-            Some(places) => *places += more,
+            Some(places) => *places += change,
             None => {
-                self.critical_places.insert(machine.zone.clone(), more);
+                self.critical_places.insert(machine.zone.clone(), change);
             }
         }
     }
 
-    /// The capacity there will be once every stop under way is confirmed.
+    /// The free capacity after all stops under way are confirmed.
     pub(super) fn after_stops(&self, machines: &BTreeMap<String, Machine>) -> FreeCapacity {
         let mut after = self.clone();
         for (name, freed) in &self.freed_by_stops {
@@ -101,13 +106,14 @@
     }
 
     /// Number of tasks of the job that were asked to stop.
-    pub(super) fn stopping(&self, job_id: JobId) -> u32 {
+    pub(super) fn stopping_task_count(&self, job_id: JobId) -> u32 {
         self.stopping_tasks.get(&job_id).copied().unwrap_or(0)
     }
 }
 
 impl Scheduler {
-    /// The machines with room for any of these jobs, and what the jobs have in common.
+    /// The free capacity for the jobs of `order`, which are all jobs of the round. Adds one step per machine
+    /// to `steps`.
     pub(super) fn free_capacity(&self, order: &[JobId], steps: &mut usize) -> FreeCapacity {
         let waiting = self.jobs_of(order).filter(|job| !job.progress.pending.is_empty());
         let smallest = waiting.map(|job| job.spec.resource_request).reduce(|a, b| a.least(&b));
--- a/src/scheduler/elastic/equivalence_class.rs
+++ b/src/scheduler/elastic/equivalence_class.rs
@@ -1,8 +1,9 @@
-//! Equivalence classes of machines with room, so that a job need not look at each of thousands.
+//! Equivalence classes of machines with free resources, so that a job evaluates few of thousands of machines.
+//! Built once per round by `capacity`; `candidates` uses them to choose the machines to evaluate.
 //!
-//! Of machines that differ in nothing but their names and images the first ones by name are taken first. So a job for
-//! so many tasks never uses more than so many of a class: of those with its image, and of those without. Machines
-//! that change within a round, or that fetch an image, are in no class and evaluated one by one.
+//! Machines of one class differ only in their names and images, and are used in the order of their names. So
+//! a job with n tasks uses at most n machines of a class that have its image and n that do not. Machines that
+//! change during the round, or that are fetching an image, are in no class and are evaluated individually.
 
 use crate::scheduler::model::{Job, Kind, Machine, Resources, TaskStatus};
 use crate::scheduler::Scheduler;
@@ -17,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneIndex(usize);
 
-/// What two machines must share to be equivalent for every job that has failed on neither.
+/// The properties that two machines share if they are equivalent for every job that has failed on neither.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EquivalenceClass {
     machine_type: TypeIndex,
@@ -30,19 +31,20 @@
     available: Resources,
 }
 
-/// Up to so many machines with a job's image are evaluated one by one.
-const MAX_LISTED_WARM_MACHINES: usize = 64;
+/// Machines with a job's image are all evaluated individually if there are at most this many.
+const MAX_INDIVIDUAL_WARM_MACHINES: usize = 64;
 
-/// The classes of a round, and the machines that are in none.
+/// The equivalence classes of a round, and the machines that belong to none.
 #[derive(Clone, Default)]
 pub(super) struct EquivalenceClasses {
-    /// The members of each class in the order of their names. Those that are in `unclassified` by now do not count.
+    /// Names of the members of each class, sorted. Names that are also in `unclassified` are ignored.
     members: Arc<BTreeMap<EquivalenceClass, Vec<String>>>,
     unclassified: BTreeSet<String>,
 }
 
 impl EquivalenceClasses {
-    /// The machine's room has changed: it is evaluated by itself from now on.
+    /// Removes a machine whose free resources have changed from its class: it is evaluated individually from
+    /// now on.
     pub(super) fn remove(&mut self, machine: &str) {
         if !self.unclassified.contains(machine) {
             self.unclassified.insert(machine.to_string());
@@ -50,7 +52,7 @@
     }
 }
 
-/// Builds the classes of a round from its machines.
+/// Builds the equivalence classes of a round.
 pub(super) struct ClassBuilder<'a> {
     scheduler: &'a Scheduler,
     types: BTreeMap<&'a str, TypeIndex>,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Machines must be added in the order of their names.
+    /// Adds a machine. Machines must be added in the order of their names.
     pub(super) fn add(&mut self, machine: &Machine, available: Resources) {
         match self.class_of(machine, available) {
             Some(class) => self.members.entry(class).or_default().push(machine.name.clone()),
@@ -82,7 +84,7 @@
         }
     }
 
-    /// None: the machine is fetching an image, or its type or zone is not known.
+    /// The class of a machine. None if it is fetching an image, or if its type or zone is unknown.
     fn class_of(&self, machine: &Machine, available: Resources) -> Option<EquivalenceClass> {
         if machine.tasks.values().any(|task| task.status == TaskStatus::Fetching) {
             return None;
@@ -104,14 +106,14 @@
     }
 }
 
-/// Machines that have a job's image.
+/// Names of the machines that have a job's image. None: no machine has it.
 #[derive(Clone, Copy)]
 struct WarmMachines<'a>(Option<&'a BTreeSet<String>>);
 
 impl<'a> WarmMachines<'a> {
-    /// They are so few that each is evaluated.
-    fn are_listed(&self) -> bool {
-        self.0.is_none_or(|names| names.len() <= MAX_LISTED_WARM_MACHINES)
+    /// Whether they are few enough to be evaluated individually.
+    fn are_all_evaluated(&self) -> bool {
+        self.0.is_none_or(|names| names.len() <= MAX_INDIVIDUAL_WARM_MACHINES)
     }
 
     fn contains(&self, machine: &str) -> bool {
@@ -124,8 +126,8 @@
 }
 
 impl Scheduler {
-    /// Names among which the best machines for `tasks` tasks of the job are; None: every machine has to be evaluated.
-    /// Adds the names looked at to `steps`.
+    /// Names of the machines to evaluate, which include the best machines for `tasks` tasks of the job. None:
+    /// every machine has to be evaluated. Adds the number of names examined to `steps`.
     pub(super) fn names_to_evaluate<'a>(
         &'a self,
         job: &Job,
@@ -133,18 +135,19 @@
         classes: &'a EquivalenceClasses,
         steps: &mut usize,
     ) -> Option<BTreeSet<&'a str>> {
-        // The score of a machine for a gang depends on when its next heartbeat is due.
+        // Classes leave out two properties: when a machine's next heartbeat is due, which matters to gangs,
+        // and whether the job has failed on it.
         if job.spec.kind == Kind::Gang || !job.failure_history.machines.is_empty() {
             return None;
         }
         let warm = WarmMachines(self.machines_by_image.get(&job.spec.image));
         let mut names: BTreeSet<&str> = classes.unclassified.iter().map(String::as_str).collect();
-        if warm.are_listed() {
+        if warm.are_all_evaluated() {
             names.extend(warm.names());
         }
         for (class, members) in classes.members.iter() {
             if job.spec.resource_request.fits(&class.available) {
-                *steps += classes.first_members(members, tasks, warm, &mut names);
+                *steps += classes.add_first_members(members, tasks, warm, &mut names);
             }
         }
         *steps += names.len();
@@ -153,25 +156,25 @@
 }
 
 impl EquivalenceClasses {
-    /// Adds the first `tasks` members without the image, and as many with it unless those are listed anyway. Returns
-    /// how many members it has looked at.
-    fn first_members<'a>(
+    /// Adds to `names` the first `tasks` members without the image and, unless all machines with the image
+    /// are evaluated anyway, the first `tasks` members with it. Returns the number of members examined.
+    fn add_first_members<'a>(
         &self,
         members: &'a [String],
         tasks: u32,
         warm: WarmMachines<'_>,
         names: &mut BTreeSet<&'a str>,
     ) -> usize {
-        let mut warm_left = if warm.are_listed() { 0 } else { tasks };
-        let mut cold_left = tasks;
+        let mut warm_remaining = if warm.are_all_evaluated() { 0 } else { tasks };
+        let mut cold_remaining = tasks;
         for (index, name) in members.iter().enumerate() {
-            let left = if warm.contains(name) { &mut warm_left } else { &mut cold_left };
-            if *left > 0 && !self.unclassified.contains(name) {
-                *left -= 1;
+            let remaining = if warm.contains(name) { &mut warm_remaining } else { &mut cold_remaining };
+            if *remaining > 0 && !self.unclassified.contains(name) {
+                *remaining -= 1;
                 names.insert(name);
             }
-            // Within a class those with the image come before all others.
-            let is_enough = if warm.are_listed() { cold_left == 0 } else { warm_left == 0 };
+            // Within a class, all machines with the image are better than those without.
+            let is_enough = if warm.are_all_evaluated() { cold_remaining == 0 } else { warm_remaining == 0 };
             if is_enough {
                 return index + 1;
             }
--- a/src/scheduler/elastic/headroom_guard.rs
+++ b/src/scheduler/elastic/headroom_guard.rs
@@ -1,14 +1,16 @@
-//! Headroom of critical services, guarded against the tasks of all other jobs while they are assigned.
+//! Protects the headroom of critical services while `candidates` assigns the tasks of other jobs.
 
 use super::capacity::FreeCapacity;
 use crate::scheduler::model::{Job, Machine, Priority, Resources};
 use std::collections::BTreeMap;
 
-/// What the tasks of one job may take of the places for critical services. Spot machines are no such places.
+/// Limits how many places for critical tasks the tasks of one job may use up. Only ordinary machines have
+/// such places; spot machines have none.
 pub(super) struct HeadroomGuard {
-    /// Resources of a place. None: nothing is guarded against this job.
+    /// Resources of one place. None: the job may use all places, because it is critical or because there are
+    /// no critical jobs.
     place: Option<Resources>,
-    /// Places in each zone beyond the headroom.
+    /// By zone, the number of places beyond the headroom. Negative if the headroom is not free.
     spare: BTreeMap<String, i64>,
 }
 
@@ -23,7 +25,8 @@
         HeadroomGuard { place, spare }
     }
 
-    /// Whether a task with this request leaves the headroom of the machine's zone.
+    /// Whether a task with this request may use the machine, whose free resources are `available`: it must
+    /// leave the headroom of the machine's zone intact or use up no place.
     pub(super) fn allows(&self, machine: &Machine, available: &Resources, request: &Resources) -> bool {
         if self.place.is_none() || machine.spot {
             return true;
@@ -32,7 +35,8 @@
         lost <= 0 || lost <= self.spare.get(&machine.zone).copied().unwrap_or(0)
     }
 
-    /// A task with this request takes its room on the machine.
+    /// Records that a task with this request is assigned to the machine, whose free resources were
+    /// `available` before.
     pub(super) fn take(&mut self, machine: &Machine, available: &Resources, request: &Resources) {
         if machine.spot {
             return;
@@ -43,10 +47,11 @@
         }
     }
 
+    /// How many places a task with this request uses up on a machine with `available` free resources.
     fn places_lost(&self, available: &Resources, request: &Resources) -> i64 {
-        let lost_of =
+        let count_lost =
             |place: Resources| place.count_in(available) - place.count_in(&available.minus(request));
-        self.place.map_or(0, lost_of)
+        self.place.map_or(0, count_lost)
     }
 }
 
--- a/src/scheduler/elastic/headroom_guard_tests.rs
+++ b/src/scheduler/elastic/headroom_guard_tests.rs
@@ -1,9 +1,9 @@
-//! What a job may take of the places for critical services.
+//! Guards against tasks of other jobs using up the places kept free for critical services.
 
 use super::*;
 use crate::scheduler::scoring::tests::machine;
 
-/// Guards places of two cores each, of which zone `a` can spare one and zone `b` none.
+/// A guard for places of two cores each; zone `a` has one spare place and zone `b` none.
 fn guard() -> HeadroomGuard {
     let spare = BTreeMap::from([("a".to_string(), 1), ("b".to_string(), 0)]);
     HeadroomGuard { place: Some(Resources::needed(2.0, 0.0, 2.0)), spare }
@@ -14,24 +14,24 @@
 const ONE_CORE: Resources = Resources { cpus: 1_000, gpus: 0, memory: 1_000 };
 
 #[test]
-fn a_zone_gives_away_no_more_places_than_it_can_spare() {
+fn a_task_is_refused_once_the_spare_places_of_the_zone_are_used() {
     let (mut guard, machine) = (guard(), machine("m-1", "a", false));
     assert!(guard.allows(&machine, &FOUR_CORES, &ONE_CORE));
     guard.take(&machine, &FOUR_CORES, &ONE_CORE);
     assert!(!guard.allows(&machine, &FOUR_CORES, &ONE_CORE));
-    // Room that makes no place is open to all.
+    // Resources that are too small for a whole place may be used by any job.
     assert!(guard.allows(&machine, &THREE_CORES, &ONE_CORE));
 }
 
 #[test]
-fn a_zone_without_spare_places_gives_none() {
+fn a_task_is_refused_in_a_zone_without_spare_places() {
     let guard = guard();
     assert!(!guard.allows(&machine("m-1", "b", false), &FOUR_CORES, &ONE_CORE));
     assert!(!guard.allows(&machine("m-2", "unknown", false), &FOUR_CORES, &ONE_CORE));
 }
 
 #[test]
-fn spot_machines_hold_no_headroom() {
+fn a_task_on_a_spot_machine_uses_no_headroom() {
     let (mut guard, machine) = (guard(), machine("m-1", "b", true));
     assert!(guard.allows(&machine, &FOUR_CORES, &ONE_CORE));
     guard.take(&machine, &FOUR_CORES, &ONE_CORE);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn without_critical_services_nothing_is_guarded() {
+fn without_critical_services_every_task_is_allowed() {
     let guard = HeadroomGuard { place: None, spare: BTreeMap::new() };
     assert!(guard.allows(&machine("m-1", "b", false), &FOUR_CORES, &ONE_CORE));
 }
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -1,13 +1,15 @@
-//! The elastic pass of the paper (figures 2 and 3) with the changes of `docs/design.md`. Owns the rounds of
-//! decisions: which job gets what of the free capacity, and which tasks are preempted.
+//! Elastic scheduling: in rounds, allocates free capacity to jobs and preempts tasks for jobs that do not
+//! fit. Follows figures 2 and 3 of the paper with the exceptions of `docs/design.md`. `Scheduler::step` runs
+//! a round when one is due.
 //!
-//! Jobs are taken by aged priority, earlier first. One that waits starts at the smaller of its
-//! maximum width and the free slots, if that reaches its minimum. Otherwise lower jobs outside the
-//! rescale gap are shrunk, lowest first and never below their minimum, and only if together they
-//! free the newcomer's minimum; that room counts once the workers confirm.
+//! Jobs are considered by aged priority, earlier ones first. A waiting job starts with the smaller of its
+//! maximum width and the number of free slots, if that is at least its minimum width. Otherwise jobs of lower
+//! priority that are outside their rescale gap are shrunk, lowest first and never below their minimum width,
+//! and only if together they free the minimum width of the newcomer (the job that preempts). Their room is
+//! free once their workers confirm the stops.
 //!
-//! `priority` orders the jobs, `capacity` counts the room, `candidates` finds machines, `admission` starts tasks and
-//! `preemption` stops others for them.
+//! `priority` orders the jobs, `capacity` counts free resources, `candidates` selects machines, `admission`
+//! starts tasks, and `preemption` stops tasks of other jobs.
 
 mod admission;
 mod candidates;
@@ -28,13 +30,13 @@
 use admission::Pass;
 use tracing::debug;
 
-/// A round under way.
+/// State of the round in progress.
 pub(in crate::scheduler) struct Round {
-    /// What its decisions have left.
+    /// Free capacity after the decisions made so far.
     pub capacity: FreeCapacity,
-    /// The decision steps that it has taken.
+    /// Decision steps taken so far.
     pub steps: usize,
-    /// The decision steps that it may take.
+    /// Limit of the decision steps.
     budget: usize,
 }
 
@@ -45,7 +47,8 @@
 }
 
 impl Scheduler {
-    /// One round within its budget of decision steps. The next round goes on at the job that this one did not reach.
+    /// Runs one round within its budget of decision steps. The next round resumes at the first job that this
+    /// one did not reach.
     pub(in crate::scheduler) fn round(&mut self) {
         self.update_mean_job_work();
         let order = self.round_order();
@@ -59,7 +62,8 @@
         self.rounds.end(self.now, limits::round_pause(round.steps, self.config.cpu_share));
     }
 
-    /// The look at every machine is the fixed price of a round; the budget is for the jobs.
+    /// Determines the free capacity and the budget. The steps for examining every machine are added to the
+    /// budget, so that they do not reduce the steps for jobs.
     fn begin_round(&self, order: &[JobId]) -> Round {
         let mut steps = 0;
         let capacity = self.free_capacity(order, &mut steps);
@@ -67,14 +71,14 @@
         Round { capacity, steps, budget: steps + steps_for_jobs }
     }
 
-    /// The paper's figures 2 and 3 for each job, from where the last round stopped.
+    /// Applies figures 2 and 3 of the paper to each job, starting where the last round ran out of budget.
     fn regular_pass(&mut self, order: &[JobId], round: &mut Round) {
         let resume_at = self.rounds.resume_at.take();
         let start = resume_at.and_then(|resume_at| order.iter().position(|job_id| *job_id == resume_at));
         for job_id in &order[start.unwrap_or(0)..] {
             if round.is_out_of_budget() {
                 self.rounds.resume_at = Some(*job_id);
-                debug!(job = %job_id, "round out of budget, goes on here");
+                debug!(job = %job_id, "scheduling round out of budget; the next round resumes at this job");
                 break;
             }
             round.steps += 1;
@@ -82,7 +86,8 @@
         }
     }
 
-    /// Exception 1 of `docs/design.md`: what no job outside the rescale gap takes goes to those inside it.
+    /// Exception 1 of `docs/design.md`: capacity that no job outside its rescale gap takes goes to jobs
+    /// inside theirs.
     fn leftover_pass(&mut self, order: Vec<JobId>, round: &mut Round) {
         for job_id in order {
             let waits_in_gap = self.jobs.get(&job_id).is_some_and(|job| {
@@ -94,11 +99,16 @@
         }
     }
 
-    /// Notes why a job is pending, for operators.
-    pub(in crate::scheduler) fn wait(&mut self, job_id: JobId, reason: PendingReason) {
+    /// Records why the job has pending tasks, for the overview, and logs it if the reason has changed.
+    pub(in crate::scheduler) fn set_pending_reason(&mut self, job_id: JobId, reason: PendingReason) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         if job.pending_reason != Some(reason) {
-            debug!(job = %job_id, why = reason.as_str(), waiting = job.progress.pending.len(), "waits");
+            debug!(
+                job = %job_id,
+                reason = reason.as_str(),
+                pending_tasks = job.progress.pending.len(),
+                "job pending"
+            );
             job.pending_reason = Some(reason);
         }
     }
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption for a job that cannot start: the paper's shrink (figure 2). Decides whether tasks of other jobs stop
-//! for it, and asks them to.
+//! Preemption for a job that cannot start, the shrink of figure 2 of the paper. `admission` calls it. It
+//! decides whether tasks of other jobs are stopped for the job (the newcomer), and requests the stops.
 
 use super::candidates::{PlacementRequest, SharedFetch};
 use super::capacity::FreeCapacity;
@@ -10,60 +10,61 @@
 use crate::scheduler::Scheduler;
 use tracing::debug;
 
-/// What preemption does for a job.
+/// Outcome of preemption for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub(super) enum Preemption {
-    /// Room for it is being made.
+    /// Enough resources for the job are being freed.
     UnderWay,
-    /// It could not make enough room, so it stops nothing.
+    /// Preemption could not free enough resources; no task is stopped.
     Impossible,
 }
 
-/// Tasks to stop, and the machines that the newcomer then uses.
+/// Tasks to stop, and the machines that the newcomer uses afterwards.
 struct PreemptionPlan {
     victims: Vec<Victim>,
-    /// Names of machines, one for each task.
+    /// Names of the machines, one for each task of the newcomer.
     targets: Vec<String>,
 }
 
 impl Scheduler {
-    /// Figure 2: stops the newest tasks of lower jobs, lowest first, if together that frees `missing` slots. Room of
-    /// stops under way counts as found, so that no two preemptions are made for it; so does room whose machine is
-    /// fetching an image for another job.
+    /// Figure 2: stops the newest tasks of lower jobs, lowest job first, if that frees places for `missing`
+    /// tasks of the job. Places that stops under way will free are used first, so that no second preemption
+    /// is made for them, and so are places on machines that are fetching an image for another job.
     pub(super) fn preempt_for(&mut self, job_id: JobId, missing: u32, round: &mut Round) -> Preemption {
         let Some(job) = self.jobs.get(&job_id) else { return Preemption::Impossible };
         let request = job.spec.resource_request;
         let after_stops = round.capacity.after_stops(&self.machines);
         let newcomer = PlacementRequest { job, tasks: missing, shared_fetch: SharedFetch::Allow };
-        let coming = self.find_machines(newcomer, &after_stops, &mut round.steps);
-        if coming.len() as u32 >= missing {
-            round.capacity.take_on_each(&coming, &self.machines, &request);
-            self.wait(job_id, PendingReason::StopsOrFetchUnderWay);
+        let machines_after_stops = self.find_machines(newcomer, &after_stops, &mut round.steps);
+        if machines_after_stops.len() as u32 >= missing {
+            round.capacity.take_on_each(&machines_after_stops, &self.machines, &request);
+            self.set_pending_reason(job_id, PendingReason::StopsOrFetchUnderWay);
             return Preemption::UnderWay;
         }
         if !self.may_preempt_any(job, &round.capacity) {
-            self.wait(job_id, PendingReason::NothingToPreempt);
+            self.set_pending_reason(job_id, PendingReason::NothingToPreempt);
             return Preemption::Impossible;
         }
         let order = round.capacity.preemption_order.get_or_insert_with(|| self.preemption_order()).clone();
         let Some(plan) = self.plan_preemption(newcomer, &order, &after_stops, &mut round.steps) else {
-            self.wait(job_id, PendingReason::PreemptionInsufficient);
+            self.set_pending_reason(job_id, PendingReason::PreemptionInsufficient);
             return Preemption::Impossible;
         };
         round.capacity.take_on_each(&plan.targets, &self.machines, &request);
         self.preempt(job_id, plan, &mut round.capacity);
-        self.wait(job_id, PendingReason::StopsUnderWay);
+        self.set_pending_reason(job_id, PendingReason::StopsUnderWay);
         Preemption::UnderWay
     }
 
-    /// Whether the job may preempt at all, before victims are looked for.
+    /// Whether any task may be preempted for the job; checked before the search for victims.
     fn may_preempt_any(&self, job: &Job, capacity: &FreeCapacity) -> bool {
         capacity.lowest_preemptible.is_some_and(|lowest| lowest < job.spec.priority)
             || self.within_guarantee(&job.spec.team, &job.spec.resource_request, &capacity.team_usage)
     }
 
-    /// Victims that make room for the newcomer, and where; None: all that may be preempted are not enough.
+    /// The victims to stop for the newcomer and the machines that it then uses. None: stopping every task
+    /// that may be preempted would not free enough.
     fn plan_preemption(
         &self,
         newcomer: PlacementRequest<'_>,
@@ -71,8 +72,8 @@
         after_stops: &FreeCapacity,
         steps: &mut usize,
     ) -> Option<PreemptionPlan> {
-        // Exception 4 of `docs/design.md`: a critical job that cannot start goes on where the design stops. A swarm
-        // of lower jobs pinned at one task each would otherwise keep it out until a machine has booted.
+        // Exception 4 of `docs/design.md`: for a critical job, protection is lifted in stages. Otherwise many
+        // lower jobs at their minimum of one task each would block it until a new machine has booted.
         let stages: &[Protection] = match newcomer.job.spec.priority {
             Priority::Critical => &[Protection::GapAndMinimum, Protection::Minimum, Protection::None],
             Priority::Low | Priority::Normal | Priority::High => &[Protection::GapAndMinimum],
@@ -84,18 +85,18 @@
             if (targets.len() as u32) < newcomer.tasks {
                 return None;
             }
-            // Stops on machines that the newcomer does not use in the end would be for nothing.
+            // Stops on machines that the newcomer does not use would serve no purpose.
             victims.retain(|victim| targets.contains(&victim.machine));
             Some(PreemptionPlan { victims, targets })
         })
     }
 
-    /// Asks the victims to stop: a rescaling event of their jobs. The room counts once the workers confirm (paper,
-    /// 3.1).
+    /// Requests the stops of the victims, which begins the rescale gap of their jobs. Their resources are
+    /// free once the workers confirm the stops (paper, 3.1).
     fn preempt(&mut self, newcomer: JobId, plan: PreemptionPlan, capacity: &mut FreeCapacity) {
         let now = self.now;
         for Victim { machine, task } in plan.victims {
-            debug!(task = %task, machine, newcomer = %newcomer, "shrink");
+            debug!(task = %task, machine, preempting_job = %newcomer, "preempting task");
             self.decided(format!("stop {task} on {machine} for {newcomer}"));
             let grace_s = self.jobs.get(&task.job_id).map_or(0.0, |job| job.spec.save_s);
             if let Some(job) = self.jobs.get_mut(&task.job_id) {
@@ -111,8 +112,8 @@
         }
     }
 
-    /// PROTOCOL, Preemption: higher over lower priority; or a team inside its guarantee over what
-    /// another team runs beyond its own.
+    /// PROTOCOL, Preemption: a job may preempt an array of lower priority. A job within its team's guarantee
+    /// may also preempt an array of another team that uses more than its own guarantee.
     pub(super) fn may_preempt(&self, job: &Job, victim: &Job, usage: &TeamUsage) -> bool {
         if victim.spec.job_id == job.spec.job_id || victim.spec.kind != Kind::Array {
             return false;
@@ -123,9 +124,10 @@
         }
         let is_guaranteed = self.within_guarantee(&job.spec.team, &job.spec.resource_request, usage);
         let victim_is_guaranteed = self.within_guarantee(&victim.spec.team, &Resources::default(), usage);
-        // Without the protection borrowed capacity went back and forth: what a team got back within its guarantee was
-        // stopped again for a job of a higher class that its own team's guarantee did not cover. Critical jobs are
-        // beyond that: they are not preempted, so nothing goes back and forth.
+        // Without this protection, two teams preempted each other in a loop: capacity that a team reclaimed
+        // within its guarantee was preempted again by a job of higher priority that its own team's guarantee
+        // did not cover. Critical jobs may ignore the protection: they are not preempted, so no loop can
+        // arise.
         let is_protected = victim_is_guaranteed && !is_guaranteed && job.spec.priority != Priority::Critical;
         is_guaranteed && !victim_is_guaranteed || is_higher && !is_protected
     }
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -1,4 +1,5 @@
-//! Aged priority of jobs, and the orders in which they are served and preempted (paper, 3.2.1 and 3.2.2).
+//! Aged priority of jobs, and the orders in which jobs are considered and preempted (paper, 3.2.1 and 3.2.2).
+//! Used by the rounds and by the scaling plan.
 
 use crate::limits;
 use crate::scheduler::model::{Job, JobId, Kind, Priority};
@@ -8,19 +9,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a priority class counts in a rank.
+/// Difference in rank between two adjacent priority classes.
 const RANKS_PER_CLASS: u64 = 1000;
 
-/// The rank of the critical class, which age does not lift others to.
+/// Rank of critical jobs. Aging raises no other job to this rank.
 const CRITICAL_RANK: u64 = Priority::Critical as u64 * RANKS_PER_CLASS;
 
 impl Scheduler {
-    /// Aged rank: the priority class plus the share of a class that its age has earned, in thousandths.
-    /// Every job ages from its arrival: were only waiting ones to age, a newcomer would pass earlier jobs
-    /// that still grow, and a job short of its width would yield after an earlier one that has all.
+    /// Aged rank, in thousandths of a priority class: the class plus what the job has gained by age. Higher
+    /// is served first. Every job ages from its submission. If only waiting jobs aged, a new job would
+    /// overtake earlier jobs that are still growing, and a job below its width would be preempted after an
+    /// earlier job that has its full width.
     ///
-    /// A job of which nothing has begun for long ages fastest, so that the widest are not put off for ever (exception
-    /// 5 of `docs/design.md`).
+    /// A job that has not started any task for `AGING_DELAY` ages faster, so that wide jobs do not starve
+    /// (exception 5 of `docs/design.md`).
     pub(in crate::scheduler) fn rank(&self, job: &Job) -> u64 {
         let rank = self.regular_rank(job, self.relative_size(job));
         if job.has_started() || job.spec.priority == Priority::Critical {
@@ -29,23 +31,27 @@
         rank.max(self.aged_rank(job, job.submitted_at + limits::AGING_DELAY, limits::AGING_INTERVAL))
     }
 
-    /// The rank without exception 5. A deadline makes a job age faster, by one class until it falls due; one that is
-    /// late already leaves the room to those that can still be in time.
+    /// The rank without exception 5. Before the scaling by size, a job with a deadline gains at least one
+    /// priority class by its deadline. A job that has missed its deadline ages at the normal rate and leaves
+    /// capacity to jobs that can still meet theirs.
     ///
-    /// Either rate goes by the work that is left, `size` (exception 7 of `docs/design.md`): when more waits than can
-    /// be served, first come first served makes all alike late, and the short ones are the many.
+    /// Both rates are scaled by `size`, the relative size of the remaining work; smaller jobs age faster
+    /// (exception 7 of `docs/design.md`). Under overload, serving jobs in order of arrival makes all of them
+    /// late, and most jobs are short.
     pub(super) fn regular_rank(&self, job: &Job, size: f64) -> u64 {
         if job.spec.priority == Priority::Critical {
             return CRITICAL_RANK;
         }
         let age = self.now.since(job.submitted_at);
-        let aging = from_seconds(self.config.operator.aging_s);
-        let due = job.spec.deadline_s.map(from_seconds).filter(|due| !due.is_zero() && age <= *due);
-        let aging = scaled(due.map_or(aging, |due| aging.min(due)), size);
-        self.aged_rank(job, job.submitted_at, aging.max(Duration::from_micros(1)))
+        let interval = from_seconds(self.config.operator.aging_s);
+        let deadline =
+            job.spec.deadline_s.map(from_seconds).filter(|deadline| !deadline.is_zero() && age <= *deadline);
+        let interval = scaled(deadline.map_or(interval, |deadline| interval.min(deadline)), size);
+        self.aged_rank(job, job.submitted_at, interval.max(Duration::from_micros(1)))
     }
 
-    /// How much work is left of a job, as a multiple of what a job brings on average now.
+    /// The remaining work of the job as a multiple of the mean work of a job, clamped to `MAX_AGING_FACTOR`
+    /// or its inverse. 1 if the mean is not known.
     pub(super) fn relative_size(&self, job: &Job) -> f64 {
         if self.mean_job_work <= 0.0 {
             return 1.0;
@@ -54,22 +60,23 @@
         size.clamp(1.0 / limits::MAX_AGING_FACTOR, limits::MAX_AGING_FACTOR)
     }
 
+    /// Updates the mean work of the arrays and gangs that have not terminated.
     pub(super) fn update_mean_job_work(&mut self) {
-        let ending = self.jobs.values().filter(|job| !job.terminated && job.spec.kind != Kind::Service);
-        let works: Vec<f64> = ending.map(|job| job.work(job.spec.tasks)).collect();
+        let finite_jobs = self.jobs.values().filter(|job| !job.terminated && job.spec.kind != Kind::Service);
+        let works: Vec<f64> = finite_jobs.map(|job| job.work(job.spec.tasks)).collect();
         self.mean_job_work = works.iter().sum::<f64>() / works.len().max(1) as f64;
     }
 
-    /// The rank of a job that gains a class in each `interval` from `since` on. Age never lifts a job
-    /// above critical services.
+    /// The rank of a job that gains one priority class per `interval` from `since` on. It stays below the
+    /// rank of critical jobs.
     fn aged_rank(&self, job: &Job, since: Timestamp, interval: Duration) -> u64 {
         let age = to_micros(self.now.since(since));
         let rank = job.spec.priority as u64 * RANKS_PER_CLASS + age * RANKS_PER_CLASS / to_micros(interval);
         rank.min(CRITICAL_RANK - 1)
     }
 
-    /// The order in which jobs are preempted (figure 2): lowest class with its age first, the latest first on ties.
-    /// The work that is left does not count here: it would make the long jobs feed all others.
+    /// The order in which jobs are preempted (figure 2): lowest regular rank first, the latest first on ties.
+    /// The remaining work is ignored here, since otherwise long jobs would be preempted for all others.
     pub(super) fn preemption_order(&self) -> Arc<[JobId]> {
         let placed = self.jobs.values().filter(|job| !job.terminated && !job.placements.is_empty());
         let mut order: Vec<_> = placed
@@ -81,7 +88,8 @@
         order.into_iter().map(|(_, _, job_id)| job_id).collect()
     }
 
-    /// The order of a round (figures 2 and 3): highest aged rank first, earlier first on ties.
+    /// The order in which a round considers jobs (figures 2 and 3): highest aged rank first, the earliest
+    /// first on ties.
     pub(super) fn round_order(&self) -> Vec<JobId> {
         let mut order: Vec<_> = self
             .jobs
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -1,4 +1,5 @@
-//! Machines evaluated by equivalence classes against every machine evaluated by itself.
+//! Guards against equivalence classes that leave out a machine: for random fleets and jobs, the search by
+//! classes must find the same machines as a search that evaluates every machine individually.
 
 use super::*;
 use crate::fencing_token::FencingToken;
@@ -50,7 +51,7 @@
     }
 }
 
-fn draw_job(rng: &mut SmallRng, id: u64) -> JobSpec {
+fn random_job(rng: &mut SmallRng, id: u64) -> JobSpec {
     let kind = [Kind::Array, Kind::Service, Kind::Array][rng.random_range(0..3)];
     let priorities = [Priority::Low, Priority::Normal, Priority::High];
     let slots = f64::from(rng.random_range(1..3u32));
@@ -76,16 +77,17 @@
     }
 }
 
-/// A fleet of two types in three zones, spot and ordinary, some with images, some fetching, some partly full.
-fn draw_scheduler(rng: &mut SmallRng, machines: usize) -> Scheduler {
+/// A scheduler with machines of two types in three zones: spot and ordinary, some with images, some fetching
+/// an image, some partly full.
+fn random_scheduler(rng: &mut SmallRng, machines: usize) -> Scheduler {
     let config = config();
     let zones = config.zones.clone();
     let types = vec![machine_type("m", 4.0, &zones), machine_type("n", 8.0, &zones)];
     let mut scheduler = Scheduler::new(config, Timestamp::from_secs(1));
     let load = Command::Load { jobs: vec![], records: vec![] };
     drop(scheduler.step(Timestamp::from_secs(1), vec![Command::Types(types), load]));
-    // All machines of some fleets have the first image.
-    let popular = rng.random_bool(0.5);
+    // In about half of the fleets all machines have the image `i0`.
+    let all_have_first_image = rng.random_bool(0.5);
     for number in 0..machines {
         let zone = zones[rng.random_range(0..3)].clone();
         let name = format!("m-{number:06}");
@@ -98,7 +100,7 @@
             address: String::new(),
             images: BTreeSet::new(),
         });
-        let images = (0..4).filter(|image| popular && *image == 0 || rng.random_bool(0.05));
+        let images = (0..4).filter(|image| all_have_first_image && *image == 0 || rng.random_bool(0.05));
         let images: BTreeSet<String> = images.map(|image| format!("i{image}")).collect();
         for image in &images {
             scheduler.machines_by_image.entry(image.clone()).or_default().insert(name.clone());
@@ -130,13 +132,13 @@
 }
 
 #[test]
-fn equivalence_classes_lead_to_the_same_machines_as_evaluating_each() {
-    let mut found_any = 0;
+fn equivalence_classes_find_the_same_machines_as_evaluating_every_machine() {
+    let mut requests_with_machines = 0;
     for seed in 0..60 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let machines = rng.random_range(5..260);
-        let mut scheduler = draw_scheduler(&mut rng, machines);
-        let specs: Vec<JobSpec> = (1..12).map(|id| draw_job(&mut rng, id)).collect();
+        let mut scheduler = random_scheduler(&mut rng, machines);
+        let specs: Vec<JobSpec> = (1..12).map(|id| random_job(&mut rng, id)).collect();
         for spec in specs {
             let version = spec.job_id.0;
             scheduler
@@ -144,24 +146,25 @@
         }
         let order: Vec<JobId> = scheduler.jobs.keys().copied().collect();
         let mut steps = 0;
-        let mut by_class = scheduler.free_capacity(&order, &mut steps);
+        let mut with_classes = scheduler.free_capacity(&order, &mut steps);
         for job_id in order {
-            let mut each = by_class.clone();
-            let names: Vec<String> = each.available.keys().cloned().collect();
-            names.iter().for_each(|name| each.classes.remove(name));
+            let mut without_classes = with_classes.clone();
+            let names: Vec<String> = without_classes.available.keys().cloned().collect();
+            names.iter().for_each(|name| without_classes.classes.remove(name));
             let job = &scheduler.jobs[&job_id];
-            let (tasks, avoid) = (rng.random_range(1..job.spec.tasks + 1), rng.random_bool(0.5));
-            let shared_fetch = if avoid { SharedFetch::Avoid } else { SharedFetch::Allow };
+            let (tasks, avoids_shared_fetch) =
+                (rng.random_range(1..job.spec.tasks + 1), rng.random_bool(0.5));
+            let shared_fetch = if avoids_shared_fetch { SharedFetch::Avoid } else { SharedFetch::Allow };
             let request = PlacementRequest { job, tasks, shared_fetch };
-            let found = scheduler.find_machines(request, &by_class, &mut steps);
-            let found_in_each = scheduler.find_machines(request, &each, &mut steps);
-            assert_eq!(found, found_in_each, "seed {seed}, {job_id}");
-            found_any += usize::from(!found.is_empty());
+            let found = scheduler.find_machines(request, &with_classes, &mut steps);
+            let found_without_classes = scheduler.find_machines(request, &without_classes, &mut steps);
+            assert_eq!(found, found_without_classes, "seed {seed}, {job_id}");
+            requests_with_machines += usize::from(!found.is_empty());
             let needs = job.spec.resource_request;
             for name in found.iter().take(rng.random_range(0..8)) {
-                by_class.take(&scheduler.machines[name], &needs);
+                with_classes.take(&scheduler.machines[name], &needs);
             }
         }
     }
-    assert!(found_any > 300, "{found_any} jobs found machines");
+    assert!(requests_with_machines > 300, "{requests_with_machines} jobs found machines");
 }
--- a/src/scheduler/elastic/victims.rs
+++ b/src/scheduler/elastic/victims.rs
@@ -1,5 +1,5 @@
-//! The search for tasks to preempt (figure 2): whose, which and how many. It only names them; `preemption` stops
-//! them.
+//! The search for victims, the tasks to preempt (figure 2): of which jobs, which tasks and how many.
+//! `preemption` calls it and stops the victims.
 
 use super::candidates::PlacementRequest;
 use super::capacity::FreeCapacity;
@@ -8,19 +8,19 @@
 use crate::scheduler::Scheduler;
 use crate::time::Timestamp;
 
-/// What protects the jobs that are shrunk. Only critical jobs get beyond the first stage (exception 4 of
-/// `docs/design.md`).
+/// Protection of running jobs from preemption. Only critical jobs may preempt in spite of the first one
+/// (exception 4 of `docs/design.md`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Protection {
-    /// The rescale gap, and their minimum width: the paper's rule.
+    /// Jobs inside their rescale gap are not shrunk, others not below their minimum width: the paper's rule.
     GapAndMinimum,
-    /// Only their minimum width.
+    /// Jobs are not shrunk below their minimum width.
     Minimum,
-    /// Nothing.
+    /// Jobs may lose all their tasks.
     None,
 }
 
-/// A task to preempt, and the machine that it is on.
+/// A task to preempt, and its machine.
 pub(super) struct Victim {
     /// Name of the machine.
     pub machine: String,
@@ -28,7 +28,7 @@
     pub task: TaskId,
 }
 
-/// A task that may be preempted. The newest is the largest.
+/// A task that may be preempted. Ordered by age: the newest is the greatest.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RunningTask<'a> {
     placed_at: Timestamp,
@@ -36,7 +36,7 @@
     machine: &'a str,
 }
 
-/// Whether the victims found so far make enough room.
+/// Whether the victims found so far free enough resources for the newcomer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 enum Room {
@@ -44,18 +44,18 @@
     NotEnough,
 }
 
-/// A search for victims that make room for a newcomer.
+/// A search for victims whose stops free enough resources for a newcomer.
 pub(super) struct VictimSearch<'a> {
     scheduler: &'a Scheduler,
     newcomer: PlacementRequest<'a>,
     protection: Protection,
-    /// The capacity once the victims found so far have ended.
+    /// The free capacity after the victims found so far have ended.
     capacity: FreeCapacity,
     victims: Vec<Victim>,
 }
 
 impl<'a> VictimSearch<'a> {
-    /// `capacity` is the one after the stops under way.
+    /// `capacity` is the free capacity after the stops under way.
     pub(super) fn new(
         scheduler: &'a Scheduler,
         newcomer: PlacementRequest<'a>,
@@ -65,8 +65,9 @@
         VictimSearch { scheduler, newcomer, protection, capacity, victims: Vec::new() }
     }
 
-    /// Takes victims from the jobs in this order, the newest task of each first, until there is room for the
-    /// newcomer. Returns those found and the capacity once they have ended, also if that is not enough.
+    /// Chooses victims from the jobs in this order, the newest task of each first, until there is room for
+    /// the newcomer. Returns the victims and the free capacity after they have ended, even if it is not
+    /// enough. Adds the decision steps taken to `steps`.
     pub(super) fn run(mut self, order: &[JobId], steps: &mut usize) -> (Vec<Victim>, FreeCapacity) {
         for job in order.iter().filter_map(|job_id| self.scheduler.jobs.get(job_id)) {
             *steps += 1;
@@ -95,18 +96,19 @@
         }
     }
 
-    /// Takes the newest tasks of one job, one by one.
+    /// Chooses victims among the tasks of one job, the newest first.
     fn shrink(&mut self, job: &Job, steps: &mut usize) -> Room {
         let scheduler = self.scheduler;
         let least_width = self.least_width(job);
         let mut running = running_tasks(scheduler, job);
-        // Each stop brings the team of the job nearer to its guarantee.
+        // `may_preempt` is checked for each task, since each stop reduces the usage of the job's team, which
+        // may bring it within its guarantee.
         while running.len() as u32 > least_width
             && scheduler.may_preempt(self.newcomer.job, job, &self.capacity.team_usage)
         {
             let Some(task) = running.pop() else { break };
             *steps += 1;
-            if !self.take(job, &task) {
+            if !self.add_victim(job, &task) {
                 continue;
             }
             let found = scheduler.find_machines(self.newcomer, &self.capacity, steps);
@@ -117,8 +119,9 @@
         Room::NotEnough
     }
 
-    /// Returns whether the task became a victim. A stop that cannot help the newcomer would be for nothing.
-    fn take(&mut self, job: &Job, running: &RunningTask<'_>) -> bool {
+    /// Makes the task a victim if the newcomer may use its machine; a stop elsewhere would not help the
+    /// newcomer. Returns whether the task became a victim.
+    fn add_victim(&mut self, job: &Job, running: &RunningTask<'_>) -> bool {
         let machine = self.scheduler.machines.get(running.machine);
         let machine = machine.filter(|machine| self.scheduler.is_schedulable(machine));
         let Some(machine) = machine.filter(|machine| scoring::is_eligible(self.newcomer.job, machine)) else {
@@ -131,7 +134,7 @@
     }
 }
 
-/// The job's tasks that were not asked to stop, the newest last.
+/// The tasks of the job that were not asked to stop, the newest last.
 fn running_tasks<'a>(scheduler: &'a Scheduler, job: &'a Job) -> Vec<RunningTask<'a>> {
     let mut running: Vec<_> = scheduler
         .placements_of(job)
--- a/src/scheduler/elastic/zone_choice.rs
+++ b/src/scheduler/elastic/zone_choice.rs
@@ -1,4 +1,5 @@
-//! The zone of a job whose tasks must share one.
+//! Chooses the zone of a job whose tasks must all run in one zone. Called by `candidates` before it filters
+//! machines.
 
 use super::capacity::FreeCapacity;
 use crate::scheduler::model::{Job, Kind, Machine};
@@ -7,15 +8,15 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The zones that are open to the next tasks of a job.
+/// The zones that the next tasks of a job may use.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum ZoneChoice {
-    /// All, as far as the job's zone rules allow.
+    /// Every zone that the job's zone rules allow.
     Any,
-    /// This one.
+    /// Only the zone of this name.
     Only(String),
-    /// None: the job needs one zone for all its tasks, and none has room.
-    Nowhere,
+    /// No zone: the job needs one zone for all its tasks, and no machine that it may use has room for any.
+    NoZone,
 }
 
 impl ZoneChoice {
@@ -23,15 +24,17 @@
         match self {
             ZoneChoice::Any => true,
             ZoneChoice::Only(chosen) => chosen == zone,
-            ZoneChoice::Nowhere => false,
+            ZoneChoice::NoZone => false,
         }
     }
 }
 
-/// How long a task waits for its start. Smaller is better; the fields count in their order.
+/// How long a task would wait until it starts. Smaller is better; the fields are compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct StartDelay {
+    /// See [`Machine::image_fetches`].
     image_fetches: i64,
+    /// Seconds until the machine's next heartbeat.
     heartbeat_due_s: i64,
 }
 
@@ -40,34 +43,36 @@
     const NEVER: StartDelay = StartDelay { image_fetches: i64::MAX, heartbeat_due_s: i64::MAX };
 }
 
-/// Places for tasks of the job on one machine. The earliest come first.
+/// Places for tasks of the job on one machine. Those where tasks start earliest sort first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Places {
     delay: StartDelay,
     count: i64,
 }
 
-/// How good a zone is for all tasks of a job. Larger is better; the fields count in their order.
+/// How suitable a zone is for all tasks of a job. Larger is better; the fields are compared in order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneScore {
-    /// For a gang: when its last task would start. None for other jobs.
+    /// For a gang: the delay until its last task would start. None for other jobs.
     last_start: Option<Reverse<StartDelay>>,
+    /// Number of places in the zone.
     places: i64,
 }
 
 impl Scheduler {
-    /// A job of which something is placed goes on in that zone by its zone rules.
+    /// The zones for the next tasks of the job: `Any` unless the job needs one zone and no task of it is
+    /// placed. Once a task is placed, the zone rules keep further tasks in its zone.
     pub(super) fn choose_zone(&self, job: &Job, capacity: &FreeCapacity) -> ZoneChoice {
         if !job.spec.one_zone || !job.placements.is_empty() {
             return ZoneChoice::Any;
         }
         match self.best_zone(job, capacity) {
             Some(zone) => ZoneChoice::Only(zone),
-            None => ZoneChoice::Nowhere,
+            None => ZoneChoice::NoZone,
         }
     }
 
-    /// The zone with most places; for a gang the one where the last of its tasks starts first.
+    /// The zone with most places; for a gang, the zone where its last task would start earliest.
     fn best_zone(&self, job: &Job, capacity: &FreeCapacity) -> Option<String> {
         let tasks = i64::from(job.spec.tasks);
         let mut zones: BTreeMap<&str, Vec<Places>> = BTreeMap::new();
@@ -84,7 +89,8 @@
         scored.max().map(|(_, zone)| zone.to_string())
     }
 
-    /// Only gangs go by it.
+    /// How long a task of the job would wait on the machine. Zero unless the job is a gang, as only gangs are
+    /// compared by it.
     fn start_delay(&self, job: &Job, machine: &Machine) -> StartDelay {
         match job.spec.kind {
             Kind::Gang => StartDelay {
@@ -98,15 +104,15 @@
 
 fn zone_score(job: &Job, mut places: Vec<Places>) -> ZoneScore {
     places.sort_unstable();
-    let all = places.iter().map(|places| places.count).sum();
-    let mut left = i64::from(job.spec.tasks);
+    let total = places.iter().map(|places| places.count).sum();
+    let mut unplaced_tasks = i64::from(job.spec.tasks);
     let last = places.iter().find(|places| {
-        left -= places.count;
-        left <= 0
+        unplaced_tasks -= places.count;
+        unplaced_tasks <= 0
     });
     let last_start = last.map_or(StartDelay::NEVER, |places| places.delay);
     let is_gang = job.spec.kind == Kind::Gang;
-    ZoneScore { last_start: is_gang.then_some(Reverse(last_start)), places: all }
+    ZoneScore { last_start: is_gang.then_some(Reverse(last_start)), places: total }
 }
 
 #[cfg(test)]
--- a/src/scheduler/elastic/zone_choice_tests.rs
+++ b/src/scheduler/elastic/zone_choice_tests.rs
@@ -1,4 +1,4 @@
-//! Which zone a job gets whose tasks must share one.
+//! The choice of the zone for a job whose tasks must all run in one zone.
 
 use super::*;
 use crate::scheduler::model::JobSpec;
@@ -8,31 +8,31 @@
     Places { delay: StartDelay { image_fetches, heartbeat_due_s }, count }
 }
 
-fn one_zone(kind: Kind, tasks: u32) -> Job {
+fn one_zone_job(kind: Kind, tasks: u32) -> Job {
     job(JobSpec { one_zone: true, ..spec(kind, tasks) })
 }
 
 #[test]
 fn an_array_takes_the_zone_with_most_places() {
-    let array = one_zone(Kind::Array, 4);
+    let array = one_zone_job(Kind::Array, 4);
     let (few, many) = (vec![places(0, 0, 2)], vec![places(0, 0, 2), places(0, 0, 1)]);
     assert!(zone_score(&array, few) < zone_score(&array, many));
 }
 
 #[test]
 fn a_gang_takes_the_zone_where_its_last_task_starts_first() {
-    let gang = one_zone(Kind::Gang, 4);
-    // The last of four tasks waits for an image in the one zone, for a heartbeat in the other.
+    let gang = one_zone_job(Kind::Gang, 4);
+    // The last of four tasks waits for an image in the cold zone, and for a heartbeat in the warm zone.
     let cold = vec![places(1, 0, 8), places(0, 0, 3)];
     let warm = vec![places(0, 5, 2), places(0, 1, 2)];
     assert!(zone_score(&gang, cold) < zone_score(&gang, warm.clone()));
-    let sooner = vec![places(0, 4, 2), places(0, 1, 2)];
-    assert!(zone_score(&gang, warm) < zone_score(&gang, sooner));
+    let earlier_heartbeat = vec![places(0, 4, 2), places(0, 1, 2)];
+    assert!(zone_score(&gang, warm) < zone_score(&gang, earlier_heartbeat));
 }
 
 #[test]
 fn a_zone_without_room_for_all_of_a_gang_comes_last() {
-    let gang = one_zone(Kind::Gang, 4);
+    let gang = one_zone_job(Kind::Gang, 4);
     let (too_small, large_enough) = (vec![places(0, 0, 3)], vec![places(2, 9, 4)]);
     assert!(zone_score(&gang, too_small) < zone_score(&gang, large_enough));
 }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -1,6 +1,7 @@
-//! Gang scheduling: tasks that run together or not at all. They find one another by their attempt number, wait for
-//! one another, start together and end together. Owns the stage of a gang and what each stage calls for; the section
-//! "Gangs" of `docs/design.md` has the rules.
+//! Gang scheduling: the tasks of a gang run together or not at all. They find each other by their attempt
+//! number, wait for each other, start together and end together. `elastic` calls this module to complete or
+//! end a partly placed gang, and drains and recalls of machines call it to stop one. The rules are in the
+//! section "Gangs" of `docs/design.md`.
 
 use super::elastic::{PlacementRequest, Round, SharedFetch};
 use super::model::{Job, JobId, Kind, Machine, PendingReason, StopRequest, TaskStatus};
@@ -9,25 +10,26 @@
 use crate::time::from_seconds;
 use std::collections::BTreeSet;
 
-/// How far a gang is, by what is known of its tasks.
+/// The stage of a gang, derived from its placements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum GangStage {
-    /// None of its tasks is on any machine.
+    /// No task is placed.
     Unplaced,
-    /// All are placed under one attempt.
+    /// All tasks are placed under one attempt.
     Complete,
-    /// Some are placed and wait for the rest.
+    /// Some tasks are placed under one attempt and wait for the others.
     Incomplete {
-        /// The attempt that the rest may join.
+        /// The attempt that the missing tasks may join.
         attempt: u64,
     },
-    /// A task has terminated after it ran, or was asked to stop, or gave up waiting: the attempt has ended, and the
-    /// next one begins when each of its tasks has provably terminated.
+    /// The attempt has ended: a task has terminated after the gang ran, was asked to stop, or gave up
+    /// waiting. The next attempt begins when every task of this one has provably terminated.
     Ended,
 }
 
 impl Scheduler {
-    /// Derived from the tasks themselves, so that a new leader that has a heartbeat of every machine knows as much.
+    /// Derives the stage from the placements alone, so that a new leader comes to the same result once it has
+    /// a heartbeat from every machine.
     fn gang_stage(&self, job: &Job) -> GangStage {
         let mut attempts = BTreeSet::new();
         let placed = job.placements.len() as u32;
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Goes on with a gang of which some tasks are placed and some are pending.
+    /// Completes or ends a gang of which some tasks are placed and some are pending.
     pub(super) fn repair_gang(&mut self, job_id: JobId, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         match self.gang_stage(job) {
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Places all missing tasks, or none. A gang that finds no room for them in time is stopped, so that its places
-    /// do not idle until the workers give up by themselves.
+    /// Places all missing tasks, or none. A gang that finds no room for them within `gang_completion_timeout`
+    /// is stopped, so that its places do not stay idle until the workers give up.
     fn complete_gang(&mut self, job_id: JobId, attempt: u64, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let missing = job.progress.pending.len() as u32;
@@ -75,27 +77,29 @@
         for machine in found {
             self.assign(job_id, &machine, attempt, &mut round.capacity);
         }
-        // The next task that it loses has a time of its own.
+        // If the gang loses another task, the timeout starts anew.
         if let Some(job) = self.jobs.get_mut(&job_id) {
             job.gang.incomplete_since = None;
         }
     }
 
+    /// Leaves the missing tasks pending, or stops the gang if it has been incomplete for too long.
     fn await_room_for_gang(&mut self, job_id: JobId) {
         let now = self.now;
         let timeout = limits::gang_completion_timeout(self.config.workers.gang_wait_s);
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let since = *job.gang.incomplete_since.get_or_insert(now);
         if now < since + timeout {
-            return self.wait(job_id, PendingReason::NoSlotForRestOfGang);
+            return self.set_pending_reason(job_id, PendingReason::NoSlotForRestOfGang);
         }
         job.gang.incomplete_since = None;
         self.stop_all(job_id);
-        self.wait(job_id, PendingReason::GangIncomplete);
+        self.set_pending_reason(job_id, PendingReason::GangIncomplete);
     }
 
-    /// The remaining tasks would only notice by themselves, up to `gang_peer_s` later. Tasks that were asked to save
-    /// are left to it: the first that has saved keeps the progress of all.
+    /// Stops the remaining tasks of an attempt that has ended; by themselves they would notice up to
+    /// `gang_peer_s` later. While any of them has a grace period to save a checkpoint, none is stopped: the
+    /// first checkpoint preserves the progress of all.
     fn end_gang_attempt(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let may_save = |stop: StopRequest| stop.grace_s > 0.0 && !stop.is_overdue(self.now);
@@ -103,12 +107,13 @@
         if !is_saving {
             self.stop_all(job_id);
         }
-        self.wait(job_id, PendingReason::LastAttemptNotEnded);
+        self.set_pending_reason(job_id, PendingReason::LastAttemptNotEnded);
     }
 
-    /// A machine of the gang is about to go. A gang saves together or not at all: every machine is asked at once,
-    /// with the time to save and to wait for the others. Asked one after the other, or one alone, the save would
-    /// fail.
+    /// Stops a gang because one of its machines is about to leave. A gang saves a checkpoint together or not
+    /// at all, so all tasks are asked at once, with a grace period for saving and for waiting for each other.
+    /// Requests to one task alone, or to one after the other, would make the save fail. If some machine is
+    /// unreachable, the tasks are stopped without a grace period. Does nothing for other kinds of jobs.
     pub(super) fn stop_gang(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get(&job_id).filter(|job| job.spec.kind == Kind::Gang) else { return };
         let grace_s = if self.is_reachable_everywhere(job) {
@@ -119,7 +124,8 @@
         self.stop_all_within(job_id, grace_s);
     }
 
-    /// Whether every machine that holds a task of the job is reachable in both directions.
+    /// Whether every machine with a task of the job is reachable in both directions: it has sent a heartbeat
+    /// recently and acknowledged the responses.
     pub(super) fn is_reachable_everywhere(&self, job: &Job) -> bool {
         let silence_timeout = limits::silence_timeout(self.config.workers.report_s);
         let is_reachable = |machine: &Machine| {
@@ -129,18 +135,20 @@
         self.placements_of(job).all(|(_, name, _)| self.machines.get(name).is_some_and(is_reachable))
     }
 
-    /// In how many seconds the machine's next heartbeat is due, whose response bears a start. A leaseholder passes on
-    /// which heartbeats it responded to up to `SHARD_HEARTBEAT_INTERVAL` later: a machine that seems due within that
-    /// may just have sent one, and its next comes an interval later. Where heartbeats are hardly rarer than that,
-    /// machines cannot be told apart by it.
+    /// Seconds, rounded down, until the machine's next heartbeat is due; a start is sent in the response to
+    /// it. A leaseholder reports the heartbeats that it responded to up to `SHARD_HEARTBEAT_INTERVAL` late: a
+    /// machine that seems due within that time may have just sent one, so that its next is due one heartbeat
+    /// interval later. 0 if the heartbeat interval is too short (at most twice that) for the difference to
+    /// matter.
     pub(super) fn heartbeat_due_s(&self, machine: &Machine) -> i64 {
         let heartbeat_interval = from_seconds(self.config.workers.report_s);
         if heartbeat_interval <= 2 * limits::SHARD_HEARTBEAT_INTERVAL {
             return 0;
         }
         let due_in = (machine.heartbeats.last_at + heartbeat_interval).since(self.now);
-        let is_missed = machine.route.cached_by_leaseholder && due_in < limits::SHARD_HEARTBEAT_INTERVAL;
-        let due_in = if is_missed { due_in + heartbeat_interval } else { due_in };
+        let may_have_been_sent =
+            machine.route.cached_by_leaseholder && due_in < limits::SHARD_HEARTBEAT_INTERVAL;
+        let due_in = if may_have_been_sent { due_in + heartbeat_interval } else { due_in };
         due_in.as_secs() as i64
     }
 }
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -1,16 +1,18 @@
-//! Headroom: places that are kept free for critical services. Owns how many there are and what each must hold.
+//! Headroom: places kept free for critical services. Computes their number and the resources of each, for
+//! `elastic`, consolidation, the scaling plan and drains.
 
 use super::model::{Job, Priority, Resources};
 use super::Scheduler;
 
 impl Scheduler {
-    /// What a place for a critical task must hold: the most that one of them requests. None: there are no critical
-    /// jobs.
+    /// Resources of one place for a critical task: the largest amount of each resource that a critical job
+    /// requests. None: there are no critical jobs.
     pub(super) fn critical_place(&self) -> Option<Resources> {
         self.largest_request(|job| job.spec.priority == Priority::Critical)
     }
 
-    /// Places kept free in each zone: enough for the widest critical services, spread over the zones.
+    /// Number of places kept free in each zone: enough for `reserve_services` critical services of the
+    /// largest width, spread over the zones.
     pub(super) fn headroom_per_zone(&self) -> i64 {
         let critical = self.jobs.values().filter(|job| job.spec.priority == Priority::Critical);
         let widest = critical.map(|job| job.spec.tasks).max().unwrap_or(0);
@@ -18,7 +20,8 @@
         i64::from((widest * self.config.operator.reserve_services).div_ceil(zones))
     }
 
-    /// Room that holds a task of any of the jobs that `includes` accepts.
+    /// The largest amount of each resource that the jobs accepted by `includes` request. None: no job is
+    /// accepted.
     pub(super) fn largest_request(&self, includes: impl Fn(&Job) -> bool) -> Option<Resources> {
         let requests = self.jobs.values().filter(|job| includes(job)).map(|job| job.spec.resource_request);
         requests.reduce(|a, b| Resources {
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -1,7 +1,7 @@
-//! Placements of tasks: reserved, asked to stop, and removed when the task has provably terminated. Owns their
-//! removal: nothing else makes a task pending again.
+//! Reserves placements of tasks, requests their stops, and removes them when the tasks have provably
+//! terminated. Used by all parts of the scheduler; nothing else makes a task pending again.
 //!
-//! A task is pending only while it is provably on no machine. So every removal of a placement takes a
+//! A task is pending only while it is provably on no machine. So every removal of a placement requires a
 //! [`TerminationProof`].
 
 use super::model::{
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Every placement of a task of the job, with the name of its machine.
+    /// Every placement of the job's tasks: the task, the name of the machine, and the placement.
     pub(super) fn placements_of<'a>(
         &'a self,
         job: &'a Job,
@@ -58,21 +58,22 @@
         )
     }
 
-    /// Removes a job that is terminated and of which nothing is placed any more.
+    /// Removes the job if it is terminated and no task of it is placed any more.
     pub(super) fn remove_if_terminated(&mut self, job_id: JobId) {
         if self.jobs.get(&job_id).is_some_and(|job| job.terminated && job.placements.is_empty()) {
             self.jobs.remove(&job_id);
         }
     }
 
-    /// One number for all tasks of a job that start together: the members of a gang find one another by it.
-    /// The fencing token is in it, so that no two leaders use one twice.
+    /// The next attempt number, for all tasks of a job that start together; the tasks of a gang find each
+    /// other by it. The upper 32 bits are the fencing token, so that no two leaders use the same number.
     pub(super) fn next_attempt(&mut self) -> u64 {
         self.attempts += 1;
         (self.config.token.0 << 32) | self.attempts
     }
 
-    /// Reserves resources on a machine. The start is sent in the response to the machine's next heartbeat.
+    /// Reserves resources for a task on the machine `name`. The start is sent in the response to the
+    /// machine's next heartbeat.
     pub(super) fn reserve_placement(
         &mut self,
         name: &str,
@@ -83,17 +84,18 @@
     ) {
         let now = self.now;
         self.note_order(id);
-        let previous = self.jobs.get_mut(&id.job_id).and_then(|job| job.previous_placements.remove(&id.task));
+        let previous_placement =
+            self.jobs.get_mut(&id.job_id).and_then(|job| job.previous_placements.remove(&id.task));
         if let Some(machine) = self.machines.get_mut(name) {
-            let previous = previous.map(tracing::field::display);
-            debug!(task = %id, machine = name, attempt, previous, "place");
+            let previous_placement = previous_placement.map(tracing::field::display);
+            debug!(task = %id, machine = name, attempt, previous_placement, "task placed");
             machine.tasks.insert(id, Placement::reserved(resource_request, image, attempt, now));
         }
         self.request_wake(name);
     }
 
-    /// Asks the task to stop within `grace_s` seconds. A later request with a shorter grace period replaces the
-    /// first.
+    /// Asks the task to stop within `grace_s` seconds. If its start has not been sent, removes its placement
+    /// at once. A later request with a shorter grace period replaces an earlier one.
     pub(super) fn stop(&mut self, name: &str, id: TaskId, grace_s: f64) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Removes the placement of a task that is provably not on this machine any more. The task is pending again
-    /// unless it has succeeded or its job has terminated.
+    /// Removes the placement of a task that is provably no longer on this machine. The task becomes pending
+    /// again, unless it may be on another machine, has succeeded, or its job has terminated.
     pub(super) fn remove_placement(&mut self, name: &str, id: TaskId, proof: TerminationProof) {
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
         if let Some(names) = job.placements.get_mut(&id.task) {
@@ -129,7 +131,7 @@
         self.remove_if_terminated(id.job_id);
     }
 
-    /// Removes all placements of a machine that provably holds no task any more.
+    /// Removes all placements of a machine that provably runs no task any more.
     pub(super) fn release_machine(&mut self, name: &str, proof: TerminationProof) {
         self.record_lost_work(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -1,15 +1,16 @@
-//! Eligibility and score of a machine for a task of a job, and the count of a job's tasks by zone. Slots are places
-//! that fit the task, not a plain number.
+//! Eligibility and score of a machine for a task of a job, and the number of a job's tasks by zone. Used by
+//! `elastic`, drains, consolidation and the scaling plan. A slot is a place that fits the task; machines have
+//! no fixed number of slots.
 
 use super::model::{Job, Machine, Priority, Resources};
 use std::collections::BTreeMap;
 
-/// How the tasks of one job are spread over the zones. Every place where a task may be counts.
+/// Number of tasks of one job in each zone. A task that may be on several machines counts once for each.
 #[derive(Debug, Clone, Default)]
 pub struct ZoneCount(BTreeMap<String, u32>);
 
 impl ZoneCount {
-    /// Counts the placements of a job; empty where zones make no difference to it.
+    /// Counts the placements of a job. Empty if the job's placement does not depend on zones.
     pub fn of(job: &Job, machines: &BTreeMap<String, Machine>) -> Self {
         let mut count = ZoneCount::default();
         let zones_matter = job.spec.spread || job.spec.one_zone || job.spec.priority == Priority::Critical;
@@ -22,82 +23,84 @@
         count
     }
 
-    /// One more task in the zone.
+    /// Adds one task in the zone.
     pub fn add(&mut self, zone: &str) {
         self.add_many(zone, 1);
     }
 
-    /// So many more tasks in the zone.
+    /// Adds this many tasks in the zone.
     pub fn add_many(&mut self, zone: &str, tasks: u32) {
         *self.0.entry(zone.into()).or_default() += tasks;
     }
 
-    /// One task less in the zone.
+    /// Removes one task from the zone; the count does not fall below 0.
     pub fn remove(&mut self, zone: &str) {
         if let Some(tasks) = self.0.get_mut(zone) {
             *tasks = tasks.saturating_sub(1);
         }
     }
 
-    /// Tasks in the zone.
+    /// Number of tasks in the zone.
     pub fn get(&self, zone: &str) -> u32 {
         self.0.get(zone).copied().unwrap_or(0)
     }
 
-    /// Whether the zone rules of the job allow one more task there.
+    /// Whether the zone rules of the job allow one more task in the zone.
     pub fn allows(&self, job: &Job, zone: &str) -> bool {
         self.tasks_allowed(job, zone) > 0
     }
 
-    /// How many more tasks of the job its zone rules allow there.
+    /// How many more tasks the zone rules of the job allow in the zone.
     pub fn tasks_allowed(&self, job: &Job, zone: &str) -> u32 {
-        let is_elsewhere = |(other, tasks): (&String, &u32)| *tasks > 0 && other != zone;
-        let bound_elsewhere = job.spec.one_zone && self.0.iter().any(is_elsewhere);
-        if bound_elsewhere || !job.spec.allows_zone(zone) {
+        let is_in_other_zone = |(other, tasks): (&String, &u32)| *tasks > 0 && other != zone;
+        let is_bound_to_other_zone = job.spec.one_zone && self.0.iter().any(is_in_other_zone);
+        if is_bound_to_other_zone || !job.spec.allows_zone(zone) {
             return 0;
         }
         job.spec.zone_most().saturating_sub(self.get(zone))
     }
 }
 
-/// Whether the job may ever use this machine, its present room and the other tasks aside.
+/// Whether the job may use this machine at all, regardless of its free resources and other tasks.
 pub fn is_eligible(job: &Job, machine: &Machine) -> bool {
     job.spec.allows_type(&machine.machine_type)
         && job.spec.allows_zone(&machine.zone)
         && (!machine.spot || job.spec.spot)
 }
 
-/// The part of a machine's score that stays the same for every further task of the job put there. Smaller is better;
-/// the fields count in their order.
+/// The part of a machine's score that is the same for every further task of the job on it. Smaller is better;
+/// the fields are compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Score {
-    /// An ordinary machine for a job that may use spot machines, while there is work that may not.
+    /// Whether the machine is ordinary and the job may use spot machines, while there are jobs that may not
+    /// (fixed work).
     pub takes_from_fixed_work: bool,
-    /// Image fetches that a task waits for; see [`Machine::image_fetches`].
+    /// Number of image fetches that a task waits for; see [`Machine::image_fetches`].
     pub image_fetches: i64,
-    /// Reasons to take the machine last.
+    /// Sum of the reasons against the machine; larger is worse.
     pub penalty: i64,
 }
 
 impl Score {
-    /// `has_fixed_work`: whether some job may not use spot machines.
+    /// Scores the machine for the job. `has_fixed_work`: whether some job may not use spot machines.
     pub fn of(job: &Job, machine: &Machine, has_fixed_work: bool) -> Self {
-        let is_dearer = job.spec.spot && !machine.spot;
+        let is_ordinary_for_spot_job = job.spec.spot && !machine.spot;
         Score {
-            takes_from_fixed_work: is_dearer && has_fixed_work,
+            takes_from_fixed_work: is_ordinary_for_spot_job && has_fixed_work,
             image_fetches: machine.image_fetches(&job.spec.image),
-            penalty: i64::from(machine.lifecycle.consolidation_target) + i64::from(is_dearer),
+            penalty: i64::from(machine.lifecycle.consolidation_target) + i64::from(is_ordinary_for_spot_job),
         }
     }
 
-    /// Whether the image would be fetched beside another one.
+    /// Whether the image would be fetched at the same time as another one.
     pub fn shares_fetch(&self) -> bool {
         self.image_fetches > 1
     }
 }
 
-/// Best-fit bin packing: what a task of the job would leave of the room. The fullest machines are filled first, so
-/// that others empty. A GPU counts as much as a thousand processors.
+/// Score for best-fit bin packing: the resources of `room` that a task of the job would leave, in thousandths
+/// of a processor. A GPU counts as much as a thousand processors. Smaller is better: the fullest machines are
+/// filled first, so that others become empty.
 pub fn remainder(job: &Job, room: &Resources) -> i64 {
     let left = room.minus(&job.spec.resource_request);
     left.gpus * 1000 + left.cpus
--- a/src/scheduler/scoring_tests.rs
+++ b/src/scheduler/scoring_tests.rs
@@ -1,11 +1,12 @@
-//! Eligibility, scores and the zone rules of jobs.
+//! Eligibility of machines, their scores, and the zone rules of jobs. The fixtures are also used by other
+//! tests.
 
 use super::*;
 use crate::scheduler::model::{JobId, JobSpec, Kind, StoredMachine};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// A normal job of one-core tasks with the image `image`, to which all machines are open.
+/// A job of normal priority with one-core tasks and the image `image` that may use every machine.
 pub(in crate::scheduler) fn spec(kind: Kind, tasks: u32) -> JobSpec {
     JobSpec {
         job_id: JobId(1),
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn spot_work_takes_a_spot_machine_first_and_a_warm_image_next() {
+fn spot_jobs_prefer_spot_machines_then_warm_images_while_ordinary_ones_are_needed() {
     let job = job(spec(Kind::Array, 1));
     let (cold_spot, ordinary) = (machine("m-1", "a", true), machine("m-2", "a", false));
     let mut warm_spot = machine("m-3", "a", true);
@@ -61,32 +62,32 @@
     assert!(score(&job, &warm_spot) < score(&job, &cold_spot));
     assert!(score(&job, &cold_spot) < score(&job, &warm_ordinary));
     assert!(score(&job, &warm_ordinary) < score(&job, &ordinary));
-    // Where no work needs ordinary machines, a warm image comes before a spot machine.
+    // If no job needs ordinary machines, a warm image matters more than a spot machine.
     assert!(Score::of(&job, &warm_ordinary, false) < Score::of(&job, &cold_spot, false));
 }
 
 #[test]
-fn work_that_may_not_use_spot_machines_is_not_eligible_for_them() {
+fn machines_that_a_job_may_not_use_are_not_eligible() {
     let fixed = job(JobSpec { spot: false, ..spec(Kind::Service, 1) });
     assert!(!is_eligible(&fixed, &machine("m-1", "a", true)));
     assert!(is_eligible(&fixed, &machine("m-2", "a", false)));
-    let elsewhere = job(JobSpec { zone: Some("b".into()), ..spec(Kind::Array, 1) });
-    assert!(!is_eligible(&elsewhere, &machine("m-3", "a", false)));
+    let in_other_zone = job(JobSpec { zone: Some("b".into()), ..spec(Kind::Array, 1) });
+    assert!(!is_eligible(&in_other_zone, &machine("m-3", "a", false)));
     let other_type = job(JobSpec { types: Some(vec!["other".into()]), ..spec(Kind::Array, 1) });
     assert!(!is_eligible(&other_type, &machine("m-4", "a", false)));
 }
 
 #[test]
-fn zone_rules_bound_how_many_more_tasks_a_zone_takes() {
+fn zone_rules_limit_the_further_tasks_in_a_zone() {
     let mut count = ZoneCount::default();
     count.add_many("a", 2);
     let spread = job(JobSpec { spread: true, ..spec(Kind::Service, 5) });
     assert_eq!((count.tasks_allowed(&spread, "a"), count.tasks_allowed(&spread, "b")), (1, 3));
-    let together = job(JobSpec { one_zone: true, ..spec(Kind::Array, 5) });
-    assert_eq!((count.tasks_allowed(&together, "a"), count.tasks_allowed(&together, "b")), (3, 0));
+    let in_one_zone = job(JobSpec { one_zone: true, ..spec(Kind::Array, 5) });
+    assert_eq!((count.tasks_allowed(&in_one_zone, "a"), count.tasks_allowed(&in_one_zone, "b")), (3, 0));
     count.remove("a");
     count.remove("a");
-    assert!(count.allows(&together, "b"));
+    assert!(count.allows(&in_one_zone, "b"));
 }
 
 #[test]
