--- a/crates/dockpier-cold-start-report/src/measure.rs
+++ b/crates/dockpier-cold-start-report/src/measure.rs
@@ -88,7 +88,7 @@
         operator: Operator { cold_start, ..base.operator.clone() },
         report_s: if machines > 1_000 { 4.0 } else { 1.0 },
         write_rps: 300.0,
-        value_most: 16_384,
+        max_value_bytes: 16_384,
         ..base
     }
 }
--- a/crates/dockpier-drain-report/src/measure.rs
+++ b/crates/dockpier-drain-report/src/measure.rs
@@ -123,7 +123,7 @@
         capacity: machines + 50,
         operator: Operator { draining: Draining::within(budgets, at_once as u32), ..base.operator.clone() },
         write_rps: 300.0,
-        value_most: 16_384,
+        max_value_bytes: 16_384,
         report_s: if machines > 1_000 { 4.0 } else { 1.0 },
         ..base
     }
--- a/crates/dockpier-simulation/examples/transcript/day.rs
+++ b/crates/dockpier-simulation/examples/transcript/day.rs
@@ -103,12 +103,12 @@
             .with("team", &spec.team)
             .with("priority", words::priority(spec.priority))
             .with("tasks", spec.tasks)
-            .with("cpus", spec.resource_request.cpus)
-            .with("gpus", spec.resource_request.gpus)
+            .with("cpus", spec.resource_request.milli_cpus)
+            .with("gpus", spec.resource_request.milli_gpus)
             .with("spread", spec.spread)
             .with("one_zone", spec.one_zone)
             .amount("estimate_s", spec.estimate_s)
-            .amount("checkpoint_s", spec.checkpoint_s);
+            .amount("checkpoint_s", spec.checkpoint_interval_s);
         self.note(line);
         self.fleet.submit(spec);
     }
--- a/crates/dockpier-simulation/examples/transcript/draw.rs
+++ b/crates/dockpier-simulation/examples/transcript/draw.rs
@@ -28,7 +28,7 @@
         report_s: one_of(rng, &[0.5, 1.0, 2.0, 3.0]),
         boot_s: rng.random_range(2.0..12.0),
         write_rps: one_of(rng, &[2.0, 10.0, 200.0]),
-        value_most: one_of(rng, &[2_048, 4_096, 16_384]),
+        max_value_bytes: one_of(rng, &[2_048, 4_096, 16_384]),
     }
 }
 
@@ -83,20 +83,20 @@
         one_of(rng, &[Priority::Low, Priority::Normal, Priority::Normal, Priority::High, Priority::Critical]);
     let size: f64 = one_of(rng, &[0.5, 1.0, 1.0, 1.5, 2.0]);
     let size = size.min(slots);
-    spec.resource_request = Resources::needed(size, one_of(rng, &[0.0, 0.5, size]), size);
+    spec.resource_request = Resources::rounded_up(size, one_of(rng, &[0.0, 0.5, size]), size);
     spec.image = format!("image-{}", rng.random_range(1..=6));
     spec.spread = kind == Kind::Service && rng.random_bool(0.6);
     spec.one_zone = kind == Kind::Gang || !spec.spread && rng.random_bool(0.2);
-    spec.zone = rng.random_bool(0.15).then(|| one_of(rng, zones)).filter(|_| !spec.spread);
-    spec.types = rng.random_bool(0.1).then(|| vec![MACHINE_TYPE.to_string()]);
-    spec.spot = kind != Kind::Service && rng.random_bool(0.15);
+    spec.required_zone = rng.random_bool(0.15).then(|| one_of(rng, zones)).filter(|_| !spec.spread);
+    spec.allowed_machine_types = rng.random_bool(0.1).then(|| vec![MACHINE_TYPE.to_string()]);
+    spec.allows_spot = kind != Kind::Service && rng.random_bool(0.15);
     if kind != Kind::Service {
         spec.estimate_s = rng.random_range(5.0..120.0);
         spec.deadline_s = rng.random_bool(0.2).then(|| rng.random_range(30.0..300.0));
     }
     if rng.random_bool(0.4) {
-        spec.checkpoint_s = rng.random_range(5.0..40.0);
-        spec.save_s = rng.random_range(1.0..6.0);
+        spec.checkpoint_interval_s = rng.random_range(5.0..40.0);
+        spec.checkpoint_save_s = rng.random_range(1.0..6.0);
     }
     spec
 }
--- a/crates/dockpier-simulation/examples/transcript/effects.rs
+++ b/crates/dockpier-simulation/examples/transcript/effects.rs
@@ -32,26 +32,26 @@
 
 fn line(effect: &Effect) -> Line {
     match effect {
-        Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable } => {
-            response(*reply, renewal.as_ref(), task_commands, *cacheable)
+        Effect::HeartbeatResponse { response_id, renewal, task_commands, leaseholder_may_respond } => {
+            response(*response_id, renewal.as_ref(), task_commands, *leaseholder_may_respond)
         }
-        Effect::RequestWake { node, machine } => {
+        Effect::RequestRelay { node, machine } => {
             Line::new("wake").with("node", node).with("machine", machine)
         }
         Effect::DirectCommands { machine, address, agent_epoch, task_commands } => {
             direct(machine, address, *agent_epoch, task_commands)
         }
-        Effect::CommitDone { job_id, version, tasks, all_done } => Line::new("commit-done")
+        Effect::WriteFinishedTasks { job_id, version, tasks, all_succeeded } => Line::new("commit-done")
             .with("job", job_id.0)
             .with("version", version)
             .list("tasks", tasks)
-            .list("all_done", all_done),
-        Effect::Finish { job_id, version, tasks, chunks } => Line::new("finish")
+            .list("all_done", all_succeeded),
+        Effect::WriteJobEnd { job_id, version, tasks, chunks } => Line::new("finish")
             .with("job", job_id.0)
             .with("version", version)
             .with("tasks", tasks)
             .list("chunks", chunks),
-        Effect::Record { key, machines } => {
+        Effect::WriteMachineRecord { key, machines } => {
             Line::new("record").with("key", key).list("machines", machines.iter().map(words::stored_machine))
         }
         Effect::Rent { request, name, machine_type, zone, spot, count } => Line::new("rent")
@@ -70,15 +70,15 @@
 }
 
 fn response(
-    reply: u64,
+    response_id: u64,
     renewal: Option<&LeaseRenewal>,
     task_commands: &[TaskCommand],
-    cacheable: bool,
+    leaseholder_may_respond: bool,
 ) -> Line {
     Line::new("answer")
-        .with("reply", reply)
+        .with("reply", response_id)
         .with("renewal", words::renewal(renewal))
-        .with("keep", cacheable)
+        .with("keep", leaseholder_may_respond)
         .with("orders", task_commands.len())
 }
 
--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -1,6 +1,6 @@
 //! Part one, second driver: the scheduler as a leader with two leaseholders. Workers send heartbeats to any of
-//! three controllers; the leaseholders are real shards, which relay heartbeats (`Heartbeat` with `via`) and report which
-//! machines they renewed (`ShardHeartbeat`).
+//! three controllers; the leaseholders are real shards, which relay heartbeats (`Heartbeat` with `relayed_by`)
+//! and report which machines they renewed (`ShardHeartbeat`).
 
 mod events;
 mod outside;
@@ -48,7 +48,7 @@
 #[derive(Clone)]
 struct RoutedHeartbeat {
     /// The node of the leaseholder that relayed it; `None`: the worker sent it to the leader.
-    via: Option<usize>,
+    relayed_by: Option<usize>,
     heartbeat: Heartbeat,
 }
 
@@ -119,12 +119,12 @@
         teams: ["t", "u", "v"].map(team).to_vec(),
         zones: vec!["a".into(), "b".into(), "c".into()],
         list_lag_s: 3.0,
-        round_steps: limits::MAX_ROUND_STEPS,
+        max_round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: 1.0,
         write_rps: 50.0,
-        record_machines: 8,
-        value_most: 4_096,
-        rentals_at_once: 4,
+        max_machines_per_record: 8,
+        max_value_bytes: 4_096,
+        max_concurrent_rentals: 4,
         shard_lease: Duration::from_micros(SHARD_LEASE),
     }
 }
@@ -142,7 +142,7 @@
     fn machine_type(&self, name: &str, slots: f64, price: f64) -> MachineType {
         MachineType {
             name: name.into(),
-            capacity: Resources::offered(slots, slots, slots),
+            capacity: Resources::rounded_down(slots, slots, slots),
             price,
             spot_price: Some(price / 3.0),
             boot_s: 4.0,
@@ -156,7 +156,7 @@
             vec![self.machine_type(MACHINE_TYPE, SLOTS, 1.0), self.machine_type(LARGE, 2.0 * SLOTS, 1.9)];
         let jobs = self.jobs.values().cloned().collect();
         let records = self.records.iter().map(|(key, machines)| (key.clone(), machines.clone())).collect();
-        self.decide(vec![Command::Types(types), Command::Load { jobs, records }]);
+        self.decide(vec![Command::MachineTypes(types), Command::StateLoaded { jobs, records }]);
     }
 
     fn step(&mut self) {
@@ -177,7 +177,7 @@
             .extend((0..self.leaseholders.len()).filter_map(|leaseholder| self.shard_heartbeat(leaseholder)));
         if now >= self.listed_at + 4 * SECOND {
             self.listed_at = now;
-            batch.push(Command::Listed(self.list()));
+            batch.push(Command::MachinesListed(self.list()));
         }
         self.decide(batch);
     }
@@ -227,12 +227,12 @@
         }
     }
 
-    fn heartbeat_command(&mut self, via: Option<usize>, heartbeat: Heartbeat) -> Command {
+    fn heartbeat_command(&mut self, relayed_by: Option<usize>, heartbeat: Heartbeat) -> Command {
         self.replies += 1;
-        let routed = RoutedHeartbeat { via, heartbeat: heartbeat.clone() };
+        let routed = RoutedHeartbeat { relayed_by, heartbeat: heartbeat.clone() };
         self.newest = Some(routed.clone());
         self.waiting.insert(self.replies, routed);
-        Command::Heartbeat { reply: self.replies, heartbeat, via }
+        Command::Heartbeat { response_id: self.replies, heartbeat, relayed_by }
     }
 
     /// A leaseholder's shard heartbeat; it or its acknowledgement may be lost.
@@ -244,7 +244,7 @@
         let line = Line::new("block-heartbeat")
             .with("node", leaseholder + 1)
             .with("whole", heartbeat.complete)
-            .with("fresh", heartbeat.first_of_incarnation)
+            .with("fresh", heartbeat.none_acknowledged)
             .list("machines", &heartbeat.machines);
         self.out.write(now, line);
         if lost || now < *cut_until {
@@ -255,12 +255,12 @@
         }
         // What it covers lies some way back.
         let covers = heartbeat.complete.then(|| Timestamp::from_micros(now.saturating_sub(2 * STEP)));
-        let (machines, fresh) = (heartbeat.machines, heartbeat.first_of_incarnation);
+        let (machines, fresh) = (heartbeat.machines, heartbeat.none_acknowledged);
         Some(Command::ShardHeartbeat {
             node: leaseholder + 1,
             machines,
             covers_until: covers,
-            first_of_incarnation: fresh,
+            none_acknowledged: fresh,
         })
     }
 
--- a/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
@@ -88,10 +88,10 @@
 
     /// The newest heartbeat comes a second time, by another route.
     fn repeat_heartbeat(&mut self) {
-        let Some(RoutedHeartbeat { via, heartbeat }) = self.newest.clone() else { return };
+        let Some(RoutedHeartbeat { relayed_by, heartbeat }) = self.newest.clone() else { return };
         self.out.write(self.now, Line::new("report-twice").with("machine", &heartbeat.machine));
-        let via = if via.is_some() { None } else { Some(1) };
-        let command = self.heartbeat_command(via, heartbeat);
+        let relayed_by = if relayed_by.is_some() { None } else { Some(1) };
+        let command = self.heartbeat_command(relayed_by, heartbeat);
         self.decide(vec![command]);
     }
 
@@ -110,9 +110,9 @@
         self.scheduler = Scheduler::new(self.config.clone(), Timestamp::from_micros(self.now));
         self.waiting.clear();
         self.later.clear();
-        if let Some(RoutedHeartbeat { via, heartbeat }) = self.newest.take() {
+        if let Some(RoutedHeartbeat { relayed_by, heartbeat }) = self.newest.take() {
             // It is answered before the new leader has loaded what is stored.
-            let command = self.heartbeat_command(via, heartbeat);
+            let command = self.heartbeat_command(relayed_by, heartbeat);
             self.decide(vec![command]);
         }
         self.leaseholders.iter_mut().for_each(|leaseholder| leaseholder.shard.follow(self.config.token));
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -142,7 +142,7 @@
             self.nodes[node].shard.follow(token);
             let Some(heartbeat) = self.nodes[node].shard.next_heartbeat(now) else { continue };
             let line = Line::new("network-block-heartbeat").with("node", node).with("id", heartbeat.id);
-            let line = line.with("whole", heartbeat.complete).with("fresh", heartbeat.first_of_incarnation);
+            let line = line.with("whole", heartbeat.complete).with("fresh", heartbeat.none_acknowledged);
             self.note(line.list("machines", &heartbeat.machines));
             let lost = self.rng.random_bool(0.1);
             if lost || !self.leads(leader, token) || self.cut_between(node, leader).is_some() {
@@ -256,7 +256,7 @@
         let shard = &mut self.nodes[node].shard;
         shard.record_relayed_response(now, heartbeat, token, commands.is_empty());
         if wakes {
-            shard.request_wake(&[machine]);
+            shard.require_relay(&[machine]);
         }
         self.answered(line.with("by", "relay"), token, commands)
     }
--- a/crates/dockpier-simulation/src/cloud.rs
+++ b/crates/dockpier-simulation/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use crate::layout::MACHINE_TYPE;
 use crate::{machine_name, Fleet, Worker};
-use dockpier::scheduler::{ListedMachine, StoredMachine, WriteOutcome};
+use dockpier::scheduler::{ListedMachine, RequestOutcome, StoredMachine};
 use dockpier::time::{from_seconds, to_micros, Timestamp};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,19 +15,19 @@
         zone: &str,
         spot: bool,
         count: u32,
-    ) -> (Option<Vec<String>>, WriteOutcome) {
+    ) -> (Option<Vec<String>>, RequestOutcome) {
         if let Some(machines) = self.rentals.get(name) {
-            return (Some(machines.clone()), WriteOutcome::Done);
+            return (Some(machines.clone()), RequestOutcome::Done);
         }
         let here = self.workers.values().filter(|worker| worker.zone == zone).count();
         let free = self.layout.capacity.saturating_sub(here).min(count as usize);
         if free == 0 || spot {
-            return (None, WriteOutcome::Refused);
+            return (None, RequestOutcome::Refused);
         }
         let boots = from_seconds(self.layout.boot_s);
         let names: Vec<String> = (0..free).map(|_| self.make_machine(zone, boots)).collect();
         self.rentals.insert(name.to_string(), names.clone());
-        (Some(names), WriteOutcome::Done)
+        (Some(names), RequestOutcome::Done)
     }
 
     /// A machine that is up after `boots`; the first `never_boot` of those that boot never are.
--- a/crates/dockpier-simulation/src/layout.rs
+++ b/crates/dockpier-simulation/src/layout.rs
@@ -29,7 +29,7 @@
     /// Changes a second that the state service takes.
     pub write_rps: f64,
     /// Bytes of a value of the state service.
-    pub value_most: usize,
+    pub max_value_bytes: usize,
 }
 
 impl Default for Layout {
@@ -45,7 +45,7 @@
             report_s: 1.0,
             boot_s: 5.0,
             write_rps: 200.0,
-            value_most: 4_096,
+            max_value_bytes: 4_096,
         }
     }
 }
@@ -67,12 +67,12 @@
         teams: layout.teams.clone(),
         zones: layout.zones.clone(),
         list_lag_s: 3.0,
-        round_steps: limits::MAX_ROUND_STEPS,
+        max_round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: 1.0,
         write_rps: layout.write_rps,
-        record_machines: limits::record_machines(layout.value_most as f64 / 1_024.0),
-        value_most: layout.value_most,
-        rentals_at_once: 10,
+        max_machines_per_record: limits::record_machines(layout.max_value_bytes as f64 / 1_024.0),
+        max_value_bytes: layout.max_value_bytes,
+        max_concurrent_rentals: 10,
         shard_lease: Duration::ZERO,
     }
 }
@@ -87,17 +87,17 @@
         kind,
         priority: if service { Priority::Critical } else { Priority::Normal },
         tasks,
-        resource_request: Resources::needed(1.0, 1.0, 1.0),
+        resource_request: Resources::rounded_up(1.0, 1.0, 1.0),
         image: format!("image-{id}"),
         image_gb: 1.0,
-        types: None,
-        zone: None,
+        allowed_machine_types: None,
+        required_zone: None,
         one_zone: kind == Kind::Gang,
         spread: service,
-        spot: false,
+        allows_spot: false,
         estimate_s: if service { 0.0 } else { 60.0 },
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     }
 }
--- a/crates/dockpier-simulation/src/lib.rs
+++ b/crates/dockpier-simulation/src/lib.rs
@@ -15,7 +15,7 @@
 pub use worker::{Worker, WorkerTask};
 
 use dockpier::scheduler::model::{JobId, JobSpec, MachineType, Resources};
-use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand, WriteOutcome};
+use dockpier::scheduler::{Command, Config, Effect, RequestOutcome, Scheduler, StoredJob, TaskCommand};
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use dockpier_drain::request::{DesiredState, DrainRequest, StoredRequest};
 use layout::config;
@@ -246,7 +246,7 @@
         batch.extend(self.heartbeats());
         if now >= self.list_due {
             self.list_due = now + LIST_INTERVAL;
-            batch.push(Command::Listed(self.list()));
+            batch.push(Command::MachinesListed(self.list()));
         }
         self.step(batch);
         // A look at every task: in a large fleet once a second.
@@ -256,7 +256,6 @@
         }
     }
 
-    /// Workers do what they do by themselves.
     fn work(&mut self) {
         let now = self.now;
         let lease = from_seconds(self.config.workers.lease_s);
@@ -281,7 +280,11 @@
         let due = self.workers.values_mut().filter(|worker| worker.is_heartbeat_due(now));
         due.map(|worker| {
             worker.next_report = now + interval;
-            Command::Heartbeat { reply: worker.number, heartbeat: worker.heartbeat(now), via: None }
+            Command::Heartbeat {
+                response_id: worker.number,
+                heartbeat: worker.heartbeat(now),
+                relayed_by: None,
+            }
         })
         .collect()
     }
@@ -307,8 +310,8 @@
     /// Applies an effect of the scheduler to workers, cloud and state service.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::HeartbeatResponse { reply, task_commands, .. } => {
-                self.deliver_response(reply, &task_commands);
+            Effect::HeartbeatResponse { response_id, task_commands, .. } => {
+                self.deliver_response(response_id, &task_commands);
             }
             Effect::DirectCommands { machine, agent_epoch, task_commands, .. } => {
                 self.deliver_direct(&machine, agent_epoch, &task_commands);
@@ -321,18 +324,18 @@
             }
             Effect::Delete(machines) => self.delete(machines),
             Effect::ReadJob { job_id } => {
-                let (sent, reading) = (self.now, self.store.read_job(job_id));
-                self.answer(Command::JobRead { job_id, sent, reading });
+                let (sent_at, reading) = (self.now, self.store.read_job(job_id));
+                self.answer(Command::JobRead { job_id, sent_at, reading });
             }
-            Effect::Finish { job_id, .. } => {
+            Effect::WriteJobEnd { job_id, .. } => {
                 self.store.jobs.remove(&job_id);
-                self.answer(Command::Finished { job_id, outcome: WriteOutcome::Done });
+                self.answer(Command::JobEndWritten { job_id, outcome: RequestOutcome::Done });
             }
-            effect @ (Effect::CommitDone { .. }
-            | Effect::Record { .. }
+            effect @ (Effect::WriteFinishedTasks { .. }
+            | Effect::WriteMachineRecord { .. }
             | Effect::WriteDrain { .. }
             | Effect::WriteColdStart(_)
-            | Effect::RequestWake { .. }
+            | Effect::RequestRelay { .. }
             | Effect::Deposed(_)) => {
                 if let Some(command) = self.store.carry_out(effect) {
                     self.answer(command);
@@ -341,10 +344,10 @@
         }
     }
 
-    /// Hands the response to the worker whose number is the reply's.
-    fn deliver_response(&mut self, reply: u64, task_commands: &[TaskCommand]) {
+    /// Hands the response to the worker whose number is the response's id.
+    fn deliver_response(&mut self, response_id: u64, task_commands: &[TaskCommand]) {
         let (now, token) = (self.now, self.config.token);
-        if let Some(worker) = self.workers.get_mut(&machine_name(reply)) {
+        if let Some(worker) = self.workers.get_mut(&machine_name(response_id)) {
             worker.answered(now, token, task_commands, &mut self.history);
         }
     }
@@ -365,7 +368,7 @@
             self.workers.remove(name);
         }
         self.history.returned.extend(machines.iter().cloned());
-        self.answer(Command::Deleted { machines, outcome: WriteOutcome::Done });
+        self.answer(Command::Deleted { machines, outcome: RequestOutcome::Done });
     }
 
     /// A leader begins with what the state service holds.
@@ -373,21 +376,21 @@
         let slots = self.layout.slots;
         let machine_type = MachineType {
             name: MACHINE_TYPE.into(),
-            capacity: Resources::offered(slots, slots, slots),
+            capacity: Resources::rounded_down(slots, slots, slots),
             price: 1.0,
             spot_price: None,
             boot_s: self.layout.boot_s,
             fetch_gb_per_s: worker::FETCH_GB_PER_S,
             zones: self.layout.zones.clone(),
         };
-        let mut batch = vec![Command::Types(vec![machine_type])];
+        let mut batch = vec![Command::MachineTypes(vec![machine_type])];
         if self.layout.operator.draining.enabled {
             batch.push(Command::LoadDrains(self.store.loaded_drains()));
         }
         let readable =
             self.store.jobs.values().filter(|job| !self.store.unreadable.contains(&job.spec.job_id));
         let (jobs, records) = (readable.cloned().collect(), self.store.records());
-        batch.push(Command::Load { jobs, records });
+        batch.push(Command::StateLoaded { jobs, records });
         self.step(batch);
     }
 }
--- a/crates/dockpier-simulation/src/store.rs
+++ b/crates/dockpier-simulation/src/store.rs
@@ -3,7 +3,7 @@
 use dockpier::scheduler::cold_start::{ColdStartReport, JobReading};
 use dockpier::scheduler::drains::{DrainKey, DrainValue, LoadedDrains};
 use dockpier::scheduler::model::JobId;
-use dockpier::scheduler::{Command, Effect, StoredJob, StoredMachine, WriteOutcome};
+use dockpier::scheduler::{Command, Effect, RequestOutcome, StoredJob, StoredMachine};
 use dockpier_drain::ledger::LedgerRecord;
 use dockpier_drain::progress::Chunk;
 use dockpier_drain::request::{DrainId, StoredRequest};
@@ -73,17 +73,17 @@
         let takes = !self.out;
         self.writes += 1;
         match effect {
-            Effect::Record { key, machines } => {
+            Effect::WriteMachineRecord { key, machines } => {
                 if takes {
                     self.write_machines(&key, machines);
                 }
-                Some(Command::Recorded { key, outcome })
+                Some(Command::MachineRecordWritten { key, outcome })
             }
-            Effect::CommitDone { job_id, tasks, .. } => {
+            Effect::WriteFinishedTasks { job_id, tasks, .. } => {
                 if let Some(job) = self.jobs.get_mut(&job_id).filter(|_| takes) {
                     job.succeeded.extend(&tasks);
                 }
-                Some(Command::Committed { job_id, tasks, outcome })
+                Some(Command::FinishedTasksWritten { job_id, tasks, outcome })
             }
             Effect::WriteColdStart(report) => {
                 if takes {
@@ -99,9 +99,9 @@
                 Some(Command::DrainWritten { key, outcome })
             }
             Effect::HeartbeatResponse { .. }
-            | Effect::RequestWake { .. }
+            | Effect::RequestRelay { .. }
             | Effect::DirectCommands { .. }
-            | Effect::Finish { .. }
+            | Effect::WriteJobEnd { .. }
             | Effect::Rent { .. }
             | Effect::Delete(_)
             | Effect::ReadJob { .. }
@@ -110,11 +110,11 @@
     }
 
     /// The outcome that a change reports at present.
-    fn outcome(&self) -> WriteOutcome {
+    fn outcome(&self) -> RequestOutcome {
         match (self.out, self.answers_lost) {
-            (true, _) => WriteOutcome::Refused,
-            (false, true) => WriteOutcome::Unknown,
-            (false, false) => WriteOutcome::Done,
+            (true, _) => RequestOutcome::Refused,
+            (false, true) => RequestOutcome::Unknown,
+            (false, false) => RequestOutcome::Done,
         }
     }
 
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -103,9 +103,9 @@
         let team = team.ok_or_else(|| Impossible::UnknownTeam { team: job.team.clone() })?;
         let least_tasks = if job.kind == Kind::Array { 1 } else { i64::from(job.tasks) };
         let needed = job.resource_request.times(least_tasks);
-        let limit = Resources::offered(team.cpus_max, team.gpus_max, 0.0);
-        let above_cpus = team.cpus_max > 0.0 && needed.cpus > limit.cpus;
-        let above_gpus = team.gpus_max > 0.0 && needed.gpus > limit.gpus;
+        let limit = Resources::rounded_down(team.cpus_max, team.gpus_max, 0.0);
+        let above_cpus = team.cpus_max > 0.0 && needed.milli_cpus > limit.milli_cpus;
+        let above_gpus = team.gpus_max > 0.0 && needed.milli_gpus > limit.milli_gpus;
         if above_cpus || above_gpus {
             return Err(Impossible::AboveLimit { team: team.name.clone() }.into());
         }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -5,7 +5,7 @@
 use crate::limits;
 use crate::protocol::cloud::{Catalog, MachineList, MachineNames, RentalRequest};
 use crate::scheduler::model::MachineType;
-use crate::scheduler::{ListedMachine, WriteOutcome};
+use crate::scheduler::{ListedMachine, RequestOutcome};
 use reqwest::Method;
 use tracing::{debug, warn};
 
@@ -58,34 +58,34 @@
 
     /// Rents machines; returns the outcome and the names of those rented. After an unknown outcome the same request name
     /// must be repeated.
-    pub async fn rent(&self, rental: &RentalRequest<'_>) -> (WriteOutcome, Vec<String>) {
-        let Ok(body) = serde_json::to_vec(rental) else { return (WriteOutcome::Refused, Vec::new()) };
+    pub async fn rent(&self, rental: &RentalRequest<'_>) -> (RequestOutcome, Vec<String>) {
+        let Ok(body) = serde_json::to_vec(rental) else { return (RequestOutcome::Refused, Vec::new()) };
         match self.call(Method::POST, "/rentals", Some(body)).await {
             Ok(answer) if answer.status == 200 => {
                 match serde_json::from_slice::<MachineNames>(&answer.body) {
-                    Ok(names) => (WriteOutcome::Done, names.machines),
+                    Ok(names) => (RequestOutcome::Done, names.machines),
                     // Machines were rented, and their names are to be asked for again.
-                    Err(_) => (WriteOutcome::Unknown, Vec::new()),
+                    Err(_) => (RequestOutcome::Unknown, Vec::new()),
                 }
             }
             // Too many requests, or the cloud is unavailable: not carried out, and worth another try.
             Ok(answer) if answer.status == 429 || is_unavailable(&answer) => {
-                (WriteOutcome::Unknown, Vec::new())
+                (RequestOutcome::Unknown, Vec::new())
             }
-            Ok(_) => (WriteOutcome::Refused, Vec::new()),
-            Err(CallError::NotSent(_) | CallError::NoAnswer(_)) => (WriteOutcome::Unknown, Vec::new()),
+            Ok(_) => (RequestOutcome::Refused, Vec::new()),
+            Err(CallError::NotSent(_) | CallError::NoAnswer(_)) => (RequestOutcome::Unknown, Vec::new()),
         }
     }
 
     /// Deletes machines. The outcome `Done` proves that they and their tasks are gone.
-    pub async fn delete(&self, names: &[String]) -> WriteOutcome {
+    pub async fn delete(&self, names: &[String]) -> RequestOutcome {
         let Ok(body) = serde_json::to_vec(&MachineNames { machines: names.to_vec() }) else {
-            return WriteOutcome::Refused;
+            return RequestOutcome::Refused;
         };
         match self.call(Method::POST, "/rentals/delete", Some(body)).await {
-            Ok(answer) if answer.status == 200 => WriteOutcome::Done,
-            Ok(_) => WriteOutcome::Refused,
-            Err(CallError::NotSent(_) | CallError::NoAnswer(_)) => WriteOutcome::Unknown,
+            Ok(answer) if answer.status == 200 => RequestOutcome::Done,
+            Ok(_) => RequestOutcome::Refused,
+            Err(CallError::NotSent(_) | CallError::NoAnswer(_)) => RequestOutcome::Unknown,
         }
     }
 }
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -7,7 +7,7 @@
 use crate::limits;
 use crate::node_events::{Event, Types};
 use crate::protocol::cloud::{Catalog, RentalRequest};
-use crate::scheduler::{Command, ListedMachine, WriteOutcome};
+use crate::scheduler::{Command, ListedMachine, RequestOutcome};
 use crate::settings::CloudLimits;
 use crate::storage::key_value_store::{compare_version, write_change, CommitOutcome, KeyValueStore};
 use crate::storage::keys;
@@ -148,10 +148,10 @@
     match request {
         // Not sent. If this node still leads, the scheduler repeats the request.
         CloudRequest::Delete(machines) if !gate.is_open() => {
-            Command::Deleted { machines, outcome: WriteOutcome::Refused }
+            Command::Deleted { machines, outcome: RequestOutcome::Refused }
         }
         CloudRequest::Rent { request, .. } if !gate.is_open() => {
-            Command::Rented { request, machines: None, outcome: WriteOutcome::Refused }
+            Command::Rented { request, machines: None, outcome: RequestOutcome::Refused }
         }
         CloudRequest::Delete(machines) => {
             let outcome = cloud.delete(&machines).await;
@@ -162,7 +162,7 @@
                 RentalRequest { request_id: &name, machine_type: &machine_type, zone: &zone, spot, count };
             let mut answer = cloud.rent(&rental).await;
             for _ in 0..MAX_RENTAL_RETRIES {
-                if answer.0 == WriteOutcome::Unknown && gate.is_open() {
+                if answer.0 == RequestOutcome::Unknown && gate.is_open() {
                     // A repeated name rents nothing twice.
                     tokio::time::sleep(pace * 2).await;
                     answer = cloud.rent(&rental).await;
@@ -187,7 +187,7 @@
     loop {
         // With a partial list machines would seem missing.
         if let Some(machines) = complete_list(&cloud, pace).await {
-            if events.send(Event::Scheduler(token, Command::Listed(machines))).await.is_err() {
+            if events.send(Event::Scheduler(token, Command::MachinesListed(machines))).await.is_err() {
                 return;
             }
         }
--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -27,7 +27,7 @@
                 Ok(None) => JobReading::Absent,
                 Err(_) => JobReading::Failed,
             };
-            Command::JobRead { job_id, sent, reading }
+            Command::JobRead { job_id, sent_at: sent, reading }
         });
     }
 
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -12,7 +12,7 @@
 use crate::protocol::users::JobStatus;
 use crate::protocol::workers::{DirectCommands, WorkerCommand};
 use crate::scheduler::model::JobId;
-use crate::scheduler::{Command, Effect, StoredMachine, TaskCommand, WriteOutcome};
+use crate::scheduler::{Command, Effect, RequestOutcome, StoredMachine, TaskCommand};
 use crate::storage::key_value_store::{compare_version, remove_change, write_change};
 use crate::storage::keys;
 use crate::worker;
@@ -40,22 +40,22 @@
     /// Carries out one effect of the scheduler.
     pub(super) fn apply_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable } => {
-                self.respond(reply, renewal, task_commands, cacheable)
+            Effect::HeartbeatResponse { response_id, renewal, task_commands, leaseholder_may_respond } => {
+                self.respond(response_id, renewal, task_commands, leaseholder_may_respond)
             }
-            Effect::RequestWake { node, machine } => {
+            Effect::RequestRelay { node, machine } => {
                 self.peers.send(node, Payload::WakeRequest(vec![machine]));
             }
             Effect::DirectCommands { machine, address, agent_epoch, task_commands } => {
                 self.send_direct(&machine, address, agent_epoch, &task_commands);
             }
-            Effect::CommitDone { job_id, version, tasks, all_done } => {
-                self.write_finished_tasks(job_id, version, tasks, all_done);
+            Effect::WriteFinishedTasks { job_id, version, tasks, all_succeeded } => {
+                self.write_finished_tasks(job_id, version, tasks, all_succeeded);
             }
-            Effect::Finish { job_id, version, tasks, chunks } => {
+            Effect::WriteJobEnd { job_id, version, tasks, chunks } => {
                 self.finish_job(job_id, version, tasks, chunks)
             }
-            Effect::Record { key, machines } => self.write_machine_record(key, machines),
+            Effect::WriteMachineRecord { key, machines } => self.write_machine_record(key, machines),
             Effect::Rent { request, name, machine_type, zone, spot, count } => {
                 // The token makes the name unique among all leaders, past and future.
                 let name = name.unwrap_or_else(|| format!("r-{}-{request}", self.config.token));
@@ -90,7 +90,7 @@
             drop(permit);
             if let Some(heartbeat) = response {
                 // The controller ends only with the process.
-                let _ = events.send(Event::Scheduler(token, Command::DirectCommandAnswered(heartbeat))).await;
+                let _ = events.send(Event::Scheduler(token, Command::DirectResponse(heartbeat))).await;
             }
         });
     }
@@ -101,16 +101,16 @@
         job_id: JobId,
         version: u64,
         tasks: BTreeSet<u32>,
-        all_done: BTreeSet<u32>,
+        all_succeeded: BTreeSet<u32>,
     ) {
         let max_changes = self.settings.deployment.state.txn_ops;
         let writer = self.record_writer();
         self.spawn_scheduler_request(async move {
             let FinishedTasksWrite { tasks, changes } =
-                finished_tasks_write(job_id, tasks, &all_done, max_changes);
+                finished_tasks_write(job_id, tasks, &all_succeeded, max_changes);
             let is_live = compare_version(&keys::live_job(job_id), version);
             let outcome = writer.write_if(vec![is_live], changes).await;
-            Command::Committed { job_id, tasks, outcome }
+            Command::FinishedTasksWritten { job_id, tasks, outcome }
         });
     }
 
@@ -128,13 +128,13 @@
             changes.extend(chunks.iter().map(|chunk| remove_change(&keys::finished_tasks(job_id, *chunk))));
             let conditions = vec![leads, compare_version(&keys::live_job(job_id), version)];
             let outcome = write_outcome(store.commit(conditions, changes).await).await;
-            if outcome == WriteOutcome::Done {
+            if outcome == RequestOutcome::Done {
                 info!(job = %job_id, "done");
                 let rest = rest.into_iter().map(|chunk| keys::finished_tasks(job_id, chunk)).collect();
                 // Not aborted by an owner: see `sweep`.
                 tokio::spawn(sweep(store, rest, epoch));
             }
-            Command::Finished { job_id, outcome }
+            Command::JobEndWritten { job_id, outcome }
         });
     }
 
@@ -150,7 +150,7 @@
                 write_change(&path, records).into_iter().collect()
             };
             let outcome = writer.write(changes).await;
-            Command::Recorded { key, outcome }
+            Command::MachineRecordWritten { key, outcome }
         });
     }
 
--- a/src/controller/finished_tasks.rs
+++ b/src/controller/finished_tasks.rs
@@ -16,11 +16,11 @@
 }
 
 /// The write that records `tasks`, or as many of them as `max_changes` cover. A chunk is written as a
-/// complete value, so `all_done` gives the tasks of the job that were recorded before as well.
+/// complete value, so `all_succeeded` gives the tasks of the job that were recorded before as well.
 pub(super) fn finished_tasks_write(
     job_id: JobId,
     tasks: BTreeSet<u32>,
-    all_done: &BTreeSet<u32>,
+    all_succeeded: &BTreeSet<u32>,
     max_changes: usize,
 ) -> FinishedTasksWrite {
     let chunks: BTreeSet<u32> = tasks.iter().map(|task| task / limits::FINISHED_TASKS_CHUNK).collect();
@@ -32,7 +32,7 @@
         .filter_map(|chunk| {
             let first = chunk * limits::FINISHED_TASKS_CHUNK;
             let bits = encode_bits(
-                all_done.range(first..first + limits::FINISHED_TASKS_CHUNK).map(|task| task - first),
+                all_succeeded.range(first..first + limits::FINISHED_TASKS_CHUNK).map(|task| task - first),
             );
             // Text always has a JSON form.
             write_change(&keys::finished_tasks(job_id, *chunk), bits).ok()
--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -125,10 +125,10 @@
         if authority.is_none() {
             return self.relay_or_redirect(now, heartbeat, to);
         }
-        let reply = self.routing.request_ids.take();
+        let response_id = self.routing.request_ids.take();
         let stops = self.leadership.cancellations.with_stop_commands(Vec::new(), &heartbeat);
-        self.routing.pending_replies.insert(reply, ReplyTo::Worker(to, stops));
-        commands.push(Command::Heartbeat { reply, heartbeat, via: None });
+        self.routing.pending_replies.insert(response_id, ReplyTo::Worker(to, stops));
+        commands.push(Command::Heartbeat { response_id, heartbeat, relayed_by: None });
     }
 
     /// Whether this node may act as the leader now.
@@ -231,12 +231,12 @@
     /// Sends the scheduler's response to a heartbeat. `renewal` is `None` if it does not renew the lease.
     pub(super) fn respond(
         &mut self,
-        reply: u64,
+        response_id: u64,
         renewal: Option<LeaseRenewal>,
         task_commands: Vec<TaskCommand>,
-        cacheable: bool,
+        leaseholder_may_respond: bool,
     ) {
-        let Some(to) = self.routing.pending_replies.remove(&reply) else { return };
+        let Some(to) = self.routing.pending_replies.remove(&response_id) else { return };
         // Checked again at the last moment: the round may have taken long.
         let now = self.clock.now();
         let knows_cancellations = now < self.leadership.cancellations.keep_alive_until();
@@ -254,7 +254,10 @@
             }
             ReplyTo::Leaseholder(node, id) => {
                 let token = entitled.map(|(token, _)| token);
-                self.peers.send(node, Payload::RelayedResponse { id, token, cacheable, task_commands });
+                self.peers.send(
+                    node,
+                    Payload::RelayedResponse { id, token, leaseholder_may_respond, task_commands },
+                );
             }
         }
     }
@@ -272,7 +275,10 @@
 
     fn refuse_relayed_heartbeat(&self, node: usize, id: u64) {
         let task_commands = Vec::new();
-        self.peers.send(node, Payload::RelayedResponse { id, token: None, cacheable: false, task_commands });
+        self.peers.send(
+            node,
+            Payload::RelayedResponse { id, token: None, leaseholder_may_respond: false, task_commands },
+        );
     }
 }
 
@@ -294,9 +300,9 @@
             return self.respond_to_stale_relay(now, from, id, &heartbeat);
         }
         self.routing.recent_heartbeats.push_back(now);
-        let reply = self.routing.request_ids.take();
-        self.routing.pending_replies.insert(reply, ReplyTo::Leaseholder(from, id));
-        commands.push(Command::Heartbeat { reply, heartbeat, via: Some(from) });
+        let response_id = self.routing.request_ids.take();
+        self.routing.pending_replies.insert(response_id, ReplyTo::Leaseholder(from, id));
+        commands.push(Command::Heartbeat { response_id, heartbeat, relayed_by: Some(from) });
     }
 
     /// A node in keep-alive mode renews leases whichever way heartbeats arrive; any other refuses.
@@ -305,8 +311,10 @@
         match keep_alive {
             Some((token, task_commands)) => {
                 let token = Some(token);
-                self.peers
-                    .send(from, Payload::RelayedResponse { id, token, cacheable: false, task_commands });
+                self.peers.send(
+                    from,
+                    Payload::RelayedResponse { id, token, leaseholder_may_respond: false, task_commands },
+                );
             }
             None => self.refuse_relayed_heartbeat(from, id),
         }
@@ -338,7 +346,7 @@
         from: usize,
         id: u64,
         token: Option<FencingToken>,
-        cacheable: bool,
+        leaseholder_may_respond: bool,
         task_commands: Vec<TaskCommand>,
     ) {
         let Some(RelayedHeartbeat { reply: to, heartbeat, .. }) = self.routing.relayed.remove(&id) else {
@@ -348,7 +356,7 @@
             Some(token) => {
                 let task_commands =
                     self.leadership.cancellations.with_stop_commands(task_commands, &heartbeat);
-                self.routing.shard.record_relayed_response(now, heartbeat, token, cacheable);
+                self.routing.shard.record_relayed_response(now, heartbeat, token, leaseholder_may_respond);
                 self.routing.accept(token, LeaseRenewal::relayed(), &task_commands)
             }
             None => self.routing.redirect(None),
@@ -382,9 +390,9 @@
         let Some(leader) = self.leadership.followed_leader(now) else { return };
         self.routing.shard.follow(leader.token);
         let Some(heartbeat) = self.routing.shard.next_heartbeat(now) else { return };
-        let ShardHeartbeat { id, complete, first_of_incarnation, machines } = heartbeat;
+        let ShardHeartbeat { id, complete, none_acknowledged, machines } = heartbeat;
         let stamp = leader.heartbeat_stamp;
-        let frame = Payload::ShardHeartbeat { id, stamp, complete, first_of_incarnation, machines };
+        let frame = Payload::ShardHeartbeat { id, stamp, complete, none_acknowledged, machines };
         self.peers.send(leader.node, frame);
     }
 }
--- a/src/controller/job_watch.rs
+++ b/src/controller/job_watch.rs
@@ -84,7 +84,7 @@
                     self.known.extend(jobs.iter().map(|job| job.spec.job_id));
                     let (token, jobs_read, machine_records) = (self.token, jobs.len(), records.len());
                     info!(%token, epoch, revision, jobs_read, machine_records, "state read");
-                    self.send(Command::Load { jobs, records }).await;
+                    self.send(Command::StateLoaded { jobs, records }).await;
                     // Not aborted by an owner: see `sweep`.
                     tokio::spawn(sweep(self.store.clone(), orphans, epoch));
                     return revision;
--- a/src/controller/leadership_actions.rs
+++ b/src/controller/leadership_actions.rs
@@ -105,7 +105,7 @@
         self.config.token = token;
         self.term = LeadershipTerm { epoch_version: version, ..LeadershipTerm::default() };
         let mut scheduler = Scheduler::new(self.config.clone(), now);
-        let types = Command::Types(self.types.values().cloned().collect());
+        let types = Command::MachineTypes(self.types.values().cloned().collect());
         let effects = scheduler.step(now, vec![types]);
         self.scheduler = Some(scheduler);
         for effect in effects {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -174,7 +174,7 @@
                 }
             }
             Event::Types(types) => {
-                batch.commands.push(Command::Types(types.values().cloned().collect()));
+                batch.commands.push(Command::MachineTypes(types.values().cloned().collect()));
                 self.types = types;
             }
         }
@@ -217,19 +217,19 @@
             Payload::RelayedHeartbeat { id, stamp, heartbeat } => {
                 self.handle_relayed_heartbeat(now, from, id, stamp, heartbeat, commands);
             }
-            Payload::RelayedResponse { id, token, cacheable, task_commands } => {
-                self.handle_relayed_response(now, from, id, token, cacheable, task_commands);
+            Payload::RelayedResponse { id, token, leaseholder_may_respond, task_commands } => {
+                self.handle_relayed_response(now, from, id, token, leaseholder_may_respond, task_commands);
             }
-            Payload::ShardHeartbeat { id, stamp, complete, first_of_incarnation, machines } => {
+            Payload::ShardHeartbeat { id, stamp, complete, none_acknowledged, machines } => {
                 let covers_until = complete.then_some(stamp);
                 let command =
-                    Command::ShardHeartbeat { node: from, machines, covers_until, first_of_incarnation };
+                    Command::ShardHeartbeat { node: from, machines, covers_until, none_acknowledged };
                 self.handle_shard_heartbeat(now, from, id, stamp, command, commands);
             }
             Payload::ShardHeartbeatAck { id, lease_ms } => {
                 self.handle_shard_heartbeat_ack(from, id, lease_ms)
             }
-            Payload::WakeRequest(machines) => self.routing.shard.request_wake(&machines),
+            Payload::WakeRequest(machines) => self.routing.shard.require_relay(&machines),
         }
     }
 
@@ -238,9 +238,9 @@
         let cancellations = &self.leadership.cancellations;
         match command {
             Command::JobAdded(job) if cancellations.is_terminated(job.spec.job_id) => None,
-            Command::Load { mut jobs, records } => {
+            Command::StateLoaded { mut jobs, records } => {
                 jobs.retain(|job| !cancellations.is_terminated(job.spec.job_id));
-                Some(Command::Load { jobs, records })
+                Some(Command::StateLoaded { jobs, records })
             }
             command => Some(command),
         }
--- a/src/controller/record_writer.rs
+++ b/src/controller/record_writer.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use crate::limits;
 use crate::protocol::state_service::{Change, Comparison};
-use crate::scheduler::WriteOutcome;
+use crate::scheduler::RequestOutcome;
 use crate::storage::key_value_store::{compare_version, CommitOutcome, KeyValueStore};
 use crate::storage::keys;
 use crate::storage::record_versions::RecordVersions;
@@ -18,12 +18,12 @@
 
 impl RecordWriter {
     /// Makes the changes if this node still leads and no record that they touch has another version.
-    pub(super) async fn write(self, changes: Vec<Change>) -> WriteOutcome {
+    pub(super) async fn write(self, changes: Vec<Change>) -> RequestOutcome {
         self.write_if(Vec::new(), changes).await
     }
 
     /// As [`RecordWriter::write`], under further conditions.
-    pub(super) async fn write_if(self, conditions: Vec<Comparison>, changes: Vec<Change>) -> WriteOutcome {
+    pub(super) async fn write_if(self, conditions: Vec<Comparison>, changes: Vec<Change>) -> RequestOutcome {
         let conditions = std::iter::once(self.epoch).chain(conditions).collect();
         write_outcome(self.versions.commit(&self.store, conditions, changes).await).await
     }
@@ -46,16 +46,16 @@
 
 /// The outcome of a transaction for the scheduler. A failure is reported after the retry delay, since the scheduler
 /// may repeat the write as soon as it knows.
-pub(super) async fn write_outcome(outcome: CommitOutcome) -> WriteOutcome {
+pub(super) async fn write_outcome(outcome: CommitOutcome) -> RequestOutcome {
     match outcome {
-        CommitOutcome::Committed { .. } => WriteOutcome::Done,
+        CommitOutcome::Committed { .. } => RequestOutcome::Done,
         CommitOutcome::Conflict | CommitOutcome::Refused => {
             wait_before_retry().await;
-            WriteOutcome::Refused
+            RequestOutcome::Refused
         }
         CommitOutcome::Unknown => {
             wait_before_retry().await;
-            WriteOutcome::Unknown
+            RequestOutcome::Unknown
         }
     }
 }
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -223,12 +223,12 @@
         teams: deployment.teams.clone(),
         zones: deployment.zones.clone(),
         list_lag_s: deployment.cloud.list_lag_s,
-        round_steps: limits::MAX_ROUND_STEPS,
+        max_round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: deployment.resources.cpu,
         write_rps: deployment.state.write_rps,
-        record_machines: limits::record_machines(deployment.state.value_kb),
-        value_most: limits::value_bytes(deployment.state.value_kb),
-        rentals_at_once: limits::max_concurrent_rentals(deployment.cloud.rps),
+        max_machines_per_record: limits::record_machines(deployment.state.value_kb),
+        max_value_bytes: limits::value_bytes(deployment.state.value_kb),
+        max_concurrent_rentals: limits::max_concurrent_rentals(deployment.cloud.rps),
         shard_lease,
     }
 }
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -82,7 +82,7 @@
         stamp: Timestamp,
         received: Renewal,
     ) {
-        if heartbeat.first_of_incarnation {
+        if heartbeat.none_acknowledged {
             self.leases_begin_no_earlier_than(received.at_leader);
         }
         let record = self.leaseholders.entry(node).or_default();
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -287,8 +287,8 @@
         let renewal = Renewal { at_leader: self.local_time(leader), at: self.now };
         self.nodes[leader].ledger.record_renewal(number, renewal);
         let now = self.local_time(node);
-        let cacheable = stops.is_empty();
-        self.nodes[node].shard.record_relayed_response(now, heartbeat, token, cacheable);
+        let leaseholder_may_respond = stops.is_empty();
+        self.nodes[node].shard.record_relayed_response(now, heartbeat, token, leaseholder_may_respond);
         Some(WorkerResponse::new(token, stops))
     }
 
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -27,7 +27,7 @@
     sequence: u64,
     tasks: Vec<ReportedTask>,
     /// The leader has a command for the machine: the next heartbeat is relayed even if it is unchanged.
-    wake_requested: bool,
+    relay_required: bool,
     /// When this node last responded to the machine.
     responded_at: Timestamp,
 }
@@ -42,7 +42,7 @@
     fn allows_local_response(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.agent_epoch == self.agent_epoch
             && heartbeat.notice_s.is_none()
-            && !self.wake_requested
+            && !self.relay_required
             && heartbeat.tasks == self.tasks
     }
 }
@@ -65,7 +65,7 @@
     pub complete: bool,
     /// Whether this shard has had no lease under its token. The node may then have just restarted, and an
     /// earlier incarnation may have responded to machines that this heartbeat does not name.
-    pub first_of_incarnation: bool,
+    pub none_acknowledged: bool,
     /// Names of the machines.
     pub machines: Vec<String>,
 }
@@ -192,34 +192,34 @@
         }
     }
 
-    /// The leader has responded to a relayed heartbeat. `cacheable`: this node may respond to later unchanged
-    /// heartbeats of the machine itself.
+    /// The leader has responded to a relayed heartbeat. `leaseholder_may_respond`: this node may
+    /// respond to later unchanged heartbeats of the machine itself.
     pub fn record_relayed_response(
         &mut self,
         now: Timestamp,
         heartbeat: Heartbeat,
         token: FencingToken,
-        cacheable: bool,
+        leaseholder_may_respond: bool,
     ) {
         if token != self.token {
             return;
         }
         let Heartbeat { machine, agent_epoch, sequence, tasks, .. } = heartbeat;
         self.redirections.remove(&machine);
-        if !cacheable || self.cached.len() >= self.max_cached {
+        if !leaseholder_may_respond || self.cached.len() >= self.max_cached {
             self.cached.remove(&machine);
             return;
         }
         let cached =
-            CachedHeartbeat { agent_epoch, sequence, tasks, wake_requested: false, responded_at: now };
+            CachedHeartbeat { agent_epoch, sequence, tasks, relay_required: false, responded_at: now };
         self.cached.insert(machine, cached);
     }
 
     /// The leader has commands for these machines: their next heartbeat is relayed even if it is unchanged.
-    pub fn request_wake(&mut self, machines: &[String]) {
+    pub fn require_relay(&mut self, machines: &[String]) {
         for name in machines {
             if let Some(cached) = self.cached.get_mut(name) {
-                cached.wake_requested = true;
+                cached.relay_required = true;
             }
         }
     }
@@ -252,7 +252,7 @@
         Some(ShardHeartbeat {
             id,
             complete,
-            first_of_incarnation: self.lease_until == Timestamp::ZERO,
+            none_acknowledged: self.lease_until == Timestamp::ZERO,
             machines,
         })
     }
--- a/src/lease/shard_tests.rs
+++ b/src/lease/shard_tests.rs
@@ -82,7 +82,7 @@
         ),
         ShardResponse::NotResponsible
     );
-    shard.request_wake(&["m-1".into()]);
+    shard.require_relay(&["m-1".into()]);
     assert_eq!(
         shard.respond(Timestamp::from_secs(3), &worker_heartbeat(3, 2), true),
         ShardResponse::NotResponsible,
--- a/src/peer/codec/mod.rs
+++ b/src/peer/codec/mod.rs
@@ -65,10 +65,10 @@
                 (RELAYED_HEARTBEAT, (*id).into(), stamp.as_micros().into());
             heartbeat::write(heartbeat, body);
         }
-        Payload::RelayedResponse { id, token, cacheable, task_commands } => {
+        Payload::RelayedResponse { id, token, leaseholder_may_respond, task_commands } => {
             (head.kind, head.stamp) = (RELAYED_RESPONSE, (*id).into());
             head.token = token.unwrap_or(FencingToken::NONE).0.into();
-            head.workers = u32::from(*cacheable).into();
+            head.workers = u32::from(*leaseholder_may_respond).into();
             for command in task_commands {
                 body.extend_from_slice(task_command::encode(command).as_bytes());
             }
@@ -77,11 +77,11 @@
             head.kind = WAKE_REQUEST;
             names::write(machines, body);
         }
-        Payload::ShardHeartbeat { id, stamp, complete, first_of_incarnation, machines } => {
+        Payload::ShardHeartbeat { id, stamp, complete, none_acknowledged, machines } => {
             (head.kind, head.stamp, head.state_age) =
                 (SHARD_HEARTBEAT, (*id).into(), stamp.as_micros().into());
             head.workers = u32::from(*complete).into();
-            head.successor = u32::from(*first_of_incarnation).into();
+            head.successor = u32::from(*none_acknowledged).into();
             names::write(machines, body);
         }
         Payload::ShardHeartbeatAck { id, lease_ms } => {
@@ -191,7 +191,7 @@
             Payload::RelayedResponse {
                 id: number,
                 token: (token > FencingToken::NONE).then_some(token),
-                cacheable: head.workers.get() != 0,
+                leaseholder_may_respond: head.workers.get() != 0,
                 task_commands: lines.iter().map(task_command::decode).collect::<Result<_, _>>()?,
             }
         }
@@ -200,7 +200,7 @@
             id: number,
             stamp: echoed,
             complete: head.workers.get() != 0,
-            first_of_incarnation: head.successor.get() != 0,
+            none_acknowledged: head.successor.get() != 0,
             machines: names::read(body)?,
         },
         ATTESTATION => Payload::Attestation(read_attestation(stamp, body)?),
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -42,7 +42,7 @@
         /// The leader's fencing token; `None`: the sender may not act.
         token: Option<FencingToken>,
         /// The leaseholder may answer the next unchanged heartbeats by itself.
-        cacheable: bool,
+        leaseholder_may_respond: bool,
         /// Commands for the worker.
         task_commands: Vec<TaskCommand>,
     },
@@ -57,7 +57,7 @@
         /// These are all that were answered since the last word that was confirmed.
         complete: bool,
         /// None was confirmed yet.
-        first_of_incarnation: bool,
+        none_acknowledged: bool,
         /// Names of the machines answered.
         machines: Vec<String>,
     },
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -75,14 +75,14 @@
     let reply = Payload::RelayedResponse {
         id: 9,
         token: Some(FencingToken(41)),
-        cacheable: true,
+        leaseholder_may_respond: true,
         task_commands: task_commands.clone(),
     };
     let reply = encode(sender, 2, &reply);
     let Payload::RelayedResponse {
         id: 9,
         token: Some(FencingToken(41)),
-        cacheable: true,
+        leaseholder_may_respond: true,
         task_commands: back,
     } = decode(&reply).unwrap().payload
     else {
@@ -93,7 +93,7 @@
         id: 3,
         stamp: Timestamp::from_micros(4),
         complete: true,
-        first_of_incarnation: false,
+        none_acknowledged: false,
         machines: vec!["m-1".into(), "m-22".into()],
     };
     let heard = encode(sender, 3, &heard);
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -48,7 +48,7 @@
     fn from(entry: &CatalogEntry) -> Self {
         MachineType {
             name: entry.name.clone(),
-            capacity: Resources::offered(entry.cpus, entry.gpus, entry.memory_gb),
+            capacity: Resources::rounded_down(entry.cpus, entry.gpus, entry.memory_gb),
             price: entry.price,
             spot_price: entry.spot_price,
             boot_s: entry.boot_s,
--- a/src/scheduler/autoscaler/machine_list.rs
+++ b/src/scheduler/autoscaler/machine_list.rs
@@ -57,7 +57,7 @@
     fn delete_vanished(&mut self, shown: &BTreeSet<String>) {
         let is_awaited = |machine: &&Machine| {
             machine.inherited
-                && !machine.reconciled
+                && !machine.accounted_for
                 && machine.state == MachineState::Pending
                 && !machine.lifecycle.deleting
         };
--- a/src/scheduler/autoscaler/mod.rs
+++ b/src/scheduler/autoscaler/mod.rs
@@ -10,12 +10,12 @@
 
 use crate::time::{from_seconds, Timestamp};
 pub(super) use deletion_reason::DeletionReason;
-pub use offer::InstanceOffer;
+pub use offer::MachineKind;
 use std::time::Duration;
 
 use super::model::{JobSpec, Machine, MachineState, MachineType, TerminationProof};
 use super::scaling_plan::ScalingPlan;
-use super::{Effect, Scheduler, WriteOutcome};
+use super::{Effect, RequestOutcome, Scheduler};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info};
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct Rental {
     /// What is rented.
-    pub offer: InstanceOffer,
+    pub offer: MachineKind,
     /// How many machines.
     pub count: u32,
 }
@@ -48,7 +48,7 @@
     /// Requests without a response, by number.
     pub renting: BTreeMap<u64, Rental>,
     /// Offers that the cloud has refused.
-    refused: BTreeMap<InstanceOffer, OfferBackoff>,
+    refused: BTreeMap<MachineKind, OfferBackoff>,
     /// Machines with stops to send directly.
     pub direct_stops: BTreeSet<String>,
     /// Silent machines that the cloud's list does not show: since when.
@@ -78,7 +78,7 @@
             self.account();
             self.delete_lost();
             // Before the machines of the last leader are known, every one of them would look missing.
-            if self.reconciled && !self.types.is_empty() {
+            if self.all_accounted_for && !self.types.is_empty() {
                 self.mark_consolidation_targets();
                 self.move_replicas();
                 self.begin_plan();
@@ -90,7 +90,7 @@
     }
 
     /// Whether the cloud has refused this offer lately.
-    pub(super) fn is_backing_off(&self, offer: &InstanceOffer) -> bool {
+    pub(super) fn is_backing_off(&self, offer: &MachineKind) -> bool {
         self.autoscaler.refused.get(offer).is_some_and(|backoff| self.now < backoff.until)
     }
 
@@ -104,18 +104,18 @@
         let ready =
             |machine: &&mut Machine| machine.state == MachineState::Ready && !machine.lifecycle.deleting;
         for machine in self.machines.values_mut().filter(ready) {
-            if !machine.tasks.is_empty() || machine.reported.has_unknown() {
+            if !machine.tasks.is_empty() || machine.unplaced_tasks.has_tasks_of_unknown_jobs() {
                 machine.lifecycle.idle_since = now;
                 continue;
             }
             // A result that is not stored yet is only here.
-            if !machine.reported.exited.is_empty() {
+            if !machine.unplaced_tasks.exited.is_empty() {
                 continue;
             }
             let wait = if machine.spot { spot_idle_after } else { idle_after };
             let is_needed = kept.contains(&machine.name) || self.drains.is_replacement(&machine.name);
             let has_waited = now >= machine.lifecycle.idle_since + wait;
-            if has_waited && !is_needed || machine.lifecycle.draining {
+            if has_waited && !is_needed || machine.lifecycle.to_be_replaced {
                 idle.push(machine.name.clone());
             }
         }
@@ -154,11 +154,11 @@
     }
 
     /// The cloud has responded to a deletion. Its 200 is proof: the machine and everything on it are gone.
-    pub(super) fn deleted(&mut self, names: Vec<String>, outcome: WriteOutcome) {
+    pub(super) fn deleted(&mut self, names: Vec<String>, outcome: RequestOutcome) {
         for name in names {
             match outcome {
-                WriteOutcome::Done => self.remove_machine(name),
-                WriteOutcome::Refused | WriteOutcome::Unknown => {
+                RequestOutcome::Done => self.remove_machine(name),
+                RequestOutcome::Refused | RequestOutcome::Unknown => {
                     if let Some(machine) = self.machines.get_mut(&name) {
                         machine.lifecycle.deleting = false;
                     }
@@ -190,13 +190,13 @@
     }
 
     /// The cloud has responded to a rental request.
-    pub(super) fn rented(&mut self, request: u64, machines: Option<Vec<String>>, outcome: WriteOutcome) {
+    pub(super) fn rented(&mut self, request: u64, machines: Option<Vec<String>>, outcome: RequestOutcome) {
         if self.replacement_rented(request, &machines, outcome) {
             return;
         }
         let Some(Rental { offer, count }) = self.autoscaler.renting.remove(&request) else { return };
         let names = machines.unwrap_or_default();
-        if outcome == WriteOutcome::Refused || (names.len() as u32) < count {
+        if outcome == RequestOutcome::Refused || (names.len() as u32) < count {
             self.back_off(&offer);
         } else {
             self.autoscaler.refused.remove(&offer);
@@ -206,7 +206,7 @@
         }
     }
 
-    fn back_off(&mut self, offer: &InstanceOffer) {
+    fn back_off(&mut self, offer: &MachineKind) {
         let first = OfferBackoff { until: Timestamp::ZERO, pause: limits::RENTAL_BACKOFF / 2 };
         let last = self.autoscaler.refused.get(offer).copied().unwrap_or(first);
         // Requests made together that are refused together are one refusal.
@@ -243,7 +243,7 @@
     pub fn fits_some_type(job: &JobSpec, types: &BTreeMap<String, MachineType>) -> bool {
         types.values().any(|machine_type| {
             job.allows_type(&machine_type.name)
-                && job.resource_request.fits(&machine_type.capacity)
+                && job.resource_request.fits_into(&machine_type.capacity)
                 && machine_type.zones.iter().any(|zone| job.allows_zone(zone))
         })
     }
--- a/src/scheduler/autoscaler/offer.rs
+++ b/src/scheduler/autoscaler/offer.rs
@@ -5,7 +5,7 @@
 
 /// A kind of machine that the cloud may have. Ordered by type, then by zone, ordinary before spot.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct InstanceOffer {
+pub struct MachineKind {
     /// Name of the machine type.
     pub machine_type: String,
     /// The zone.
@@ -14,10 +14,10 @@
     pub spot: bool,
 }
 
-impl InstanceOffer {
+impl MachineKind {
     /// The offer by which this machine was rented.
     pub fn of(machine: &Machine) -> Self {
-        InstanceOffer {
+        MachineKind {
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
--- a/src/scheduler/cold_start/evidence.rs
+++ b/src/scheduler/cold_start/evidence.rs
@@ -37,7 +37,7 @@
     if machine.state == MachineState::Lost {
         return MachineFact::Gone(GoneBy::LeaseOver);
     }
-    if !machine.reconciled {
+    if !machine.accounted_for {
         // A machine that no earlier leader knew holds no task of theirs.
         return match machine.inherited {
             true => MachineFact::Unheard,
--- a/src/scheduler/cold_start/mod.rs
+++ b/src/scheduler/cold_start/mod.rs
@@ -148,7 +148,7 @@
     }
 
     /// Every machine is accounted for: the verdicts of this moment are kept, before any task is started on them.
-    pub(in crate::scheduler) fn note_all_accounted_for(&mut self) {
+    pub(in crate::scheduler) fn record_verdicts_when_accounted_for(&mut self) {
         if self.cold_start.started_at.is_none() {
             return;
         }
--- a/src/scheduler/cold_start/report.rs
+++ b/src/scheduler/cold_start/report.rs
@@ -122,7 +122,7 @@
         let gone = self.lost_inherited_machines();
         let lease = limits::worker_lease(self.config.workers.lease_s);
         let leases_until = self.unrecorded_renewals_until() + lease;
-        let unverified = self.machines.values().flat_map(|machine| machine.reported.unverified.keys());
+        let unverified = self.machines.values().flat_map(|machine| machine.unplaced_tasks.unverified.keys());
         ColdStartReport {
             phase,
             token: self.config.token,
--- a/src/scheduler/cold_start/unknown_jobs.rs
+++ b/src/scheduler/cold_start/unknown_jobs.rs
@@ -25,7 +25,7 @@
 impl Scheduler {
     /// Asks for reads of unknown jobs, a few at once, and of each again after a while.
     pub(super) fn read_unknown_jobs(&mut self) {
-        let unknown = self.machines.values().flat_map(|machine| machine.reported.unverified.keys());
+        let unknown = self.machines.values().flat_map(|machine| machine.unplaced_tasks.unverified.keys());
         let unknown: BTreeSet<JobId> = unknown.map(|attempt| attempt.task.job_id).collect();
         self.cold_start.last_read_at.retain(|job_id, _| unknown.contains(job_id));
         let (now, last_read_at) = (self.now, &self.cold_start.last_read_at);
@@ -39,8 +39,8 @@
         }
     }
 
-    /// A read of the store that was sent at `sent`.
-    pub(in crate::scheduler) fn job_read(&mut self, job_id: JobId, sent: Timestamp, reading: JobReading) {
+    /// A read of the store that was sent at `sent_at`.
+    pub(in crate::scheduler) fn job_read(&mut self, job_id: JobId, sent_at: Timestamp, reading: JobReading) {
         match reading {
             JobReading::Failed => {}
             JobReading::Unreadable => {
@@ -50,7 +50,7 @@
                 self.add_job(*stored, true);
                 self.adopt_unverified_tasks(job_id);
             }
-            JobReading::Absent => self.stop_unverified_tasks(job_id, sent),
+            JobReading::Absent => self.stop_unverified_tasks(job_id, sent_at),
         }
     }
 
@@ -58,7 +58,7 @@
     /// would be started a second time in between.
     fn adopt_unverified_tasks(&mut self, job_id: JobId) {
         let lists_job = |machine: &&Machine| {
-            machine.reported.unverified.keys().any(|attempt| attempt.task.job_id == job_id)
+            machine.unplaced_tasks.unverified.keys().any(|attempt| attempt.task.job_id == job_id)
         };
         let listing: Vec<(String, Vec<ReportedTask>)> = self
             .machines
@@ -72,28 +72,28 @@
     }
 
     /// The job had no record when the store was read after its tasks were reported: it has ended, and they are stopped.
-    fn stop_unverified_tasks(&mut self, job_id: JobId, sent: Timestamp) {
+    fn stop_unverified_tasks(&mut self, job_id: JobId, sent_at: Timestamp) {
         let now = self.now;
         let mut stopped = Vec::new();
         for machine in self.machines.values_mut() {
             let orphaned: Vec<TaskAttempt> = machine
-                .reported
+                .unplaced_tasks
                 .unverified
                 .iter()
-                .filter(|(attempt, reported_at)| attempt.task.job_id == job_id && **reported_at < sent)
+                .filter(|(attempt, reported_at)| attempt.task.job_id == job_id && **reported_at < sent_at)
                 .map(|(attempt, _)| *attempt)
                 .collect();
             for attempt in orphaned {
-                let reported_at = machine.reported.unverified.remove(&attempt).unwrap_or(now);
+                let reported_at = machine.unplaced_tasks.unverified.remove(&attempt).unwrap_or(now);
                 let seconds = as_seconds(now.since(reported_at));
                 info!(task = %attempt.task, machine = machine.name, seconds, "orphaned task stopped");
-                machine.reported.orphaned.insert(attempt);
+                machine.unplaced_tasks.orphaned.insert(attempt);
                 stopped.push(machine.name.clone());
             }
         }
         for name in stopped {
             self.autoscaler.direct_stops.insert(name.clone());
-            self.request_wake(&name);
+            self.request_relay(&name);
         }
     }
 }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -41,7 +41,7 @@
 impl Scheduler {
     /// Whether the task must have an ordinary machine.
     fn is_fixed(&self, id: &TaskId) -> bool {
-        self.jobs.get(&id.job_id).is_none_or(|job| !job.spec.spot)
+        self.jobs.get(&id.job_id).is_none_or(|job| !job.spec.allows_spot)
     }
 
     fn fixed_tasks(&self, machine: &Machine) -> usize {
@@ -69,8 +69,10 @@
     fn consolidation_targets(&self) -> Vec<String> {
         // Without critical services nothing is held back for them, and ordinary machines are needed only for work
         // that may not use spot machines: a deployment of arrays alone kept its ordinary machines for ever.
-        let fixed = self.critical_place().or_else(|| self.largest_request(|job| !job.spec.spot));
-        let Some(elastic) = self.largest_request(|job| job.spec.spot).or(fixed) else { return Vec::new() };
+        let fixed = self.critical_place().or_else(|| self.largest_request(|job| !job.spec.allows_spot));
+        let Some(elastic) = self.largest_request(|job| job.spec.allows_spot).or(fixed) else {
+            return Vec::new();
+        };
         let place = fixed.unwrap_or(elastic);
         let slots = |machine: &Machine| elastic.count_in(&machine.available());
         let zones = &self.config.zones;
@@ -79,8 +81,8 @@
         unneeded.sort();
         let schedulable = self.machines.values().filter(|machine| self.is_schedulable(machine));
         let mut free: i64 = schedulable.map(slots).sum();
-        free -=
-            self.headroom_per_zone() * signed(zones.len()) + signed(self.pending_tasks(|job| job.spec.spot));
+        free -= self.headroom_per_zone() * signed(zones.len())
+            + signed(self.pending_tasks(|job| job.spec.allows_spot));
         let mut targets = Vec::new();
         for UnneededMachine { name, .. } in unneeded {
             let Some(machine) = self.machines.get(name) else { continue };
@@ -109,7 +111,8 @@
             .collect();
         ordinary.sort();
         let fixed: usize = ordinary.iter().map(|machine| machine.fixed_tasks.0).sum();
-        let mut needed = (fixed + self.pending_tasks(|job| !job.spec.spot)) as i64 + self.headroom_per_zone();
+        let mut needed =
+            (fixed + self.pending_tasks(|job| !job.spec.allows_spot)) as i64 + self.headroom_per_zone();
         let mut unneeded = Vec::new();
         for OrdinaryMachine { tasks, name, places, .. } in ordinary {
             if needed <= 0 {
@@ -140,8 +143,8 @@
 
     fn may_move_replicas(&self) -> bool {
         let has_all_fixed_work =
-            |job: &Job| job.terminated || job.spec.spot || job.progress.pending.is_empty();
-        self.reconciled
+            |job: &Job| job.terminated || job.spec.allows_spot || job.progress.pending.is_empty();
+        self.all_accounted_for
             && self.now >= self.started_at + limits::REPLICA_MOVE_INITIAL_DELAY
             && self.now >= self.autoscaler.last_move_at + limits::REPLICA_MOVE_INTERVAL
             && self.jobs.values().all(has_all_fixed_work)
@@ -183,7 +186,7 @@
             !machine.lifecycle.consolidation_target && !machine.spot && self.is_schedulable(machine)
         });
         let room = staying.map(|machine| (machine.name.clone(), machine.available()));
-        room.filter(|(_, available)| available.cpus > 0).collect()
+        room.filter(|(_, available)| available.milli_cpus > 0).collect()
     }
 
     /// Whether a task of the job could go from this machine to another at once, without an image fetch; the
@@ -201,7 +204,7 @@
                 && machine.image_cache.images.contains(&job.spec.image)
         };
         let place = room.iter_mut().find(|(name, available)| {
-            job.spec.resource_request.fits(available) && self.machines.get(*name).is_some_and(may_take)
+            job.spec.resource_request.fits_into(available) && self.machines.get(*name).is_some_and(may_take)
         });
         let Some((_, available)) = place else { return false };
         *available = available.minus(&job.spec.resource_request);
--- a/src/scheduler/drains/destination.rs
+++ b/src/scheduler/drains/destination.rs
@@ -69,7 +69,7 @@
             self.is_schedulable(machine)
                 && scoring::is_eligible(job, machine)
                 && zones.allows(job, &machine.zone)
-                && job.spec.resource_request.fits(&available)
+                && job.spec.resource_request.fits_into(&available)
                 && !job.failure_history.machines.contains(&machine.name)
                 && self.leaves_headroom(job, machine, &available, critical_place, &capacity.spare_places)
         };
--- a/src/scheduler/drains/disruption.rs
+++ b/src/scheduler/drains/disruption.rs
@@ -12,7 +12,7 @@
     /// Compares which replicas serve with those that served, and settles what has ended.
     pub(super) fn record_disruption(&mut self) {
         let serving = self.serving_replicas();
-        if self.reconciled && !self.drains.missed_disruption_counted {
+        if self.all_accounted_for && !self.drains.missed_disruption_counted {
             self.drains.missed_disruption_counted = true;
             self.count_missed_disruption(&serving);
         }
@@ -103,7 +103,7 @@
             let silent = self.now.since(machine.heartbeats.last_at.max(self.started_at));
             return Some(Cost::replica(as_seconds(silent)));
         }
-        let (ran_s, checkpoint_s) = (self.ran_s(placement), job.spec.checkpoint_s);
+        let (ran_s, checkpoint_s) = (self.ran_s(placement), job.spec.checkpoint_interval_s);
         Some(Cost::work(if checkpoint_s > 0.0 { ran_s.min(checkpoint_s) } else { ran_s }))
     }
 
--- a/src/scheduler/drains/drain.rs
+++ b/src/scheduler/drains/drain.rs
@@ -1,6 +1,6 @@
 //! One drain: its request, how far its machines are, and how far its records are stored.
 
-use crate::scheduler::WriteOutcome;
+use crate::scheduler::RequestOutcome;
 use crate::time::Timestamp;
 use dockpier_drain::progress::{Chunk, MachineDrainState, Progress};
 use dockpier_drain::request::{DesiredState, StoredRequest};
@@ -47,11 +47,11 @@
     }
 
     /// The write has ended. What the state service has not confirmed is written again.
-    pub(super) fn end(&mut self, outcome: WriteOutcome) {
+    pub(super) fn end(&mut self, outcome: RequestOutcome) {
         self.in_flight = false;
         match outcome {
-            WriteOutcome::Done => {}
-            WriteOutcome::Refused | WriteOutcome::Unknown => self.has_changed = true,
+            RequestOutcome::Done => {}
+            RequestOutcome::Refused | RequestOutcome::Unknown => self.has_changed = true,
         }
     }
 }
--- a/src/scheduler/drains/drain_tests.rs
+++ b/src/scheduler/drains/drain_tests.rs
@@ -8,7 +8,7 @@
     assert!(write.is_due() && !write.is_stored());
     write.begin();
     assert!(write.is_in_flight() && !write.is_due() && !write.is_stored());
-    write.end(WriteOutcome::Done);
+    write.end(RequestOutcome::Done);
     assert!(write.is_stored() && !write.is_due());
 }
 
@@ -16,10 +16,10 @@
 fn a_write_that_is_not_confirmed_is_due_again() {
     let mut write = WriteState::new_record();
     write.begin();
-    write.end(WriteOutcome::Unknown);
+    write.end(RequestOutcome::Unknown);
     assert!(write.is_due() && !write.is_stored());
     write.begin();
-    write.end(WriteOutcome::Refused);
+    write.end(RequestOutcome::Refused);
     assert!(write.is_due() && !write.is_stored());
 }
 
@@ -29,6 +29,6 @@
     write.begin();
     write.mark_changed();
     assert!(!write.is_due(), "one write of a record at a time");
-    write.end(WriteOutcome::Done);
+    write.end(RequestOutcome::Done);
     assert!(write.is_due() && !write.is_stored());
 }
--- a/src/scheduler/drains/eviction.rs
+++ b/src/scheduler/drains/eviction.rs
@@ -194,8 +194,8 @@
             runs: placement.is_running(),
             ran_s,
             remaining_s: remaining_s(job.spec.estimate_s, ran_s),
-            checkpoint_s: job.spec.checkpoint_s,
-            save_s: job.spec.save_s,
+            checkpoint_s: job.spec.checkpoint_interval_s,
+            save_s: job.spec.checkpoint_save_s,
             move_s,
             job_whole: job.spec.kind == Kind::Service && self.runs_completely(job),
             gang_tasks: job.spec.tasks,
@@ -232,7 +232,9 @@
 impl Machine {
     /// Whether nothing is on it, and it holds no result or task that has to be dealt with first.
     fn is_empty(&self) -> bool {
-        self.tasks.is_empty() && !self.reported.has_unknown() && self.reported.exited.is_empty()
+        self.tasks.is_empty()
+            && !self.unplaced_tasks.has_tasks_of_unknown_jobs()
+            && self.unplaced_tasks.exited.is_empty()
     }
 }
 
--- a/src/scheduler/drains/mod.rs
+++ b/src/scheduler/drains/mod.rs
@@ -219,7 +219,7 @@
 
     /// What keeps every drain from a further step. Stops that were requested go on all the same.
     fn reason_for_no_step(&self) -> Option<Wait> {
-        if !self.reconciled {
+        if !self.all_accounted_for {
             return Some(Wait::Reconciling);
         }
         let mut zones = self.config.zones.iter();
@@ -234,15 +234,15 @@
 
     /// Determines the machines of drains that are new, once all machines are known.
     fn resolve_drains(&mut self) {
-        if !self.reconciled {
+        if !self.all_accounted_for {
             return;
         }
-        let value_most = self.config.value_most;
+        let max_value_bytes = self.config.max_value_bytes;
         for drain in self.drains.drains.values_mut().filter(|drain| !drain.is_resolved) {
             let request = &drain.stored.request;
             let covered =
                 self.machines.values().filter(|m| request.covers(&m.name, &m.machine_type, &m.zone));
-            drain.resolve(Progress::of(covered.map(|machine| machine.name.clone()), value_most));
+            drain.resolve(Progress::of(covered.map(|machine| machine.name.clone()), max_value_bytes));
         }
     }
 }
--- a/src/scheduler/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -5,9 +5,9 @@
 
 use super::ReplacementFor;
 use crate::limits;
-use crate::scheduler::autoscaler::InstanceOffer;
+use crate::scheduler::autoscaler::MachineKind;
 use crate::scheduler::model::MachineState;
-use crate::scheduler::{Effect, Scheduler, WriteOutcome};
+use crate::scheduler::{Effect, RequestOutcome, Scheduler};
 use dockpier_drain::progress::MachineDrainState;
 use dockpier_drain::request::DrainId;
 use dockpier_drain::status::Wait;
@@ -83,8 +83,8 @@
         let accepted = drain.stored.accepted;
         let name =
             format!("drain-{}-{accepted}-{}-{}", replacing.drain, replacing.machine, replacing.attempt);
-        let Some(offer) = self.machines.get(&replacing.machine).map(InstanceOffer::of) else { return };
-        let InstanceOffer { machine_type, zone, spot } = offer;
+        let Some(offer) = self.machines.get(&replacing.machine).map(MachineKind::of) else { return };
+        let MachineKind { machine_type, zone, spot } = offer;
         self.autoscaler.requests += 1;
         let request = self.autoscaler.requests;
         info!(drain = %replacing.drain, machine = replacing.machine, request, "rent a replacement");
@@ -99,13 +99,13 @@
         &mut self,
         request: u64,
         names: &Option<Vec<String>>,
-        outcome: WriteOutcome,
+        outcome: RequestOutcome,
     ) -> bool {
         let Some(ReplacementFor { drain: id, machine }) = self.drains.renting.remove(&request) else {
             return false;
         };
         let Some(drain) = self.drains.drains.get_mut(&id) else { return true };
-        let rented = names.iter().flatten().next().filter(|_| outcome == WriteOutcome::Done);
+        let rented = names.iter().flatten().next().filter(|_| outcome == RequestOutcome::Done);
         let Some(name) = rented.cloned() else {
             drain.replacement_backoff_until = self.now + limits::RENTAL_BACKOFF;
             return true;
@@ -116,7 +116,7 @@
         };
         let attempt = *attempt;
         drain.advance(&machine, MachineDrainState::Replacing { attempt, machine: Some(name.clone()) });
-        if let Some(offer) = self.machines.get(&machine).map(InstanceOffer::of) {
+        if let Some(offer) = self.machines.get(&machine).map(MachineKind::of) {
             self.machine(&offer.machine_named(name.clone()));
         }
         self.drains.replacements.insert(name, machine);
--- a/src/scheduler/drains/reservations.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -131,8 +131,8 @@
         self.is_schedulable(machine)
             && scoring::is_eligible(job, machine)
             && ZoneCount::of(job, &self.machines).allows(job, &machine.zone)
-            && job.spec.resource_request.fits(&reserved.available_on(machine))
+            && job.spec.resource_request.fits_into(&reserved.available_on(machine))
             && job.failure_history.backoff_until <= self.now
-            && (!job.inherited || self.reconciled_for(job))
+            && (!job.inherited || self.is_accounted_for_job(job))
     }
 }
--- a/src/scheduler/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -234,7 +234,7 @@
 }
 
 fn amounts(resources: &Resources) -> Amounts {
-    Amounts { cpus: resources.cpus, gpus: resources.gpus, memory: resources.memory }
+    Amounts { cpus: resources.milli_cpus, gpus: resources.milli_gpus, memory: resources.memory_mb }
 }
 
 fn wait_for(refusal: Refusal) -> Wait {
--- a/src/scheduler/drains/stops.rs
+++ b/src/scheduler/drains/stops.rs
@@ -127,7 +127,7 @@
         let has_destination = stop.destination.as_ref().is_none_or(|name| {
             self.machines.get(name).is_some_and(|machine| {
                 self.is_schedulable(machine)
-                    && job.spec.resource_request.fits(&reserved.available_on(machine))
+                    && job.spec.resource_request.fits_into(&reserved.available_on(machine))
             })
         });
         placement.is_undisturbed() && self.drains.is_cordoned(&stop.machine) && has_destination
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -4,7 +4,7 @@
 use super::drain::{Drain, WriteState};
 use super::{Drains, TeamDisruption};
 use crate::limits;
-use crate::scheduler::{Effect, Scheduler, WriteOutcome};
+use crate::scheduler::{Effect, RequestOutcome, Scheduler};
 use dockpier_drain::budget::Cost;
 use dockpier_drain::ledger::{Ledger, LedgerRecord};
 use dockpier_drain::progress::Chunk;
@@ -187,7 +187,7 @@
     }
 
     /// The state service has responded. What it has not confirmed is written again.
-    pub(in crate::scheduler) fn drain_written(&mut self, key: &DrainKey, outcome: WriteOutcome) {
+    pub(in crate::scheduler) fn drain_written(&mut self, key: &DrainKey, outcome: RequestOutcome) {
         if let Some(write) = self.write_state(key) {
             write.end(outcome);
         }
@@ -195,9 +195,9 @@
         let Some(disruption) = self.drains.teams.get_mut(team) else { return };
         let stops = std::mem::take(&mut disruption.in_write);
         match outcome {
-            WriteOutcome::Done => self.request_stops(team, stops),
+            RequestOutcome::Done => self.request_stops(team, stops),
             // Their estimates stay reserved, and the stops wait for the next write.
-            WriteOutcome::Refused | WriteOutcome::Unknown => {
+            RequestOutcome::Refused | RequestOutcome::Unknown => {
                 disruption.pending.splice(0..0, stops).for_each(drop);
             }
         }
--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -66,7 +66,7 @@
         }
         // A task that an earlier leader started may still be on a machine that has sent no heartbeat to this
         // leader. Only machines that the job may use matter.
-        if job.inherited && !self.reconciled_for(job) {
+        if job.inherited && !self.is_accounted_for_job(job) {
             return Some(PendingReason::UnreconciledMachines);
         }
         None
@@ -81,14 +81,14 @@
         team_usage: &TeamUsage,
     ) -> Result<u32, PendingReason> {
         let Some(job) = self.jobs.get(&job_id) else { return Err(PendingReason::RescaleGap) };
-        let (placed, admission_minimum) = (job.placements.len() as u32, job.admission());
+        let (placed, admission_minimum) = (job.placements.len() as u32, job.admission_width());
         let missing = self.missing_tasks(job, pass);
         if missing == 0 {
             return Err(PendingReason::RescaleGap);
         }
         let allowed = missing.min(self.tasks_within_limit(job, team_usage));
         let allowed =
-            if self.is_limited_to_minimum(job, pass) { allowed.min(job.minimum()) } else { allowed };
+            if self.is_limited_to_minimum(job, pass) { allowed.min(job.minimum_width()) } else { allowed };
         let tasks = self.paced(&job_id, allowed);
         if tasks == 0 && allowed > 0 {
             return Err(PendingReason::ColdStartPace);
@@ -106,7 +106,11 @@
     fn missing_tasks(&self, job: &Job, pass: Pass) -> u32 {
         let placed = job.placements.len() as u32;
         let may_grow = placed == 0 || pass == Pass::Leftover || !self.is_in_rescale_gap(job);
-        let target = if may_grow { job.unfinished() } else { job.elasticity.width.max(job.minimum()) };
+        let target = if may_grow {
+            job.unfinished_task_count()
+        } else {
+            job.elasticity.width.max(job.minimum_width())
+        };
         target.saturating_sub(placed).min(job.progress.pending.len() as u32)
     }
 
@@ -122,7 +126,7 @@
     fn admit(&mut self, job_id: JobId, tasks: u32, round: &mut Round) -> Admission {
         let Some(job) = self.jobs.get(&job_id) else { return Admission::Settled };
         let placed = job.placements.len() as u32;
-        let admission_minimum = job.admission().min(placed + tasks);
+        let admission_minimum = job.admission_width().min(placed + tasks);
         let request = PlacementRequest { job, tasks, shared_fetch: self.shared_fetch(job) };
         let found = self.find_machines(request, &round.capacity, &mut round.steps);
         if found.is_empty() || placed + (found.len() as u32) < admission_minimum {
@@ -177,7 +181,8 @@
     fn preempt_for_minimum(&mut self, job_id: JobId, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let placed = job.placements.len() as u32;
-        let missing = job.minimum().saturating_sub(placed).max(1).min(job.progress.pending.len() as u32);
+        let missing =
+            job.minimum_width().saturating_sub(placed).max(1).min(job.progress.pending.len() as u32);
         let is_service = job.spec.kind == Kind::Service;
         match self.preempt_for(job_id, missing, round) {
             Preemption::UnderWay => {}
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -84,7 +84,7 @@
         let mut by_zone: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
         for name in names {
             let available = capacity.available.get(name);
-            let Some(available) = available.filter(|room| job.spec.resource_request.fits(room)) else {
+            let Some(available) = available.filter(|room| job.spec.resource_request.fits_into(room)) else {
                 continue;
             };
             let Some(machine) = self.machines.get(name) else { continue };
@@ -111,7 +111,7 @@
         let failed_here = !job.is_suspected() && job.failure_history.machines.contains(&machine.name);
         scoring::is_eligible(job, machine)
             && !failed_here
-            && !(machine.lifecycle.consolidation_target && job.spec.spot)
+            && !(machine.lifecycle.consolidation_target && job.spec.allows_spot)
             && (job.spec.priority == Priority::Critical || !self.drains.is_replacement(&machine.name))
             && (job.spec.kind == Kind::Service || machine.health.quarantined_until <= self.now)
     }
@@ -168,7 +168,7 @@
             assigned.push(best.machine.name.clone());
             best.available = best.available.minus(request);
             best.remainder = scoring::remainder(self.job, &best.available);
-            if !request.fits(&best.available) {
+            if !request.fits_into(&best.available) {
                 candidates.pop();
             }
         }
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -116,7 +116,7 @@
     /// to `steps`.
     pub(super) fn free_capacity(&self, order: &[JobId], steps: &mut usize) -> FreeCapacity {
         let waiting = self.jobs_of(order).filter(|job| !job.progress.pending.is_empty());
-        let smallest = waiting.map(|job| job.spec.resource_request).reduce(|a, b| a.least(&b));
+        let smallest = waiting.map(|job| job.spec.resource_request).reduce(|a, b| a.component_minimum(&b));
         let mut capacity = self.capacity_without_machines(order);
         let mut classes = ClassBuilder::new(self);
         for machine in self.machines.values() {
@@ -130,12 +130,12 @@
                 continue;
             }
             let available = machine.available();
-            if smallest.is_some_and(|smallest| smallest.fits(&available)) {
+            if smallest.is_some_and(|smallest| smallest.fits_into(&available)) {
                 capacity.available.insert(machine.name.clone(), available);
                 capacity.count_critical_places(machine, None, available);
                 classes.add(machine, available);
             }
-            let freed = machine.available_soon(self.now).minus(&available);
+            let freed = machine.available_after_stops(self.now).minus(&available);
             if freed != Resources::default() {
                 capacity.freed_by_stops.insert(machine.name.clone(), freed);
             }
@@ -157,7 +157,7 @@
             headroom_per_zone: self.headroom_per_zone(),
             lowest_preemptible: preemptible.map(|job| job.spec.priority).min(),
             preemption_order: None,
-            has_fixed_work: self.jobs.values().any(|job| !job.terminated && !job.spec.spot),
+            has_fixed_work: self.jobs.values().any(|job| !job.terminated && !job.spec.allows_spot),
             team_usage: self.team_usage(),
         }
     }
--- a/src/scheduler/elastic/equivalence_class.rs
+++ b/src/scheduler/elastic/equivalence_class.rs
@@ -146,7 +146,7 @@
             names.extend(warm.names());
         }
         for (class, members) in classes.members.iter() {
-            if job.spec.resource_request.fits(&class.available) {
+            if job.spec.resource_request.fits_into(&class.available) {
                 *steps += classes.add_first_members(members, tasks, warm, &mut names);
             }
         }
--- a/src/scheduler/elastic/headroom_guard_tests.rs
+++ b/src/scheduler/elastic/headroom_guard_tests.rs
@@ -6,12 +6,12 @@
 /// A guard for places of two cores each; zone `a` has one spare place and zone `b` none.
 fn guard() -> HeadroomGuard {
     let spare = BTreeMap::from([("a".to_string(), 1), ("b".to_string(), 0)]);
-    HeadroomGuard { place: Some(Resources::needed(2.0, 0.0, 2.0)), spare }
+    HeadroomGuard { place: Some(Resources::rounded_up(2.0, 0.0, 2.0)), spare }
 }
 
-const FOUR_CORES: Resources = Resources { cpus: 4_000, gpus: 0, memory: 4_000 };
-const THREE_CORES: Resources = Resources { cpus: 3_000, gpus: 0, memory: 3_000 };
-const ONE_CORE: Resources = Resources { cpus: 1_000, gpus: 0, memory: 1_000 };
+const FOUR_CORES: Resources = Resources { milli_cpus: 4_000, milli_gpus: 0, memory_mb: 4_000 };
+const THREE_CORES: Resources = Resources { milli_cpus: 3_000, milli_gpus: 0, memory_mb: 3_000 };
+const ONE_CORE: Resources = Resources { milli_cpus: 1_000, milli_gpus: 0, memory_mb: 1_000 };
 
 #[test]
 fn a_task_is_refused_once_the_spare_places_of_the_zone_are_used() {
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -52,7 +52,7 @@
     pub(in crate::scheduler) fn round(&mut self) {
         self.update_mean_job_work();
         let order = self.round_order();
-        self.note_unreconciled();
+        self.update_unaccounted_kinds();
         let mut round = self.begin_round(&order);
         self.reserve_for_moves(&mut round.capacity);
         self.place_moved_replicas(&mut round.capacity);
@@ -67,7 +67,7 @@
     fn begin_round(&self, order: &[JobId]) -> Round {
         let mut steps = 0;
         let capacity = self.free_capacity(order, &mut steps);
-        let steps_for_jobs = self.config.round_steps.max(limits::MIN_ROUND_JOBS * self.machines.len());
+        let steps_for_jobs = self.config.max_round_steps.max(limits::MIN_ROUND_JOBS * self.machines.len());
         Round { capacity, steps, budget: steps + steps_for_jobs }
     }
 
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -39,7 +39,7 @@
         let machines_after_stops = self.find_machines(newcomer, &after_stops, &mut round.steps);
         if machines_after_stops.len() as u32 >= missing {
             round.capacity.take_on_each(&machines_after_stops, &self.machines, &request);
-            self.set_pending_reason(job_id, PendingReason::StopsOrFetchUnderWay);
+            self.set_pending_reason(job_id, PendingReason::RoomNotFreeYet);
             return Preemption::UnderWay;
         }
         if !self.may_preempt_any(job, &round.capacity) {
@@ -53,7 +53,7 @@
         };
         round.capacity.take_on_each(&plan.targets, &self.machines, &request);
         self.preempt(job_id, plan, &mut round.capacity);
-        self.set_pending_reason(job_id, PendingReason::StopsUnderWay);
+        self.set_pending_reason(job_id, PendingReason::PreemptionUnderWay);
         Preemption::UnderWay
     }
 
@@ -98,10 +98,10 @@
         for Victim { machine, task } in plan.victims {
             debug!(task = %task, machine, preempting_job = %newcomer, "preempting task");
             self.decided(format!("stop {task} on {machine} for {newcomer}"));
-            let grace_s = self.jobs.get(&task.job_id).map_or(0.0, |job| job.spec.save_s);
+            let grace_s = self.jobs.get(&task.job_id).map_or(0.0, |job| job.spec.checkpoint_save_s);
             if let Some(job) = self.jobs.get_mut(&task.job_id) {
                 job.elasticity.last_resized_at = now;
-                job.elasticity.width = job.elasticity.width.saturating_sub(1).max(job.minimum());
+                job.elasticity.width = job.elasticity.width.saturating_sub(1).max(job.minimum_width());
                 let request = &job.spec.resource_request;
                 let freed = capacity.freed_by_stops.entry(machine.clone()).or_default();
                 *freed = freed.plus(request);
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -56,14 +56,14 @@
         if self.mean_job_work <= 0.0 {
             return 1.0;
         }
-        let size = job.work(job.unfinished()) / self.mean_job_work;
+        let size = job.estimated_work_s(job.unfinished_task_count()) / self.mean_job_work;
         size.clamp(1.0 / limits::MAX_AGING_FACTOR, limits::MAX_AGING_FACTOR)
     }
 
     /// Updates the mean work of the arrays and gangs that have not terminated.
     pub(super) fn update_mean_job_work(&mut self) {
         let finite_jobs = self.jobs.values().filter(|job| !job.terminated && job.spec.kind != Kind::Service);
-        let works: Vec<f64> = finite_jobs.map(|job| job.work(job.spec.tasks)).collect();
+        let works: Vec<f64> = finite_jobs.map(|job| job.estimated_work_s(job.spec.tasks)).collect();
         self.mean_job_work = works.iter().sum::<f64>() / works.len().max(1) as f64;
     }
 
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -29,12 +29,12 @@
         teams: vec![team],
         zones: vec!["a".into(), "b".into(), "c".into()],
         list_lag_s: 3.0,
-        round_steps: limits::MAX_ROUND_STEPS,
+        max_round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: 1.0,
         write_rps: 1_000.0,
-        record_machines: 20,
-        value_most: 4_096,
-        rentals_at_once: 10,
+        max_machines_per_record: 20,
+        max_value_bytes: 4_096,
+        max_concurrent_rentals: 10,
         shard_lease: Duration::ZERO,
     }
 }
@@ -42,7 +42,7 @@
 fn machine_type(name: &str, slots: f64, zones: &[String]) -> MachineType {
     MachineType {
         name: name.into(),
-        capacity: Resources::offered(slots, slots, slots),
+        capacity: Resources::rounded_down(slots, slots, slots),
         price: 1.0,
         spot_price: Some(0.5),
         boot_s: 10.0,
@@ -62,17 +62,17 @@
         kind,
         priority: if kind == Kind::Service { Priority::Critical } else { priorities[rng.random_range(0..3)] },
         tasks: rng.random_range(1..60),
-        resource_request: Resources::needed(slots, slots, slots),
+        resource_request: Resources::rounded_up(slots, slots, slots),
         image: format!("i{}", rng.random_range(0..4)),
         image_gb: 1.0,
-        types: rng.random_bool(0.3).then(|| vec!["m".to_string()]),
-        zone: rng.random_bool(0.2).then(|| "b".to_string()),
+        allowed_machine_types: rng.random_bool(0.3).then(|| vec!["m".to_string()]),
+        required_zone: rng.random_bool(0.2).then(|| "b".to_string()),
         one_zone: kind == Kind::Array && rng.random_bool(0.2),
         spread: kind == Kind::Service && rng.random_bool(0.5),
-        spot: kind == Kind::Array && rng.random_bool(0.7),
+        allows_spot: kind == Kind::Array && rng.random_bool(0.7),
         estimate_s: 60.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     }
 }
@@ -84,8 +84,8 @@
     let zones = config.zones.clone();
     let types = vec![machine_type("m", 4.0, &zones), machine_type("n", 8.0, &zones)];
     let mut scheduler = Scheduler::new(config, Timestamp::from_secs(1));
-    let load = Command::Load { jobs: vec![], records: vec![] };
-    drop(scheduler.step(Timestamp::from_secs(1), vec![Command::Types(types), load]));
+    let load = Command::StateLoaded { jobs: vec![], records: vec![] };
+    drop(scheduler.step(Timestamp::from_secs(1), vec![Command::MachineTypes(types), load]));
     // In about half of the fleets all machines have the image `i0`.
     let all_have_first_image = rng.random_bool(0.5);
     for number in 0..machines {
@@ -106,7 +106,7 @@
             scheduler.machines_by_image.entry(image.clone()).or_default().insert(name.clone());
         }
         let Some(machine) = scheduler.machines.get_mut(&name) else { continue };
-        (machine.state, machine.reconciled, machine.recorded) = (MachineState::Ready, true, true);
+        (machine.state, machine.accounted_for, machine.recorded) = (MachineState::Ready, true, true);
         (machine.heartbeats.last_at, machine.image_cache.images) = (Timestamp::from_secs(1), images);
         machine.lifecycle.consolidation_target = !machine.spot && rng.random_bool(0.2);
         machine.health.quarantined_until =
@@ -116,7 +116,7 @@
             let fetching = rng.random_bool(0.1);
             let placed = Placement {
                 attempt: 1,
-                resource_request: Resources::needed(1.0, 1.0, 1.0),
+                resource_request: Resources::rounded_up(1.0, 1.0, 1.0),
                 start_sent_in: None,
                 confirmed: true,
                 status: if fetching { TaskStatus::Fetching } else { TaskStatus::Running },
--- a/src/scheduler/elastic/victims.rs
+++ b/src/scheduler/elastic/victims.rs
@@ -91,7 +91,7 @@
 
     fn least_width(&self, job: &Job) -> u32 {
         match self.protection {
-            Protection::GapAndMinimum | Protection::Minimum => job.minimum(),
+            Protection::GapAndMinimum | Protection::Minimum => job.minimum_width(),
             Protection::None => 0,
         }
     }
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -98,7 +98,8 @@
     /// Whether it left this route since the route became unreachable.
     fn left_during_outage(&self, route: Option<usize>, reachability: Reachability) -> bool {
         let previous = self.previous_route;
-        previous.is_some_and(|left| left.via == route && left.left_at >= reachability.unreachable_from())
+        previous
+            .is_some_and(|left| left.relayed_by == route && left.left_at >= reachability.unreachable_from())
     }
 }
 
@@ -312,7 +313,7 @@
     /// All machines from which heartbeats should arrive.
     fn observed_machines(&self) -> Vec<ObservedMachine<'_>> {
         let is_expected = |machine: &Machine| {
-            machine.inherited && !machine.reconciled && machine.state == MachineState::Pending
+            machine.inherited && !machine.accounted_for && machine.state == MachineState::Pending
         };
         self.machines
             .values()
@@ -320,7 +321,7 @@
             .map(|machine| ObservedMachine {
                 name: &machine.name,
                 zone: &machine.zone,
-                route: machine.route.via,
+                route: machine.route.relayed_by,
                 previous_route: machine.route.previous,
                 last_heartbeat_at: machine.heartbeats.last_at,
                 unresponsive: machine.commands.unacknowledged_heartbeats
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -117,7 +117,7 @@
     pub(super) fn stop_gang(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get(&job_id).filter(|job| job.spec.kind == Kind::Gang) else { return };
         let grace_s = if self.is_reachable_everywhere(job) {
-            job.spec.save_s + self.config.workers.gang_peer_s
+            job.spec.checkpoint_save_s + self.config.workers.gang_peer_s
         } else {
             0.0
         };
@@ -147,7 +147,7 @@
         }
         let due_in = (machine.heartbeats.last_at + heartbeat_interval).since(self.now);
         let may_have_been_sent =
-            machine.route.cached_by_leaseholder && due_in < limits::SHARD_HEARTBEAT_INTERVAL;
+            machine.route.leaseholder_may_respond && due_in < limits::SHARD_HEARTBEAT_INTERVAL;
         let due_in = if may_have_been_sent { due_in + heartbeat_interval } else { due_in };
         due_in.as_secs() as i64
     }
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -25,9 +25,9 @@
     pub(super) fn largest_request(&self, includes: impl Fn(&Job) -> bool) -> Option<Resources> {
         let requests = self.jobs.values().filter(|job| includes(job)).map(|job| job.spec.resource_request);
         requests.reduce(|a, b| Resources {
-            cpus: a.cpus.max(b.cpus),
-            gpus: a.gpus.max(b.gpus),
-            memory: a.memory.max(b.memory),
+            milli_cpus: a.milli_cpus.max(b.milli_cpus),
+            milli_gpus: a.milli_gpus.max(b.milli_gpus),
+            memory_mb: a.memory_mb.max(b.memory_mb),
         })
     }
 }
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -18,7 +18,7 @@
         let stop = placement.stopping?;
         Some(TaskCommand::Stop { id: *id, attempt: placement.attempt, grace_s: stop.grace_s })
     });
-    let orphaned = machine.reported.orphaned.iter().map(|orphan| TaskCommand::Stop {
+    let orphaned = machine.unplaced_tasks.orphaned.iter().map(|orphan| TaskCommand::Stop {
         id: orphan.task,
         attempt: orphan.attempt,
         grace_s: 0.0,
@@ -34,7 +34,7 @@
 ) -> impl Iterator<Item = TaskCommand> + 'a {
     let is_uncommitted = |job: &Job, task: u32| job.progress.unrecorded.contains(&task);
     machine
-        .reported
+        .unplaced_tasks
         .exited
         .iter()
         .filter(move |(exited, reason)| {
@@ -75,27 +75,37 @@
     }
 
     /// Responds to a heartbeat with all commands for its machine.
-    pub(super) fn respond(&mut self, reply: u64, name: &str, renewal: Option<LeaseRenewal>) {
+    pub(super) fn respond(&mut self, response_id: u64, name: &str, renewal: Option<LeaseRenewal>) {
         let task_commands = self.take_commands(name);
-        let cacheable = self.update_cacheable(name, &task_commands);
-        self.effects.push(Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable });
+        let leaseholder_may_respond = self.update_cacheable(name, &task_commands);
+        self.effects.push(Effect::HeartbeatResponse {
+            response_id,
+            renewal,
+            task_commands,
+            leaseholder_may_respond,
+        });
     }
 
     /// Responds to a heartbeat whose task list was ignored.
-    pub(super) fn respond_without_commands(&mut self, reply: u64, renewal: Option<LeaseRenewal>) {
+    pub(super) fn respond_without_commands(&mut self, response_id: u64, renewal: Option<LeaseRenewal>) {
         let task_commands = Vec::new();
-        self.effects.push(Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: false });
+        self.effects.push(Effect::HeartbeatResponse {
+            response_id,
+            renewal,
+            task_commands,
+            leaseholder_may_respond: false,
+        });
     }
 
     /// Returns the commands for a machine and marks them as sent.
     fn take_commands(&mut self, name: &str) -> Vec<TaskCommand> {
         let Some(machine) = self.machines.get_mut(name) else { return Vec::new() };
-        let is_direct = machine.route.via.is_none();
-        machine.route.wake_requested = false;
-        machine.commands.token_unacknowledged = is_direct && !machine.reconciled;
+        let is_direct = machine.route.relayed_by.is_none();
+        machine.route.relay_requested = false;
+        machine.commands.token_unacknowledged = is_direct && !machine.accounted_for;
         let mut task_commands: Vec<TaskCommand> = stop_commands(machine).collect();
         task_commands.extend(forget_commands(machine, &self.jobs));
-        if machine.reconciled && machine.recorded {
+        if machine.accounted_for && machine.recorded {
             task_commands.extend(take_start_commands(machine));
             // A response may be lost on the way to the leaseholder that relays it. So its missing effect does
             // not show that the machine is unreachable.
@@ -111,12 +121,12 @@
     fn update_cacheable(&mut self, name: &str, task_commands: &[TaskCommand]) -> bool {
         let has_leaseholders = self.config.shard_lease > Duration::ZERO;
         let Some(machine) = self.machines.get_mut(name) else { return false };
-        machine.route.cached_by_leaseholder = has_leaseholders
-            && machine.route.via.is_some()
+        machine.route.leaseholder_may_respond = has_leaseholders
+            && machine.route.relayed_by.is_some()
             && task_commands.is_empty()
             && machine.is_settled()
-            && machine.reported.exited.is_empty();
-        machine.route.cached_by_leaseholder
+            && machine.unplaced_tasks.exited.is_empty();
+        machine.route.leaseholder_may_respond
     }
 
     /// Records that the leaseholder `node` renewed the leases of these machines without the leader, and of no
@@ -140,21 +150,21 @@
             // relay the next heartbeat.
             let changed_route = machine.route.record(Some(node), now);
             if changed_route || !machine.is_settled() {
-                machine.route.wake_requested = false;
-                machine.route.cached_by_leaseholder = true;
-                self.request_wake(&name);
+                machine.route.relay_requested = false;
+                machine.route.leaseholder_may_respond = true;
+                self.request_relay(&name);
             }
         }
     }
 
     /// Asks a leaseholder that may respond without the leader to relay the machine's next heartbeat, so that
     /// the leader can respond with its commands. Without effect if it has been asked already.
-    pub(super) fn request_wake(&mut self, name: &str) {
+    pub(super) fn request_relay(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let Some(node) = machine.route.via else { return };
-        if machine.route.cached_by_leaseholder && !machine.route.wake_requested {
-            machine.route.wake_requested = true;
-            self.effects.push(Effect::RequestWake { node, machine: name.to_string() });
+        let Some(node) = machine.route.relayed_by else { return };
+        if machine.route.leaseholder_may_respond && !machine.route.relay_requested {
+            machine.route.relay_requested = true;
+            self.effects.push(Effect::RequestRelay { node, machine: name.to_string() });
         }
     }
 
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -70,9 +70,14 @@
     }
 
     /// Applies a periodic heartbeat and responds to it, or leaves the response to the next round if it
-    /// changed something. `reply`: number of the response. `via`: the leaseholder that relayed the heartbeat
-    /// (None: it came straight to the leader).
-    pub(super) fn handle_heartbeat(&mut self, reply: u64, heartbeat: Heartbeat, via: Option<usize>) {
+    /// changed something. `response_id`: number of the response. `relayed_by`: the leaseholder that
+    /// relayed the heartbeat (None: it came straight to the leader).
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        response_id: u64,
+        heartbeat: Heartbeat,
+        relayed_by: Option<usize>,
+    ) {
         if heartbeat.token > self.config.token {
             self.effects.push(Effect::Deposed(heartbeat.token));
             return;
@@ -80,21 +85,21 @@
         let name = heartbeat.machine.clone();
         match self.apply_heartbeat(heartbeat, HeartbeatSource::Periodic) {
             HeartbeatOutcome::Changed => {
-                self.record_route(&name, via);
+                self.record_route(&name, relayed_by);
                 self.rounds.request();
                 let renewal = self.record_renewal(&name);
-                self.pending_heartbeats.push(PendingHeartbeat { reply, machine: name, renewal });
+                self.pending_heartbeats.push(PendingHeartbeat { response_id, machine: name, renewal });
             }
             HeartbeatOutcome::Unchanged => {
-                self.record_route(&name, via);
+                self.record_route(&name, relayed_by);
                 let renewal = self.record_renewal(&name);
-                self.respond(reply, &name, renewal);
+                self.respond(response_id, &name, renewal);
             }
             HeartbeatOutcome::Overtaken => {
                 let renewal = self.record_renewal(&name);
-                self.respond_without_commands(reply, renewal);
+                self.respond_without_commands(response_id, renewal);
             }
-            HeartbeatOutcome::Stale => self.respond_without_commands(reply, None),
+            HeartbeatOutcome::Stale => self.respond_without_commands(response_id, None),
         }
     }
 
@@ -156,8 +161,8 @@
         machine.heartbeats.record_newest(number, source);
         machine.address = heartbeat.address;
         machine.lifecycle.recall_at = heartbeat.notice_s.map(|seconds| now + from_seconds(seconds));
-        machine.reconciled |= heartbeat.token == token;
-        if machine.reconciled {
+        machine.accounted_for |= heartbeat.token == token;
+        if machine.accounted_for {
             if source == HeartbeatSource::Periodic {
                 machine.record_alive(now);
             }
@@ -185,7 +190,7 @@
         self.stop_before_recall(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.heartbeats.reported_tasks = tasks;
-        if !machine.recorded || machine.image_cache.changed {
+        if !machine.recorded || machine.image_cache.has_unrecorded_image {
             self.record(name);
         }
     }
@@ -208,10 +213,10 @@
         self.release_machine(&heartbeat.machine, TerminationProof::NewAgentEpoch { agent_epoch });
     }
 
-    fn record_route(&mut self, name: &str, via: Option<usize>) {
+    fn record_route(&mut self, name: &str, relayed_by: Option<usize>) {
         let now = self.now;
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.route.record(via, now);
+            machine.route.record(relayed_by, now);
         }
     }
 }
--- a/src/scheduler/job_registry.rs
+++ b/src/scheduler/job_registry.rs
@@ -3,7 +3,7 @@
 //! about.
 
 use super::model::{Job, JobId, JobSummary, TaskCounts, TaskStatus};
-use super::{Scheduler, StoredJob, WriteOutcome};
+use super::{RequestOutcome, Scheduler, StoredJob};
 use std::collections::BTreeSet;
 use tracing::debug;
 
@@ -30,12 +30,12 @@
     }
 
     /// Applies the outcome of the write that removes a job whose tasks have all succeeded.
-    pub(super) fn finish_written(&mut self, job_id: JobId, outcome: WriteOutcome) {
+    pub(super) fn finish_written(&mut self, job_id: JobId, outcome: RequestOutcome) {
         match outcome {
-            WriteOutcome::Done => self.remove_job(job_id),
+            RequestOutcome::Done => self.remove_job(job_id),
             // The job was cancelled meanwhile, or the outcome is not known. The write is repeated, and the
             // job's stored record decides.
-            WriteOutcome::Refused | WriteOutcome::Unknown => {
+            RequestOutcome::Refused | RequestOutcome::Unknown => {
                 if let Some(job) = self.jobs.get_mut(&job_id) {
                     job.progress.write_in_flight = false;
                 }
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -13,7 +13,7 @@
 //! A leaseholder may have responded to any machine since its last shard heartbeat, so a lease counts as
 //! expired only if it ended by `PeerNodes::responses_known_until`.
 
-use super::autoscaler::InstanceOffer;
+use super::autoscaler::MachineKind;
 use super::model::{Job, Machine, MachineState, TerminationProof};
 use super::Scheduler;
 use crate::limits;
@@ -29,25 +29,25 @@
 
     /// Whether an earlier leader may have started tasks on it that this leader does not know.
     fn is_unreconciled(&self) -> bool {
-        self.inherited && !self.reconciled
+        self.inherited && !self.accounted_for
     }
 }
 
 impl Scheduler {
     /// Whether all machines of earlier leaders are accounted for.
     pub fn is_reconciled(&self) -> bool {
-        self.reconciled
+        self.all_accounted_for
     }
 
     /// Whether tasks may be placed on the machine.
     pub(super) fn is_schedulable(&self, machine: &Machine) -> bool {
         machine.state == MachineState::Ready
-            && machine.reconciled
+            && machine.accounted_for
             && machine.recorded
             && !machine.lifecycle.is_leaving()
             && !self.drains.is_cordoned(&machine.name)
-            && !machine.reported.has_unknown()
-            && machine.health.no_room_backoff_until <= self.now
+            && !machine.unplaced_tasks.has_tasks_of_unknown_jobs()
+            && machine.health.placement_backoff_until <= self.now
             && !self.failure_detector.zone_unreachable(&machine.zone)
             && machine.commands.unacknowledged_heartbeats < limits::MAX_UNACKNOWLEDGED_HEARTBEATS
             && self.now < machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s)
@@ -55,23 +55,23 @@
 
     /// Whether every machine on which an earlier leader may have started the job is accounted for, as of the
     /// start of the round.
-    pub(super) fn reconciled_for(&self, job: &Job) -> bool {
-        let may_use = |offer: &InstanceOffer| {
+    pub(super) fn is_accounted_for_job(&self, job: &Job) -> bool {
+        let may_use = |offer: &MachineKind| {
             job.spec.allows_type(&offer.machine_type)
                 && job.spec.allows_zone(&offer.zone)
-                && (!offer.spot || job.spec.spot)
+                && (!offer.spot || job.spec.allows_spot)
         };
-        self.reconciled || !self.unreconciled.iter().any(may_use)
+        self.all_accounted_for || !self.unaccounted_kinds.iter().any(may_use)
     }
 
     /// Updates the kinds of machine (type, zone, spot) of which some are not accounted for.
-    pub(super) fn note_unreconciled(&mut self) {
-        if self.reconciled {
-            self.unreconciled = BTreeSet::new();
+    pub(super) fn update_unaccounted_kinds(&mut self) {
+        if self.all_accounted_for {
+            self.unaccounted_kinds = BTreeSet::new();
             return;
         }
-        let unreconciled = self.machines.values().filter(|machine| machine.is_unreconciled());
-        self.unreconciled = unreconciled.map(InstanceOffer::of).collect();
+        let unaccounted_kinds = self.machines.values().filter(|machine| machine.is_unreconciled());
+        self.unaccounted_kinds = unaccounted_kinds.map(MachineKind::of).collect();
     }
 
     /// Releases the machines whose leases have expired. Runs once per `LEASE_EXPIRY_INTERVAL`.
@@ -84,7 +84,7 @@
         for name in self.expired_machines() {
             self.expire_lease(&name);
         }
-        if self.loaded && !self.reconciled {
+        if self.loaded && !self.all_accounted_for {
             self.update_reconciled();
         }
     }
@@ -122,14 +122,14 @@
         let Some(machine) = self.machines.get(name) else { return };
         let proof = TerminationProof::LeaseExpired {
             last_renewal: machine.lease_renewed_at(),
-            via: machine.route.via,
+            relayed_by: machine.route.relayed_by,
             at: self.now,
         };
         info!(machine = name, proof = %proof, "worker lease expired; tasks on the machine have ended");
         self.release_machine(name, proof);
         if let Some(machine) = self.machines.get_mut(name) {
             machine.state = MachineState::Lost;
-            machine.reconciled = true;
+            machine.accounted_for = true;
         }
         self.rounds.request();
     }
@@ -140,12 +140,12 @@
     fn update_reconciled(&mut self) {
         let worker_lease = limits::worker_lease(self.config.workers.lease_s);
         let all_expired = self.now >= self.unrecorded_renewals_until() + worker_lease;
-        self.reconciled = all_expired || !self.machines.values().any(Machine::is_unreconciled);
-        if self.reconciled {
+        self.all_accounted_for = all_expired || !self.machines.values().any(Machine::is_unreconciled);
+        if self.all_accounted_for {
             let after_ms = to_millis(self.now.since(self.started_at));
             info!(after_ms, "all machines of earlier leaders reconciled");
             self.rounds.request();
-            self.note_all_accounted_for();
+            self.record_verdicts_when_accounted_for();
         }
     }
 }
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -34,17 +34,17 @@
     pub list_lag_s: f64,
     /// Decision steps that a round or a scaling plan may take; for a round with many machines there are more,
     /// see `MIN_ROUND_JOBS`.
-    pub round_steps: usize,
+    pub max_round_steps: usize,
     /// Share of one processor core that this process has.
     pub cpu_share: f64,
     /// Writes and deletes per second that the state service allows to all nodes together.
     pub write_rps: f64,
     /// Maximum number of machines in one record.
-    pub record_machines: usize,
+    pub max_machines_per_record: usize,
     /// Maximum size of a value in the state service, in bytes.
-    pub value_most: usize,
+    pub max_value_bytes: usize,
     /// Maximum number of rental requests under way at the same time.
-    pub rentals_at_once: usize,
+    pub max_concurrent_rentals: usize,
     /// How long a leaseholder may respond to heartbeats without the leader; zero: there are no leaseholders.
     pub shard_lease: Duration,
 }
@@ -76,7 +76,7 @@
 
 /// Outcome of a write to the state service or a request to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteOutcome {
+pub enum RequestOutcome {
     /// It was carried out.
     Done,
     /// It was not carried out and never will be.
@@ -104,7 +104,7 @@
 #[derive(Debug)]
 pub enum Command {
     /// What the state service held when this leader took over.
-    Load {
+    StateLoaded {
         /// Jobs that are not finished.
         jobs: Vec<StoredJob>,
         /// Records of machines that may hold tasks, each with its key.
@@ -117,11 +117,11 @@
     /// A worker's periodic heartbeat.
     Heartbeat {
         /// Number under which the response goes out.
-        reply: u64,
+        response_id: u64,
         /// The heartbeat.
         heartbeat: Heartbeat,
         /// Index of the leaseholder that relayed it. None: it came directly to the leader.
-        via: Option<usize>,
+        relayed_by: Option<usize>,
     },
     /// Machines to which a leaseholder has responded without the leader.
     ShardHeartbeat {
@@ -134,35 +134,35 @@
         covers_until: Option<Timestamp>,
         /// Whether the leader has acknowledged no shard heartbeat of this incarnation of the leaseholder yet:
         /// an earlier incarnation may have responded to any machine until now.
-        first_of_incarnation: bool,
+        none_acknowledged: bool,
     },
     /// A worker's heartbeat in response to a direct command.
-    DirectCommandAnswered(Heartbeat),
-    /// Outcome of a write of succeeded tasks; see [`Effect::CommitDone`].
-    Committed {
+    DirectResponse(Heartbeat),
+    /// Outcome of a write of succeeded tasks; see [`Effect::WriteFinishedTasks`].
+    FinishedTasksWritten {
         /// The job.
         job_id: JobId,
         /// Indices of the tasks that were to be written.
         tasks: BTreeSet<u32>,
         /// Outcome of the write.
-        outcome: WriteOutcome,
+        outcome: RequestOutcome,
     },
-    /// Outcome of the last write of a finished job; see [`Effect::Finish`].
-    Finished {
+    /// Outcome of the last write of a finished job; see [`Effect::WriteJobEnd`].
+    JobEndWritten {
         /// The job.
         job_id: JobId,
         /// Outcome of the write.
-        outcome: WriteOutcome,
+        outcome: RequestOutcome,
     },
-    /// Outcome of the write of a record of machines; see [`Effect::Record`].
-    Recorded {
+    /// Outcome of the write of a record of machines; see [`Effect::WriteMachineRecord`].
+    MachineRecordWritten {
         /// Key of the record.
         key: String,
         /// Outcome of the write.
-        outcome: WriteOutcome,
+        outcome: RequestOutcome,
     },
     /// The machine types that the cloud offers.
-    Types(Vec<MachineType>),
+    MachineTypes(Vec<MachineType>),
     /// Outcome of a rental request; see [`Effect::Rent`].
     Rented {
         /// Number of the request.
@@ -170,18 +170,18 @@
         /// Names of the rented machines, if the response named them.
         machines: Option<Vec<String>>,
         /// Outcome of the request.
-        outcome: WriteOutcome,
+        outcome: RequestOutcome,
     },
     /// Outcome of a deletion of machines; see [`Effect::Delete`].
     Deleted {
         /// Names of the machines.
         machines: Vec<String>,
         /// Outcome of the request.
-        outcome: WriteOutcome,
+        outcome: RequestOutcome,
     },
     /// The cloud's list of machines.
-    Listed(Vec<ListedMachine>),
-    /// The drains that the state service held when this leader took over; comes before `Load`.
+    MachinesListed(Vec<ListedMachine>),
+    /// The drains that the state service held when this leader took over; comes before `StateLoaded`.
     LoadDrains(LoadedDrains),
     /// All drain requests of operators that are in force now.
     DrainRequests(Vec<StoredRequest>),
@@ -190,7 +190,7 @@
         /// Key of the record.
         key: DrainKey,
         /// Outcome of the write.
-        outcome: WriteOutcome,
+        outcome: RequestOutcome,
     },
     /// Result of the read of a job that heartbeats name and the scheduler does not know; see
     /// [`Effect::ReadJob`].
@@ -198,12 +198,12 @@
         /// The job.
         job_id: JobId,
         /// When the read was sent.
-        sent: Timestamp,
+        sent_at: Timestamp,
         /// Result of the read.
         reading: JobReading,
     },
     /// Outcome of the write of the cold start's report; see [`Effect::WriteColdStart`].
-    ColdStartWritten(WriteOutcome),
+    ColdStartWritten(RequestOutcome),
 }
 
 /// An action that the controller has to carry out for the scheduler.
@@ -212,17 +212,17 @@
     /// Send the response to a heartbeat.
     HeartbeatResponse {
         /// Number of the response; see [`Command::Heartbeat`].
-        reply: u64,
+        response_id: u64,
         /// Proof that the lease renewal is recorded. None: the response must not renew a lease.
         renewal: Option<LeaseRenewal>,
         /// Commands for the worker.
         task_commands: Vec<TaskCommand>,
         /// Whether the leaseholder that relayed the heartbeat may respond to unchanged ones without the
         /// leader.
-        cacheable: bool,
+        leaseholder_may_respond: bool,
     },
     /// Ask a leaseholder to relay this machine's next heartbeat.
-    RequestWake {
+    RequestRelay {
         /// Index of the leaseholder.
         node: usize,
         /// Name of the machine.
@@ -240,7 +240,7 @@
         task_commands: Vec<TaskCommand>,
     },
     /// Store succeeded tasks of a job that has other tasks left.
-    CommitDone {
+    WriteFinishedTasks {
         /// The job.
         job_id: JobId,
         /// Version of its record.
@@ -249,11 +249,11 @@
         tasks: BTreeSet<u32>,
         /// Indices of all its succeeded tasks: they are stored in chunks, of which each is written as a
         /// whole.
-        all_done: BTreeSet<u32>,
+        all_succeeded: BTreeSet<u32>,
     },
     /// Write the final state of a job whose tasks have all succeeded and remove its live record, in one
     /// transaction.
-    Finish {
+    WriteJobEnd {
         /// The job.
         job_id: JobId,
         /// Version of its record.
@@ -264,7 +264,7 @@
         chunks: Vec<u32>,
     },
     /// Store a record of machines that may hold tasks.
-    Record {
+    WriteMachineRecord {
         /// Key of the record.
         key: String,
         /// The machines. Empty: remove the record.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -36,13 +36,13 @@
 mod usage;
 
 use crate::time::Timestamp;
-pub use messages::{Command, Config, Effect, HeartbeatOutcome, ListedMachine, StoredJob, WriteOutcome};
+pub use messages::{Command, Config, Effect, HeartbeatOutcome, ListedMachine, RequestOutcome, StoredJob};
 pub use model::{StoredMachine, TaskCommand};
 pub use stale_heartbeats::IgnoredHeartbeats;
 
 use crate::lease::renewal::LeaseRenewal;
 use crate::limits;
-use autoscaler::{Autoscaler, InstanceOffer};
+use autoscaler::{Autoscaler, MachineKind};
 use drains::Drains;
 use model::{Heartbeat, HeartbeatSource, Job, JobId, Machine, MachineState, MachineType};
 use peer_nodes::PeerNodes;
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 struct PendingHeartbeat {
     /// Number under which the response goes out.
-    reply: u64,
+    response_id: u64,
     /// Name of the machine.
     machine: String,
     /// Proof that the lease renewal is recorded. None: the machine is gone, so the response renews no lease.
@@ -111,10 +111,10 @@
 
     // Machines and tasks of earlier leaders.
     /// Whether all machines of earlier leaders are accounted for.
-    reconciled: bool,
+    all_accounted_for: bool,
     /// Kinds of machine (type, zone, spot) of which at least one machine of an earlier leader is not
     /// accounted for, as of the last round.
-    unreconciled: BTreeSet<InstanceOffer>,
+    unaccounted_kinds: BTreeSet<MachineKind>,
     cold_start: cold_start::ColdStart,
 
     // Persistence.
@@ -153,8 +153,8 @@
             peers: PeerNodes::new(kept_alive_until),
             failure_detector: failure_detection::FailureDetector::default(),
             next_expiry_check_at: Timestamp::ZERO,
-            reconciled: false,
-            unreconciled: BTreeSet::new(),
+            all_accounted_for: false,
+            unaccounted_kinds: BTreeSet::new(),
             cold_start: cold_start::ColdStart::default(),
             records: records::Records::default(),
             writes,
@@ -202,8 +202,9 @@
         if self.rounds.is_requested() && self.loaded {
             return;
         }
-        for PendingHeartbeat { reply, machine, renewal } in std::mem::take(&mut self.pending_heartbeats) {
-            self.respond(reply, &machine, renewal);
+        for PendingHeartbeat { response_id, machine, renewal } in std::mem::take(&mut self.pending_heartbeats)
+        {
+            self.respond(response_id, &machine, renewal);
         }
     }
 
@@ -211,28 +212,30 @@
     /// request one if something has changed.
     fn apply(&mut self, command: Command) {
         match command {
-            Command::Heartbeat { reply, heartbeat, via } => {
-                return self.handle_heartbeat(reply, heartbeat, via);
+            Command::Heartbeat { response_id, heartbeat, relayed_by } => {
+                return self.handle_heartbeat(response_id, heartbeat, relayed_by);
             }
-            Command::ShardHeartbeat { node, machines, covers_until, first_of_incarnation } => {
-                return self.handle_shard_heartbeat(node, machines, covers_until, first_of_incarnation);
+            Command::ShardHeartbeat { node, machines, covers_until, none_acknowledged } => {
+                return self.handle_shard_heartbeat(node, machines, covers_until, none_acknowledged);
             }
-            Command::DirectCommandAnswered(heartbeat) => return self.handle_direct_response(heartbeat),
-            Command::Load { jobs, records } => self.load(jobs, records),
+            Command::DirectResponse(heartbeat) => return self.handle_direct_response(heartbeat),
+            Command::StateLoaded { jobs, records } => self.load(jobs, records),
             Command::JobAdded(stored) => self.add_job(stored, false),
             Command::JobRemoved(job_id) => self.remove_job(job_id),
-            Command::Committed { job_id, tasks, outcome } => self.committed(job_id, tasks, outcome),
-            Command::Finished { job_id, outcome } => self.finish_written(job_id, outcome),
-            Command::Recorded { key, outcome } => self.recorded(&key, outcome),
-            Command::Types(types) => self.set_machine_types(types),
+            Command::FinishedTasksWritten { job_id, tasks, outcome } => {
+                self.committed(job_id, tasks, outcome)
+            }
+            Command::JobEndWritten { job_id, outcome } => self.finish_written(job_id, outcome),
+            Command::MachineRecordWritten { key, outcome } => self.recorded(&key, outcome),
+            Command::MachineTypes(types) => self.set_machine_types(types),
             Command::Rented { request, machines, outcome } => self.rented(request, machines, outcome),
             Command::Deleted { machines, outcome } => self.deleted(machines, outcome),
-            Command::Listed(list) => self.listed(list),
+            Command::MachinesListed(list) => self.listed(list),
             Command::LoadDrains(stored) => self.load_drains(stored),
             Command::DrainRequests(requests) => self.take_drain_requests(requests),
             Command::DrainWritten { key, outcome } => self.drain_written(&key, outcome),
-            Command::JobRead { job_id, sent, reading } => self.job_read(job_id, sent, reading),
-            Command::ColdStartWritten(outcome) => self.cold_start_written(outcome == WriteOutcome::Done),
+            Command::JobRead { job_id, sent_at, reading } => self.job_read(job_id, sent_at, reading),
+            Command::ColdStartWritten(outcome) => self.cold_start_written(outcome == RequestOutcome::Done),
         }
         self.rounds.request();
     }
@@ -242,9 +245,9 @@
         node: usize,
         machines: Vec<String>,
         covers_until: Option<Timestamp>,
-        first_of_incarnation: bool,
+        none_acknowledged: bool,
     ) {
-        if first_of_incarnation {
+        if none_acknowledged {
             // A leaseholder that crashed has lost the names of the machines to which it responded. If its
             // first shard heartbeat were taken to cover the time before the crash, leases that still run
             // would be treated as expired (`leadership::tests`).
--- a/src/scheduler/model/job.rs
+++ b/src/scheduler/model/job.rs
@@ -53,28 +53,28 @@
     /// Size of the image in GB.
     pub image_gb: f64,
     /// Names of the machine types on which it may run. None: all.
-    pub types: Option<Vec<String>>,
+    pub allowed_machine_types: Option<Vec<String>>,
     /// The only zone in which it may run. None: any.
-    pub zone: Option<String>,
+    pub required_zone: Option<String>,
     /// Whether all its tasks must be in the same zone, whichever that is.
     pub one_zone: bool,
-    /// Whether its tasks must be spread over zones; see [`JobSpec::zone_most`].
+    /// Whether its tasks must be spread over zones; see [`JobSpec::max_tasks_per_zone`].
     pub spread: bool,
     /// Whether it may run on spot machines.
-    pub spot: bool,
+    pub allows_spot: bool,
     /// The owner's estimate of the run time of one task, in seconds.
     pub estimate_s: f64,
     /// Seconds of progress between two checkpoints; zero: its tasks save no checkpoints.
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// How long a task needs to save a checkpoint when it is stopped, in seconds.
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     /// Seconds after submission by which it should be finished.
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
     /// Maximum number of its tasks in one zone: half of them, rounded up, if they must be spread.
-    pub fn zone_most(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
@@ -84,12 +84,12 @@
 
     /// Whether it may run on machines of the type with this name.
     pub fn allows_type(&self, name: &str) -> bool {
-        self.types.as_ref().is_none_or(|types| types.iter().any(|allowed| allowed == name))
+        self.allowed_machine_types.as_ref().is_none_or(|types| types.iter().any(|allowed| allowed == name))
     }
 
     /// Whether it may run in this zone.
     pub fn allows_zone(&self, zone: &str) -> bool {
-        self.zone.as_deref().is_none_or(|allowed| allowed == zone)
+        self.required_zone.as_deref().is_none_or(|allowed| allowed == zone)
     }
 }
 
@@ -147,7 +147,7 @@
 pub struct JobFailures {
     /// Failures for which the job backed off: it was suspected to be faulty, or the worker did not know the
     /// task. Each doubles the next backoff, up to `MAX_JOB_BACKOFF`.
-    pub count: u32,
+    pub consecutive_backoffs: u32,
     /// Names of the machines on which its tasks have failed since a task of the job last succeeded.
     pub machines: BTreeSet<String>,
     /// None of its tasks starts before this time.
@@ -239,30 +239,30 @@
     }
 
     /// Number of tasks that have not succeeded.
-    pub fn unfinished(&self) -> u32 {
+    pub fn unfinished_task_count(&self) -> u32 {
         self.spec.tasks - self.progress.succeeded.len() as u32
     }
 
     /// Estimated work of this many of its tasks, in seconds of one slot. An estimate below 1 s counts as 1 s.
-    pub fn work(&self, tasks: u32) -> f64 {
+    pub fn estimated_work_s(&self, tasks: u32) -> f64 {
         f64::from(tasks) * self.spec.estimate_s.max(1.0)
     }
 
     /// Minimum number of tasks with which it starts. The replicas of a service are independent, so each
     /// starts as soon as there is room for it, although the minimum width of a service is the number of all
     /// its replicas.
-    pub fn admission(&self) -> u32 {
+    pub fn admission_width(&self) -> u32 {
         match self.spec.kind {
             Kind::Service => 1,
-            Kind::Array | Kind::Gang => self.minimum(),
+            Kind::Array | Kind::Gang => self.minimum_width(),
         }
     }
 
     /// Minimum width. The job is not preempted below this width, except by critical jobs.
-    pub fn minimum(&self) -> u32 {
+    pub fn minimum_width(&self) -> u32 {
         match self.spec.kind {
-            Kind::Array => 1.min(self.unfinished()),
-            Kind::Gang => self.unfinished(),
+            Kind::Array => 1.min(self.unfinished_task_count()),
+            Kind::Gang => self.unfinished_task_count(),
             Kind::Service => self.spec.tasks,
         }
     }
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -1,7 +1,7 @@
 //! Machine types, and the leader's record of each machine.
 
 use super::{
-    CommandTracker, HeartbeatTracker, JobId, Placement, ReportedTasks, Resources, Route, TaskId, TaskStatus,
+    CommandTracker, HeartbeatTracker, JobId, Placement, Resources, Route, TaskId, TaskStatus, UnplacedTasks,
 };
 use crate::lease::renewal::LastRenewal;
 use crate::time::Timestamp;
@@ -62,7 +62,7 @@
     /// Names of the images.
     pub images: BTreeSet<String>,
     /// Whether an image was added since a write of the machine's record was last requested.
-    pub changed: bool,
+    pub has_unrecorded_image: bool,
 }
 
 /// Failures and slow tasks that are attributed to a machine.
@@ -71,10 +71,10 @@
     /// Jobs of which a task failed here while the job itself was not suspected to be faulty.
     pub failed_jobs: BTreeSet<JobId>,
     /// No task is placed here before this time, since a task failed here or the worker refused to start one.
-    pub no_room_backoff_until: Timestamp,
+    pub placement_backoff_until: Timestamp,
     /// Consecutive tasks whose run time here was more than `SLOW_FACTOR` times the mean of the tasks of the
     /// same job that had succeeded before.
-    pub slow_tasks: u32,
+    pub consecutive_slow_tasks: u32,
     /// No array or gang is placed here before this time.
     pub quarantined_until: Timestamp,
 }
@@ -85,7 +85,7 @@
     /// When the cloud recalls it, if it has given notice.
     pub recall_at: Option<Timestamp>,
     /// Whether it is to be replaced because tasks fail on it: it gets no new tasks, and is deleted once idle.
-    pub draining: bool,
+    pub to_be_replaced: bool,
     /// Whether it is an ordinary machine that neither the headroom nor tasks that may not use spot machines
     /// need; see `consolidation`.
     pub consolidation_target: bool,
@@ -102,7 +102,7 @@
 impl Lifecycle {
     /// Whether the machine is to be replaced, its deletion has been requested, or the cloud will recall it.
     pub(in crate::scheduler) fn is_leaving(&self) -> bool {
-        self.draining || self.deleting || self.recall_at.is_some()
+        self.to_be_replaced || self.deleting || self.recall_at.is_some()
     }
 }
 
@@ -125,7 +125,7 @@
     pub state: MachineState,
     /// Whether a heartbeat has stated this leader's fencing token, from which on its task lists are exact, or
     /// its lease has expired.
-    pub reconciled: bool,
+    pub accounted_for: bool,
     /// Whether it is recorded in the state service, so that a later leader knows to wait for it.
     pub recorded: bool,
     /// Whether an earlier leader recorded it, and may have started tasks on it.
@@ -142,7 +142,7 @@
     /// What its next periodic heartbeat has to acknowledge.
     pub commands: CommandTracker,
     /// Tasks in its heartbeats that are not placed on it.
-    pub reported: ReportedTasks,
+    pub unplaced_tasks: UnplacedTasks,
     /// Images that are known to be on it.
     pub image_cache: ImageCache,
     /// Failures and slow tasks that are attributed to it.
@@ -167,7 +167,7 @@
             address: stored.address.clone(),
             capacity,
             state: MachineState::Pending,
-            reconciled: false,
+            accounted_for: false,
             recorded: false,
             inherited: false,
             last_renewal: LastRenewal::default(),
@@ -175,7 +175,7 @@
             heartbeats: HeartbeatTracker::default(),
             route: Route::default(),
             commands: CommandTracker::default(),
-            reported: ReportedTasks::default(),
+            unplaced_tasks: UnplacedTasks::default(),
             image_cache: ImageCache::default(),
             health: MachineHealth::default(),
             lifecycle: Lifecycle { idle_since: now, known_since: now, boot_deadline, ..Lifecycle::default() },
@@ -186,11 +186,11 @@
     /// nothing, and its response starts and stops no task.
     pub fn is_settled(&self) -> bool {
         self.state == MachineState::Ready
-            && self.reconciled
+            && self.accounted_for
             && self.recorded
             && self.lifecycle.recall_at.is_none()
             && self.commands.unacknowledged.is_empty()
-            && !self.reported.has_unknown()
+            && !self.unplaced_tasks.has_tasks_of_unknown_jobs()
             && self.tasks.values().all(|task| task.confirmed && task.stopping.is_none())
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Capacity that will be available once all stops under way are confirmed, except overdue ones.
-    pub fn available_soon(&self, now: Timestamp) -> Resources {
+    pub fn available_after_stops(&self, now: Timestamp) -> Resources {
         let ends_soon = |task: &Placement| task.stopping.is_some_and(|stop| !stop.is_overdue(now));
         self.tasks
             .values()
--- a/src/scheduler/model/mod.rs
+++ b/src/scheduler/model/mod.rs
@@ -24,7 +24,7 @@
 pub use job_summary::{JobSummary, TaskCounts};
 pub use machine::{ImageCache, Lifecycle, Machine, MachineHealth, MachineState, MachineType, StoredMachine};
 pub use pending_reason::PendingReason;
-pub use reported_tasks::ReportedTasks;
+pub use reported_tasks::UnplacedTasks;
 pub use resources::Resources;
 pub use route::{PreviousRoute, Route};
 pub use task::{ExitReason, Placement, StopRequest, TaskStatus};
--- a/src/scheduler/model/pending_reason.rs
+++ b/src/scheduler/model/pending_reason.rs
@@ -19,13 +19,13 @@
     NoFurtherFreeSlot,
     /// There is enough room, but on machines where stops are under way or that fetch an image for another
     /// job.
-    StopsOrFetchUnderWay,
+    RoomNotFreeYet,
     /// There is not enough room, and no lower-priority job that may be preempted.
     NothingToPreempt,
     /// There is not enough room, and preemption of lower jobs would not free enough for its minimum width.
     PreemptionInsufficient,
     /// Tasks of lower jobs are being preempted for it.
-    StopsUnderWay,
+    PreemptionUnderWay,
     /// A part of its gang is placed; there is no room for the other tasks.
     NoSlotForRestOfGang,
     /// Its gang was stopped because there was no room for all its tasks in time.
@@ -44,10 +44,10 @@
             PendingReason::ColdStartPace => "pace of a cold start",
             PendingReason::TeamLimit => "team limit",
             PendingReason::NoFurtherFreeSlot => "no further free slot",
-            PendingReason::StopsOrFetchUnderWay => "stops or a fetch under way",
+            PendingReason::RoomNotFreeYet => "stops or a fetch under way",
             PendingReason::NothingToPreempt => "no free slot, and nobody below it runs",
             PendingReason::PreemptionInsufficient => "no free slot, and lower jobs cannot yield its minimum",
-            PendingReason::StopsUnderWay => "stops under way",
+            PendingReason::PreemptionUnderWay => "stops under way",
             PendingReason::NoSlotForRestOfGang => "no free slot for the rest of its gang",
             PendingReason::GangIncomplete => "its gang was not complete in time",
             PendingReason::LastAttemptNotEnded => "its last attempt has not ended everywhere",
--- a/src/scheduler/model/reported_tasks.rs
+++ b/src/scheduler/model/reported_tasks.rs
@@ -6,7 +6,7 @@
 
 /// Tasks in a machine's heartbeats that are not placed on it.
 #[derive(Debug, Clone, Default)]
-pub struct ReportedTasks {
+pub struct UnplacedTasks {
     /// Exited tasks that the worker still lists, and the reason of each exit.
     pub exited: BTreeMap<TaskAttempt, ExitReason>,
     /// Tasks of jobs that do not exist, as far as this leader knows. They are stopped.
@@ -16,9 +16,9 @@
     pub unverified: BTreeMap<TaskAttempt, Timestamp>,
 }
 
-impl ReportedTasks {
+impl UnplacedTasks {
     /// Whether a task that has not exited belongs to a job that this leader does not know.
-    pub fn has_unknown(&self) -> bool {
+    pub fn has_tasks_of_unknown_jobs(&self) -> bool {
         !self.orphaned.is_empty() || !self.unverified.is_empty()
     }
 
--- a/src/scheduler/model/route.rs
+++ b/src/scheduler/model/route.rs
@@ -6,31 +6,31 @@
 #[derive(Debug, Clone, Default)]
 pub struct Route {
     /// Index of the node that relayed the last heartbeat. None: it came directly to the leader's own node.
-    pub via: Option<usize>,
+    pub relayed_by: Option<usize>,
     /// Whether that node, a leaseholder, may respond to unchanged heartbeats without the leader.
-    pub cached_by_leaseholder: bool,
+    pub leaseholder_may_respond: bool,
     /// The route before this one.
     pub previous: Option<PreviousRoute>,
     /// Whether the leaseholder has been asked to relay the machine's next heartbeat.
-    pub wake_requested: bool,
+    pub relay_requested: bool,
 }
 
 /// A route that a machine no longer uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PreviousRoute {
     /// Index of the node that relayed its heartbeats. None: they came directly to the leader's own node.
-    pub via: Option<usize>,
+    pub relayed_by: Option<usize>,
     /// When the first heartbeat arrived by another route.
     pub left_at: Timestamp,
 }
 
 impl Route {
-    /// Records that a heartbeat arrived at `now`, relayed by `via`. Returns whether the route has changed.
-    pub(in crate::scheduler) fn record(&mut self, via: Option<usize>, now: Timestamp) -> bool {
-        let changed = self.via != via;
+    /// Records that a heartbeat relayed by `relayed_by` arrived at `now`. Returns whether the route changed.
+    pub(in crate::scheduler) fn record(&mut self, relayed_by: Option<usize>, now: Timestamp) -> bool {
+        let changed = self.relayed_by != relayed_by;
         if changed {
-            self.previous = Some(PreviousRoute { via: self.via, left_at: now });
-            self.via = via;
+            self.previous = Some(PreviousRoute { relayed_by: self.relayed_by, left_at: now });
+            self.relayed_by = relayed_by;
         }
         changed
     }
--- a/src/scheduler/model/termination_proof.rs
+++ b/src/scheduler/model/termination_proof.rs
@@ -27,7 +27,7 @@
         /// heartbeat.
         last_renewal: Timestamp,
         /// Index of the leaseholder through which the last heartbeat came. None: the leader's own node.
-        via: Option<usize>,
+        relayed_by: Option<usize>,
         /// When the leader detected the expiry.
         at: Timestamp,
     },
@@ -44,10 +44,10 @@
                 write!(f, "not listed in heartbeat {agent_epoch}/{sequence}")
             }
             TerminationProof::NewAgentEpoch { agent_epoch } => write!(f, "agent epoch {agent_epoch} began"),
-            TerminationProof::LeaseExpired { last_renewal, via, at } => {
+            TerminationProof::LeaseExpired { last_renewal, relayed_by, at } => {
                 let since_renewal_s = as_seconds(at.since(*last_renewal));
                 write!(f, "lease expired {since_renewal_s:.3} s after its last renewal")?;
-                via.map_or(Ok(()), |node| write!(f, " via node {node}"))
+                relayed_by.map_or(Ok(()), |node| write!(f, " via node {node}"))
             }
             TerminationProof::Deleted => f.write_str("deletion confirmed by the cloud"),
         }
--- a/src/scheduler/model/tests.rs
+++ b/src/scheduler/model/tests.rs
@@ -15,7 +15,7 @@
 fn placement(image: &str, status: TaskStatus) -> Placement {
     Placement {
         attempt: 1,
-        resource_request: Resources::needed(1.0, 0.0, 1.0),
+        resource_request: Resources::rounded_up(1.0, 0.0, 1.0),
         start_sent_in: None,
         confirmed: true,
         status,
@@ -37,7 +37,7 @@
     };
     Machine::new(
         &stored,
-        Resources::offered(4.0, 0.0, 16.0),
+        Resources::rounded_down(4.0, 0.0, 16.0),
         Timestamp::from_secs(1),
         Timestamp::from_secs(60),
     )
@@ -87,8 +87,8 @@
     assert_eq!(route.previous, None);
     assert!(route.record(Some(2), Timestamp::from_secs(2)));
     assert!(!route.record(Some(2), Timestamp::from_secs(3)));
-    assert_eq!(route.via, Some(2));
-    assert_eq!(route.previous, Some(PreviousRoute { via: None, left_at: Timestamp::from_secs(2) }));
+    assert_eq!(route.relayed_by, Some(2));
+    assert_eq!(route.previous, Some(PreviousRoute { relayed_by: None, left_at: Timestamp::from_secs(2) }));
 }
 
 #[test]
@@ -106,13 +106,13 @@
     stopping.stopping = Some(StopRequest { requested_at: Timestamp::from_secs(1), grace_s: 2.0 });
     machine.tasks.insert(task_id(1, 0), stopping);
     machine.tasks.insert(task_id(1, 1), placement("image", TaskStatus::Running));
-    assert_eq!(machine.available(), Resources::offered(2.0, 0.0, 14.0));
+    assert_eq!(machine.available(), Resources::rounded_down(2.0, 0.0, 14.0));
     let overdue = 3 * SECOND + limits::STOP_TIMEOUT;
     assert_eq!(
-        machine.available_soon(Timestamp::ZERO + overdue - Duration::from_micros(1)),
-        Resources::offered(3.0, 0.0, 15.0)
+        machine.available_after_stops(Timestamp::ZERO + overdue - Duration::from_micros(1)),
+        Resources::rounded_down(3.0, 0.0, 15.0)
     );
-    assert_eq!(machine.available_soon(Timestamp::ZERO + overdue), machine.available());
+    assert_eq!(machine.available_after_stops(Timestamp::ZERO + overdue), machine.available());
 }
 
 #[test]
@@ -130,18 +130,18 @@
 #[test]
 fn machine_is_settled_only_while_nothing_is_under_way() {
     let mut settled = pending_machine();
-    (settled.state, settled.reconciled, settled.recorded) = (MachineState::Ready, true, true);
+    (settled.state, settled.accounted_for, settled.recorded) = (MachineState::Ready, true, true);
     settled.tasks.insert(task_id(1, 0), placement("image", TaskStatus::Running));
     assert!(settled.is_settled());
     assert_eq!(settled.last_renewal, LastRenewal::default());
     let unsettling_changes: [fn(&mut Machine); 7] = [
         |machine| machine.state = MachineState::Lost,
-        |machine| machine.reconciled = false,
+        |machine| machine.accounted_for = false,
         |machine| machine.recorded = false,
         |machine| machine.lifecycle.recall_at = Some(Timestamp::from_secs(1)),
         |machine| machine.commands.unacknowledged.push(TaskCommand::Forget { id: task_id(1, 0), attempt: 1 }),
         |machine| {
-            machine.reported.orphaned.insert(TaskAttempt { task: task_id(9, 0), attempt: 1 });
+            machine.unplaced_tasks.orphaned.insert(TaskAttempt { task: task_id(9, 0), attempt: 1 });
         },
         |machine| machine.tasks.values_mut().for_each(|placement| placement.confirmed = false),
     ];
@@ -184,9 +184,9 @@
 #[test]
 fn termination_proofs_are_displayed_as_log_texts() {
     let heartbeat = HeartbeatNumber { agent_epoch: 3, sequence: 7 };
-    let expired = |via| TerminationProof::LeaseExpired {
+    let expired = |relayed_by| TerminationProof::LeaseExpired {
         last_renewal: Timestamp::from_secs(1),
-        via,
+        relayed_by,
         at: Timestamp::from_secs(13) + Duration::from_millis(500),
     };
     let texts = [
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -91,7 +91,7 @@
             debug!(task = %id, machine = name, attempt, previous_placement, "task placed");
             machine.tasks.insert(id, Placement::reserved(resource_request, image, attempt, now));
         }
-        self.request_wake(name);
+        self.request_relay(name);
     }
 
     /// Asks the task to stop within `grace_s` seconds. If its start has not been sent, removes its placement
@@ -109,7 +109,7 @@
         if placement.stopping.is_none_or(|stop| stop.grace_s > grace_s) {
             placement.stopping = Some(StopRequest { requested_at: now, grace_s });
             self.autoscaler.direct_stops.insert(name.to_string());
-            self.request_wake(name);
+            self.request_relay(name);
         }
     }
 
@@ -136,7 +136,7 @@
         self.record_lost_work(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         let tasks = std::mem::take(&mut machine.tasks);
-        machine.reported.clear();
+        machine.unplaced_tasks.clear();
         for id in tasks.into_keys() {
             self.remove_placement(name, id, proof);
         }
--- a/src/scheduler/quarantine.rs
+++ b/src/scheduler/quarantine.rs
@@ -39,8 +39,8 @@
         let suspected = job.is_suspected();
         if suspected || failure == TaskFailure::NotKnownToWorker {
             // A job that fails everywhere must not be restarted in a tight loop.
-            let backoff = limits::JOB_BACKOFF * (1 << job.failure_history.count.min(10));
-            job.failure_history.count += 1;
+            let backoff = limits::JOB_BACKOFF * (1 << job.failure_history.consecutive_backoffs.min(10));
+            job.failure_history.consecutive_backoffs += 1;
             job.failure_history.backoff_until = now + backoff.min(limits::MAX_JOB_BACKOFF);
         }
         if failure == TaskFailure::NotKnownToWorker {
@@ -48,7 +48,7 @@
         }
         if let Some(machine) = self.machines.get_mut(name) {
             // Other machines are tried first.
-            machine.health.no_room_backoff_until = now + limits::NO_ROOM_BACKOFF;
+            machine.health.placement_backoff_until = now + limits::NO_ROOM_BACKOFF;
             if !suspected {
                 machine.health.failed_jobs.insert(job_id);
             }
@@ -63,7 +63,7 @@
             return;
         }
         job.failure_history.backoff_until = Timestamp::ZERO;
-        job.failure_history.count = 0;
+        job.failure_history.consecutive_backoffs = 0;
         for name in std::mem::take(&mut job.failure_history.machines) {
             self.replace_if_faulty(&name, true);
         }
@@ -77,9 +77,9 @@
         // Jobs that have become suspected since they failed do not count against the machine.
         let is_suspected = |job_id: &JobId| jobs.get(job_id).is_some_and(Job::is_suspected);
         let failures = machine.health.failed_jobs.iter().filter(|job_id| !is_suspected(job_id)).count();
-        if (proven_faulty || failures >= limits::MAX_MACHINE_FAILURES) && !machine.lifecycle.draining {
+        if (proven_faulty || failures >= limits::MAX_MACHINE_FAILURES) && !machine.lifecycle.to_be_replaced {
             warn!(machine = name, "tasks fail on the machine; draining and replacing it");
-            machine.lifecycle.draining = true;
+            machine.lifecycle.to_be_replaced = true;
         }
     }
 }
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -109,8 +109,8 @@
     /// machine counts in full against every team. Waiting until all machines had reported kept every team of
     /// a fleet without work because of one machine that had died.
     fn may_hold_unknown_tasks(&self, machine: &Machine) -> bool {
-        let is_unreconciled = !self.reconciled && machine.inherited && !machine.reconciled;
-        is_unreconciled || machine.reported.has_unknown()
+        let is_unreconciled = !self.all_accounted_for && machine.inherited && !machine.accounted_for;
+        is_unreconciled || machine.unplaced_tasks.has_tasks_of_unknown_jobs()
     }
 
     /// How many more tasks of the job its team's limit allows. 0 if the team is unknown, or if it has a limit
@@ -123,7 +123,7 @@
         // Until the records are loaded, the set of machines is unknown.
         let Some(unaccounted) = usage.unaccounted.filter(|_| self.loaded) else { return 0 };
         let (cpus, gpus) = (limit_or_unlimited(team.cpus_max), limit_or_unlimited(team.gpus_max));
-        let limit = Resources { memory: i64::MAX / 2, ..Resources::offered(cpus, gpus, 0.0) };
+        let limit = Resources { memory_mb: i64::MAX / 2, ..Resources::rounded_down(cpus, gpus, 0.0) };
         let remaining = limit.minus(&usage.used_by(&team.name)).minus(&unaccounted);
         job.spec.resource_request.count_in(&remaining).clamp(0, i64::from(u32::MAX)) as u32
     }
@@ -136,7 +136,7 @@
             return false;
         }
         let used = usage.used_after_stops(&team.name).plus(additional);
-        let guaranteed = Resources::offered(team.cpus, team.gpus, 0.0);
-        used.cpus <= guaranteed.cpus && used.gpus <= guaranteed.gpus
+        let guaranteed = Resources::rounded_down(team.cpus, team.gpus, 0.0);
+        used.milli_cpus <= guaranteed.milli_cpus && used.milli_gpus <= guaranteed.milli_gpus
     }
 }
--- a/src/scheduler/recall.rs
+++ b/src/scheduler/recall.rs
@@ -17,7 +17,7 @@
             .keys()
             .filter_map(|id| self.jobs.get(&id.job_id).map(|job| (*id, job)))
             .filter(|(_, job)| self.must_stop_for_recall(job, left_s))
-            .map(|(id, job)| (id, job.spec.kind, job.spec.save_s))
+            .map(|(id, job)| (id, job.spec.kind, job.spec.checkpoint_save_s))
             .collect();
         for (id, kind, grace_s) in stops {
             match kind {
@@ -29,13 +29,13 @@
 
     /// Whether the job's tasks on a machine must stop now if the machine is recalled in `left_s` seconds.
     fn must_stop_for_recall(&self, job: &Job, left_s: f64) -> bool {
-        let saves_checkpoints = job.spec.checkpoint_s > 0.0;
+        let saves_checkpoints = job.spec.checkpoint_interval_s > 0.0;
         // The members of a gang wait for one another before they save.
         let gang_wait_s = match job.spec.kind {
             Kind::Gang => self.config.workers.gang_peer_s,
             Kind::Array | Kind::Service => 0.0,
         };
-        let needed_s = job.spec.save_s + gang_wait_s + limits::RECALL_MARGIN_S;
+        let needed_s = job.spec.checkpoint_save_s + gang_wait_s + limits::RECALL_MARGIN_S;
         job.spec.kind == Kind::Service || saves_checkpoints && left_s <= needed_s
     }
 }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -7,7 +7,7 @@
 //! machines to records and the due writes; the controller makes the writes and reports their outcome.
 
 use super::model::{Job, JobId, Kind, Machine};
-use super::{Effect, Scheduler, StoredMachine, WriteOutcome};
+use super::{Effect, RequestOutcome, Scheduler, StoredMachine};
 use crate::fencing_token::FencingToken;
 use crate::limits;
 use crate::time::Timestamp;
@@ -123,10 +123,10 @@
     pub fn record(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let urgency = if machine.recorded { Urgency::Images } else { Urgency::NewMachine };
-        machine.image_cache.changed = false;
+        machine.image_cache.has_unrecorded_image = false;
         let now = self.now;
         let records = &mut self.records;
-        let key = records.key_for(name, self.config.record_machines, self.config.token);
+        let key = records.key_for(name, self.config.max_machines_per_record, self.config.token);
         records.key_of_machine.insert(name.to_string(), key.clone());
         let record =
             records.records.entry(key).or_insert_with(|| Record::new(BTreeSet::new(), Urgency::Written, now));
@@ -150,7 +150,7 @@
             self.load_recorded_machine(stored);
         }
         let now = self.now;
-        let max_machines = self.config.record_machines.max(1);
+        let max_machines = self.config.max_machines_per_record.max(1);
         let mut new_keys = Vec::new();
         while remaining.len() > max_machines {
             let excess = remaining.split_off(remaining.len() - max_machines).into_iter().collect();
@@ -190,10 +190,10 @@
     }
 
     /// Applies the outcome of the write of a record. A failed write is requested again.
-    pub fn recorded(&mut self, key: &str, outcome: WriteOutcome) {
+    pub fn recorded(&mut self, key: &str, outcome: RequestOutcome) {
         let Some(record) = self.records.records.get_mut(key) else { return };
         let Some(written) = record.in_flight.take() else { return };
-        if outcome != WriteOutcome::Done {
+        if outcome != RequestOutcome::Done {
             record.request_write(Urgency::NewMachine, self.now);
             return;
         }
@@ -234,7 +234,7 @@
             record.in_flight = Some(record.machines.clone());
             let machines = record.machines.iter().filter_map(|name| self.machines.get(name));
             let machines = machines.map(stored_machine).collect();
-            self.effects.push(Effect::Record { key, machines });
+            self.effects.push(Effect::WriteMachineRecord { key, machines });
         }
         true
     }
@@ -251,7 +251,7 @@
             }
             job.progress.write_in_flight = true;
             let (version, tasks) = (job.version, job.spec.tasks);
-            self.effects.push(Effect::Finish { job_id, version, tasks, chunks });
+            self.effects.push(Effect::WriteJobEnd { job_id, version, tasks, chunks });
         }
         true
     }
@@ -274,18 +274,23 @@
                 return false;
             }
             job.progress.write_in_flight = true;
-            let (tasks, all_done) = (job.progress.unrecorded.clone(), job.progress.succeeded.clone());
-            self.effects.push(Effect::CommitDone { job_id, version: job.version, tasks, all_done });
+            let (tasks, all_succeeded) = (job.progress.unrecorded.clone(), job.progress.succeeded.clone());
+            self.effects.push(Effect::WriteFinishedTasks {
+                job_id,
+                version: job.version,
+                tasks,
+                all_succeeded,
+            });
         }
         true
     }
 
     /// Applies the outcome of a write of finished tasks.
-    pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: WriteOutcome) {
+    pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: RequestOutcome) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let progress = &mut job.progress;
         progress.write_in_flight = false;
-        if outcome == WriteOutcome::Done {
+        if outcome == RequestOutcome::Done {
             progress.recorded_chunks.extend(tasks.iter().map(|task| task / limits::FINISHED_TASKS_CHUNK));
             progress.unrecorded.retain(|task| !tasks.contains(task));
             progress.unrecorded_since = (!progress.unrecorded.is_empty()).then_some(self.now);
@@ -313,7 +318,7 @@
 impl Job {
     fn ready_to_finish(&self) -> bool {
         self.spec.kind != Kind::Service
-            && self.unfinished() == 0
+            && self.unfinished_task_count() == 0
             && !self.progress.write_in_flight
             && !self.terminated
     }
@@ -325,7 +330,7 @@
             && !progress.write_in_flight
             && !self.terminated
             && !progress.unrecorded.is_empty()
-            && self.unfinished() > 0
+            && self.unfinished_task_count() > 0
     }
 
     /// The chunks of finished tasks that have a key in the state service.
--- a/src/scheduler/scaling_plan/coming_machines.rs
+++ b/src/scheduler/scaling_plan/coming_machines.rs
@@ -1,7 +1,7 @@
 //! Machines that are not there yet, as a plan fills them. They are all alike but for their offer and the room left on
 //! them, so they are counted in groups.
 
-use crate::scheduler::autoscaler::InstanceOffer;
+use crate::scheduler::autoscaler::MachineKind;
 use crate::scheduler::model::{Job, Resources};
 use crate::scheduler::scoring::ZoneCount;
 
@@ -17,7 +17,7 @@
 /// Alike machines.
 #[derive(Debug)]
 struct Group {
-    offer: InstanceOffer,
+    offer: MachineKind,
     available: Resources,
     load: Load,
     count: u32,
@@ -25,9 +25,9 @@
 
 impl Group {
     fn fits(&self, job: &Job) -> bool {
-        job.spec.resource_request.fits(&self.available)
+        job.spec.resource_request.fits_into(&self.available)
             && job.spec.allows_type(&self.offer.machine_type)
-            && (!self.offer.spot || job.spec.spot)
+            && (!self.offer.spot || job.spec.allows_spot)
     }
 }
 
@@ -75,8 +75,8 @@
     }
 
     /// Adds machines with this much room; without effect if there is none.
-    pub(super) fn add(&mut self, offer: &InstanceOffer, available: Resources, load: Load, count: u32) {
-        if count == 0 || available.gpus <= 0 && available.cpus <= 0 {
+    pub(super) fn add(&mut self, offer: &MachineKind, available: Resources, load: Load, count: u32) {
+        if count == 0 || available.milli_gpus <= 0 && available.milli_cpus <= 0 {
             return;
         }
         let is_alike =
@@ -92,7 +92,7 @@
         self.0.retain(|group| group.count > 0);
         let mut fitting: Vec<usize> =
             (0..self.0.len()).filter(|index| self.0[*index].fits(demand.job)).collect();
-        fitting.sort_by_key(|index| (self.0[*index].load, self.0[*index].available.gpus));
+        fitting.sort_by_key(|index| (self.0[*index].load, self.0[*index].available.milli_gpus));
         for index in fitting {
             if demand.tasks == 0 {
                 break;
--- a/src/scheduler/scaling_plan/coming_machines_tests.rs
+++ b/src/scheduler/scaling_plan/coming_machines_tests.rs
@@ -4,15 +4,15 @@
 use crate::scheduler::model::{JobSpec, Kind};
 use crate::scheduler::scoring::tests::{job, spec};
 
-const FOUR_CORES: Resources = Resources { cpus: 4_000, gpus: 0, memory: 4_000 };
+const FOUR_CORES: Resources = Resources { milli_cpus: 4_000, milli_gpus: 0, memory_mb: 4_000 };
 
-fn offer(zone: &str, spot: bool) -> InstanceOffer {
-    InstanceOffer { machine_type: "type".into(), zone: zone.into(), spot }
+fn offer(zone: &str, spot: bool) -> MachineKind {
+    MachineKind { machine_type: "type".into(), zone: zone.into(), spot }
 }
 
 fn cores(coming: &ComingMachines) -> Vec<(i64, u32)> {
     let groups = coming.0.iter().filter(|group| group.count > 0);
-    groups.map(|group| (group.available.cpus / 1_000, group.count)).collect()
+    groups.map(|group| (group.available.milli_cpus / 1_000, group.count)).collect()
 }
 
 fn demand(job: &Job, tasks: u32) -> Demand<'_> {
@@ -47,7 +47,7 @@
 
 #[test]
 fn work_that_may_not_use_spot_machines_waits_for_ordinary_ones() {
-    let fixed = job(JobSpec { spot: false, ..spec(Kind::Service, 4) });
+    let fixed = job(JobSpec { allows_spot: false, ..spec(Kind::Service, 4) });
     let mut coming = ComingMachines::default();
     coming.add(&offer("a", true), FOUR_CORES, Load::Empty, 1);
     let mut tasks = demand(&fixed, 2);
@@ -74,6 +74,6 @@
     coming.add(&offer("a", false), FOUR_CORES, Load::Empty, 3);
     coming.add(&offer("a", true), FOUR_CORES, Load::Empty, 3);
     coming.add(&offer("b", false), FOUR_CORES, Load::Empty, 3);
-    let place = Resources { cpus: 2_000, gpus: 0, memory: 2_000 };
+    let place = Resources { milli_cpus: 2_000, milli_gpus: 0, memory_mb: 2_000 };
     assert_eq!(coming.critical_places("a", &place), 6);
 }
--- a/src/scheduler/scaling_plan/mod.rs
+++ b/src/scheduler/scaling_plan/mod.rs
@@ -4,7 +4,7 @@
 
 mod coming_machines;
 
-use super::autoscaler::{InstanceOffer, Rental};
+use super::autoscaler::{MachineKind, Rental};
 use super::model::{Job, JobId, Machine, MachineState, Resources};
 use super::quota::TeamUsage;
 use super::scoring::ZoneCount;
@@ -23,16 +23,16 @@
     queue: std::vec::IntoIter<JobId>,
     coming: ComingMachines,
     /// How many machines of each offer are coming or to be rented.
-    counts: BTreeMap<InstanceOffer, u32>,
+    counts: BTreeMap<MachineKind, u32>,
     /// How many machines of each offer are to be rented.
-    wanted: BTreeMap<InstanceOffer, u32>,
+    wanted: BTreeMap<MachineKind, u32>,
     team_usage: TeamUsage,
 }
 
 /// An offer and its present price per hour.
 struct PricedOffer {
     price: f64,
-    offer: InstanceOffer,
+    offer: MachineKind,
 }
 
 /// A ready machine with places for critical services. Those that cost least to keep come first: those that run
@@ -76,7 +76,7 @@
     }
 
     /// Machines that boot or are being rented. Replacements for drained machines are not counted on.
-    fn coming_counts(&self) -> BTreeMap<InstanceOffer, u32> {
+    fn coming_counts(&self) -> BTreeMap<MachineKind, u32> {
         let mut counts = BTreeMap::new();
         let is_booting = |machine: &&Machine| {
             machine.state == MachineState::Pending
@@ -84,7 +84,7 @@
                 && !self.drains.is_replacement(&machine.name)
         };
         for machine in self.machines.values().filter(is_booting) {
-            *counts.entry(InstanceOffer::of(machine)).or_default() += 1;
+            *counts.entry(MachineKind::of(machine)).or_default() += 1;
         }
         for rental in self.autoscaler.renting.values() {
             *counts.entry(rental.offer.clone()).or_default() += rental.count;
@@ -97,7 +97,7 @@
     pub(super) fn continue_plan(&mut self) -> bool {
         let Some(mut plan) = self.autoscaler.plan.take() else { return true };
         let mut steps = 0;
-        while steps < self.config.round_steps {
+        while steps < self.config.max_round_steps {
             let Some(job_id) = plan.queue.next() else {
                 self.steps += steps as u64;
                 self.carry_out_plan(plan);
@@ -116,7 +116,7 @@
         let kept = self.plan_headroom(&mut plan);
         for (offer, mut count) in plan.wanted {
             // A request names at most so many, and all that are missing are missing now.
-            while count > 0 && self.autoscaler.renting.len() < self.config.rentals_at_once {
+            while count > 0 && self.autoscaler.renting.len() < self.config.max_concurrent_rentals {
                 let part = count.min(limits::MAX_MACHINES_PER_RENTAL);
                 count -= part;
                 self.rent(&offer, part);
@@ -125,10 +125,10 @@
         self.delete_idle(&kept);
     }
 
-    fn rent(&mut self, offer: &InstanceOffer, count: u32) {
+    fn rent(&mut self, offer: &MachineKind, count: u32) {
         self.autoscaler.requests += 1;
         let request = self.autoscaler.requests;
-        let InstanceOffer { machine_type, zone, spot } = offer.clone();
+        let MachineKind { machine_type, zone, spot } = offer.clone();
         info!(request, machine_type, zone, spot, count, "rent");
         let kind = if spot { "spot" } else { "ordinary" };
         self.decided(format!("rent {count} {kind} {machine_type} in {zone}"));
@@ -147,11 +147,8 @@
         let mut offers = Vec::new();
         for machine_type in self.types.values().filter(|machine_type| allows_type(&machine_type.name)) {
             for zone in machine_type.zones.iter().filter(|zone| is_open(zone)) {
-                let offer = |spot| InstanceOffer {
-                    machine_type: machine_type.name.clone(),
-                    zone: zone.clone(),
-                    spot,
-                };
+                let offer =
+                    |spot| MachineKind { machine_type: machine_type.name.clone(), zone: zone.clone(), spot };
                 if let (true, Some(price)) = (may_use_spot, machine_type.spot_price) {
                     offers.push(PricedOffer { price, offer: offer(true) });
                 }
@@ -163,9 +160,9 @@
     }
 
     /// Whether the offer could be rented now for tasks with this request.
-    fn is_rentable(&self, offer: &InstanceOffer, request: &Resources) -> bool {
+    fn is_rentable(&self, offer: &MachineKind, request: &Resources) -> bool {
         let machine_type = self.types.get(&offer.machine_type);
-        machine_type.is_some_and(|machine_type| request.fits(&machine_type.capacity))
+        machine_type.is_some_and(|machine_type| request.fits_into(&machine_type.capacity))
             && !self.is_backing_off(offer)
     }
 
@@ -201,8 +198,8 @@
     /// Offers that may be rented for the job. One that may use spot machines waits for them for a while.
     fn offers_for(&self, job: &Job) -> Vec<PricedOffer> {
         let spot_patience = from_seconds(self.config.operator.spot_patience_s);
-        let waits_for_spot = job.spec.spot && self.now < job.submitted_at + spot_patience;
-        let mut offers = self.offers(|name| job.spec.allows_type(name), |_| true, job.spec.spot);
+        let waits_for_spot = job.spec.allows_spot && self.now < job.submitted_at + spot_patience;
+        let mut offers = self.offers(|name| job.spec.allows_type(name), |_| true, job.spec.allows_spot);
         offers.retain(|priced| {
             let offer = &priced.offer;
             (offer.spot || !waits_for_spot) && self.is_rentable(offer, &job.spec.resource_request)
@@ -252,7 +249,7 @@
     }
 
     /// The cheapest ordinary machine that holds such a place, and its capacity.
-    fn headroom_offer(&self, zone: &str, place: &Resources) -> Option<(InstanceOffer, Resources)> {
+    fn headroom_offer(&self, zone: &str, place: &Resources) -> Option<(MachineKind, Resources)> {
         let offers = self.offers(|_| true, |other| other == zone, false);
         let cheapest = offers.into_iter().find(|priced| self.is_rentable(&priced.offer, place))?;
         let machine_type = self.types.get(&cheapest.offer.machine_type)?;
@@ -265,10 +262,9 @@
 fn best_offer<'a>(
     offers: &'a [PricedOffer],
     demand: &Demand<'_>,
-    counts: &BTreeMap<InstanceOffer, u32>,
-) -> Option<&'a InstanceOffer> {
-    let load =
-        |offer: &InstanceOffer| (demand.zones.get(&offer.zone), counts.get(offer).copied().unwrap_or(0));
+    counts: &BTreeMap<MachineKind, u32>,
+) -> Option<&'a MachineKind> {
+    let load = |offer: &MachineKind| (demand.zones.get(&offer.zone), counts.get(offer).copied().unwrap_or(0));
     let open = offers.iter().filter(|priced| demand.zones.allows(demand.job, &priced.offer.zone));
     let best =
         open.min_by(|a, b| a.price.total_cmp(&b.price).then_with(|| load(&a.offer).cmp(&load(&b.offer))));
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -57,7 +57,7 @@
         if is_bound_to_other_zone || !job.spec.allows_zone(zone) {
             return 0;
         }
-        job.spec.zone_most().saturating_sub(self.get(zone))
+        job.spec.max_tasks_per_zone().saturating_sub(self.get(zone))
     }
 }
 
@@ -65,7 +65,7 @@
 pub fn is_eligible(job: &Job, machine: &Machine) -> bool {
     job.spec.allows_type(&machine.machine_type)
         && job.spec.allows_zone(&machine.zone)
-        && (!machine.spot || job.spec.spot)
+        && (!machine.spot || job.spec.allows_spot)
 }
 
 /// The part of a machine's score that is the same for every further task of the job on it. Smaller is better;
@@ -84,7 +84,7 @@
 impl Score {
     /// Scores the machine for the job. `has_fixed_work`: whether some job may not use spot machines.
     pub fn of(job: &Job, machine: &Machine, has_fixed_work: bool) -> Self {
-        let is_ordinary_for_spot_job = job.spec.spot && !machine.spot;
+        let is_ordinary_for_spot_job = job.spec.allows_spot && !machine.spot;
         Score {
             takes_from_fixed_work: is_ordinary_for_spot_job && has_fixed_work,
             image_fetches: machine.image_fetches(&job.spec.image),
@@ -103,7 +103,7 @@
 /// filled first, so that others become empty.
 pub fn remainder(job: &Job, room: &Resources) -> i64 {
     let left = room.minus(&job.spec.resource_request);
-    left.gpus * 1000 + left.cpus
+    left.milli_gpus * 1000 + left.milli_cpus
 }
 
 #[cfg(test)]
--- a/src/scheduler/scoring_tests.rs
+++ b/src/scheduler/scoring_tests.rs
@@ -15,17 +15,17 @@
         kind,
         priority: Priority::Normal,
         tasks,
-        resource_request: Resources::needed(1.0, 0.0, 1.0),
+        resource_request: Resources::rounded_up(1.0, 0.0, 1.0),
         image: "image".into(),
         image_gb: 1.0,
-        types: None,
-        zone: None,
+        allowed_machine_types: None,
+        required_zone: None,
         one_zone: false,
         spread: false,
-        spot: true,
+        allows_spot: true,
         estimate_s: 60.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     }
 }
@@ -44,7 +44,7 @@
         address: String::new(),
         images: BTreeSet::new(),
     };
-    Machine::new(&stored, Resources::offered(4.0, 0.0, 4.0), Timestamp::ZERO, Timestamp::ZERO)
+    Machine::new(&stored, Resources::rounded_down(4.0, 0.0, 4.0), Timestamp::ZERO, Timestamp::ZERO)
 }
 
 fn score(job: &Job, machine: &Machine) -> Score {
@@ -68,12 +68,13 @@
 
 #[test]
 fn machines_that_a_job_may_not_use_are_not_eligible() {
-    let fixed = job(JobSpec { spot: false, ..spec(Kind::Service, 1) });
+    let fixed = job(JobSpec { allows_spot: false, ..spec(Kind::Service, 1) });
     assert!(!is_eligible(&fixed, &machine("m-1", "a", true)));
     assert!(is_eligible(&fixed, &machine("m-2", "a", false)));
-    let in_other_zone = job(JobSpec { zone: Some("b".into()), ..spec(Kind::Array, 1) });
+    let in_other_zone = job(JobSpec { required_zone: Some("b".into()), ..spec(Kind::Array, 1) });
     assert!(!is_eligible(&in_other_zone, &machine("m-3", "a", false)));
-    let other_type = job(JobSpec { types: Some(vec!["other".into()]), ..spec(Kind::Array, 1) });
+    let other_type =
+        job(JobSpec { allowed_machine_types: Some(vec!["other".into()]), ..spec(Kind::Array, 1) });
     assert!(!is_eligible(&other_type, &machine("m-4", "a", false)));
 }
 
@@ -93,8 +94,8 @@
 #[test]
 fn remainder_is_smallest_on_the_fullest_machine() {
     let job = job(spec(Kind::Array, 1));
-    let (fuller, emptier) = (Resources::offered(2.0, 0.0, 4.0), Resources::offered(4.0, 0.0, 4.0));
+    let (fuller, emptier) = (Resources::rounded_down(2.0, 0.0, 4.0), Resources::rounded_down(4.0, 0.0, 4.0));
     assert!(remainder(&job, &fuller) < remainder(&job, &emptier));
-    let with_gpu = Resources::offered(1.0, 1.0, 4.0);
+    let with_gpu = Resources::rounded_down(1.0, 1.0, 4.0);
     assert!(remainder(&job, &emptier) < remainder(&job, &with_gpu));
 }
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -13,7 +13,7 @@
     /// forget the task; only the first report has an effect beyond the placement.
     pub(super) fn apply_exit(&mut self, name: &str, exited: TaskAttempt, reason: ExitReason) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let is_first_report = machine.reported.exited.insert(exited, reason).is_none();
+        let is_first_report = machine.unplaced_tasks.exited.insert(exited, reason).is_none();
         let placement = machine.tasks.get(&exited.task);
         let is_placed = placement.is_some_and(|placement| placement.attempt == exited.attempt);
         let stop_requested = placement.is_some_and(|placement| placement.stopping.is_some());
@@ -63,7 +63,7 @@
             ExitReason::NoRoom | ExitReason::Busy => {
                 let now = self.now;
                 if let Some(machine) = self.machines.get_mut(name) {
-                    machine.health.no_room_backoff_until = now + limits::NO_ROOM_BACKOFF;
+                    machine.health.placement_backoff_until = now + limits::NO_ROOM_BACKOFF;
                 }
             }
         }
@@ -101,10 +101,11 @@
             > limits::SLOW_FACTOR * to_micros(earlier.total) as f64 / earlier.count as f64;
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
-        machine.health.slow_tasks = if is_slow { machine.health.slow_tasks + 1 } else { 0 };
-        if machine.health.slow_tasks >= limits::MAX_SLOW_TASKS {
+        machine.health.consecutive_slow_tasks =
+            if is_slow { machine.health.consecutive_slow_tasks + 1 } else { 0 };
+        if machine.health.consecutive_slow_tasks >= limits::MAX_SLOW_TASKS {
             warn!(machine = name, "machine is slow; placing no arrays or gangs on it for a while");
-            machine.health.slow_tasks = 0;
+            machine.health.consecutive_slow_tasks = 0;
             machine.health.quarantined_until = now + limits::SLOW_MACHINE_QUARANTINE;
         }
     }
--- a/src/scheduler/task_lists.rs
+++ b/src/scheduler/task_lists.rs
@@ -19,9 +19,9 @@
     live: BTreeSet<TaskAttempt>,
     /// Tasks that have exited.
     exited: BTreeSet<TaskAttempt>,
-    /// See `ReportedTasks::orphaned`.
+    /// See `UnplacedTasks::orphaned`.
     orphaned: BTreeSet<TaskAttempt>,
-    /// See `ReportedTasks::unverified`.
+    /// See `UnplacedTasks::unverified`.
     unverified: BTreeMap<TaskAttempt, Timestamp>,
 }
 
@@ -59,7 +59,7 @@
             return false;
         }
         self.image_cache.images.insert(image.to_string());
-        self.image_cache.changed = true;
+        self.image_cache.has_unrecorded_image = true;
         true
     }
 }
@@ -86,9 +86,9 @@
             }
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.reported.exited.retain(|attempt, _| listed.exited.contains(attempt));
-            machine.reported.orphaned = listed.orphaned;
-            machine.reported.unverified = listed.unverified;
+            machine.unplaced_tasks.exited.retain(|attempt, _| listed.exited.contains(attempt));
+            machine.unplaced_tasks.orphaned = listed.orphaned;
+            machine.unplaced_tasks.unverified = listed.unverified;
         }
         listed.live
     }
@@ -124,7 +124,7 @@
     /// Enters a listed task of an unknown job in `listed`: as orphaned, so that it is stopped, or as
     /// unverified, so that it is left alone until the state service has been asked about its job.
     fn classify_unknown(&self, name: &str, attempt: TaskAttempt, listed: &mut ListedTasks) {
-        let reported = self.machines.get(name).map(|machine| &machine.reported);
+        let reported = self.machines.get(name).map(|machine| &machine.unplaced_tasks);
         let is_orphaned = reported.is_some_and(|reported| reported.orphaned.contains(&attempt));
         if is_orphaned || !self.keeps_unknown_tasks() {
             listed.orphaned.insert(attempt);
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -55,8 +55,8 @@
                 let (team, class) = (job.spec.team.clone(), job.spec.class.clone());
                 let key = UsageKey { team, class, job_id: id.job_id };
                 let usage = self.usage.by_job.entry(key).or_default();
-                let gpus = i128::from(task.resource_request.gpus) * elapsed;
-                usage.cpus += i128::from(task.resource_request.cpus) * elapsed;
+                let gpus = i128::from(task.resource_request.milli_gpus) * elapsed;
+                usage.cpus += i128::from(task.resource_request.milli_cpus) * elapsed;
                 usage.gpus += gpus;
                 usage.spot_gpus += if machine.spot { gpus } else { 0 };
             }
--- a/tests/clusters/cluster.rs
+++ b/tests/clusters/cluster.rs
@@ -7,7 +7,7 @@
     ExitReason, Heartbeat, JobId, JobSpec, MachineType, ReportedTask, Resources, TaskId, TaskStatus,
 };
 use dockpier::scheduler::{
-    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
+    Command, Config, Effect, RequestOutcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
 };
 use dockpier::settings::{Operator, Team};
 use dockpier::time::Timestamp;
@@ -51,7 +51,7 @@
 fn machine_type() -> MachineType {
     MachineType {
         name: "m".into(),
-        capacity: Resources::offered(SLOTS, SLOTS, SLOTS),
+        capacity: Resources::rounded_down(SLOTS, SLOTS, SLOTS),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
@@ -91,7 +91,7 @@
     }
 
     fn load(&mut self, jobs: Vec<StoredJob>, records: Vec<(String, Vec<StoredMachine>)>) {
-        self.step(vec![Command::Types(vec![machine_type()]), Command::Load { jobs, records }]);
+        self.step(vec![Command::MachineTypes(vec![machine_type()]), Command::StateLoaded { jobs, records }]);
     }
 
     /// The state service and the cloud carry out everything at once.
@@ -99,21 +99,25 @@
         let mut answers = Vec::new();
         for effect in self.scheduler.step(self.now, batch) {
             match effect {
-                Effect::Record { key, .. } => {
-                    answers.push(Command::Recorded { key, outcome: WriteOutcome::Done });
+                Effect::WriteMachineRecord { key, .. } => {
+                    answers.push(Command::MachineRecordWritten { key, outcome: RequestOutcome::Done });
                 }
-                Effect::CommitDone { job_id, tasks, .. } => {
-                    answers.push(Command::Committed { job_id, tasks, outcome: WriteOutcome::Done });
+                Effect::WriteFinishedTasks { job_id, tasks, .. } => {
+                    answers.push(Command::FinishedTasksWritten {
+                        job_id,
+                        tasks,
+                        outcome: RequestOutcome::Done,
+                    });
                 }
-                Effect::Finish { job_id, .. } => {
-                    answers.push(Command::Finished { job_id, outcome: WriteOutcome::Done });
+                Effect::WriteJobEnd { job_id, .. } => {
+                    answers.push(Command::JobEndWritten { job_id, outcome: RequestOutcome::Done });
                 }
                 Effect::Delete(machines) => {
                     self.deleted.extend(machines.iter().cloned());
-                    answers.push(Command::Deleted { machines, outcome: WriteOutcome::Done });
+                    answers.push(Command::Deleted { machines, outcome: RequestOutcome::Done });
                 }
-                Effect::HeartbeatResponse { reply, task_commands, .. } => {
-                    self.carry_out(reply as usize, task_commands)
+                Effect::HeartbeatResponse { response_id, task_commands, .. } => {
+                    self.carry_out(response_id as usize, task_commands)
                 }
                 _ => {}
             }
@@ -170,7 +174,7 @@
             notice_s: None,
             tasks: tasks.collect(),
         };
-        self.step(vec![Command::Heartbeat { reply: machine as u64, heartbeat, via: None }]);
+        self.step(vec![Command::Heartbeat { response_id: machine as u64, heartbeat, relayed_by: None }]);
     }
 
     pub fn heartbeats(&mut self, rounds: usize) {
--- a/tests/clusters/teams.rs
+++ b/tests/clusters/teams.rs
@@ -12,7 +12,7 @@
 fn job(id: u64, team: &str, priority: Priority, tasks: u32) -> JobSpec {
     JobSpec {
         team: team.into(),
-        resource_request: Resources::needed(1.0, 0.0, 1.0),
+        resource_request: Resources::rounded_up(1.0, 0.0, 1.0),
         ..spec(id, Kind::Array, priority, tasks)
     }
 }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -203,8 +203,11 @@
     let of = |fleet: &Fleet, job: u64| running(fleet).iter().filter(|id| id.job_id.0 == job).count();
     assert_eq!((of(&fleet, 12), of(&fleet, 13)), (20, 20), "stopped before the store was asked");
     // A reading that left before the report proves nothing of it.
-    let early =
-        Command::JobRead { job_id: JobId(12), sent: Timestamp::from_micros(1), reading: JobReading::Absent };
+    let early = Command::JobRead {
+        job_id: JobId(12),
+        sent_at: Timestamp::from_micros(1),
+        reading: JobReading::Absent,
+    };
     drop(fleet.scheduler.step(fleet.now(), vec![early]));
     fleet.run(3.0);
     assert_eq!(of(&fleet, 12), 20, "stopped on a reading older than the report");
--- a/tests/draining/tasks.rs
+++ b/tests/draining/tasks.rs
@@ -29,10 +29,19 @@
 fn elastic_work_is_saved_or_let_finish() {
     let agreed = Budget { cost: Cost { replica_s: 0.0, work_s: 10_000.0 }, ..budget(8, 0.0, 3_600.0) };
     let mut fleet = Fleet::new(layout_of(&[("t", agreed)], 8));
-    let saving =
-        JobSpec { checkpoint_s: 10.0, save_s: 2.0, estimate_s: 300.0, ..job(1, "t", Kind::Array, 4) };
+    let saving = JobSpec {
+        checkpoint_interval_s: 10.0,
+        checkpoint_save_s: 2.0,
+        estimate_s: 300.0,
+        ..job(1, "t", Kind::Array, 4)
+    };
     let plain = JobSpec { estimate_s: 45.0, ..job(2, "t", Kind::Array, 4) };
-    let gang = JobSpec { checkpoint_s: 10.0, save_s: 2.0, estimate_s: 300.0, ..job(3, "t", Kind::Gang, 4) };
+    let gang = JobSpec {
+        checkpoint_interval_s: 10.0,
+        checkpoint_save_s: 2.0,
+        estimate_s: 300.0,
+        ..job(3, "t", Kind::Gang, 4)
+    };
     [saving, plain, gang].into_iter().for_each(|spec| fleet.submit(spec));
     assert!(fleet.run_until(30.0, |fleet| running(fleet, |_| true) == 12));
     let machines: Vec<String> = fleet
--- a/tests/elastic_model.rs
+++ b/tests/elastic_model.rs
@@ -10,7 +10,7 @@
     TaskStatus,
 };
 use dockpier::scheduler::{
-    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
+    Command, Config, Effect, RequestOutcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
 };
 use dockpier::settings::Operator;
 use dockpier::time::{from_seconds, Timestamp};
@@ -21,7 +21,7 @@
 fn types() -> Vec<MachineType> {
     vec![MachineType {
         name: "m".into(),
-        capacity: Resources::offered(1.0, 1.0, 1.0),
+        capacity: Resources::rounded_down(1.0, 1.0, 1.0),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
@@ -70,7 +70,10 @@
             ended: BTreeSet::new(),
             deleted: Vec::new(),
         };
-        bed.step(vec![Command::Types(types()), Command::Load { jobs: vec![], records: vec![] }]);
+        bed.step(vec![
+            Command::MachineTypes(types()),
+            Command::StateLoaded { jobs: vec![], records: vec![] },
+        ]);
         bed.heartbeat();
         bed.heartbeat();
         bed
@@ -87,12 +90,12 @@
         let recorded: Vec<Command> = effects
             .iter()
             .filter_map(|e| match e {
-                Effect::Record { key, .. } => {
-                    Some(Command::Recorded { key: key.clone(), outcome: WriteOutcome::Done })
+                Effect::WriteMachineRecord { key, .. } => {
+                    Some(Command::MachineRecordWritten { key: key.clone(), outcome: RequestOutcome::Done })
                 }
-                Effect::CommitDone { job_id, tasks, .. } => {
+                Effect::WriteFinishedTasks { job_id, tasks, .. } => {
                     let (job_id, tasks) = (*job_id, tasks.clone());
-                    Some(Command::Committed { job_id, tasks, outcome: WriteOutcome::Done })
+                    Some(Command::FinishedTasksWritten { job_id, tasks, outcome: RequestOutcome::Done })
                 }
                 _ => None,
             })
@@ -130,7 +133,8 @@
                 notice_s: None,
                 tasks,
             };
-            for effect in self.step(vec![Command::Heartbeat { reply: 1, heartbeat, via: None }]) {
+            for effect in self.step(vec![Command::Heartbeat { response_id: 1, heartbeat, relayed_by: None }])
+            {
                 let Effect::HeartbeatResponse { task_commands, .. } = effect else { continue };
                 let running = self.running.get_mut(&machine).unwrap();
                 for command in task_commands {
@@ -240,7 +244,7 @@
 #[test]
 fn a_round_over_its_budget_goes_on_where_it_stopped() {
     let mut bed = Bed::new(6, 0.0);
-    bed.scheduler.config.round_steps = 3;
+    bed.scheduler.config.max_round_steps = 3;
     let batch = (1..7u64).map(|job_id| {
         let spec = spec(job_id, Kind::Array, Priority::Low, 1);
         Command::JobAdded(StoredJob {
@@ -286,7 +290,7 @@
     let mut bed = Bed::new(2, 0.0);
     bed.submit(spec(1, Kind::Array, Priority::Low, 2));
     let gone = "m-000001".to_string();
-    bed.step(vec![Command::Deleted { machines: vec![gone.clone()], outcome: WriteOutcome::Done }]);
+    bed.step(vec![Command::Deleted { machines: vec![gone.clone()], outcome: RequestOutcome::Done }]);
     // The cut ends and delivers what the machine had reported before.
     bed.heartbeat();
     assert!(!bed.scheduler.machines.contains_key(&gone));
@@ -299,22 +303,22 @@
 #[test]
 fn a_record_that_is_too_large_is_split_and_the_new_ones_are_written_first() {
     let config = Config { token: FencingToken(2), zones: vec!["a".into()], ..common::config() };
-    let most = config.record_machines;
+    let most = config.max_machines_per_record;
     let mut scheduler = Scheduler::new(config, Timestamp::from_secs(1));
     let old = (0..3 * most).map(known).collect::<Vec<_>>();
     let mut stored: BTreeMap<String, Vec<StoredMachine>> = [("1-1".to_string(), old)].into();
     let records = vec![("1-1".into(), stored["1-1"].clone())];
-    let mut then = vec![Command::Types(types()), Command::Load { jobs: vec![], records }];
+    let mut then = vec![Command::MachineTypes(types()), Command::StateLoaded { jobs: vec![], records }];
     for step in 1..100 {
         let effects = scheduler
             .step(Timestamp::from_secs(1) + Duration::from_micros(step * 100_000), std::mem::take(&mut then));
         for effect in effects {
-            let Effect::Record { key, machines } = effect else { continue };
+            let Effect::WriteMachineRecord { key, machines } = effect else { continue };
             assert!(machines.len() <= most, "{key}: {} machines", machines.len());
             stored.insert(key.clone(), machines);
             let all: BTreeSet<&String> = stored.values().flatten().map(|m| &m.name).collect();
             assert_eq!(all.len(), 3 * most, "a machine is in no record");
-            then.push(Command::Recorded { key, outcome: WriteOutcome::Done });
+            then.push(Command::MachineRecordWritten { key, outcome: RequestOutcome::Done });
         }
     }
     assert!(stored.values().all(|machines| machines.len() <= most), "the old record was left as it was");
@@ -331,8 +335,9 @@
         age: Duration::ZERO,
         succeeded: BTreeSet::new(),
     };
-    let load = Command::Load { jobs: vec![job], records: vec![("1-1".into(), (0..4).map(known).collect())] };
-    bed.step(vec![Command::Types(types()), load]);
+    let load =
+        Command::StateLoaded { jobs: vec![job], records: vec![("1-1".into(), (0..4).map(known).collect())] };
+    bed.step(vec![Command::MachineTypes(types()), load]);
     let started_at = bed.now;
     while bed.deleted.is_empty() {
         bed.heartbeat();
@@ -342,7 +347,7 @@
     }
     let machines = std::mem::take(&mut bed.deleted);
     assert_eq!(machines, ["m-000003"]);
-    bed.step(vec![Command::Deleted { machines, outcome: WriteOutcome::Done }]);
+    bed.step(vec![Command::Deleted { machines, outcome: RequestOutcome::Done }]);
     (0..2).for_each(|_| bed.heartbeat());
     assert_eq!(bed.width(1), 2);
 }
