--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -10,7 +10,7 @@
     TaskStatus,
 };
 use dockpier::scheduler::{
-    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
+    Command, Config, Effect, RequestOutcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
 };
 use dockpier::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,9 +37,9 @@
 }
 
 fn types() -> Command {
-    Command::Types(vec![MachineType {
+    Command::MachineTypes(vec![MachineType {
         name: "m".into(),
-        capacity: Resources::offered(1.0, 1.0, 1.0),
+        capacity: Resources::rounded_down(1.0, 1.0, 1.0),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
@@ -49,14 +49,18 @@
 }
 
 fn gang() -> StoredJob {
-    let spec =
-        JobSpec { checkpoint_s: 20.0, save_s: 3.0, one_zone: true, ..spec(1, Kind::Gang, Priority::High, 3) };
+    let spec = JobSpec {
+        checkpoint_interval_s: 20.0,
+        checkpoint_save_s: 3.0,
+        one_zone: true,
+        ..spec(1, Kind::Gang, Priority::High, 3)
+    };
     StoredJob { spec, version: 1, age: Duration::ZERO, succeeded: BTreeSet::new() }
 }
 
 impl Bed {
     fn new() -> Bed {
-        let config = Config { zones: vec!["a".into()], record_machines: 6, ..common::config() };
+        let config = Config { zones: vec!["a".into()], max_machines_per_record: 6, ..common::config() };
         let mut bed = Bed {
             scheduler: Scheduler::new(config, Timestamp::from_secs(1)),
             now: Timestamp::from_secs(1),
@@ -68,7 +72,7 @@
             stops: Vec::new(),
             finished: Vec::new(),
         };
-        bed.step(vec![types(), Command::Load { jobs: vec![], records: vec![] }]);
+        bed.step(vec![types(), Command::StateLoaded { jobs: vec![], records: vec![] }]);
         (0..2).for_each(|_| bed.heartbeat());
         bed.step(vec![Command::JobAdded(gang())]);
         (0..3).for_each(|_| bed.heartbeat());
@@ -80,15 +84,15 @@
         let mut then = Vec::new();
         for effect in self.scheduler.step(self.now, batch) {
             match effect {
-                Effect::Record { key, .. } => {
-                    then.push(Command::Recorded { key, outcome: WriteOutcome::Done })
+                Effect::WriteMachineRecord { key, .. } => {
+                    then.push(Command::MachineRecordWritten { key, outcome: RequestOutcome::Done })
                 }
-                Effect::Finish { job_id, .. } => {
+                Effect::WriteJobEnd { job_id, .. } => {
                     self.finished.push(job_id);
-                    then.push(Command::Finished { job_id, outcome: WriteOutcome::Done });
+                    then.push(Command::JobEndWritten { job_id, outcome: RequestOutcome::Done });
                 }
-                Effect::HeartbeatResponse { reply, task_commands, .. } if reply > 0 => {
-                    self.task_commands(reply as usize - 1, task_commands)
+                Effect::HeartbeatResponse { response_id, task_commands, .. } if response_id > 0 => {
+                    self.task_commands(response_id as usize - 1, task_commands)
                 }
                 Effect::DirectCommands { machine, task_commands, .. } => {
                     let machine = machine.trim_start_matches("m-").parse().unwrap();
@@ -144,7 +148,11 @@
                 notice_s: self.notice.get(&machine).copied(),
                 tasks: tasks.collect(),
             };
-            self.step(vec![Command::Heartbeat { reply: machine as u64 + 1, heartbeat, via: None }]);
+            self.step(vec![Command::Heartbeat {
+                response_id: machine as u64 + 1,
+                heartbeat,
+                relayed_by: None,
+            }]);
         }
     }
 
@@ -171,7 +179,7 @@
     fn lose(&mut self, machine: usize) {
         self.silent.insert(machine);
         self.on.remove(&machine);
-        self.step(vec![Command::Deleted { machines: vec![name(machine)], outcome: WriteOutcome::Done }]);
+        self.step(vec![Command::Deleted { machines: vec![name(machine)], outcome: RequestOutcome::Done }]);
     }
 
     /// The next leader, which knows what is stored and no more.
@@ -188,7 +196,7 @@
             images: BTreeSet::new(),
         };
         let records = vec![("1-1".into(), (0..MACHINES).map(known).collect())];
-        self.step(vec![types(), Command::Load { jobs: vec![gang()], records }]);
+        self.step(vec![types(), Command::StateLoaded { jobs: vec![gang()], records }]);
     }
 }
 
--- a/tests/leases/accounting.rs
+++ b/tests/leases/accounting.rs
@@ -6,7 +6,7 @@
 use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::model::{ExitReason, Heartbeat, JobId, Kind, Priority, TaskId, TaskStatus};
-use dockpier::scheduler::{Command, Config, Effect, Scheduler, StoredJob, TaskCommand, WriteOutcome};
+use dockpier::scheduler::{Command, Config, Effect, RequestOutcome, Scheduler, StoredJob, TaskCommand};
 use dockpier::time::{as_seconds, from_seconds, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -53,7 +53,7 @@
             answered: BTreeSet::new(),
             stops_sent: false,
         };
-        cluster.step(vec![machine_types(), Command::Load { jobs: vec![], records: vec![] }]);
+        cluster.step(vec![machine_types(), Command::StateLoaded { jobs: vec![], records: vec![] }]);
         for _ in 0..3 {
             cluster.send_heartbeat("m-000001");
         }
@@ -74,11 +74,11 @@
         for effect in self.scheduler.step(self.now, batch) {
             outcomes.extend(outcome(&effect));
             match effect {
-                Effect::HeartbeatResponse { reply, renewal, task_commands, .. } => {
+                Effect::HeartbeatResponse { response_id, renewal, task_commands, .. } => {
                     if renewal.is_some() {
-                        self.answered.insert(reply);
+                        self.answered.insert(response_id);
                     }
-                    let machine = if reply < 1_000 { "m-000001" } else { "m-000002" };
+                    let machine = if response_id < 1_000 { "m-000001" } else { "m-000002" };
                     self.carry_out(machine, &task_commands);
                 }
                 Effect::DirectCommands { machine, .. } => self.stops_sent |= machine == "m-000001",
@@ -119,16 +119,16 @@
     fn heartbeat(&mut self, machine: &str) -> (u64, Heartbeat) {
         let sequence = self.sequences.entry(machine.into()).or_default();
         *sequence += 1;
-        let reply = *sequence + if machine == "m-000001" { 0 } else { 1_000 };
+        let response_id = *sequence + if machine == "m-000001" { 0 } else { 1_000 };
         let tasks = self.running.get(machine).into_iter().flatten();
         let tasks = tasks.map(|(id, attempt)| (*id, *attempt, TaskStatus::Running));
         let heartbeat = heartbeat(machine, *sequence, FencingToken(u64::from(*sequence > 1)), tasks);
-        (reply, heartbeat)
+        (response_id, heartbeat)
     }
 
     fn send_heartbeat(&mut self, machine: &str) {
-        let (reply, heartbeat) = self.heartbeat(machine);
-        self.step(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
+        let (response_id, heartbeat) = self.heartbeat(machine);
+        self.step(vec![Command::Heartbeat { response_id, heartbeat, relayed_by: None }]);
     }
 
     /// The first machine is silent from now on; returns when its replica is placed on the second.
@@ -157,7 +157,7 @@
     let mut cluster = Cluster::new();
     // Its next heartbeat is due after a whole interval, and takes a while to arrive.
     (0..25).for_each(|_| cluster.step(vec![]));
-    let (reply, heartbeat) = cluster.heartbeat("m-000001");
+    let (response_id, heartbeat) = cluster.heartbeat("m-000001");
     let sent = cluster.now;
     cluster.step(vec![Command::JobRemoved(CANCELLED)]);
     assert!(cluster.stops_sent, "the cancelled replica is stopped directly");
@@ -165,9 +165,9 @@
     let stopped = direct.tasks.iter_mut().find(|task| task.id.job_id == CANCELLED).unwrap();
     stopped.status = TaskStatus::Exited(ExitReason::Stopped);
     // One batch of the owner: outcomes of its own requests come before heartbeats.
-    let overtaken = Command::Heartbeat { reply, heartbeat, via: None };
-    cluster.step(vec![Command::DirectCommandAnswered(direct), overtaken]);
-    let answered = cluster.answered.contains(&reply);
+    let overtaken = Command::Heartbeat { response_id, heartbeat, relayed_by: None };
+    cluster.step(vec![Command::DirectResponse(direct), overtaken]);
+    let answered = cluster.answered.contains(&response_id);
     let placed = cluster.placed_elsewhere();
     let lease_ends = sent + from_seconds(LEASE_S);
     assert!(
@@ -182,7 +182,7 @@
 fn refused(cluster: &mut Cluster, heartbeat: Heartbeat) -> bool {
     const REPLY: u64 = 999;
     let (held, ignored) = (cluster.held(), cluster.ignored());
-    cluster.step(vec![Command::Heartbeat { reply: REPLY, heartbeat, via: None }]);
+    cluster.step(vec![Command::Heartbeat { response_id: REPLY, heartbeat, relayed_by: None }]);
     assert_eq!(cluster.held(), held, "nothing starts or ends because of it");
     assert_eq!(cluster.ignored(), ignored + 1, "it is counted");
     !cluster.answered.contains(&REPLY)
@@ -192,9 +192,9 @@
 #[test]
 fn a_repeated_heartbeat_is_refused_and_counted() {
     let mut cluster = Cluster::new();
-    let (reply, heartbeat) = cluster.heartbeat("m-000001");
-    cluster.step(vec![Command::Heartbeat { reply, heartbeat: heartbeat.clone(), via: None }]);
-    assert!(cluster.answered.contains(&reply));
+    let (response_id, heartbeat) = cluster.heartbeat("m-000001");
+    cluster.step(vec![Command::Heartbeat { response_id, heartbeat: heartbeat.clone(), relayed_by: None }]);
+    assert!(cluster.answered.contains(&response_id));
     assert!(refused(&mut cluster, heartbeat));
 }
 
@@ -204,9 +204,9 @@
     let mut cluster = Cluster::new();
     let (_, earlier) = cluster.heartbeat("m-000001");
     cluster.running.clear();
-    let (reply, heartbeat) = cluster.heartbeat("m-000001");
+    let (response_id, heartbeat) = cluster.heartbeat("m-000001");
     let heartbeat = Heartbeat { agent_epoch: 2, tasks: vec![], ..heartbeat };
-    cluster.step(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
+    cluster.step(vec![Command::Heartbeat { response_id, heartbeat, relayed_by: None }]);
     assert!(refused(&mut cluster, earlier));
 }
 
@@ -215,7 +215,7 @@
 fn a_heartbeat_of_a_deleted_machine_is_refused_and_counted() {
     let mut cluster = Cluster::new();
     let (_, heartbeat) = cluster.heartbeat("m-000001");
-    cluster.step(vec![Command::Deleted { machines: vec!["m-000001".into()], outcome: WriteOutcome::Done }]);
+    cluster.step(vec![Command::Deleted { machines: vec!["m-000001".into()], outcome: RequestOutcome::Done }]);
     assert!(refused(&mut cluster, heartbeat));
 }
 
@@ -225,7 +225,7 @@
     let mut cluster = Cluster::new();
     let (_, heartbeat) = cluster.heartbeat("m-000001");
     let (_, direct) = cluster.heartbeat("m-000001");
-    cluster.step(vec![Command::DirectCommandAnswered(direct)]);
+    cluster.step(vec![Command::DirectResponse(direct)]);
     cluster.placed_elsewhere();
     assert!(refused(&mut cluster, heartbeat));
 }
--- a/tests/leases/interleavings/world.rs
+++ b/tests/leases/interleavings/world.rs
@@ -50,7 +50,7 @@
             started_elsewhere: None,
         };
         world.shard.follow(FencingToken(1));
-        world.leader(vec![machine_types(), Command::Load { jobs: vec![], records: vec![] }]);
+        world.leader(vec![machine_types(), Command::StateLoaded { jobs: vec![], records: vec![] }]);
         (0..3).for_each(|_| world.exchange());
         for job_id in [REPLICA.job_id, CANCELLED] {
             let spec = spec(job_id.0, Kind::Service, Priority::Critical, 1);
@@ -105,7 +105,7 @@
     fn report_of_empty(&mut self) {
         for _ in 0..3 {
             let heartbeat = self.empty.heartbeat(EMPTY);
-            self.leader(vec![Command::Heartbeat { reply: 0, heartbeat, via: None }]);
+            self.leader(vec![Command::Heartbeat { response_id: 0, heartbeat, relayed_by: None }]);
         }
     }
 
@@ -113,8 +113,8 @@
         match self.under_way.remove(at) {
             Message::WorkerHeartbeat(heartbeat) if self.by_leaseholder => self.at_leaseholder(heartbeat),
             Message::WorkerHeartbeat(heartbeat) => {
-                let reply = heartbeat.sequence;
-                self.leader(vec![Command::Heartbeat { reply, heartbeat, via: None }]);
+                let response_id = heartbeat.sequence;
+                self.leader(vec![Command::Heartbeat { response_id, heartbeat, relayed_by: None }]);
             }
             Message::PassedOn(heartbeat) => self.pass_on(heartbeat),
             Message::Reply { heartbeat, renews, keep, task_commands } => {
@@ -136,22 +136,22 @@
                 self.send(Message::DirectAnswer(answer));
                 self.report_if_due();
             }
-            Message::DirectAnswer(heartbeat) => self.leader(vec![Command::DirectCommandAnswered(heartbeat)]),
+            Message::DirectAnswer(heartbeat) => self.leader(vec![Command::DirectResponse(heartbeat)]),
             Message::Heartbeat { heartbeat, stamp } => {
-                let ShardHeartbeat { id, complete, first_of_incarnation, machines } = heartbeat;
+                let ShardHeartbeat { id, complete, none_acknowledged, machines } = heartbeat;
                 let covers_until = complete.then_some(stamp);
                 self.leader(vec![Command::ShardHeartbeat {
                     node: LEASEHOLDER,
                     machines,
                     covers_until,
-                    first_of_incarnation,
+                    none_acknowledged,
                 }]);
                 self.send(Message::Confirmed(id));
             }
             Message::Confirmed(id) => {
                 self.shard.acknowledge(id, SHARD_LEASE);
             }
-            Message::Wake => self.shard.request_wake(&[WATCHED.to_string()]),
+            Message::Wake => self.shard.require_relay(&[WATCHED.to_string()]),
         }
     }
 
@@ -167,12 +167,15 @@
     }
 
     fn pass_on(&mut self, heartbeat: Heartbeat) {
-        let reply = heartbeat.sequence;
+        let response_id = heartbeat.sequence;
         let first = self.under_way.len();
-        self.leader(vec![Command::Heartbeat { reply, heartbeat: heartbeat.clone(), via: Some(LEASEHOLDER) }]);
+        self.leader(vec![Command::Heartbeat {
+            response_id,
+            heartbeat: heartbeat.clone(),
+            relayed_by: Some(LEASEHOLDER),
+        }]);
         // What the leader answers goes by way of the leaseholder.
-        let answer =
-            |message: &Message| matches!(message, Message::Answer { sequence, .. } if *sequence == reply);
+        let answer = |message: &Message| matches!(message, Message::Answer { sequence, .. } if *sequence == response_id);
         let Some(at) = self.under_way.iter().skip(first).position(answer) else { return };
         if let Message::Answer { task_commands, .. } = self.under_way.remove(first + at) {
             let renews = task_commands.is_some();
@@ -191,19 +194,19 @@
         for effect in self.scheduler.step(self.now, batch) {
             outcomes.extend(outcome(&effect));
             match effect {
-                Effect::HeartbeatResponse { reply: 0, task_commands, .. } => {
+                Effect::HeartbeatResponse { response_id: 0, task_commands, .. } => {
                     self.answer_empty(&task_commands)
                 }
-                Effect::HeartbeatResponse { reply, renewal, task_commands, .. } => {
+                Effect::HeartbeatResponse { response_id, renewal, task_commands, .. } => {
                     self.send(Message::Answer {
-                        sequence: reply,
+                        sequence: response_id,
                         task_commands: renewal.map(|_| task_commands),
                     });
                 }
                 Effect::DirectCommands { machine, task_commands, .. } if machine == WATCHED => {
                     self.send(Message::Direct(task_commands));
                 }
-                Effect::RequestWake { .. } => self.send(Message::Wake),
+                Effect::RequestRelay { .. } => self.send(Message::Wake),
                 _ => {}
             }
         }
@@ -228,18 +231,18 @@
         while self.now < until && self.started_elsewhere.is_none() {
             self.now += SECOND;
             let heartbeat = self.shard.next_heartbeat(self.now).filter(|_| leaseholder_reachable);
-            if let Some(ShardHeartbeat { id, complete, first_of_incarnation, machines }) = heartbeat {
+            if let Some(ShardHeartbeat { id, complete, none_acknowledged, machines }) = heartbeat {
                 let covers_until = complete.then_some(self.now);
                 self.leader(vec![Command::ShardHeartbeat {
                     node: LEASEHOLDER,
                     machines,
                     covers_until,
-                    first_of_incarnation,
+                    none_acknowledged,
                 }]);
                 self.shard.acknowledge(id, SHARD_LEASE);
             }
             let heartbeat = self.empty.heartbeat(EMPTY);
-            self.leader(vec![Command::Heartbeat { reply: 0, heartbeat, via: None }]);
+            self.leader(vec![Command::Heartbeat { response_id: 0, heartbeat, relayed_by: None }]);
         }
         let started = self.started_elsewhere.unwrap_or_else(|| panic!("{order:?}: never started elsewhere"));
         let early_s = as_seconds(self.worker.lease_until.since(started));
--- a/tests/leases/stand_ins.rs
+++ b/tests/leases/stand_ins.rs
@@ -2,13 +2,13 @@
 
 use dockpier::fencing_token::FencingToken;
 use dockpier::scheduler::model::{Heartbeat, MachineType, ReportedTask, Resources, TaskId, TaskStatus};
-use dockpier::scheduler::{Command, Effect, WriteOutcome};
+use dockpier::scheduler::{Command, Effect, RequestOutcome};
 
 /// Machines of two slots in one zone.
 pub fn machine_types() -> Command {
-    Command::Types(vec![MachineType {
+    Command::MachineTypes(vec![MachineType {
         name: "m".into(),
-        capacity: Resources::offered(2.0, 2.0, 2.0),
+        capacity: Resources::rounded_down(2.0, 2.0, 2.0),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
@@ -20,14 +20,14 @@
 /// What the state service or the cloud answers to an effect of the leader's, if it is for them.
 pub fn outcome(effect: &Effect) -> Option<Command> {
     match effect {
-        Effect::Record { key, .. } => {
-            Some(Command::Recorded { key: key.clone(), outcome: WriteOutcome::Done })
+        Effect::WriteMachineRecord { key, .. } => {
+            Some(Command::MachineRecordWritten { key: key.clone(), outcome: RequestOutcome::Done })
         }
         Effect::Rent { request, .. } => {
-            Some(Command::Rented { request: *request, machines: None, outcome: WriteOutcome::Refused })
+            Some(Command::Rented { request: *request, machines: None, outcome: RequestOutcome::Refused })
         }
         Effect::Delete(machines) => {
-            Some(Command::Deleted { machines: machines.clone(), outcome: WriteOutcome::Unknown })
+            Some(Command::Deleted { machines: machines.clone(), outcome: RequestOutcome::Unknown })
         }
         _ => None,
     }
--- a/tests/pinned_state/leader_views.rs
+++ b/tests/pinned_state/leader_views.rs
@@ -20,7 +20,7 @@
         class: "train".into(),
         team: "vision".into(),
         image: "img-07".into(),
-        zone: Some(zone.into()),
+        required_zone: Some(zone.into()),
         ..common::spec(number, kind, priority, 2)
     };
     StoredJob { spec, version: number, age: Duration::ZERO, succeeded: [0].into() }
@@ -50,7 +50,7 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    Command::Heartbeat { reply: sequence, heartbeat: report, via: None }
+    Command::Heartbeat { response_id: sequence, heartbeat: report, relayed_by: None }
 }
 
 /// A leader that inherited a job of each priority and two machines, of which one reports for twenty seconds.
@@ -63,8 +63,8 @@
         job(4, Kind::Array, Priority::Low, "nowhere"),
     ];
     let machines = vec![machine("m-000001", false), machine("m-000002", true)];
-    let load = Command::Load { jobs, records: vec![("40-1".into(), machines)] };
-    drop(core.step(Timestamp::from_secs(1), vec![Command::Types(vec![machine_type()]), load]));
+    let load = Command::StateLoaded { jobs, records: vec![("40-1".into(), machines)] };
+    drop(core.step(Timestamp::from_secs(1), vec![Command::MachineTypes(vec![machine_type()]), load]));
     let mut views = vec![page(&core, &PageStart::default())];
     for second in 2..22 {
         drop(core.step(Timestamp::from_secs(second), vec![report("m-000001", second)]));
--- a/tests/pinned_state/node_api.rs
+++ b/tests/pinned_state/node_api.rs
@@ -103,7 +103,7 @@
 pub fn machine_type() -> MachineType {
     MachineType {
         name: "g8".into(),
-        capacity: Resources::offered(32.0, 8.0, 256.0),
+        capacity: Resources::rounded_down(32.0, 8.0, 256.0),
         price: 12.0,
         spot_price: Some(3.6),
         boot_s: 60.0,
--- a/tests/pinned_wire/http_edge.rs
+++ b/tests/pinned_wire/http_edge.rs
@@ -148,7 +148,7 @@
 fn machine_types() -> Types {
     let g8 = MachineType {
         name: "g8".into(),
-        capacity: Resources::offered(96.0, 8.0, 768.0),
+        capacity: Resources::rounded_down(96.0, 8.0, 768.0),
         price: 12.0,
         spot_price: Some(4.5),
         boot_s: 45.0,
--- a/tests/pinned_wire/spell.rs
+++ b/tests/pinned_wire/spell.rs
@@ -4,7 +4,7 @@
 use dockpier::scheduler::model::{
     ExitReason, Heartbeat, JobSpec, Kind, MachineType, Priority, Resources, TaskStatus,
 };
-use dockpier::scheduler::{ListedMachine, WriteOutcome};
+use dockpier::scheduler::{ListedMachine, RequestOutcome};
 
 /// A job as it was submitted.
 pub fn job(job: &JobSpec) -> String {
@@ -27,18 +27,18 @@
         format!("needs {} image {:?} {:?} GB", resources(&job.resource_request), job.image, job.image_gb);
     let places = format!(
         "types {:?} zone {:?} one-zone {} spread {} spot {}",
-        job.types, job.zone, job.one_zone, job.spread, job.spot
+        job.allowed_machine_types, job.required_zone, job.one_zone, job.spread, job.allows_spot
     );
     let times = format!(
         "estimate {:?} s checkpoint {:?} s save {:?} s deadline {:?} s",
-        job.estimate_s, job.checkpoint_s, job.save_s, job.deadline_s
+        job.estimate_s, job.checkpoint_interval_s, job.checkpoint_save_s, job.deadline_s
     );
     [names, needs, places, times].join("; ")
 }
 
 /// Amounts of a machine or task.
 pub fn resources(amounts: &Resources) -> String {
-    format!("{} millicores {} milligpus {} MB", amounts.cpus, amounts.gpus, amounts.memory)
+    format!("{} millicores {} milligpus {} MB", amounts.milli_cpus, amounts.milli_gpus, amounts.memory_mb)
 }
 
 /// A worker's report.
@@ -114,10 +114,10 @@
 }
 
 /// What became of a request to the cloud.
-pub fn cloud_outcome(outcome: WriteOutcome) -> &'static str {
+pub fn cloud_outcome(outcome: RequestOutcome) -> &'static str {
     match outcome {
-        WriteOutcome::Done => "done",
-        WriteOutcome::Refused => "refused",
-        WriteOutcome::Unknown => "unknown",
+        RequestOutcome::Done => "done",
+        RequestOutcome::Refused => "refused",
+        RequestOutcome::Unknown => "unknown",
     }
 }
--- a/tests/scale/failure_detection.rs
+++ b/tests/scale/failure_detection.rs
@@ -15,7 +15,7 @@
     // Long after the leader's start, as a boot is.
     (0..5).for_each(|_| fleet.heartbeat());
     fleet.machines = 1;
-    fleet.step(vec![Command::Listed(vec![dockpier::scheduler::ListedMachine {
+    fleet.step(vec![Command::MachinesListed(vec![dockpier::scheduler::ListedMachine {
         machine: recorded(0),
         failed: false,
         age_s: 1.0,
@@ -101,7 +101,7 @@
     let mut fleet = Fleet::new(0);
     fleet.scheduler = Scheduler::new(fleet.scheduler.config.clone(), fleet.now);
     let records = vec![("1-1".to_string(), (0..16).map(recorded).collect())];
-    fleet.step(vec![Command::Load { jobs: vec![], records }]);
+    fleet.step(vec![Command::StateLoaded { jobs: vec![], records }]);
     // Four of sixteen are dead, and all the others report to a leaseholder.
     (fleet.machines, fleet.leaseholder, fleet.sequence) = (12, Some(1), 0);
     (0..4).for_each(|_| fleet.heartbeat());
--- a/tests/scale/fleet.rs
+++ b/tests/scale/fleet.rs
@@ -9,7 +9,7 @@
     TaskStatus,
 };
 use dockpier::scheduler::{
-    Command, Config, Effect, Scheduler, StoredJob, StoredMachine, TaskCommand, WriteOutcome,
+    Command, Config, Effect, RequestOutcome, Scheduler, StoredJob, StoredMachine, TaskCommand,
 };
 use dockpier::settings::{Operator, Workers};
 use dockpier::time::Timestamp;
@@ -63,7 +63,7 @@
 pub fn machine_type(config: &Config) -> MachineType {
     MachineType {
         name: "m".into(),
-        capacity: Resources::offered(SLOTS as f64, SLOTS as f64, SLOTS as f64),
+        capacity: Resources::rounded_down(SLOTS as f64, SLOTS as f64, SLOTS as f64),
         price: 1.0,
         spot_price: None,
         boot_s: 60.0,
@@ -98,7 +98,7 @@
             gang_peer_s: 6.0,
         },
         cpu_share: 0.2,
-        record_machines: 12,
+        max_machines_per_record: 12,
         ..common::config()
     }
 }
@@ -129,7 +129,10 @@
             fetching: false,
             leaseholder: None,
         };
-        fleet.step(vec![Command::Types(vec![machine_type]), Command::Load { jobs: vec![], records: vec![] }]);
+        fleet.step(vec![
+            Command::MachineTypes(vec![machine_type]),
+            Command::StateLoaded { jobs: vec![], records: vec![] },
+        ]);
         (0..3).for_each(|_| fleet.heartbeat());
         fleet
     }
@@ -149,40 +152,40 @@
     /// Carries out an effect; the command that tells the scheduler its outcome, if it is to be told.
     fn apply(&mut self, effect: Effect) -> Option<Command> {
         match effect {
-            Effect::Record { key, .. } => {
+            Effect::WriteMachineRecord { key, .. } => {
                 self.machine_writes += 1;
-                Some(Command::Recorded { key, outcome: WriteOutcome::Done })
+                Some(Command::MachineRecordWritten { key, outcome: RequestOutcome::Done })
             }
             Effect::Delete(machines) => {
                 self.deleted.extend(machines.iter().cloned());
-                Some(Command::Deleted { machines, outcome: WriteOutcome::Done })
+                Some(Command::Deleted { machines, outcome: RequestOutcome::Done })
             }
             Effect::Rent { request, count, .. } => {
                 let (machines, outcome) = self.rent(count);
                 Some(Command::Rented { request, machines, outcome })
             }
-            Effect::CommitDone { job_id, tasks, .. } => {
+            Effect::WriteFinishedTasks { job_id, tasks, .. } => {
                 self.job_writes += 1;
-                Some(Command::Committed { job_id, tasks, outcome: WriteOutcome::Done })
+                Some(Command::FinishedTasksWritten { job_id, tasks, outcome: RequestOutcome::Done })
             }
-            Effect::Finish { job_id, chunks, .. } => {
+            Effect::WriteJobEnd { job_id, chunks, .. } => {
                 self.job_writes += 2 + chunks.len();
-                Some(Command::Finished { job_id, outcome: WriteOutcome::Done })
+                Some(Command::JobEndWritten { job_id, outcome: RequestOutcome::Done })
             }
-            Effect::HeartbeatResponse { reply, task_commands, .. } => {
-                self.execute(&name(reply as usize), task_commands);
+            Effect::HeartbeatResponse { response_id, task_commands, .. } => {
+                self.execute(&name(response_id as usize), task_commands);
                 None
             }
             _ => None,
         }
     }
 
-    fn rent(&mut self, count: u32) -> (Option<Vec<String>>, WriteOutcome) {
+    fn rent(&mut self, count: u32) -> (Option<Vec<String>>, RequestOutcome) {
         let names = (0..count).map(|i| format!("r-{:06}", self.rented + i)).collect();
         self.rented += count;
         match self.offers_machines {
-            true => (Some(names), WriteOutcome::Done),
-            false => (None, WriteOutcome::Refused),
+            true => (Some(names), RequestOutcome::Done),
+            false => (None, RequestOutcome::Refused),
         }
     }
 
@@ -241,7 +244,7 @@
             notice_s: None,
             tasks,
         };
-        Command::Heartbeat { reply: i as u64, heartbeat, via: self.leaseholder }
+        Command::Heartbeat { response_id: i as u64, heartbeat, relayed_by: self.leaseholder }
     }
 
     pub fn submit(&mut self, spec: JobSpec) {
--- a/tests/scale/six_thousand_machines.rs
+++ b/tests/scale/six_thousand_machines.rs
@@ -33,8 +33,8 @@
     let machines: Vec<_> = (0..6_000).map(recorded).collect();
     let records =
         machines.chunks(12).enumerate().map(|(i, part)| (format!("1-{i}"), part.to_vec())).collect();
-    let types = Command::Types(vec![machine_type(&fleet.scheduler.config)]);
-    fleet.step(vec![types, Command::Load { jobs: vec![], records }]);
+    let types = Command::MachineTypes(vec![machine_type(&fleet.scheduler.config)]);
+    fleet.step(vec![types, Command::StateLoaded { jobs: vec![], records }]);
     let (writes, started_at) = (fleet.machine_writes, fleet.now);
     fleet.token = FencingToken(2);
     (0..3).for_each(|_| fleet.heartbeat());
--- a/tests/scheduler_rules/effects.rs
+++ b/tests/scheduler_rules/effects.rs
@@ -7,7 +7,7 @@
 use dockpier::fencing_token::FencingToken;
 use dockpier::limits::SECOND;
 use dockpier::scheduler::cold_start::JobReading;
-use dockpier::scheduler::{Command, Effect, StoredJob, WriteOutcome};
+use dockpier::scheduler::{Command, Effect, RequestOutcome, StoredJob};
 use dockpier::time::{from_seconds, Timestamp};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,8 +17,13 @@
     pub(super) fn carry_out(&mut self, effect: Effect) {
         let soon = self.now + self.rng.random_range(1..3u64) as u32 * STEP;
         match effect {
-            Effect::HeartbeatResponse { reply, renewal, task_commands, cacheable: keep } => {
-                if let Some((node, heartbeat)) = self.passed_on.remove(&reply) {
+            Effect::HeartbeatResponse {
+                response_id,
+                renewal,
+                task_commands,
+                leaseholder_may_respond: keep,
+            } => {
+                if let Some((node, heartbeat)) = self.passed_on.remove(&response_id) {
                     let leaseholder = &mut self.leaseholders[node];
                     if self.now < leaseholder.cut_until {
                         return;
@@ -28,7 +33,8 @@
                     }
                 }
                 // Nobody waits for the answer to a copy.
-                let Some(Awaited { machine: name, agent_epoch, sent }) = self.replies.remove(&reply) else {
+                let Some(Awaited { machine: name, agent_epoch, sent }) = self.replies.remove(&response_id)
+                else {
                     return;
                 };
                 // Some answers are lost on their way.
@@ -64,28 +70,28 @@
                 self.held_orders.push((at, machine, self.token, agent_epoch, task_commands));
                 self.deliver_held_orders();
             }
-            Effect::CommitDone { job_id, version, tasks, .. } => {
+            Effect::WriteFinishedTasks { job_id, version, tasks, .. } => {
                 let outcome = match self.live.get_mut(&job_id) {
                     Some((at, done)) if *at == version => {
                         done.extend(tasks.iter().copied());
-                        WriteOutcome::Done
+                        RequestOutcome::Done
                     }
-                    _ => WriteOutcome::Refused,
+                    _ => RequestOutcome::Refused,
                 };
-                self.later.push((soon, Command::Committed { job_id, tasks, outcome }));
+                self.later.push((soon, Command::FinishedTasksWritten { job_id, tasks, outcome }));
             }
-            Effect::Finish { job_id, .. } => {
-                let mut outcome = WriteOutcome::Refused;
+            Effect::WriteJobEnd { job_id, .. } => {
+                let mut outcome = RequestOutcome::Refused;
                 if self.live.remove(&job_id).is_some() {
                     let done = self.completed.get(&job_id).map_or(0, BTreeSet::len);
                     assert_eq!(done as u32, self.specs[&job_id].tasks, "not_done: {job_id} is called done");
                     self.over.insert(job_id);
                     self.finished += 1;
-                    outcome = WriteOutcome::Done;
+                    outcome = RequestOutcome::Done;
                 }
-                self.later.push((soon, Command::Finished { job_id, outcome }));
+                self.later.push((soon, Command::JobEndWritten { job_id, outcome }));
             }
-            Effect::Record { key, machines } => {
+            Effect::WriteMachineRecord { key, machines } => {
                 let steps = self.rng.random_range(self.deployment.write_steps.clone());
                 self.writes.push((self.now + steps as u32 * STEP, key, machines));
             }
@@ -97,7 +103,7 @@
                     succeeded: done.clone(),
                 });
                 let reading = stored.map_or(JobReading::Absent, |job| JobReading::Live(Box::new(job)));
-                self.later.push((soon, Command::JobRead { job_id, sent: self.now, reading }));
+                self.later.push((soon, Command::JobRead { job_id, sent_at: self.now, reading }));
             }
             effect @ (Effect::WriteDrain { .. } | Effect::WriteColdStart(_)) => {
                 let answer = self.drains.carry_out(effect);
@@ -105,7 +111,7 @@
             }
             Effect::Rent { request, name: Some(name), .. } if self.rentals.contains_key(&name) => {
                 let machines = self.rentals.get(&name).cloned();
-                self.later.push((soon, Command::Rented { request, machines, outcome: WriteOutcome::Done }));
+                self.later.push((soon, Command::Rented { request, machines, outcome: RequestOutcome::Done }));
             }
             Effect::Rent { request, name: rental, zone, spot, count, .. } => {
                 let left = self
@@ -129,7 +135,7 @@
                         mute_until: Timestamp::ZERO,
                         sick_until: Timestamp::ZERO,
                         leader_cut_until: Timestamp::ZERO,
-                        via: [None, Some(0), Some(1)][self.machines_made as usize % 3],
+                        relayed_by: [None, Some(0), Some(1)][self.machines_made as usize % 3],
                         agent_epoch: 1,
                         sequence: 0,
                         token: FencingToken(0),
@@ -142,24 +148,24 @@
                     self.workers.insert(name.clone(), worker);
                     names.push(name);
                 }
-                let outcome = if names.is_empty() { WriteOutcome::Refused } else { WriteOutcome::Done };
-                if let Some(rental) = rental.filter(|_| outcome == WriteOutcome::Done) {
+                let outcome = if names.is_empty() { RequestOutcome::Refused } else { RequestOutcome::Done };
+                if let Some(rental) = rental.filter(|_| outcome == RequestOutcome::Done) {
                     self.rentals.insert(rental, names.clone());
                 }
                 self.later.push((soon, Command::Rented { request, machines: Some(names), outcome }));
             }
             Effect::Delete(machines) if self.now < self.cloud_down_until => {
-                self.later.push((soon, Command::Deleted { machines, outcome: WriteOutcome::Unknown }));
+                self.later.push((soon, Command::Deleted { machines, outcome: RequestOutcome::Unknown }));
             }
             Effect::Delete(machines) => {
                 machines.iter().for_each(|name| {
                     self.workers.remove(name);
                 });
-                self.later.push((soon, Command::Deleted { machines, outcome: WriteOutcome::Done }));
+                self.later.push((soon, Command::Deleted { machines, outcome: RequestOutcome::Done }));
             }
-            Effect::RequestWake { node, machine } => {
+            Effect::RequestRelay { node, machine } => {
                 if self.now >= self.leaseholders[node].cut_until {
-                    self.leaseholders[node].shard.request_wake(&[machine]);
+                    self.leaseholders[node].shard.require_relay(&[machine]);
                 }
             }
             Effect::Deposed(_) => panic!("nobody else leads"),
--- a/tests/scheduler_rules/messages.rs
+++ b/tests/scheduler_rules/messages.rs
@@ -49,7 +49,7 @@
     fn answer_orders(&mut self, name: &str) {
         let Some(heartbeat) = self.heartbeat(name) else { return };
         let at = self.now + self.rng.random_range(0..3u64) as u32 * STEP;
-        self.later.push((at, Command::DirectCommandAnswered(heartbeat)));
+        self.later.push((at, Command::DirectResponse(heartbeat)));
     }
 
     /// What the worker reports next.
@@ -127,11 +127,11 @@
                 now + if slow { self.rng.random_range(1..15u64) as u32 * STEP } else { Duration::ZERO };
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             if self.rng.random_bool(0.01) {
-                let via = self.rng.random_range(0..=LEASEHOLDERS);
-                worker.via = (via < LEASEHOLDERS).then_some(via);
+                let relayed_by = self.rng.random_range(0..=LEASEHOLDERS);
+                worker.relayed_by = (relayed_by < LEASEHOLDERS).then_some(relayed_by);
             }
-            let via = worker.via;
-            if via.is_none() && now < worker.leader_cut_until {
+            let relayed_by = worker.relayed_by;
+            if relayed_by.is_none() && now < worker.leader_cut_until {
                 continue;
             }
             if now < worker.cut_until {
@@ -140,9 +140,10 @@
             } else if let Some(at) = hold {
                 self.held.push((at, None, heartbeat));
             } else {
-                let reply = (self.token.0 << 40) | (self.version << 20) | (self.replies.len() as u64 + 1);
+                let response_id =
+                    (self.token.0 << 40) | (self.version << 20) | (self.replies.len() as u64 + 1);
                 self.version += 1;
-                if let Some(node) = via {
+                if let Some(node) = relayed_by {
                     let leaseholder = &mut self.leaseholders[node];
                     let cut = now < leaseholder.cut_until;
                     if let ShardResponse::Renewed(token, _) = leaseholder.shard.respond(now, &heartbeat, !cut)
@@ -156,17 +157,17 @@
                     }
                     if cut || heartbeat.token > self.token {
                         // Sent elsewhere.
-                        worker.via = None;
+                        worker.relayed_by = None;
                         continue;
                     }
-                    self.passed_on.insert(reply, (node, heartbeat.clone()));
+                    self.passed_on.insert(response_id, (node, heartbeat.clone()));
                 }
                 let awaited = Awaited { machine: name.clone(), agent_epoch: worker.agent_epoch, sent: now };
-                self.replies.insert(reply, awaited);
+                self.replies.insert(response_id, awaited);
                 if slow {
                     worker.waits_until = now + ANSWER_PATIENCE;
                 }
-                self.slow.push((arrives, Command::Heartbeat { reply, heartbeat, via }));
+                self.slow.push((arrives, Command::Heartbeat { response_id, heartbeat, relayed_by }));
             }
         }
         let (due, slow) = std::mem::take(&mut self.slow).into_iter().partition(|(at, _)| *at <= now);
@@ -179,7 +180,7 @@
             if heartbeat.token > self.token {
                 continue;
             }
-            let mut reply = 0;
+            let mut response_id = 0;
             if let Some(node) = at {
                 let leaseholder = &mut self.leaseholders[node];
                 let cut = now < leaseholder.cut_until;
@@ -187,10 +188,10 @@
                     continue;
                 }
                 self.version += 1;
-                reply = self.version << 40;
-                self.passed_on.insert(reply, (node, heartbeat.clone()));
+                response_id = self.version << 40;
+                self.passed_on.insert(response_id, (node, heartbeat.clone()));
             }
-            batch.push(Command::Heartbeat { reply, heartbeat, via: at });
+            batch.push(Command::Heartbeat { response_id, heartbeat, relayed_by: at });
         }
     }
 }
--- a/tests/scheduler_rules/settings.rs
+++ b/tests/scheduler_rules/settings.rs
@@ -134,7 +134,7 @@
 pub(super) fn types(deployment: &Deployment) -> Vec<MachineType> {
     vec![MachineType {
         name: "m".into(),
-        capacity: Resources::offered(12.0, 2.0, 48.0),
+        capacity: Resources::rounded_down(12.0, 2.0, 48.0),
         price: 4.0,
         spot_price: Some(1.0),
         boot_s: 5.0,
@@ -156,13 +156,13 @@
     let tasks = rng.random_range(1..6).min(most);
     JobSpec {
         team: team.name.clone(),
-        resource_request: Resources::needed(4.0, 1.0, 14.0),
+        resource_request: Resources::rounded_up(4.0, 1.0, 14.0),
         image: format!("i{}", rng.random_range(0..3)),
         image_gb: 1.0,
-        zone: rng.random_bool(0.1).then(|| "a".into()),
+        required_zone: rng.random_bool(0.1).then(|| "a".into()),
         one_zone: !service && rng.random_bool(0.2),
         spread: service,
-        spot: !service,
+        allows_spot: !service,
         estimate_s: 8.0,
         ..common::spec(job_id, kind, priority, tasks)
     }
--- a/tests/scheduler_rules/store.rs
+++ b/tests/scheduler_rules/store.rs
@@ -1,7 +1,7 @@
 //! Machine records in the state service, which are written some steps after the scheduler asked for it.
 
 use super::world::World;
-use dockpier::scheduler::{Command, StoredMachine, WriteOutcome};
+use dockpier::scheduler::{Command, RequestOutcome, StoredMachine};
 use dockpier::time::Timestamp;
 
 impl World {
@@ -18,7 +18,7 @@
         self.writes = writes;
         for (at, key, machines) in Vec::<(Timestamp, String, Vec<StoredMachine>)>::into_iter(due) {
             self.write(key.clone(), machines);
-            self.later.push((at, Command::Recorded { key, outcome: WriteOutcome::Done }));
+            self.later.push((at, Command::MachineRecordWritten { key, outcome: RequestOutcome::Done }));
         }
     }
 }
--- a/tests/scheduler_rules/troubles.rs
+++ b/tests/scheduler_rules/troubles.rs
@@ -61,7 +61,7 @@
             5 | 7 | 8 => {
                 let node = self.rng.random_range(0..LEASEHOLDERS);
                 self.leaseholders[node].cut_until = cut;
-                for worker in self.workers.values_mut().filter(|w| w.via == Some(node)) {
+                for worker in self.workers.values_mut().filter(|w| w.relayed_by == Some(node)) {
                     worker.leader_cut_until = cut;
                 }
                 if kind > 5 {
--- a/tests/scheduler_rules/worker.rs
+++ b/tests/scheduler_rules/worker.rs
@@ -33,7 +33,7 @@
     /// Until then it does not reach the leader.
     pub(super) leader_cut_until: Timestamp,
     /// The leaseholder that it reports to; None: the leader.
-    pub(super) via: Option<usize>,
+    pub(super) relayed_by: Option<usize>,
     pub(super) agent_epoch: u64,
     pub(super) sequence: u64,
     pub(super) token: FencingToken,
@@ -86,8 +86,8 @@
         // A gang that has not started yet takes a replacement under its own attempt, on whatever machine.
         let replaces = spec.kind == Kind::Gang && !self.gangs.contains_key(&(id.job_id, attempt));
         assert!(replaces || !worker.gone.contains(&(id, attempt)), "attempt used again: {id}");
-        assert!(!worker.spot || spec.spot, "wrong_place: {id} on a spot machine");
-        assert!(spec.zone.as_ref().is_none_or(|z| *z == worker.zone), "wrong_place: {id}");
+        assert!(!worker.spot || spec.allows_spot, "wrong_place: {id} on a spot machine");
+        assert!(spec.required_zone.as_ref().is_none_or(|z| *z == worker.zone), "wrong_place: {id}");
         if worker.tasks.contains_key(&id) {
             return;
         }
--- a/tests/scheduler_rules/world.rs
+++ b/tests/scheduler_rules/world.rs
@@ -85,9 +85,9 @@
             completed: BTreeMap::new(),
             recorded: BTreeMap::new(),
             later: vec![
-                (Timestamp::ZERO, Command::Types(types(&deployment))),
+                (Timestamp::ZERO, Command::MachineTypes(types(&deployment))),
                 (Timestamp::ZERO, Command::LoadDrains(LoadedDrains::default())),
-                (Timestamp::ZERO, Command::Load { jobs: vec![], records: vec![] }),
+                (Timestamp::ZERO, Command::StateLoaded { jobs: vec![], records: vec![] }),
             ],
             drains: Store::default(),
             rentals: BTreeMap::new(),
@@ -151,9 +151,9 @@
             })
             .collect();
         let records = self.recorded.clone().into_iter().collect();
-        self.later.push((self.now, Command::Types(types(&self.deployment))));
+        self.later.push((self.now, Command::MachineTypes(types(&self.deployment))));
         self.later.push((self.now, Command::LoadDrains(self.drains.loaded_drains())));
-        self.later.push((self.now, Command::Load { jobs, records }));
+        self.later.push((self.now, Command::StateLoaded { jobs, records }));
         if self.rng.random_bool(0.5) {
             self.repeat_old_reports();
         }
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -87,7 +87,12 @@
         ("report", Payload::RelayedHeartbeat { id: 9, stamp: Timestamp::from_micros(11), heartbeat }),
         (
             "reply",
-            Payload::RelayedResponse { id: 9, token: Some(FencingToken(41)), cacheable: true, task_commands },
+            Payload::RelayedResponse {
+                id: 9,
+                token: Some(FencingToken(41)),
+                leaseholder_may_respond: true,
+                task_commands,
+            },
         ),
         ("wake", Payload::WakeRequest(machines.clone())),
         (
@@ -96,7 +101,7 @@
                 id: 3,
                 stamp: Timestamp::from_micros(4),
                 complete: true,
-                first_of_incarnation: false,
+                none_acknowledged: false,
                 machines,
             },
         ),
