--- a/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders/events.rs
@@ -30,15 +30,17 @@
                     Line::new("lessee-cut").with("node", leaseholder + 1).with("until", until),
                 );
                 self.leaseholders[leaseholder].cut_until = until;
-                self.scheduler
-                    .out_of_touch(Timestamp::from_micros(self.now), std::iter::once(leaseholder + 1));
+                self.scheduler.record_unreachable_nodes(
+                    Timestamp::from_micros(self.now),
+                    std::iter::once(leaseholder + 1),
+                );
             }
             13 => {
                 self.out.write(self.now, Line::new("lessee-restarts").with("node", leaseholder + 1));
                 self.leaseholders[leaseholder].shard = Shard::new(6, self.rng.random());
                 self.leaseholders[leaseholder].shard.follow(self.config.token);
             }
-            14 => self.scheduler.record_kept_alive_until(Timestamp::from_micros(self.now)),
+            14 => self.scheduler.record_others_may_have_renewed_until(Timestamp::from_micros(self.now)),
             15 => self.repeat_heartbeat(),
             16 => self.show_higher_token(),
             _ => self.change_leader(),
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -94,7 +94,7 @@
         Status {
             state_age: now.since(self.clients.store.last_response_at()),
             workers: recent.len() as u32,
-            machines: self.scheduler.as_ref().map_or(0, Scheduler::machines_up),
+            machines: self.scheduler.as_ref().map_or(0, Scheduler::ready_machine_count),
             attests: true,
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -261,8 +261,8 @@
 
     fn run_scheduler(&mut self, now: Timestamp, commands: Vec<Command>) {
         let Some(scheduler) = &mut self.scheduler else { return };
-        scheduler.record_kept_alive_until(self.leadership.autonomous_until(now));
-        scheduler.out_of_touch(now, self.leadership.unreachable_peers(now));
+        scheduler.record_others_may_have_renewed_until(self.leadership.autonomous_until(now));
+        scheduler.record_unreachable_nodes(now, self.leadership.unreachable_peers(now));
         scheduler.time_of_day(now, wall_ms());
         let effects = scheduler.step(now, commands);
         self.publication.publish_summary(now, scheduler, &self.peers);
--- a/src/scheduler/autoscaler/machine_list.rs
+++ b/src/scheduler/autoscaler/machine_list.rs
@@ -18,7 +18,7 @@
 
 impl Scheduler {
     /// The cloud's list of machines has arrived.
-    pub(in crate::scheduler) fn listed(&mut self, list: Vec<ListedMachine>) {
+    pub(in crate::scheduler) fn handle_machine_list(&mut self, list: Vec<ListedMachine>) {
         let now = self.now;
         self.autoscaler.deleted.retain(|_, since| now < *since + limits::DELETED_MACHINE_RETENTION);
         let shown: BTreeSet<String> = list.iter().map(|listed| listed.machine.name.clone()).collect();
--- a/src/scheduler/autoscaler/mod.rs
+++ b/src/scheduler/autoscaler/mod.rs
@@ -50,7 +50,7 @@
     /// Offers that the cloud has refused.
     refused: BTreeMap<MachineKind, OfferBackoff>,
     /// Machines with stops to send directly.
-    pub direct_stops: BTreeSet<String>,
+    pub machines_with_direct_stops: BTreeSet<String>,
     /// Silent machines that the cloud's list does not show: since when.
     missing: BTreeMap<String, Timestamp>,
     /// When a replica was last moved.
@@ -78,7 +78,7 @@
             self.account();
             self.delete_lost();
             // Before the machines of the last leader are known, every one of them would look missing.
-            if self.all_accounted_for && !self.types.is_empty() {
+            if self.all_accounted_for && !self.machine_types.is_empty() {
                 self.mark_consolidation_targets();
                 self.move_replicas();
                 self.begin_plan();
@@ -147,14 +147,14 @@
                     info!(machine = name, why = reason.as_str(), "return");
                     machine.lifecycle.deleting = true;
                 }
-                self.decided(format!("return {name}: {reason}"));
+                self.record_decision(format!("return {name}: {reason}"));
             }
             self.effects.push(Effect::Delete(chunk.to_vec()));
         }
     }
 
     /// The cloud has responded to a deletion. Its 200 is proof: the machine and everything on it are gone.
-    pub(super) fn deleted(&mut self, names: Vec<String>, outcome: RequestOutcome) {
+    pub(super) fn handle_deletion_outcome(&mut self, names: Vec<String>, outcome: RequestOutcome) {
         for name in names {
             match outcome {
                 RequestOutcome::Done => self.remove_machine(name),
@@ -168,7 +168,7 @@
     }
 
     fn remove_machine(&mut self, name: String) {
-        self.release_machine(&name, TerminationProof::Deleted);
+        self.remove_all_placements(&name, TerminationProof::Deleted);
         self.autoscaler.deleted.insert(name.clone(), self.now);
         self.autoscaler.missing.remove(&name);
         self.note_machine_gone(&name);
@@ -190,7 +190,12 @@
     }
 
     /// The cloud has responded to a rental request.
-    pub(super) fn rented(&mut self, request: u64, machines: Option<Vec<String>>, outcome: RequestOutcome) {
+    pub(super) fn handle_rental_outcome(
+        &mut self,
+        request: u64,
+        machines: Option<Vec<String>>,
+        outcome: RequestOutcome,
+    ) {
         if self.replacement_rented(request, &machines, outcome) {
             return;
         }
--- a/src/scheduler/cold_start/mod.rs
+++ b/src/scheduler/cold_start/mod.rs
@@ -105,7 +105,7 @@
     }
 
     /// How many of `wanted` tasks of a job may be started now; of a gang all or none.
-    pub(in crate::scheduler) fn paced(&mut self, job: &JobId, wanted: u32) -> u32 {
+    pub(in crate::scheduler) fn tasks_allowed_by_start_pace(&mut self, job: &JobId, wanted: u32) -> u32 {
         let Some(job) = self.jobs.get(job).filter(|job| job.inherited && self.cold_start.is_pacing()) else {
             return wanted;
         };
@@ -124,7 +124,7 @@
     }
 
     /// A task is about to be started.
-    pub(in crate::scheduler) fn note_order(&mut self, id: TaskId) {
+    pub(in crate::scheduler) fn record_start(&mut self, id: TaskId) {
         let inherited = self.jobs.get(&id.job_id).is_some_and(|job| job.inherited);
         if inherited && self.cold_start.is_pacing() {
             self.cold_start.starts += 1;
--- a/src/scheduler/cold_start/report.rs
+++ b/src/scheduler/cold_start/report.rs
@@ -99,7 +99,7 @@
             state.latest = Some(report.clone());
             state.written = false;
         }
-        if state.written || state.write_in_flight || !self.writes.take_allowing_debt(1.0) {
+        if state.written || state.write_in_flight || !self.write_budget.take_allowing_debt(1.0) {
             return;
         }
         (state.written, state.write_in_flight) = (true, true);
--- a/src/scheduler/cold_start/unknown_jobs.rs
+++ b/src/scheduler/cold_start/unknown_jobs.rs
@@ -92,7 +92,7 @@
             }
         }
         for name in stopped {
-            self.autoscaler.direct_stops.insert(name.clone());
+            self.autoscaler.machines_with_direct_stops.insert(name.clone());
             self.request_relay(&name);
         }
     }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -77,7 +77,7 @@
         let slots = |machine: &Machine| elastic.count_in(&machine.available());
         let zones = &self.config.zones;
         let mut unneeded: Vec<UnneededMachine> =
-            zones.iter().flat_map(|zone| self.beyond_fixed_work(zone, &place)).collect();
+            zones.iter().flat_map(|zone| self.beyond_non_spot_work(zone, &place)).collect();
         unneeded.sort();
         let schedulable = self.machines.values().filter(|machine| self.is_schedulable(machine));
         let mut free: i64 = schedulable.map(slots).sum();
@@ -97,7 +97,7 @@
     }
 
     /// Ordinary machines of a zone that fixed work and the headroom do not need.
-    fn beyond_fixed_work(&self, zone: &str, place: &Resources) -> Vec<UnneededMachine<'_>> {
+    fn beyond_non_spot_work(&self, zone: &str, place: &Resources) -> Vec<UnneededMachine<'_>> {
         let mut ordinary: Vec<OrdinaryMachine> = self
             .machines
             .values()
@@ -131,23 +131,23 @@
         }
         for ReplicaMove { from, task } in self.choose_replica_moves() {
             info!(task = %task, machine = from, "moving a replica off a surplus machine");
-            self.decided(format!("move {task} off {from}"));
+            self.record_decision(format!("move {task} off {from}"));
             self.autoscaler.last_move_at = self.now;
             let now = self.now;
             if let Some(job) = self.jobs.get_mut(&task.job_id) {
                 job.elasticity.last_resized_at = now;
             }
-            self.stop(&from, task, 0.0);
+            self.request_stop(&from, task, 0.0);
         }
     }
 
     fn may_move_replicas(&self) -> bool {
-        let has_all_fixed_work =
+        let has_all_non_spot_work =
             |job: &Job| job.terminated || job.spec.allows_spot || job.progress.pending.is_empty();
         self.all_accounted_for
             && self.now >= self.started_at + limits::REPLICA_MOVE_INITIAL_DELAY
             && self.now >= self.autoscaler.last_move_at + limits::REPLICA_MOVE_INTERVAL
-            && self.jobs.values().all(has_all_fixed_work)
+            && self.jobs.values().all(has_all_non_spot_work)
     }
 
     fn choose_replica_moves(&self) -> Vec<ReplicaMove> {
--- a/src/scheduler/drains/destination.rs
+++ b/src/scheduler/drains/destination.rs
@@ -44,7 +44,7 @@
             return heartbeats_s;
         }
         let is_possible = |type_name: &str| on.is_none_or(|machine| machine.machine_type == type_name);
-        let types = self.types.values().filter(|machine_type| is_possible(&machine_type.name));
+        let types = self.machine_types.values().filter(|machine_type| is_possible(&machine_type.name));
         let rate = types.map(|machine_type| machine_type.fetch_gb_per_s).fold(f64::INFINITY, f64::min);
         let fetch_s = if rate.is_finite() && rate > 0.0 {
             limits::FETCH_TIME_FACTOR * job.spec.image_gb / rate
@@ -111,7 +111,7 @@
             is_other_replacement: replaced.is_some() && !is_own_replacement,
             lacks_image: !machine.image_cache.images.contains(&job.spec.image),
             is_not_own_replacement: !is_own_replacement,
-            remainder: scoring::remainder(job, &reserved.available_on(machine)),
+            remainder: scoring::best_fit_remainder(job, &reserved.available_on(machine)),
             name: &machine.name,
         }
     }
--- a/src/scheduler/drains/reservations.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -74,7 +74,7 @@
     pub(in crate::scheduler) fn reserve_for_moves(&self, capacity: &mut FreeCapacity) {
         let reserved = self.reserved_capacity();
         for machine in reserved.0.keys().filter_map(|name| self.machines.get(name)) {
-            capacity.limit(machine, reserved.available_on(machine));
+            capacity.limit_available(machine, reserved.available_on(machine));
         }
     }
 
@@ -119,7 +119,7 @@
             return;
         }
         if let Some(machine) = self.machines.get(name) {
-            capacity.limit(machine, reserved.available_on(machine));
+            capacity.limit_available(machine, reserved.available_on(machine));
         }
         let attempt = self.next_attempt();
         self.assign(id.job_id, name, attempt, capacity);
--- a/src/scheduler/drains/stops.rs
+++ b/src/scheduler/drains/stops.rs
@@ -85,7 +85,7 @@
     pub(super) fn request_stops(&mut self, team: &str, stops: Vec<PendingStop>) {
         for stop in stops {
             if self.is_still_wanted(&stop) {
-                self.request_stop(team, stop);
+                self.request_drain_stop(team, stop);
             } else if let Some(disruption) = self.drains.teams.get_mut(team) {
                 disruption.ledger.release(stop.disruption);
                 disruption.record.mark_changed();
@@ -133,9 +133,9 @@
         placement.is_undisturbed() && self.drains.is_cordoned(&stop.machine) && has_destination
     }
 
-    fn request_stop(&mut self, team: &str, stop: PendingStop) {
+    fn request_drain_stop(&mut self, team: &str, stop: PendingStop) {
         info!(drain = %stop.drain, task = %stop.task, machine = stop.machine, to = stop.destination, "stopped to drain");
-        self.decided(format!("stop {} on {} to drain it", stop.task, stop.machine));
+        self.record_decision(format!("stop {} on {} to drain it", stop.task, stop.machine));
         let day = self.day_ms();
         if let Some(disruption) = self.drains.teams.get_mut(team) {
             disruption.ledger.told(stop.disruption, day);
@@ -148,7 +148,7 @@
         let Some(job) = self.jobs.get(&stop.task.job_id) else { return };
         match job.spec.kind {
             Kind::Gang => self.stop_gang(stop.task.job_id),
-            Kind::Array | Kind::Service => self.stop(&stop.machine, stop.task, stop.grace_s),
+            Kind::Array | Kind::Service => self.request_stop(&stop.machine, stop.task, stop.grace_s),
         }
     }
 }
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -109,7 +109,7 @@
         due.extend(self.progress_to_write());
         due.extend(self.summaries_to_write());
         for (key, value) in due {
-            if !self.writes.take_allowing_debt(1.0) {
+            if !self.write_budget.take_allowing_debt(1.0) {
                 return;
             }
             self.record_sent(&key);
--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -89,7 +89,7 @@
         let allowed = missing.min(self.tasks_within_limit(job, team_usage));
         let allowed =
             if self.is_limited_to_minimum(job, pass) { allowed.min(job.minimum_width()) } else { allowed };
-        let tasks = self.paced(&job_id, allowed);
+        let tasks = self.tasks_allowed_by_start_pace(&job_id, allowed);
         if tasks == 0 && allowed > 0 {
             return Err(PendingReason::ColdStartPace);
         }
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -37,7 +37,7 @@
 /// A machine that has passed the filter, and its score.
 struct Candidate<'a> {
     score: Score,
-    /// Resources left after one more task; smaller is a better fit. See [`scoring::remainder`].
+    /// Resources left after one more task; smaller is a better fit. See [`scoring::best_fit_remainder`].
     remainder: i64,
     machine: &'a Machine,
     available: Resources,
@@ -95,7 +95,7 @@
             if request.shared_fetch == SharedFetch::Avoid && score.shares_fetch() {
                 continue;
             }
-            let remainder = scoring::remainder(job, available);
+            let remainder = scoring::best_fit_remainder(job, available);
             let candidate = Candidate { score, remainder, machine, available: *available };
             by_zone.entry(&machine.zone).or_default().push(candidate);
         }
@@ -118,7 +118,7 @@
 
     /// Score: the part that is the same for every further task of the job on the machine.
     fn score(&self, job: &Job, machine: &Machine, capacity: &FreeCapacity) -> Score {
-        let mut score = Score::of(job, machine, capacity.has_fixed_work);
+        let mut score = Score::of(job, machine, capacity.has_non_spot_work);
         // A task placed on a machine that will be drained would have to move again.
         score.penalty += i64::from(self.drains.is_targeted(&machine.name));
         // All tasks of a gang wait for the last one to start, and starts are sent in responses to heartbeats:
@@ -167,7 +167,7 @@
             self.zone_count.add(&best.machine.zone);
             assigned.push(best.machine.name.clone());
             best.available = best.available.minus(request);
-            best.remainder = scoring::remainder(self.job, &best.available);
+            best.remainder = scoring::best_fit_remainder(self.job, &best.available);
             if !request.fits_into(&best.available) {
                 candidates.pop();
             }
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -33,7 +33,7 @@
     /// The order in which jobs are preempted. None until it is first needed in the round.
     pub(super) preemption_order: Option<Arc<[JobId]>>,
     /// Whether some job may not use spot machines.
-    pub(super) has_fixed_work: bool,
+    pub(super) has_non_spot_work: bool,
     /// Resources used by each team.
     pub(in crate::scheduler) team_usage: TeamUsage,
 }
@@ -65,7 +65,7 @@
     }
 
     /// Limits the resources of the machine that all jobs may use to `room`; the rest is reserved.
-    pub(in crate::scheduler) fn limit(&mut self, machine: &Machine, room: Resources) {
+    pub(in crate::scheduler) fn limit_available(&mut self, machine: &Machine, room: Resources) {
         if self.available.contains_key(&machine.name) {
             self.set(machine, room);
         }
@@ -157,7 +157,7 @@
             headroom_per_zone: self.headroom_per_zone(),
             lowest_preemptible: preemptible.map(|job| job.spec.priority).min(),
             preemption_order: None,
-            has_fixed_work: self.jobs.values().any(|job| !job.terminated && !job.spec.allows_spot),
+            has_non_spot_work: self.jobs.values().any(|job| !job.terminated && !job.spec.allows_spot),
             team_usage: self.team_usage(),
         }
     }
--- a/src/scheduler/elastic/equivalence_class.rs
+++ b/src/scheduler/elastic/equivalence_class.rs
@@ -63,7 +63,7 @@
 
 impl<'a> ClassBuilder<'a> {
     pub(super) fn new(scheduler: &'a Scheduler) -> Self {
-        let types = scheduler.types.keys().enumerate();
+        let types = scheduler.machine_types.keys().enumerate();
         let zones = scheduler.config.zones.iter().enumerate();
         ClassBuilder {
             scheduler,
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -49,7 +49,7 @@
 impl Scheduler {
     /// Runs one round within its budget of decision steps. The next round resumes at the first job that this
     /// one did not reach.
-    pub(in crate::scheduler) fn round(&mut self) {
+    pub(in crate::scheduler) fn run_decision_round(&mut self) {
         self.update_mean_job_work();
         let order = self.round_order();
         self.update_unaccounted_kinds();
@@ -58,7 +58,7 @@
         self.place_moved_replicas(&mut round.capacity);
         self.regular_pass(&order, &mut round);
         self.leftover_pass(order, &mut round);
-        self.steps += round.steps as u64;
+        self.decision_steps += round.steps as u64;
         self.rounds.end(self.now, limits::round_pause(round.steps, self.config.cpu_share));
     }
 
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -97,7 +97,7 @@
         let now = self.now;
         for Victim { machine, task } in plan.victims {
             debug!(task = %task, machine, preempting_job = %newcomer, "preempting task");
-            self.decided(format!("stop {task} on {machine} for {newcomer}"));
+            self.record_decision(format!("stop {task} on {machine} for {newcomer}"));
             let grace_s = self.jobs.get(&task.job_id).map_or(0.0, |job| job.spec.checkpoint_save_s);
             if let Some(job) = self.jobs.get_mut(&task.job_id) {
                 job.elasticity.last_resized_at = now;
@@ -108,7 +108,7 @@
                 capacity.team_usage.stop(&job.spec.team, request);
                 *capacity.stopping_tasks.entry(task.job_id).or_default() += 1;
             }
-            self.stop(&machine, task, grace_s);
+            self.request_stop(&machine, task, grace_s);
         }
     }
 
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -169,13 +169,13 @@
 type MachinesByRoute<'o, 'a> = BTreeMap<Option<usize>, Vec<&'o ObservedMachine<'a>>>;
 
 impl FailureDetector {
-    /// Updates zones and routes. `out_of_touch`: leaseholders that this leader cannot reach.
+    /// Updates zones and routes. `unreachable_nodes`: leaseholders that this leader cannot reach.
     pub fn observe(
         &mut self,
         now: Timestamp,
         timeouts: &DetectionTimeouts,
         observed: &[ObservedMachine],
-        out_of_touch: &BTreeSet<usize>,
+        unreachable_nodes: &BTreeSet<usize>,
     ) {
         self.observe_zones(now, timeouts, observed);
         let mut arrivals: BTreeMap<Option<usize>, Arrivals> = BTreeMap::new();
@@ -183,7 +183,7 @@
             arrivals.entry(machine.route).or_default().add(machine.last_heartbeat_at);
         }
         for (route, arrivals) in arrivals {
-            let node_is_unreachable = route.is_some_and(|node| out_of_touch.contains(&node));
+            let node_is_unreachable = route.is_some_and(|node| unreachable_nodes.contains(&node));
             let unreachable = node_is_unreachable || timeouts.is_unreachable(now, arrivals);
             self.routes.entry(route).or_default().update(unreachable, now);
         }
@@ -324,7 +324,7 @@
                 route: machine.route.relayed_by,
                 previous_route: machine.route.previous,
                 last_heartbeat_at: machine.heartbeats.last_at,
-                unresponsive: machine.commands.unacknowledged_heartbeats
+                unresponsive: machine.commands.responses_without_effect
                     >= limits::MAX_UNACKNOWLEDGED_HEARTBEATS,
                 expected: is_expected(machine),
                 lost: machine.state == MachineState::Lost,
@@ -335,9 +335,9 @@
     /// Updates which zones and routes are unreachable.
     pub(super) fn update_reachability(&mut self) {
         let mut detector = std::mem::take(&mut self.failure_detector);
-        let out_of_touch = self.peers.out_of_touch(self.now);
+        let unreachable_nodes = self.peers.recently_unreachable(self.now);
         let observed = self.observed_machines();
-        detector.observe(self.now, &self.detection_timeouts(), &observed, &out_of_touch);
+        detector.observe(self.now, &self.detection_timeouts(), &observed, &unreachable_nodes);
         self.failure_detector = detector;
     }
 
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -93,7 +93,7 @@
             return self.set_pending_reason(job_id, PendingReason::NoSlotForRestOfGang);
         }
         job.gang.incomplete_since = None;
-        self.stop_all(job_id);
+        self.stop_all_tasks(job_id);
         self.set_pending_reason(job_id, PendingReason::GangIncomplete);
     }
 
@@ -105,7 +105,7 @@
         let may_save = |stop: StopRequest| stop.grace_s > 0.0 && !stop.is_overdue(self.now);
         let is_saving = self.placements_of(job).any(|(_, _, task)| task.stopping.is_some_and(may_save));
         if !is_saving {
-            self.stop_all(job_id);
+            self.stop_all_tasks(job_id);
         }
         self.set_pending_reason(job_id, PendingReason::LastAttemptNotEnded);
     }
@@ -130,7 +130,7 @@
         let silence_timeout = limits::silence_timeout(self.config.workers.report_s);
         let is_reachable = |machine: &Machine| {
             self.now < machine.heartbeats.last_at + silence_timeout
-                && machine.commands.unacknowledged_heartbeats == 0
+                && machine.commands.responses_without_effect == 0
         };
         self.placements_of(job).all(|(_, name, _)| self.machines.get(name).is_some_and(is_reachable))
     }
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -77,7 +77,7 @@
     /// Responds to a heartbeat with all commands for its machine.
     pub(super) fn respond(&mut self, response_id: u64, name: &str, renewal: Option<LeaseRenewal>) {
         let task_commands = self.take_commands(name);
-        let leaseholder_may_respond = self.update_cacheable(name, &task_commands);
+        let leaseholder_may_respond = self.update_leaseholder_may_respond(name, &task_commands);
         self.effects.push(Effect::HeartbeatResponse {
             response_id,
             renewal,
@@ -118,7 +118,7 @@
 
     /// Decides and records whether the leaseholder that relayed the machine's heartbeat may respond to
     /// unchanged ones without the leader.
-    fn update_cacheable(&mut self, name: &str, task_commands: &[TaskCommand]) -> bool {
+    fn update_leaseholder_may_respond(&mut self, name: &str, task_commands: &[TaskCommand]) -> bool {
         let has_leaseholders = self.config.shard_lease > Duration::ZERO;
         let Some(machine) = self.machines.get_mut(name) else { return false };
         machine.route.leaseholder_may_respond = has_leaseholders
@@ -170,7 +170,7 @@
 
     /// Sends stops directly to the workers as well, since their next heartbeats may be seconds away.
     pub(super) fn send_direct_stops(&mut self) {
-        for name in std::mem::take(&mut self.autoscaler.direct_stops) {
+        for name in std::mem::take(&mut self.autoscaler.machines_with_direct_stops) {
             let Some(machine) = self.machines.get(&name) else { continue };
             let task_commands: Vec<TaskCommand> = stop_commands(machine).collect();
             if machine.state == MachineState::Ready && !task_commands.is_empty() {
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -60,7 +60,7 @@
 impl Scheduler {
     /// Returns the machine with the name of `stored`. An unknown one is added, with a deadline for its boot.
     pub(super) fn machine(&mut self, stored: &StoredMachine) -> &mut Machine {
-        let machine_type = self.types.get(&stored.machine_type);
+        let machine_type = self.machine_types.get(&stored.machine_type);
         let capacity = machine_type.map(|known| known.capacity).unwrap_or_default();
         let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |known| known.boot_s) * limits::BOOT_TIMEOUT_FACTOR;
         let now = self.now;
@@ -139,7 +139,7 @@
             return false;
         }
         machine.heartbeats.record_unchanged(heartbeat.sequence, self.now);
-        machine.commands.unacknowledged_heartbeats = 0;
+        machine.commands.responses_without_effect = 0;
         true
     }
 
@@ -172,7 +172,7 @@
             // leader, which may be of any age. Its task list may be out of date and is not applied: tasks
             // would seem to be on two machines. The machine itself may be long gone, so one that was not
             // known before is not recorded yet. The worker's next heartbeat states this leader's token.
-            self.record(&heartbeat.machine);
+            self.request_record_write(&heartbeat.machine);
         }
         HeartbeatOutcome::Changed
     }
@@ -191,7 +191,7 @@
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.heartbeats.reported_tasks = tasks;
         if !machine.recorded || machine.image_cache.has_unrecorded_image {
-            self.record(name);
+            self.request_record_write(name);
         }
     }
 
@@ -210,7 +210,7 @@
                 agent_epoch, "worker began a new agent epoch; tasks of earlier epochs have ended"
             );
         }
-        self.release_machine(&heartbeat.machine, TerminationProof::NewAgentEpoch { agent_epoch });
+        self.remove_all_placements(&heartbeat.machine, TerminationProof::NewAgentEpoch { agent_epoch });
     }
 
     fn record_route(&mut self, name: &str, relayed_by: Option<usize>) {
--- a/src/scheduler/job_registry.rs
+++ b/src/scheduler/job_registry.rs
@@ -25,12 +25,12 @@
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.terminated = true;
         job.progress.pending.clear();
-        self.stop_all(job_id);
+        self.stop_all_tasks(job_id);
         self.remove_if_terminated(job_id);
     }
 
     /// Applies the outcome of the write that removes a job whose tasks have all succeeded.
-    pub(super) fn finish_written(&mut self, job_id: JobId, outcome: RequestOutcome) {
+    pub(super) fn handle_job_end_written(&mut self, job_id: JobId, outcome: RequestOutcome) {
         match outcome {
             RequestOutcome::Done => self.remove_job(job_id),
             // The job was cancelled meanwhile, or the outcome is not known. The write is repeated, and the
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -8,7 +8,7 @@
 //! - `HeartbeatTracker::last_at`: its last heartbeat, since the worker may have begun the lease when it sent
 //!   that;
 //! - `Scheduler::started_at`: responses before this leader had loaded its state are recorded nowhere else;
-//! - `PeerNodes::kept_alive_until`: another node may have responded until then.
+//! - `PeerNodes::others_may_have_renewed_until`: another node may have responded until then.
 //!
 //! A leaseholder may have responded to any machine since its last shard heartbeat, so a lease counts as
 //! expired only if it ended by `PeerNodes::responses_known_until`.
@@ -49,7 +49,7 @@
             && !machine.unplaced_tasks.has_tasks_of_unknown_jobs()
             && machine.health.placement_backoff_until <= self.now
             && !self.failure_detector.zone_unreachable(&machine.zone)
-            && machine.commands.unacknowledged_heartbeats < limits::MAX_UNACKNOWLEDGED_HEARTBEATS
+            && machine.commands.responses_without_effect < limits::MAX_UNACKNOWLEDGED_HEARTBEATS
             && self.now < machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s)
     }
 
@@ -91,7 +91,7 @@
 
     /// Until when leases may have been renewed without a record here.
     pub(super) fn unrecorded_renewals_until(&self) -> Timestamp {
-        self.started_at.max(self.peers.kept_alive_until())
+        self.started_at.max(self.peers.others_may_have_renewed_until())
     }
 
     /// Names of the machines that may have held tasks and whose leases have expired.
@@ -126,7 +126,7 @@
             at: self.now,
         };
         info!(machine = name, proof = %proof, "worker lease expired; tasks on the machine have ended");
-        self.release_machine(name, proof);
+        self.remove_all_placements(name, proof);
         if let Some(machine) = self.machines.get_mut(name) {
             machine.state = MachineState::Lost;
             machine.accounted_for = true;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -79,7 +79,7 @@
     /// All machines that are not deleted, by name.
     pub machines: BTreeMap<String, Machine>,
     /// Machine types that the cloud offers, by name.
-    pub types: BTreeMap<String, MachineType>,
+    pub machine_types: BTreeMap<String, MachineType>,
     /// By image: names of the machines that are known to have it.
     machines_by_image: BTreeMap<String, BTreeSet<String>>,
     /// Rentals and deletions of machines.
@@ -89,15 +89,15 @@
     // Decisions.
     rounds: RoundSchedule,
     /// Decision steps of all rounds and scaling plans so far. Tests bound them instead of run time.
-    pub steps: u64,
+    pub decision_steps: u64,
     /// Number of attempts that this leader has started.
-    attempts: u64,
+    attempts_started: u64,
     /// Mean estimated work of the jobs that are neither services nor terminated, as of the last round, in
     /// seconds of one slot.
     mean_job_work: f64,
     /// Recent decisions for operators, the oldest first.
     recent_decisions: VecDeque<String>,
-    usage: usage::UsageLedger,
+    usage_ledger: usage::UsageLedger,
 
     // Heartbeats and leases.
     /// Heartbeats that have changed something. They get their responses after the next round, which may start
@@ -118,8 +118,8 @@
     cold_start: cold_start::ColdStart,
 
     // Persistence.
-    records: records::Records,
-    writes: crate::token_bucket::TokenBucket,
+    machine_records: records::Records,
+    write_budget: crate::token_bucket::TokenBucket,
 
     /// Effects of the current step so far.
     effects: Vec<Effect>,
@@ -128,9 +128,9 @@
 impl Scheduler {
     /// A scheduler that has not loaded its state yet.
     pub fn new(config: Config, now: Timestamp) -> Self {
-        let writes = records::write_budget(config.write_rps, now);
+        let write_budget = records::write_budget(config.write_rps, now);
         // Leaseholders of the last leader may renew leases of workers until their shard leases expire.
-        let kept_alive_until = now + limits::lengthened(config.shard_lease);
+        let others_may_have_renewed_until = now + limits::lengthened(config.shard_lease);
         Scheduler {
             config,
             now,
@@ -138,39 +138,39 @@
             loaded: false,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            types: BTreeMap::new(),
+            machine_types: BTreeMap::new(),
             machines_by_image: BTreeMap::new(),
             autoscaler: Autoscaler::new(now),
             drains: Drains::default(),
             rounds: RoundSchedule::new(),
-            steps: 0,
-            attempts: 0,
+            decision_steps: 0,
+            attempts_started: 0,
             mean_job_work: 0.0,
             recent_decisions: VecDeque::new(),
-            usage: usage::UsageLedger::default(),
+            usage_ledger: usage::UsageLedger::default(),
             pending_heartbeats: Vec::new(),
             ignored_heartbeats: IgnoredHeartbeats::default(),
-            peers: PeerNodes::new(kept_alive_until),
+            peers: PeerNodes::new(others_may_have_renewed_until),
             failure_detector: failure_detection::FailureDetector::default(),
             next_expiry_check_at: Timestamp::ZERO,
             all_accounted_for: false,
             unaccounted_kinds: BTreeSet::new(),
             cold_start: cold_start::ColdStart::default(),
-            records: records::Records::default(),
-            writes,
+            machine_records: records::Records::default(),
+            write_budget,
             effects: Vec::new(),
         }
     }
 
     /// Records that another node may have renewed leases of workers until `at`: the scheduler treats none of
     /// them as expired before a full worker lease after that time.
-    pub fn record_kept_alive_until(&mut self, at: Timestamp) {
-        self.peers.record_kept_alive_until(at);
+    pub fn record_others_may_have_renewed_until(&mut self, at: Timestamp) {
+        self.peers.record_others_may_have_renewed_until(at);
     }
 
     /// Records that this leader cannot reach these nodes at `now`.
-    pub fn out_of_touch(&mut self, now: Timestamp, nodes: impl Iterator<Item = usize>) {
-        self.peers.record_out_of_touch(now, nodes);
+    pub fn record_unreachable_nodes(&mut self, now: Timestamp, nodes: impl Iterator<Item = usize>) {
+        self.peers.record_unreachable(now, nodes);
     }
 
     /// Applies a batch of commands at `now`, makes the decisions that are due, and returns the effects to
@@ -184,9 +184,9 @@
         self.expire_leases();
         if self.loaded {
             if self.rounds.begin_if_due(self.now) {
-                self.round();
+                self.run_decision_round();
             }
-            self.write_due();
+            self.send_due_writes();
             self.autoscaler_round();
             self.drain_round();
             self.cold_start_round();
@@ -223,14 +223,18 @@
             Command::JobAdded(stored) => self.add_job(stored, false),
             Command::JobRemoved(job_id) => self.remove_job(job_id),
             Command::FinishedTasksWritten { job_id, tasks, outcome } => {
-                self.committed(job_id, tasks, outcome)
+                self.handle_finished_tasks_written(job_id, tasks, outcome)
+            }
+            Command::JobEndWritten { job_id, outcome } => self.handle_job_end_written(job_id, outcome),
+            Command::MachineRecordWritten { key, outcome } => {
+                self.handle_machine_record_written(&key, outcome)
             }
-            Command::JobEndWritten { job_id, outcome } => self.finish_written(job_id, outcome),
-            Command::MachineRecordWritten { key, outcome } => self.recorded(&key, outcome),
             Command::MachineTypes(types) => self.set_machine_types(types),
-            Command::Rented { request, machines, outcome } => self.rented(request, machines, outcome),
-            Command::Deleted { machines, outcome } => self.deleted(machines, outcome),
-            Command::MachinesListed(list) => self.listed(list),
+            Command::Rented { request, machines, outcome } => {
+                self.handle_rental_outcome(request, machines, outcome)
+            }
+            Command::Deleted { machines, outcome } => self.handle_deletion_outcome(machines, outcome),
+            Command::MachinesListed(list) => self.handle_machine_list(list),
             Command::LoadDrains(stored) => self.load_drains(stored),
             Command::DrainRequests(requests) => self.take_drain_requests(requests),
             Command::DrainWritten { key, outcome } => self.drain_written(&key, outcome),
@@ -251,7 +255,7 @@
             // A leaseholder that crashed has lost the names of the machines to which it responded. If its
             // first shard heartbeat were taken to cover the time before the crash, leases that still run
             // would be treated as expired (`leadership::tests`).
-            self.record_kept_alive_until(self.now);
+            self.record_others_may_have_renewed_until(self.now);
         }
         self.apply_shard_heartbeat(node, machines, covers_until);
     }
@@ -278,17 +282,17 @@
     }
 
     fn set_machine_types(&mut self, types: Vec<MachineType>) {
-        self.types =
+        self.machine_types =
             types.into_iter().map(|machine_type| (machine_type.name.clone(), machine_type)).collect();
         for machine in self.machines.values_mut() {
-            if let Some(machine_type) = self.types.get(&machine.machine_type) {
+            if let Some(machine_type) = self.machine_types.get(&machine.machine_type) {
                 machine.capacity = machine_type.capacity;
             }
         }
     }
 
     /// Number of machines that send heartbeats and are not being deleted.
-    pub fn machines_up(&self) -> u32 {
+    pub fn ready_machine_count(&self) -> u32 {
         let is_up = |machine: &&Machine| machine.state == MachineState::Ready && !machine.lifecycle.deleting;
         self.machines.values().filter(is_up).count() as u32
     }
--- a/src/scheduler/model/commands.rs
+++ b/src/scheduler/model/commands.rs
@@ -41,5 +41,5 @@
     pub token_unacknowledged: bool,
     /// Consecutive heartbeats that did not acknowledge the response before them. From
     /// `MAX_UNACKNOWLEDGED_HEARTBEATS` on, no task is placed on the machine.
-    pub unacknowledged_heartbeats: u32,
+    pub responses_without_effect: u32,
 }
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -114,7 +114,7 @@
 
 impl Scheduler {
     /// Keeps a decision for the overview; the log has it too.
-    pub(super) fn decided(&mut self, decision: String) {
+    pub(super) fn record_decision(&mut self, decision: String) {
         let seconds = self.now.since(self.started_at).as_secs();
         let line = format!("{seconds} s into token {}: {decision}", self.config.token);
         self.recent_decisions.push_back(line);
--- a/src/scheduler/peer_nodes.rs
+++ b/src/scheduler/peer_nodes.rs
@@ -24,27 +24,32 @@
 pub(super) struct PeerNodes {
     leaseholders: BTreeMap<usize, Leaseholder>,
     /// Until when another node may have renewed leases of workers without a record here.
-    kept_alive_until: Timestamp,
+    others_may_have_renewed_until: Timestamp,
     /// When each node was last recorded as out of touch, that is, unreachable from this leader. For a while
     /// after that, machines that report through it may change their route.
-    out_of_touch: BTreeMap<usize, Timestamp>,
+    last_unreachable_at: BTreeMap<usize, Timestamp>,
 }
 
 impl PeerNodes {
-    /// No node is known, but leaseholders of the last leader may respond until `kept_alive_until`.
-    pub fn new(kept_alive_until: Timestamp) -> Self {
-        PeerNodes { leaseholders: BTreeMap::new(), kept_alive_until, out_of_touch: BTreeMap::new() }
+    /// No node is known, but leaseholders of the last leader may respond until
+    /// `others_may_have_renewed_until`.
+    pub fn new(others_may_have_renewed_until: Timestamp) -> Self {
+        PeerNodes {
+            leaseholders: BTreeMap::new(),
+            others_may_have_renewed_until,
+            last_unreachable_at: BTreeMap::new(),
+        }
     }
 
     /// Records that another node may have renewed leases until `at`. Without effect if a later time is
     /// recorded.
-    pub fn record_kept_alive_until(&mut self, at: Timestamp) {
-        self.kept_alive_until = self.kept_alive_until.max(at);
+    pub fn record_others_may_have_renewed_until(&mut self, at: Timestamp) {
+        self.others_may_have_renewed_until = self.others_may_have_renewed_until.max(at);
     }
 
     /// Until when another node may have renewed leases of workers without a record here.
-    pub fn kept_alive_until(&self) -> Timestamp {
-        self.kept_alive_until
+    pub fn others_may_have_renewed_until(&self) -> Timestamp {
+        self.others_may_have_renewed_until
     }
 
     /// Records a shard heartbeat, which renews the shard lease of its leaseholder `node`. It names all
@@ -73,13 +78,14 @@
     }
 
     /// Records that this leader cannot reach these nodes at `now`.
-    pub fn record_out_of_touch(&mut self, now: Timestamp, nodes: impl Iterator<Item = usize>) {
-        self.out_of_touch.extend(nodes.map(|node| (node, now)));
+    pub fn record_unreachable(&mut self, now: Timestamp, nodes: impl Iterator<Item = usize>) {
+        self.last_unreachable_at.extend(nodes.map(|node| (node, now)));
     }
 
     /// Nodes recorded as unreachable less than one interval of the heartbeats between controllers ago.
-    pub fn out_of_touch(&self, now: Timestamp) -> BTreeSet<usize> {
-        let recent = self.out_of_touch.iter().filter(|(_, last)| now < **last + limits::HEARTBEAT_INTERVAL);
+    pub fn recently_unreachable(&self, now: Timestamp) -> BTreeSet<usize> {
+        let recent =
+            self.last_unreachable_at.iter().filter(|(_, last)| now < **last + limits::HEARTBEAT_INTERVAL);
         recent.map(|(node, _)| *node).collect()
     }
 }
--- a/src/scheduler/peer_nodes_tests.rs
+++ b/src/scheduler/peer_nodes_tests.rs
@@ -44,23 +44,28 @@
 #[test]
 fn kept_alive_until_never_moves_back() {
     let mut peers = PeerNodes::new(Timestamp::from_secs(5));
-    peers.record_kept_alive_until(Timestamp::from_secs(4));
-    assert_eq!(peers.kept_alive_until(), Timestamp::from_secs(5));
-    peers.record_kept_alive_until(Timestamp::from_secs(6));
-    assert_eq!(peers.kept_alive_until(), Timestamp::from_secs(6));
+    peers.record_others_may_have_renewed_until(Timestamp::from_secs(4));
+    assert_eq!(peers.others_may_have_renewed_until(), Timestamp::from_secs(5));
+    peers.record_others_may_have_renewed_until(Timestamp::from_secs(6));
+    assert_eq!(peers.others_may_have_renewed_until(), Timestamp::from_secs(6));
 }
 
 #[test]
 fn node_is_out_of_touch_for_a_heartbeat_interval_after_the_last_record() {
     let mut peers = PeerNodes::new(Timestamp::ZERO);
-    peers.record_out_of_touch(Timestamp::from_secs(1), [1, 2].into_iter());
-    peers.record_out_of_touch(Timestamp::from_secs(1) + Duration::from_micros(10), std::iter::once(2));
+    peers.record_unreachable(Timestamp::from_secs(1), [1, 2].into_iter());
+    peers.record_unreachable(Timestamp::from_secs(1) + Duration::from_micros(10), std::iter::once(2));
     assert_eq!(
-        peers.out_of_touch(Timestamp::from_secs(1) + Duration::from_micros(10)),
+        peers.recently_unreachable(Timestamp::from_secs(1) + Duration::from_micros(10)),
         BTreeSet::from([1, 2])
     );
-    assert_eq!(peers.out_of_touch(Timestamp::from_secs(1) + limits::HEARTBEAT_INTERVAL), BTreeSet::from([2]));
+    assert_eq!(
+        peers.recently_unreachable(Timestamp::from_secs(1) + limits::HEARTBEAT_INTERVAL),
+        BTreeSet::from([2])
+    );
     assert!(peers
-        .out_of_touch(Timestamp::from_secs(1) + Duration::from_micros(10) + limits::HEARTBEAT_INTERVAL)
+        .recently_unreachable(
+            Timestamp::from_secs(1) + Duration::from_micros(10) + limits::HEARTBEAT_INTERVAL
+        )
         .is_empty());
 }
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -30,7 +30,7 @@
 
 impl Scheduler {
     /// Stops every task of the job at once, without a grace period.
-    pub(super) fn stop_all(&mut self, job_id: JobId) {
+    pub(super) fn stop_all_tasks(&mut self, job_id: JobId) {
         self.stop_all_within(job_id, 0.0);
     }
 
@@ -40,7 +40,7 @@
         let placements: Vec<_> =
             self.placements_of(job).map(|(id, name, _)| (id, name.to_string())).collect();
         for (id, name) in placements {
-            self.stop(&name, id, grace_s);
+            self.request_stop(&name, id, grace_s);
         }
     }
 
@@ -68,8 +68,8 @@
     /// The next attempt number, for all tasks of a job that start together; the tasks of a gang find each
     /// other by it. The upper 32 bits are the fencing token, so that no two leaders use the same number.
     pub(super) fn next_attempt(&mut self) -> u64 {
-        self.attempts += 1;
-        (self.config.token.0 << 32) | self.attempts
+        self.attempts_started += 1;
+        (self.config.token.0 << 32) | self.attempts_started
     }
 
     /// Reserves resources for a task on the machine `name`. The start is sent in the response to the
@@ -83,7 +83,7 @@
         attempt: u64,
     ) {
         let now = self.now;
-        self.note_order(id);
+        self.record_start(id);
         let previous_placement =
             self.jobs.get_mut(&id.job_id).and_then(|job| job.previous_placements.remove(&id.task));
         if let Some(machine) = self.machines.get_mut(name) {
@@ -96,7 +96,7 @@
 
     /// Asks the task to stop within `grace_s` seconds. If its start has not been sent, removes its placement
     /// at once. A later request with a shorter grace period replaces an earlier one.
-    pub(super) fn stop(&mut self, name: &str, id: TaskId, grace_s: f64) {
+    pub(super) fn request_stop(&mut self, name: &str, id: TaskId, grace_s: f64) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(name) else { return };
         let Some(placement) = machine.tasks.get_mut(&id) else { return };
@@ -108,7 +108,7 @@
         let grace_s = placement.stopping.map_or(grace_s, |stop| stop.grace_s.min(grace_s));
         if placement.stopping.is_none_or(|stop| stop.grace_s > grace_s) {
             placement.stopping = Some(StopRequest { requested_at: now, grace_s });
-            self.autoscaler.direct_stops.insert(name.to_string());
+            self.autoscaler.machines_with_direct_stops.insert(name.to_string());
             self.request_relay(name);
         }
     }
@@ -132,7 +132,7 @@
     }
 
     /// Removes all placements of a machine that provably runs no task any more.
-    pub(super) fn release_machine(&mut self, name: &str, proof: TerminationProof) {
+    pub(super) fn remove_all_placements(&mut self, name: &str, proof: TerminationProof) {
         self.record_lost_work(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         let tasks = std::mem::take(&mut machine.tasks);
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -21,7 +21,7 @@
             // The worker's lease ended although it was sent commands: the response with them did not arrive,
             // unless it was sent more than a lease ago.
             let lease_ended_despite_commands = previous_agent_epoch > 0 && !self.unacknowledged.is_empty();
-            self.unacknowledged_heartbeats += u32::from(lease_ended_despite_commands);
+            self.responses_without_effect += u32::from(lease_ended_despite_commands);
             self.unacknowledged.clear();
             return;
         }
@@ -30,7 +30,7 @@
         }
         let acknowledged = self.token_unacknowledged && heartbeat.token == token
             || self.unacknowledged.iter().any(|command| command.shows_in(heartbeat));
-        self.unacknowledged_heartbeats = if acknowledged { 0 } else { self.unacknowledged_heartbeats + 1 };
+        self.responses_without_effect = if acknowledged { 0 } else { self.responses_without_effect + 1 };
         self.unacknowledged.clear();
         self.token_unacknowledged = false;
     }
--- a/src/scheduler/reachability_tests.rs
+++ b/src/scheduler/reachability_tests.rs
@@ -28,7 +28,7 @@
     let mut commands = CommandTracker { unacknowledged: vec![command], ..CommandTracker::default() };
     commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), status), FencingToken(TOKEN));
     assert!(commands.unacknowledged.is_empty(), "each response is judged once");
-    commands.unacknowledged_heartbeats
+    commands.responses_without_effect
 }
 
 #[test]
@@ -65,17 +65,17 @@
 fn first_response_is_acknowledged_by_the_fencing_token() {
     let mut commands = CommandTracker { token_unacknowledged: true, ..CommandTracker::default() };
     commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN - 1), None), FencingToken(TOKEN));
-    assert_eq!(commands.unacknowledged_heartbeats, 1);
+    assert_eq!(commands.responses_without_effect, 1);
     commands.token_unacknowledged = true;
     commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
-    assert_eq!(commands.unacknowledged_heartbeats, 0);
+    assert_eq!(commands.responses_without_effect, 0);
 }
 
 #[test]
 fn heartbeat_after_an_empty_response_leaves_the_count_unchanged() {
-    let mut commands = CommandTracker { unacknowledged_heartbeats: 2, ..CommandTracker::default() };
+    let mut commands = CommandTracker { responses_without_effect: 2, ..CommandTracker::default() };
     commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
-    assert_eq!(commands.unacknowledged_heartbeats, 2);
+    assert_eq!(commands.responses_without_effect, 2);
 }
 
 #[test]
@@ -89,6 +89,6 @@
             &heartbeat(2, FencingToken(TOKEN), None),
             FencingToken(TOKEN),
         );
-        assert_eq!(commands.unacknowledged_heartbeats, expected, "after epoch {agent_epoch}");
+        assert_eq!(commands.responses_without_effect, expected, "after epoch {agent_epoch}");
     }
 }
--- a/src/scheduler/recall.rs
+++ b/src/scheduler/recall.rs
@@ -22,7 +22,7 @@
         for (id, kind, grace_s) in stops {
             match kind {
                 Kind::Gang => self.stop_gang(id.job_id),
-                Kind::Array | Kind::Service => self.stop(name, id, grace_s),
+                Kind::Array | Kind::Service => self.request_stop(name, id, grace_s),
             }
         }
     }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -29,7 +29,7 @@
     Images,
     /// A machine was deleted. In its record, it would cost the next leader a deletion before inherited work
     /// starts.
-    DeletedMachine,
+    RemovedMachine,
     /// A machine is new. It gets no task before its record is written.
     NewMachine,
 }
@@ -120,12 +120,12 @@
 
 impl Scheduler {
     /// Requests a write of the machine's record: the machine is new, or its images changed.
-    pub fn record(&mut self, name: &str) {
+    pub fn request_record_write(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let urgency = if machine.recorded { Urgency::Images } else { Urgency::NewMachine };
         machine.image_cache.has_unrecorded_image = false;
         let now = self.now;
-        let records = &mut self.records;
+        let records = &mut self.machine_records;
         let key = records.key_for(name, self.config.max_machines_per_record, self.config.token);
         records.key_of_machine.insert(name.to_string(), key.clone());
         let record =
@@ -154,11 +154,11 @@
         let mut new_keys = Vec::new();
         while remaining.len() > max_machines {
             let excess = remaining.split_off(remaining.len() - max_machines).into_iter().collect();
-            let new_key = self.records.new_key(self.config.token, &key);
+            let new_key = self.machine_records.new_key(self.config.token, &key);
             self.insert_record(new_key.clone(), Record::new(excess, Urgency::NewMachine, now));
             new_keys.push(new_key);
         }
-        let urgency = if new_keys.is_empty() { Urgency::Written } else { Urgency::DeletedMachine };
+        let urgency = if new_keys.is_empty() { Urgency::Written } else { Urgency::RemovedMachine };
         let mut record = Record::new(remaining.into_iter().collect(), urgency, now);
         record.write_after = new_keys;
         self.insert_record(key, record);
@@ -176,29 +176,29 @@
 
     fn insert_record(&mut self, key: String, record: Record) {
         let entries = record.machines.iter().map(|name| (name.clone(), key.clone()));
-        self.records.key_of_machine.extend(entries);
-        self.records.records.insert(key, record);
+        self.machine_records.key_of_machine.extend(entries);
+        self.machine_records.records.insert(key, record);
     }
 
     /// Removes a deleted machine from its record, and requests a write of the record.
     pub fn unrecord(&mut self, name: &str) {
-        let Some(key) = self.records.key_of_machine.remove(name) else { return };
-        if let Some(record) = self.records.records.get_mut(&key) {
+        let Some(key) = self.machine_records.key_of_machine.remove(name) else { return };
+        if let Some(record) = self.machine_records.records.get_mut(&key) {
             record.machines.remove(name);
-            record.request_write(Urgency::DeletedMachine, self.now);
+            record.request_write(Urgency::RemovedMachine, self.now);
         }
     }
 
     /// Applies the outcome of the write of a record. A failed write is requested again.
-    pub fn recorded(&mut self, key: &str, outcome: RequestOutcome) {
-        let Some(record) = self.records.records.get_mut(key) else { return };
+    pub fn handle_machine_record_written(&mut self, key: &str, outcome: RequestOutcome) {
+        let Some(record) = self.machine_records.records.get_mut(key) else { return };
         let Some(written) = record.in_flight.take() else { return };
         if outcome != RequestOutcome::Done {
             record.request_write(Urgency::NewMachine, self.now);
             return;
         }
         if record.machines.is_empty() && record.urgency == Urgency::Written {
-            self.records.records.remove(key);
+            self.machine_records.records.remove(key);
         }
         for name in written {
             if let Some(machine) = self.machines.get_mut(&name) {
@@ -208,15 +208,15 @@
     }
 
     /// Makes the due writes, the most urgent first, as far as the write budget allows.
-    pub fn write_due(&mut self) {
-        self.writes.refill(self.now);
+    pub fn send_due_writes(&mut self) {
+        self.write_budget.refill(self.now);
         if !self.finish_jobs()
             || !self.write_records(Urgency::NewMachine, Duration::ZERO)
             || !self.write_finished_tasks()
         {
             return;
         }
-        if self.write_records(Urgency::DeletedMachine, limits::DELETED_MACHINE_RECORD_DELAY) {
+        if self.write_records(Urgency::RemovedMachine, limits::DELETED_MACHINE_RECORD_DELAY) {
             self.write_records(Urgency::Images, limits::IMAGE_RECORD_DELAY);
         }
     }
@@ -224,11 +224,11 @@
     /// Writes the records that are due at this urgency. Returns whether the budget sufficed: only then may
     /// less urgent writes follow.
     fn write_records(&mut self, urgency: Urgency, delay: Duration) -> bool {
-        for key in self.records.due(urgency, delay, self.now) {
-            if !self.writes.take_allowing_debt(1.0) {
+        for key in self.machine_records.due(urgency, delay, self.now) {
+            if !self.write_budget.take_allowing_debt(1.0) {
                 return false;
             }
-            let Some(record) = self.records.records.get_mut(&key) else { continue };
+            let Some(record) = self.machine_records.records.get_mut(&key) else { continue };
             record.urgency = Urgency::Written;
             record.write_after.clear();
             record.in_flight = Some(record.machines.clone());
@@ -246,7 +246,7 @@
         for job_id in ready.collect::<Vec<_>>() {
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
             let chunks = job.recorded_chunks();
-            if !self.writes.take_allowing_debt(FINAL_WRITES + chunks.len() as f64) {
+            if !self.write_budget.take_allowing_debt(FINAL_WRITES + chunks.len() as f64) {
                 return false;
             }
             job.progress.write_in_flight = true;
@@ -270,7 +270,7 @@
         ready.sort_unstable();
         for (_, job_id) in ready {
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
-            if !self.writes.take_allowing_debt(1.0) {
+            if !self.write_budget.take_allowing_debt(1.0) {
                 return false;
             }
             job.progress.write_in_flight = true;
@@ -286,7 +286,12 @@
     }
 
     /// Applies the outcome of a write of finished tasks.
-    pub fn committed(&mut self, job_id: JobId, tasks: BTreeSet<u32>, outcome: RequestOutcome) {
+    pub fn handle_finished_tasks_written(
+        &mut self,
+        job_id: JobId,
+        tasks: BTreeSet<u32>,
+        outcome: RequestOutcome,
+    ) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let progress = &mut job.progress;
         progress.write_in_flight = false;
--- a/src/scheduler/records_tests.rs
+++ b/src/scheduler/records_tests.rs
@@ -42,36 +42,36 @@
     insert(
         &mut records,
         "7-1",
-        Record::new(machines(&["a"]), Urgency::DeletedMachine, Timestamp::from_micros(100)),
+        Record::new(machines(&["a"]), Urgency::RemovedMachine, Timestamp::from_micros(100)),
     );
     assert!(records.due(Urgency::NewMachine, Duration::ZERO, Timestamp::from_micros(1_000)).is_empty());
     assert!(records
-        .due(Urgency::DeletedMachine, Duration::from_micros(50), Timestamp::from_micros(149))
+        .due(Urgency::RemovedMachine, Duration::from_micros(50), Timestamp::from_micros(149))
         .is_empty());
     assert_eq!(
-        records.due(Urgency::DeletedMachine, Duration::from_micros(50), Timestamp::from_micros(150)),
+        records.due(Urgency::RemovedMachine, Duration::from_micros(50), Timestamp::from_micros(150)),
         ["7-1"]
     );
     assert_eq!(records.due(Urgency::Images, Duration::from_micros(50), Timestamp::from_micros(150)), ["7-1"]);
     records.records.get_mut("7-1").unwrap().in_flight = Some(machines(&["a"]));
     assert!(records
-        .due(Urgency::DeletedMachine, Duration::from_micros(50), Timestamp::from_micros(150))
+        .due(Urgency::RemovedMachine, Duration::from_micros(50), Timestamp::from_micros(150))
         .is_empty());
 }
 
 #[test]
 fn a_record_is_due_only_after_those_that_took_machines_over_from_it_are_written() {
     let mut records = Records::default();
-    let mut old = Record::new(machines(&["a"]), Urgency::DeletedMachine, Timestamp::ZERO);
+    let mut old = Record::new(machines(&["a"]), Urgency::RemovedMachine, Timestamp::ZERO);
     old.write_after = vec!["7-1".into()];
     insert(&mut records, "6-1", old);
     insert(&mut records, "7-1", Record::new(machines(&["b"]), Urgency::NewMachine, Timestamp::ZERO));
-    assert_eq!(records.due(Urgency::DeletedMachine, Duration::ZERO, Timestamp::from_micros(10)), ["7-1"]);
+    assert_eq!(records.due(Urgency::RemovedMachine, Duration::ZERO, Timestamp::from_micros(10)), ["7-1"]);
     let new = records.records.get_mut("7-1").unwrap();
     (new.urgency, new.in_flight) = (Urgency::Written, Some(machines(&["b"])));
-    assert!(records.due(Urgency::DeletedMachine, Duration::ZERO, Timestamp::from_micros(10)).is_empty());
+    assert!(records.due(Urgency::RemovedMachine, Duration::ZERO, Timestamp::from_micros(10)).is_empty());
     records.records.get_mut("7-1").unwrap().in_flight = None;
-    assert_eq!(records.due(Urgency::DeletedMachine, Duration::ZERO, Timestamp::from_micros(10)), ["6-1"]);
+    assert_eq!(records.due(Urgency::RemovedMachine, Duration::ZERO, Timestamp::from_micros(10)), ["6-1"]);
 }
 
 #[test]
@@ -79,6 +79,6 @@
     let mut record = Record::new(machines(&["a"]), Urgency::Written, Timestamp::ZERO);
     record.request_write(Urgency::Images, Timestamp::from_micros(10));
     record.request_write(Urgency::NewMachine, Timestamp::from_micros(20));
-    record.request_write(Urgency::DeletedMachine, Timestamp::from_micros(30));
+    record.request_write(Urgency::RemovedMachine, Timestamp::from_micros(30));
     assert_eq!((record.urgency, record.due_since), (Urgency::NewMachine, Timestamp::from_micros(10)));
 }
--- a/src/scheduler/scaling_plan/mod.rs
+++ b/src/scheduler/scaling_plan/mod.rs
@@ -52,7 +52,7 @@
         let mut coming = ComingMachines::default();
         for (offer, count) in &counts {
             let is_reachable = !self.failure_detector.zone_unreachable(&offer.zone);
-            let machine_type = self.types.get(&offer.machine_type).filter(|_| is_reachable);
+            let machine_type = self.machine_types.get(&offer.machine_type).filter(|_| is_reachable);
             if let Some(machine_type) = machine_type {
                 coming.add(offer, machine_type.capacity, Load::Empty, *count);
             }
@@ -99,7 +99,7 @@
         let mut steps = 0;
         while steps < self.config.max_round_steps {
             let Some(job_id) = plan.queue.next() else {
-                self.steps += steps as u64;
+                self.decision_steps += steps as u64;
                 self.carry_out_plan(plan);
                 return true;
             };
@@ -107,7 +107,7 @@
                 self.plan_job(job, &mut plan, &mut steps);
             }
         }
-        self.steps += steps as u64;
+        self.decision_steps += steps as u64;
         self.autoscaler.plan = Some(plan);
         false
     }
@@ -131,7 +131,7 @@
         let MachineKind { machine_type, zone, spot } = offer.clone();
         info!(request, machine_type, zone, spot, count, "rent");
         let kind = if spot { "spot" } else { "ordinary" };
-        self.decided(format!("rent {count} {kind} {machine_type} in {zone}"));
+        self.record_decision(format!("rent {count} {kind} {machine_type} in {zone}"));
         self.autoscaler.renting.insert(request, Rental { offer: offer.clone(), count });
         self.effects.push(Effect::Rent { request, name: None, machine_type, zone, spot, count });
     }
@@ -145,7 +145,8 @@
     ) -> Vec<PricedOffer> {
         let is_open = |zone: &str| allows_zone(zone) && !self.failure_detector.zone_unreachable(zone);
         let mut offers = Vec::new();
-        for machine_type in self.types.values().filter(|machine_type| allows_type(&machine_type.name)) {
+        for machine_type in self.machine_types.values().filter(|machine_type| allows_type(&machine_type.name))
+        {
             for zone in machine_type.zones.iter().filter(|zone| is_open(zone)) {
                 let offer =
                     |spot| MachineKind { machine_type: machine_type.name.clone(), zone: zone.clone(), spot };
@@ -161,7 +162,7 @@
 
     /// Whether the offer could be rented now for tasks with this request.
     fn is_rentable(&self, offer: &MachineKind, request: &Resources) -> bool {
-        let machine_type = self.types.get(&offer.machine_type);
+        let machine_type = self.machine_types.get(&offer.machine_type);
         machine_type.is_some_and(|machine_type| request.fits_into(&machine_type.capacity))
             && !self.is_backing_off(offer)
     }
@@ -183,7 +184,7 @@
         while demand.tasks > 0 {
             *steps += offers.len();
             let Some(offer) = best_offer(&offers, demand, &plan.counts) else { return };
-            let Some(machine_type) = self.types.get(&offer.machine_type) else { return };
+            let Some(machine_type) = self.machine_types.get(&offer.machine_type) else { return };
             // One task at a time would be fairer to the zones, but a machine that is paid for is filled.
             let per_machine = tasks_that_fit(demand.request(), &machine_type.capacity);
             let tasks = demand.tasks_for(&offer.zone, per_machine);
@@ -252,7 +253,7 @@
     fn headroom_offer(&self, zone: &str, place: &Resources) -> Option<(MachineKind, Resources)> {
         let offers = self.offers(|_| true, |other| other == zone, false);
         let cheapest = offers.into_iter().find(|priced| self.is_rentable(&priced.offer, place))?;
-        let machine_type = self.types.get(&cheapest.offer.machine_type)?;
+        let machine_type = self.machine_types.get(&cheapest.offer.machine_type)?;
         Some((cheapest.offer, machine_type.capacity))
     }
 }
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -74,7 +74,7 @@
 pub struct Score {
     /// Whether the machine is ordinary and the job may use spot machines, while there are jobs that may not
     /// (fixed work).
-    pub takes_from_fixed_work: bool,
+    pub takes_from_non_spot_work: bool,
     /// Number of image fetches that a task waits for; see [`Machine::image_fetches`].
     pub image_fetches: i64,
     /// Sum of the reasons against the machine; larger is worse.
@@ -82,11 +82,11 @@
 }
 
 impl Score {
-    /// Scores the machine for the job. `has_fixed_work`: whether some job may not use spot machines.
-    pub fn of(job: &Job, machine: &Machine, has_fixed_work: bool) -> Self {
+    /// Scores the machine for the job. `has_non_spot_work`: whether some job may not use spot machines.
+    pub fn of(job: &Job, machine: &Machine, has_non_spot_work: bool) -> Self {
         let is_ordinary_for_spot_job = job.spec.allows_spot && !machine.spot;
         Score {
-            takes_from_fixed_work: is_ordinary_for_spot_job && has_fixed_work,
+            takes_from_non_spot_work: is_ordinary_for_spot_job && has_non_spot_work,
             image_fetches: machine.image_fetches(&job.spec.image),
             penalty: i64::from(machine.lifecycle.consolidation_target) + i64::from(is_ordinary_for_spot_job),
         }
@@ -101,7 +101,7 @@
 /// Score for best-fit bin packing: the resources of `room` that a task of the job would leave, in thousandths
 /// of a processor. A GPU counts as much as a thousand processors. Smaller is better: the fullest machines are
 /// filled first, so that others become empty.
-pub fn remainder(job: &Job, room: &Resources) -> i64 {
+pub fn best_fit_remainder(job: &Job, room: &Resources) -> i64 {
     let left = room.minus(&job.spec.resource_request);
     left.milli_gpus * 1000 + left.milli_cpus
 }
--- a/src/scheduler/scoring_tests.rs
+++ b/src/scheduler/scoring_tests.rs
@@ -95,7 +95,7 @@
 fn remainder_is_smallest_on_the_fullest_machine() {
     let job = job(spec(Kind::Array, 1));
     let (fuller, emptier) = (Resources::rounded_down(2.0, 0.0, 4.0), Resources::rounded_down(4.0, 0.0, 4.0));
-    assert!(remainder(&job, &fuller) < remainder(&job, &emptier));
+    assert!(best_fit_remainder(&job, &fuller) < best_fit_remainder(&job, &emptier));
     let with_gpu = Resources::rounded_down(1.0, 1.0, 4.0);
-    assert!(remainder(&job, &emptier) < remainder(&job, &with_gpu));
+    assert!(best_fit_remainder(&job, &emptier) < best_fit_remainder(&job, &with_gpu));
 }
--- a/src/scheduler/task_lists.rs
+++ b/src/scheduler/task_lists.rs
@@ -153,7 +153,7 @@
             warn!(task = %id, machine = name, "task is on two machines; stopping it on this machine");
         }
         if terminated || is_elsewhere || has_succeeded {
-            self.stop(name, id, 0.0);
+            self.request_stop(name, id, 0.0);
         }
     }
 
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -45,31 +45,31 @@
 impl Scheduler {
     /// Adds up what runs, and writes it to the log when that is due.
     pub(super) fn account(&mut self) {
-        let elapsed = self.now.since(self.usage.counted_until.max(self.started_at));
+        let elapsed = self.now.since(self.usage_ledger.counted_until.max(self.started_at));
         let elapsed = i128::from(to_micros(elapsed));
-        self.usage.counted_until = self.now;
+        self.usage_ledger.counted_until = self.now;
         for machine in self.machines.values() {
             let running = machine.tasks.iter().filter(|(_, task)| task.status == TaskStatus::Running);
             for (id, task) in running {
                 let Some(job) = self.jobs.get(&id.job_id) else { continue };
                 let (team, class) = (job.spec.team.clone(), job.spec.class.clone());
                 let key = UsageKey { team, class, job_id: id.job_id };
-                let usage = self.usage.by_job.entry(key).or_default();
+                let usage = self.usage_ledger.by_job.entry(key).or_default();
                 let gpus = i128::from(task.resource_request.milli_gpus) * elapsed;
                 usage.cpus += i128::from(task.resource_request.milli_cpus) * elapsed;
                 usage.gpus += gpus;
                 usage.spot_gpus += if machine.spot { gpus } else { 0 };
             }
         }
-        if self.now >= self.usage.written_at + limits::USAGE_LOG_INTERVAL {
+        if self.now >= self.usage_ledger.written_at + limits::USAGE_LOG_INTERVAL {
             self.write_usage();
         }
     }
 
     /// Writes all use that is not in the log yet. Also called when leadership ends, so that none is lost.
     pub fn write_usage(&mut self) {
-        self.usage.written_at = self.now;
-        for (UsageKey { team, class, job_id: job }, usage) in std::mem::take(&mut self.usage.by_job) {
+        self.usage_ledger.written_at = self.now;
+        for (UsageKey { team, class, job_id: job }, usage) in std::mem::take(&mut self.usage_ledger.by_job) {
             info!(
                 team,
                 class,
--- a/tests/loopback/draining.rs
+++ b/tests/loopback/draining.rs
@@ -76,7 +76,7 @@
 }
 
 /// The machines that are up, as the leader tells operators.
-async fn machines_up(user: &User) -> Vec<String> {
+async fn ready_machine_count(user: &User) -> Vec<String> {
     for node in 0..3 {
         let Some((_, view)) = user.ask(node, "GET", "/overview", String::new()).await else { continue };
         let machines = view["machines"].as_array().into_iter().flatten();
@@ -165,7 +165,7 @@
         let old: Vec<String> = cloud.lock().unwrap().machines.keys().take(20).cloned().collect();
         // One that has not reported yet is not known.
         let started_at = Instant::now();
-        while machines_up(&user).await.iter().filter(|name| old.contains(name)).count() < 20 {
+        while ready_machine_count(&user).await.iter().filter(|name| old.contains(name)).count() < 20 {
             assert!(started_at.elapsed() < Duration::from_secs(60), "the machines do not come up");
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
--- a/tests/scale/decision_steps.rs
+++ b/tests/scale/decision_steps.rs
@@ -26,16 +26,20 @@
     let placed: usize = fleet.running.values().map(BTreeMap::len).sum();
     assert_eq!(placed, 250 * 4 + 70 * 30);
 
-    let calm = fleet.scheduler.steps;
+    let calm = fleet.scheduler.decision_steps;
     fleet.heartbeat();
     let idle_rounds = 4 * SECOND.as_micros() as u64 / limits::IDLE_ROUND_INTERVAL.as_micros() as u64 + 1;
     let each = 2 * machines as u64 + 320;
-    assert!(fleet.scheduler.steps - calm <= idle_rounds * each, "{} steps", fleet.scheduler.steps - calm);
+    assert!(
+        fleet.scheduler.decision_steps - calm <= idle_rounds * each,
+        "{} steps",
+        fleet.scheduler.decision_steps - calm
+    );
 
-    let before = fleet.scheduler.steps;
+    let before = fleet.scheduler.decision_steps;
     fleet.now += SECOND;
     fleet.submit(spec(600, Kind::Array, Priority::Normal, 150));
-    let used = fleet.scheduler.steps - before;
+    let used = fleet.scheduler.decision_steps - before;
     assert!(used <= 10 * machines as u64, "{used} steps for one arrival");
     (0..2).for_each(|_| fleet.heartbeat());
     assert_eq!(fleet.width(600), 150);
@@ -56,11 +60,11 @@
     }
     // Ten tasks fill two machines and half of a third, and the halves are filled by the next.
     assert_eq!(fleet.rented, 1_000);
-    let before = fleet.scheduler.steps;
+    let before = fleet.scheduler.decision_steps;
     for _ in 0..10 {
         fleet.now += SECOND;
         fleet.step(Vec::new());
     }
-    let plans = fleet.scheduler.steps - before;
+    let plans = fleet.scheduler.decision_steps - before;
     assert!(plans <= 10 * 400 * 12, "{plans} steps in ten plans and rounds");
 }
