--- a/crates/dockpier-simulation/src/layout.rs
+++ b/crates/dockpier-simulation/src/layout.rs
@@ -70,7 +70,7 @@
         max_round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: 1.0,
         write_rps: layout.write_rps,
-        max_machines_per_record: limits::record_machines(layout.max_value_bytes as f64 / 1_024.0),
+        max_machines_per_record: limits::machines_per_record(layout.max_value_bytes as f64 / 1_024.0),
         max_value_bytes: layout.max_value_bytes,
         max_concurrent_rentals: 10,
         shard_lease: Duration::ZERO,
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -74,16 +74,20 @@
         capacity: limits::Capacity,
     ) -> Self {
         Api {
-            live: LiveJobCache::start(store.clone(), capacity.polls + capacity.changes, events.clone()),
+            live: LiveJobCache::start(
+                store.clone(),
+                capacity.concurrent_polls + capacity.concurrent_changes,
+                events.clone(),
+            ),
             store,
             settings,
             types,
             summary,
             events,
             health,
-            changes: Semaphore::new(capacity.changes),
-            polls: Semaphore::new(capacity.polls),
-            final_states: Mutex::new(FinalStateCache::new(capacity.over)),
+            changes: Semaphore::new(capacity.concurrent_changes),
+            polls: Semaphore::new(capacity.concurrent_polls),
+            final_states: Mutex::new(FinalStateCache::new(capacity.final_states)),
         }
     }
 
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -23,7 +23,7 @@
 /// Time between two summaries of the leader.
 const SUMMARY_INTERVAL: Duration = limits::SECOND;
 /// Time between two `usage` lines of the leader.
-const USAGE_LOG_INTERVAL: Duration = Duration::from_secs(10);
+const FLEET_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What the controller publishes, and when next.
 pub(super) struct Publication {
@@ -32,7 +32,7 @@
     /// Read by this node's API.
     health: Arc<Health>,
     next_summary_at: Timestamp,
-    next_usage_log_at: Timestamp,
+    next_fleet_log_at: Timestamp,
     limit_warnings: LimitWarnings,
 }
 
@@ -42,7 +42,7 @@
             summary,
             health,
             next_summary_at: Timestamp::ZERO,
-            next_usage_log_at: Timestamp::ZERO,
+            next_fleet_log_at: Timestamp::ZERO,
             limit_warnings: LimitWarnings::default(),
         }
     }
@@ -74,12 +74,12 @@
         scheduler: &Scheduler,
         deployment: &Deployment,
     ) {
-        if now < self.next_usage_log_at {
+        if now < self.next_fleet_log_at {
             return;
         }
-        self.next_usage_log_at = now + USAGE_LOG_INTERVAL;
+        self.next_fleet_log_at = now + FLEET_LOG_INTERVAL;
         info!(%token, "{}", scheduler.usage_line());
-        self.limit_warnings.judge(scheduler.machines.len(), deployment);
+        self.limit_warnings.warn_of_new(scheduler.machines.len(), deployment);
     }
 }
 
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -84,7 +84,7 @@
     let clients = clients(&settings, clock, capacity)?;
     // The controller's queue: filled by the API, the peers' frames and the tasks of this process. When it is full,
     // the API refuses requests, and tasks wait.
-    let (events, queue) = mpsc::channel(capacity.queue);
+    let (events, queue) = mpsc::channel(capacity.event_queue);
     let (types_sender, types) = watch::channel(Types::default());
     let (summary_sender, summary) = watch::channel(Summary::default());
     let health = Arc::new(Health::default());
@@ -122,7 +122,7 @@
         scheduler: None,
         term: LeadershipTerm::default(),
         authority_until: Arc::default(),
-        routing: HeartbeatRouting::new(capacity.shard, sender.incarnation),
+        routing: HeartbeatRouting::new(capacity.cached_heartbeats, sender.incarnation),
         publication: Publication::new(summary_sender, health),
         pending_confirmations: Vec::new(),
     };
@@ -153,14 +153,14 @@
 ) -> PeerLinks {
     let names = settings.node_names();
     // Filled by the connections of all peers. When it is full, they are read no further.
-    let (frames_sender, frames) = mpsc::channel(capacity.peer_queue);
+    let (frames_sender, frames) = mpsc::channel(capacity.peer_frame_queue);
     tasks.spawn(peer::listen(socket, names.len(), sender.node, frames_sender));
     tasks.spawn(forward_frames(frames, events.clone()));
     let mut queues: Vec<Option<mpsc::Sender<Payload>>> = Vec::new();
     for name in &names {
         let member = settings.members.iter().find(|member| member.node_name == *name);
         queues.push(member.map(|member| {
-            let (frames, queue) = mpsc::channel(capacity.peer_queue);
+            let (frames, queue) = mpsc::channel(capacity.peer_frame_queue);
             tasks.spawn(peer::send_to(member.peer_addr, sender, queue));
             frames
         }));
@@ -226,7 +226,7 @@
         max_round_steps: limits::MAX_ROUND_STEPS,
         cpu_share: deployment.resources.cpu,
         write_rps: deployment.state.write_rps,
-        max_machines_per_record: limits::record_machines(deployment.state.value_kb),
+        max_machines_per_record: limits::machines_per_record(deployment.state.value_kb),
         max_value_bytes: limits::value_bytes(deployment.state.value_kb),
         max_concurrent_rentals: limits::max_concurrent_rentals(deployment.cloud.rps),
         shard_lease,
--- a/src/fleet_limits.rs
+++ b/src/fleet_limits.rs
@@ -21,16 +21,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SmallLimit {
     /// Its path in the platform's settings.
-    pub field: &'static str,
+    pub setting: &'static str,
     /// What goes wrong in the deployment because of it.
     pub consequence: &'static str,
 }
 
 /// The settings that are too small for a fleet of this many machines.
-pub fn too_small(machines: usize, deployment: &Deployment) -> Vec<SmallLimit> {
+pub fn settings_too_small(machines: usize, deployment: &Deployment) -> Vec<SmallLimit> {
     let machine_count = machines as f64;
     let resources = &deployment.resources;
-    let records = machine_count / limits::record_machines(deployment.state.value_kb) as f64;
+    let records = machine_count / limits::machines_per_record(deployment.state.value_kb) as f64;
     let leader_writes_per_s = deployment.state.write_rps * limits::LEADER_WRITE_SHARE;
     let pages = machine_count / f64::from(limits::MACHINE_LIST_PAGE_SIZE);
     // Whether the setting is too small, its path, and the consequence.
@@ -62,7 +62,7 @@
         ),
     ];
     let failed = checks.into_iter().filter(|(is_too_small, ..)| *is_too_small);
-    failed.map(|(_, field, consequence)| SmallLimit { field, consequence }).collect()
+    failed.map(|(_, setting, consequence)| SmallLimit { setting, consequence }).collect()
 }
 
 /// Logs one warning for each setting that is too small.
@@ -71,12 +71,12 @@
 
 impl LimitWarnings {
     /// Checks the settings against the current number of machines. Returns the number of new warnings.
-    pub fn judge(&mut self, machines: usize, deployment: &Deployment) -> usize {
+    pub fn warn_of_new(&mut self, machines: usize, deployment: &Deployment) -> usize {
         let warned_before = self.0.len();
-        for limit in too_small(machines, deployment) {
+        for limit in settings_too_small(machines, deployment) {
             if self.0.insert(limit) {
                 warn!(
-                    setting = limit.field,
+                    setting = limit.setting,
                     machines,
                     consequence = limit.consequence,
                     "setting too small for the fleet"
--- a/src/leadership/commitments.rs
+++ b/src/leadership/commitments.rs
@@ -4,7 +4,7 @@
 //! Owned by [`super::Leadership`]. A grant or vote counts from the arrival of the message that it answers and
 //! is lengthened for clock drift.
 
-use crate::limits::{self, lengthened};
+use crate::limits::{self, plus_clock_drift};
 use crate::time::Timestamp;
 
 /// A grant or a vote of this node.
@@ -18,7 +18,7 @@
 
 impl Commitment {
     fn new(now: Timestamp, node: usize) -> Self {
-        Commitment { node, until: now + lengthened(limits::GRANT_DURATION) }
+        Commitment { node, until: now + plus_clock_drift(limits::GRANT_DURATION) }
     }
 
     fn excludes(&self, now: Timestamp, node: usize) -> bool {
@@ -52,7 +52,7 @@
     /// Whether this process has started so recently that grants and votes of its earlier incarnation may
     /// still run. It does not know them and gives none meanwhile.
     pub(super) fn in_restart_grace(&self, now: Timestamp) -> bool {
-        now < self.started_at + lengthened(limits::GRANT_DURATION)
+        now < self.started_at + plus_clock_drift(limits::GRANT_DURATION)
     }
 
     /// Whether this node's own vote counts for itself. It does not while a grant or vote for another node
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -5,7 +5,7 @@
 use super::role::{Role, TakeoverProof};
 use super::{Action, Leadership, Message};
 use crate::fencing_token::FencingToken;
-use crate::limits::{self, lengthened};
+use crate::limits::{self, plus_clock_drift};
 use crate::time::{to_micros, Timestamp};
 use rand::Rng;
 use std::time::Duration;
@@ -23,7 +23,7 @@
         let has_leader = self.followed.is_some_and(|leader| leader.holds_back_campaigns(now));
         if self.lock.is_probe_due(now) {
             let interval =
-                if has_leader { limits::PROBE_INTERVAL } else { limits::LEADERLESS_PROBE_INTERVAL };
+                if has_leader { limits::LOCK_PROBE_INTERVAL } else { limits::LEADERLESS_PROBE_INTERVAL };
             self.probe(now, interval, actions);
         }
         if self.role.is_keep_alive() {
@@ -90,7 +90,7 @@
     fn former_leader_authority_until(&self, unlocked_at: Timestamp) -> Timestamp {
         let attested = self.attested_until + limits::LOCK_LEASE;
         unlocked_at.max(attested)
-            + lengthened(self.longest_autonomy)
+            + plus_clock_drift(self.longest_autonomy)
             + limits::PEER_TIMEOUT
             + limits::GRANT_DURATION
     }
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -5,7 +5,7 @@
 use super::role::{Role, Term};
 use super::{Action, Leadership, Message};
 use crate::fencing_token::FencingToken;
-use crate::limits::{self, shortened};
+use crate::limits::{self, minus_clock_drift};
 use crate::time::Timestamp;
 use tracing::{info, warn};
 
@@ -37,7 +37,7 @@
         let is_isolated = !self.peers.is_empty() && first_alive.is_none();
         // Several machines that become silent at once point to a fault of this node, not of the machines. A
         // peer should lead before the workers stop trying this node and report to the peer.
-        let many_machines = self.status.machines >= limits::MIN_CORRELATED_SILENCE;
+        let many_machines = self.status.machines >= limits::MIN_CORRELATED_SILENT_MACHINES;
         let successor = self.peers.reached_by_most_workers(now).or(first_alive.filter(|_| many_machines));
         self.reachability.reached |= self.status.workers > 0;
         // As long as no worker has reached this leader, the first heartbeats may well go to a peer.
@@ -48,7 +48,7 @@
             return;
         }
         let since = *self.reachability.unreached_since.get_or_insert(now);
-        if now < since + limits::HEARTBEAT_INTERVAL {
+        if now < since + limits::PEER_HEARTBEAT_INTERVAL {
             return;
         }
         if let Some(successor) = successor {
@@ -96,7 +96,7 @@
     fn keep_alive_after_term(&self, term: Term, now: Timestamp) -> Timestamp {
         let granted_until = self.peers.granted_until(self.commitments.own_vote_counts(now));
         let acted_until = granted_until.max(term.lease_until).min(now);
-        (acted_until + shortened(self.longest_autonomy)).min(self.cancellations.keep_alive_until())
+        (acted_until + minus_clock_drift(self.longest_autonomy)).min(self.cancellations.keep_alive_until())
     }
 
     /// Records a fencing token that a worker, a peer or the epoch record has shown. A leader with a lower
--- a/src/leadership/lock_observation.rs
+++ b/src/leadership/lock_observation.rs
@@ -69,10 +69,10 @@
         self.locked
     }
 
-    /// Whether a reading within `limits::PROBE_INTERVAL` shows the lock free. A takeover transaction needs
-    /// one: it compares the version of the epoch record that was read.
+    /// Whether a reading within `limits::LOCK_PROBE_INTERVAL` shows the lock free. A takeover transaction
+    /// needs one: it compares the version of the epoch record that was read.
     pub(super) fn is_known_free(&self, now: Timestamp) -> bool {
-        self.probed_at.is_some_and(|at| now < at + limits::PROBE_INTERVAL) && !self.locked
+        self.probed_at.is_some_and(|at| now < at + limits::LOCK_PROBE_INTERVAL) && !self.locked
     }
 
     /// The lock, if the last reading showed it free and the key-value store has not been lost since. None:
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -167,7 +167,7 @@
             None => self.follow(now, &mut actions),
         }
         if now >= self.next_heartbeat_at {
-            self.next_heartbeat_at = now + limits::HEARTBEAT_INTERVAL;
+            self.next_heartbeat_at = now + limits::PEER_HEARTBEAT_INTERVAL;
             let token = self.role.token_for_grants().unwrap_or(FencingToken::NONE);
             self.broadcast(Message::Heartbeat { token, sent: now }, &mut actions);
         }
@@ -184,12 +184,12 @@
                 self.next_renewal_at = now + limits::LOCK_RENEWAL_INTERVAL;
                 actions.push(Action::Renew { lease });
             }
-            None if self.lock.is_probe_due(now) => self.probe(now, limits::PROBE_INTERVAL, actions),
+            None if self.lock.is_probe_due(now) => self.probe(now, limits::LOCK_PROBE_INTERVAL, actions),
             Some(_) | None => {}
         }
         if self.is_store_lost() {
             // A peer that reaches the key-value store can still commit changes.
-            let successor = self.peers.first_reaching_store(now, limits::HEARTBEAT_INTERVAL * 2);
+            let successor = self.peers.first_reaching_store(now, limits::PEER_HEARTBEAT_INTERVAL * 2);
             if let Some(successor) = successor {
                 info!(
                     successor = self.peers.name(successor),
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -4,7 +4,7 @@
 //! Owned by [`super::Leadership`]. Nodes are numbered in the order of the settings.
 
 use super::Status;
-use crate::limits::{self, shortened};
+use crate::limits::{self, minus_clock_drift};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -125,13 +125,13 @@
 
     /// Records a grant from a node. It counts from when the heartbeat that it answers was sent.
     pub(super) fn record_grant(&mut self, from: usize, heartbeat_sent: Timestamp) {
-        let until = heartbeat_sent + shortened(limits::GRANT_DURATION);
+        let until = heartbeat_sent + minus_clock_drift(limits::GRANT_DURATION);
         self.peers[from].grant_until = self.peers[from].grant_until.max(until);
     }
 
     /// Records a vote from a node. It counts from when the request that it answers was sent.
     pub(super) fn record_vote(&mut self, from: usize, request_sent: Timestamp) {
-        let until = request_sent + shortened(limits::GRANT_DURATION);
+        let until = request_sent + minus_clock_drift(limits::GRANT_DURATION);
         self.peers[from].vote_until = self.peers[from].vote_until.max(until);
     }
 
--- a/src/leadership/store_responses.rs
+++ b/src/leadership/store_responses.rs
@@ -3,7 +3,7 @@
 
 use super::role::{Role, TakeoverProof, Term};
 use super::{Action, Leadership, StoreResponse};
-use crate::limits::{self, shortened};
+use crate::limits::{self, minus_clock_drift};
 use crate::protocol::records::Epoch;
 use crate::time::Timestamp;
 use tracing::info;
@@ -47,7 +47,7 @@
             actions.push(Action::Release { lease: takeover.lease });
             return;
         };
-        let lease_until = takeover.lease_sent + shortened(limits::LOCK_LEASE);
+        let lease_until = takeover.lease_sent + minus_clock_drift(limits::LOCK_LEASE);
         // The response must have arrived before the votes expire.
         let proof_holds = match proof {
             TakeoverProof::Votes => self.votes_until(now) > now,
@@ -99,7 +99,7 @@
 
     fn extend_lock_lease(&mut self, lease: u64, renewal_sent: Timestamp) {
         if let Some(term) = self.term_with_lease(lease) {
-            let until = renewal_sent + shortened(limits::LOCK_LEASE);
+            let until = renewal_sent + minus_clock_drift(limits::LOCK_LEASE);
             term.lease_until = term.lease_until.max(until);
         }
     }
--- a/src/leadership/tests/components.rs
+++ b/src/leadership/tests/components.rs
@@ -7,7 +7,7 @@
 use crate::leadership::lock_observation::LockObservation;
 use crate::leadership::peers::Peers;
 use crate::leadership::Status;
-use crate::limits::{self, lengthened, shortened, SECOND};
+use crate::limits::{self, minus_clock_drift, plus_clock_drift, SECOND};
 use crate::protocol::records::Epoch;
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 #[test]
 fn a_restarted_node_gives_no_grant_or_vote_while_earlier_ones_may_run() {
     let commitments = commitments();
-    let grace_ends = START + lengthened(limits::GRANT_DURATION);
+    let grace_ends = START + plus_clock_drift(limits::GRANT_DURATION);
     assert!(!commitments.permit(grace_ends - Duration::from_micros(1), 1));
     assert!(!commitments.own_vote_counts(grace_ends - Duration::from_micros(1)));
     assert!(commitments.permit(grace_ends, 1));
@@ -44,7 +44,7 @@
     for give in [Commitments::give_grant, Commitments::give_vote] {
         let mut commitments = commitments();
         give(&mut commitments, NOW, 1);
-        let expires_at = NOW + lengthened(limits::GRANT_DURATION);
+        let expires_at = NOW + plus_clock_drift(limits::GRANT_DURATION);
         assert!(
             commitments.permit(expires_at - Duration::from_micros(1), 1),
             "the same node may get another one"
@@ -77,7 +77,7 @@
     let mut granted = commitments();
     granted.give_grant(NOW, 1);
     granted.bind_leader();
-    let expires_at = NOW + lengthened(limits::GRANT_DURATION);
+    let expires_at = NOW + plus_clock_drift(limits::GRANT_DURATION);
     assert!(!granted.own_vote_counts(expires_at - Duration::from_micros(1)));
     assert!(granted.own_vote_counts(expires_at));
 }
@@ -90,8 +90,8 @@
     peers.record_grant(2, NOW + SECOND);
     // An older grant does not shorten the recorded one.
     peers.record_grant(2, NOW - SECOND);
-    assert_eq!(peers.granted_until(true), NOW + SECOND + shortened(limits::GRANT_DURATION));
-    assert_eq!(peers.granted_until(false), NOW + shortened(limits::GRANT_DURATION));
+    assert_eq!(peers.granted_until(true), NOW + SECOND + minus_clock_drift(limits::GRANT_DURATION));
+    assert_eq!(peers.granted_until(false), NOW + minus_clock_drift(limits::GRANT_DURATION));
     assert_eq!(peers.voted_until(false), Timestamp::ZERO, "grants are no votes");
     assert_eq!(peers.without_grant(NOW + limits::GRANT_DURATION).collect::<Vec<_>>(), [1]);
     peers.clear_grants();
@@ -132,8 +132,8 @@
     assert!(!lock.is_probe_due(START + SECOND), "the probe is under way");
     lock.end_probe();
     lock.record_probe(NOW, None, false);
-    assert!(lock.is_known_free(NOW + limits::PROBE_INTERVAL - Duration::from_micros(1)));
-    assert!(!lock.is_known_free(NOW + limits::PROBE_INTERVAL));
+    assert!(lock.is_known_free(NOW + limits::LOCK_PROBE_INTERVAL - Duration::from_micros(1)));
+    assert!(!lock.is_known_free(NOW + limits::LOCK_PROBE_INTERVAL));
     lock.record_probe(NOW, None, true);
     assert!(!lock.is_known_free(NOW));
 }
--- a/src/leadership/tests/invariants.rs
+++ b/src/leadership/tests/invariants.rs
@@ -3,7 +3,7 @@
 use super::cluster::Cluster;
 use super::{LONGEST_AUTONOMY, NODE_COUNT, WORKER_LEASE};
 use crate::fencing_token::FencingToken;
-use crate::limits::{self, lengthened};
+use crate::limits::{self, plus_clock_drift};
 
 impl Cluster {
     /// Checks that at most one node has authority and at most one is in keep-alive mode, that each fencing
@@ -52,8 +52,8 @@
         let autonomous_until = self.nodes[leader].leadership.autonomous_until(now);
         let ledger = &mut self.nodes[leader].ledger;
         ledger.leases_begin_no_earlier_than(autonomous_until);
-        let lease = lengthened(WORKER_LEASE) + limits::LEASE_MARGIN;
-        let covered_until = ledger.covered_until(now, lengthened(LONGEST_AUTONOMY) + lease);
+        let lease = plus_clock_drift(WORKER_LEASE) + limits::LEASE_MARGIN;
+        let covered_until = ledger.covered_until(now, plus_clock_drift(LONGEST_AUTONOMY) + lease);
         for (number, worker) in self.workers.iter().enumerate() {
             let renewal = ledger.last_renewal(number);
             if now.min(covered_until) < renewal.at_leader + lease {
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -3,7 +3,7 @@
 use super::LONGEST_AUTONOMY;
 use crate::fencing_token::FencingToken;
 use crate::lease::shard::ShardHeartbeat;
-use crate::limits::lengthened;
+use crate::limits::plus_clock_drift;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -42,7 +42,7 @@
 
 impl LeaseLedger {
     pub(super) fn new(token: FencingToken, elected_at: Timestamp, leader_time: Timestamp) -> Self {
-        let assumed_lease_start = leader_time + lengthened(LONGEST_AUTONOMY);
+        let assumed_lease_start = leader_time + plus_clock_drift(LONGEST_AUTONOMY);
         LeaseLedger { token, elected_at, assumed_lease_start, ..LeaseLedger::default() }
     }
 
--- a/src/leadership/tests/single_node.rs
+++ b/src/leadership/tests/single_node.rs
@@ -5,7 +5,7 @@
 use crate::fencing_token::FencingToken;
 use crate::leadership::{Action, Leadership, Message, Status, StoreResponse};
 use crate::lease::cancellation_log::CancellationBounds;
-use crate::limits::{self, lengthened, SECOND};
+use crate::limits::{self, plus_clock_drift, SECOND};
 use crate::protocol::records::Epoch;
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -70,7 +70,7 @@
         soon,
         "a node in keep-alive mode may keep workers alive beside it"
     );
-    let later = now + lengthened(limits::GRANT_DURATION) + Duration::from_micros(1);
+    let later = now + plus_clock_drift(limits::GRANT_DURATION) + Duration::from_micros(1);
     let grant = Message::Grant { token: FencingToken(6), echo: later };
     assert_eq!(node.handle_message(later, 2, 8, Status::default(), grant), []);
     assert!(node.autonomous_until(later + Duration::from_micros(1)) <= later, "its own vote counts again");
--- a/src/lease/cancellation_log.rs
+++ b/src/lease/cancellation_log.rs
@@ -20,7 +20,7 @@
 //!    acknowledged. Its attestation covers that time too, even if the member restarts within it.
 
 use super::cancellation_log_member::Member;
-use crate::limits::{self, shortened};
+use crate::limits::{self, minus_clock_drift};
 use crate::scheduler::model::{Heartbeat, JobId, ReportedTask, TaskStatus};
 use crate::scheduler::TaskCommand;
 use crate::time::Timestamp;
@@ -177,7 +177,7 @@
         if known_until == Timestamp::ZERO {
             Timestamp::ZERO
         } else {
-            known_until + shortened(self.longest_autonomy)
+            known_until + minus_clock_drift(self.longest_autonomy)
         }
     }
 
--- a/src/lease/cancellation_log_member.rs
+++ b/src/lease/cancellation_log_member.rs
@@ -4,7 +4,7 @@
 //! Owned by [`super::cancellation_log::CancellationLog`], which is the only caller.
 
 use super::cancellation_log::Attestation;
-use crate::limits::{self, shortened};
+use crate::limits::{self, minus_clock_drift};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -102,12 +102,12 @@
         // An attestation that was overtaken by a later one has no cancellations that the later one lacked.
         let has_new = attestation.last > self.received;
         self.received = self.received.max(attestation.last);
-        let incarnation_began = now - shortened(attestation.incarnation_age);
+        let incarnation_began = now - minus_clock_drift(attestation.incarnation_age);
         // If the incarnation began later, there is a gap: the member does not know what its earlier
         // incarnation confirmed in it.
         if incarnation_began <= self.known_until.max(store_read_at) {
             let suspension = if attestation.confirmations_suspended {
-                shortened(limits::CONFIRMATION_SUSPENSION)
+                minus_clock_drift(limits::CONFIRMATION_SUSPENSION)
             } else {
                 Duration::ZERO
             };
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -118,7 +118,7 @@
     );
     node_1.observe_heartbeat(0, 72, true, NOW);
     exchange(NOW + 29 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available);
-    let promised = NOW + 22 * SECOND + limits::shortened(limits::CONFIRMATION_SUSPENSION);
+    let promised = NOW + 22 * SECOND + limits::minus_clock_drift(limits::CONFIRMATION_SUSPENSION);
     assert_eq!(node_1.member_freshness(), promised.max(NOW + 29 * SECOND));
     assert!(node_0.confirm(NOW + 28 * SECOND + limits::CONFIRMATION_SUSPENSION, JobId(2)).is_permitted);
 }
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -273,7 +273,7 @@
         let Some(position) = self.sent_heartbeats.iter().position(|sent| sent.id == id) else { return false };
         // Earlier ones are covered, since a shard heartbeat repeats machines that were not acknowledged.
         let Some(acknowledged) = self.sent_heartbeats.drain(..=position).next_back() else { return false };
-        self.lease_until = self.lease_until.max(acknowledged.sent_at + limits::shortened(lease));
+        self.lease_until = self.lease_until.max(acknowledged.sent_at + limits::minus_clock_drift(lease));
         for name in acknowledged.machines {
             self.unacknowledged.acknowledge(&name, id);
         }
--- a/src/limits/autoscaling.rs
+++ b/src/limits/autoscaling.rs
@@ -8,7 +8,7 @@
 pub const REPLICA_MOVE_INTERVAL: Duration = Duration::from_secs(4);
 /// One of this many replicas is moved at a time (at least one). With some four seconds of downtime for each,
 /// moving costs half a percent of the replica time while it lasts.
-pub const REPLICAS_PER_MOVE: usize = 200;
+pub const REPLICA_MOVE_DIVISOR: usize = 200;
 /// Time between two moves of one job's replicas, and between its last rescaling (or start) and the next move.
 pub const JOB_REPLICA_MOVE_INTERVAL: Duration = Duration::from_secs(60);
 
--- a/src/limits/election.rs
+++ b/src/limits/election.rs
@@ -14,7 +14,7 @@
 /// changes nothing.
 pub const LOCK_LEASE: Duration = Duration::from_secs(3);
 /// Interval between two heartbeats to the peers: five to a grant.
-pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+pub const PEER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between two renewals of the lock lease: three to a lease.
 pub const LOCK_RENEWAL_INTERVAL: Duration = Duration::from_millis(900);
 /// A node acts only while its authority lasts at least this much longer: the process may lose a time slice of
@@ -24,7 +24,7 @@
 /// do not collide repeatedly.
 pub const CAMPAIGN_INTERVAL: Duration = Duration::from_millis(300);
 /// Interval at which the epoch and the lock are read while a leader's heartbeats arrive.
-pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+pub const LOCK_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which the epoch and the lock are read while there is no leader.
 pub const LEADERLESS_PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// A node considers the key-value store lost after this long without a response.
@@ -72,11 +72,11 @@
 }
 
 /// A duration on the clock of the side that must stop first, shortened by [`CLOCK_DRIFT`].
-pub fn shortened(duration: Duration) -> Duration {
+pub fn minus_clock_drift(duration: Duration) -> Duration {
     scaled(duration, 1.0 - CLOCK_DRIFT)
 }
 
 /// A duration on the clock of the side that must wait for the other, lengthened by [`CLOCK_DRIFT`].
-pub fn lengthened(duration: Duration) -> Duration {
+pub fn plus_clock_drift(duration: Duration) -> Duration {
     scaled(duration, 1.0 + CLOCK_DRIFT)
 }
--- a/src/limits/lease.rs
+++ b/src/limits/lease.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::lengthened;
+use super::plus_clock_drift;
 use crate::time::{from_seconds, to_micros};
 
 /// Added to every worker lease: how late a worker may observe that its lease has expired.
@@ -10,7 +10,7 @@
 
 /// A worker has killed all its tasks this long after the last response that may have reached it.
 pub fn worker_lease(lease_s: f64) -> Duration {
-    lengthened(from_seconds(lease_s)) + LEASE_MARGIN
+    plus_clock_drift(from_seconds(lease_s)) + LEASE_MARGIN
 }
 
 /// A machine that has sent no heartbeat for this long gets no new tasks and is suspected of being dead.
@@ -32,7 +32,7 @@
 
 /// After this many consecutive heartbeats that show no effect of the previous response, responses are taken
 /// not to reach the machine: it gets no new tasks and is deleted. One lost response is ordinary.
-pub const MAX_UNACKNOWLEDGED_HEARTBEATS: u32 = 2;
+pub const MAX_RESPONSES_WITHOUT_EFFECT: u32 = 2;
 /// A node's route, or a zone, is unreachable once no heartbeat has arrived from any of its machines for this
 /// long plus three times the mean interval between heartbeats. Leaseholders send a shard heartbeat once a
 /// second, and machines that all reported at once (after a network partition) next do so three quarters of an
@@ -43,7 +43,7 @@
 }
 /// When at least this many machines fall silent at the same time, the fault is likely to be in the
 /// controller's own connection.
-pub const MIN_CORRELATED_SILENCE: u32 = 3;
+pub const MIN_CORRELATED_SILENT_MACHINES: u32 = 3;
 /// After a change of leader, a machine may wait for two nodes that do not respond (4 s and a pause of 1 s
 /// each, PROTOCOL) before it reports to the leader. It is not declared lost before that.
 pub const FAILOVER_GRACE_PERIOD: Duration = Duration::from_millis(9_500);
--- a/src/limits/persistence.rs
+++ b/src/limits/persistence.rs
@@ -25,6 +25,6 @@
 
 /// Machines in one record, so that it fits a value of the key-value store. `value_kb`: the limit of a value
 /// in KiB.
-pub fn record_machines(value_kb: f64) -> usize {
+pub fn machines_per_record(value_kb: f64) -> usize {
     (value_bytes(value_kb) / (RECORD_IMAGE_BYTES + RECORD_MACHINE_BYTES)).max(1)
 }
--- a/src/limits/scheduling.rs
+++ b/src/limits/scheduling.rs
@@ -27,7 +27,7 @@
 }
 
 /// Interval between two checks for expired leases: small compared with every lease and its margin.
-pub const LEASE_EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
+pub const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A job of which no task has begun this long after its submission gains one priority class per
 /// `AGING_INTERVAL`. From the lowest class it passes all classes but critical within three minutes. With a
 /// boot and a fetch, the widest jobs of a class therefore begin within four minutes (a requirement of the
@@ -42,7 +42,7 @@
 pub const IDLE_ROUND_INTERVAL: Duration = Duration::from_millis(500);
 /// For this long a job waits for machines that are fetching other images. After that it shares their fetch
 /// rate, so that a fetch that hangs blocks no other job.
-pub const FETCH_TIMEOUT: Duration = Duration::from_secs(40);
+pub const SHARED_FETCH_DELAY: Duration = Duration::from_secs(40);
 /// A stop that is not confirmed this long after its grace period is overdue: the task's resources are no
 /// longer expected to become free soon.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(4);
--- a/src/limits/transport.rs
+++ b/src/limits/transport.rs
@@ -22,24 +22,24 @@
 pub struct Capacity {
     /// Events that wait for the event loop: as many as there can be connections, since after a takeover every
     /// worker has changes at once. Further requests are shed.
-    pub queue: usize,
+    pub event_queue: usize,
     /// Frames that wait to be sent to one peer: after a change of leader, those for all workers of a shard,
     /// and heartbeats between them. Further frames are dropped; the next heartbeat to the peer and the
     /// worker's next heartbeat replace them. Also the bound of received frames that wait; beyond it no more
     /// are read.
-    pub peer_queue: usize,
+    pub peer_frame_queue: usize,
     /// Machines whose heartbeats one leaseholder caches: some 300 bytes each.
-    pub shard: usize,
+    pub cached_heartbeats: usize,
     /// Submissions and cancellations in progress at once. Further ones are shed with `Retry-After`. Counted
     /// apart from polls, so that polls do not displace requests that change something.
-    pub changes: usize,
+    pub concurrent_changes: usize,
     /// Polls in progress at once. Further ones are shed with `Retry-After`.
-    pub polls: usize,
+    pub concurrent_polls: usize,
     /// Commands to workers' addresses in flight at once, one connection each.
     pub direct_commands: usize,
     /// Final states of jobs that a node caches, so that late polls cost no request to the key-value store: a
     /// thirty-second of its memory at some 250 bytes each.
-    pub over: usize,
+    pub final_states: usize,
 }
 
 impl Capacity {
@@ -48,13 +48,13 @@
         let sockets = max_sockets.clamp(64, 65_536);
         let memory = (memory_mb.clamp(16.0, 65_536.0) * 1024.0 * 1024.0) as usize;
         Capacity {
-            queue: sockets,
-            peer_queue: sockets,
-            shard: sockets,
-            changes: (sockets / 16).max(32),
-            polls: (sockets / 8).max(64),
+            event_queue: sockets,
+            peer_frame_queue: sockets,
+            cached_heartbeats: sockets,
+            concurrent_changes: (sockets / 16).max(32),
+            concurrent_polls: (sockets / 8).max(64),
             direct_commands: (sockets / 16).max(16),
-            over: memory / 32 / 250,
+            final_states: memory / 32 / 250,
         }
     }
 }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -152,7 +152,7 @@
 
     fn choose_replica_moves(&self) -> Vec<ReplicaMove> {
         let replicas: usize = self.machines.values().map(|machine| self.fixed_tasks(machine)).sum();
-        let max_moves = (replicas / limits::REPLICAS_PER_MOVE).max(1);
+        let max_moves = (replicas / limits::REPLICA_MOVE_DIVISOR).max(1);
         let holds_replicas =
             |machine: &&Machine| machine.lifecycle.consolidation_target && self.fixed_tasks(machine) > 0;
         let mut sources: Vec<&Machine> = self.machines.values().filter(holds_replicas).collect();
--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -142,10 +142,10 @@
     }
 
     /// Exception 6 of `docs/design.md`: image fetches share a machine's rate only after the job has waited
-    /// for `FETCH_TIMEOUT`.
+    /// for `SHARED_FETCH_DELAY`.
     fn shared_fetch(&self, job: &Job) -> SharedFetch {
         let waits_since = job.submitted_at.max(job.elasticity.last_resized_at);
-        if self.now < waits_since + limits::FETCH_TIMEOUT {
+        if self.now < waits_since + limits::SHARED_FETCH_DELAY {
             SharedFetch::Avoid
         } else {
             SharedFetch::Allow
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -127,7 +127,7 @@
             Duration::from_micros(to_micros(self.heartbeat_interval) / arrivals.machines.max(1) as u64);
         let silent_since = arrivals.latest.max(self.started_at);
         let timeout = limits::route_silence_timeout(self.heartbeat_interval);
-        arrivals.machines >= limits::MIN_CORRELATED_SILENCE as usize
+        arrivals.machines >= limits::MIN_CORRELATED_SILENT_MACHINES as usize
             && now >= silent_since + timeout + 3 * mean_interval
     }
 
@@ -325,7 +325,7 @@
                 previous_route: machine.route.previous,
                 last_heartbeat_at: machine.heartbeats.last_at,
                 unresponsive: machine.commands.responses_without_effect
-                    >= limits::MAX_UNACKNOWLEDGED_HEARTBEATS,
+                    >= limits::MAX_RESPONSES_WITHOUT_EFFECT,
                 expected: is_expected(machine),
                 lost: machine.state == MachineState::Lost,
             })
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -61,9 +61,9 @@
     let mut first_after = Duration::MAX;
     let start = OUTAGE_START - OUTAGE_START.since(Timestamp::ZERO) / 2;
     let simulated = start.since(Timestamp::ZERO) + duration;
-    let steps = to_micros(simulated) / to_micros(limits::LEASE_EXPIRY_INTERVAL);
+    let steps = to_micros(simulated) / to_micros(limits::EXPIRY_CHECK_INTERVAL);
     for step in 0..steps as u32 {
-        let now = start + step * limits::LEASE_EXPIRY_INTERVAL;
+        let now = start + step * limits::EXPIRY_CHECK_INTERVAL;
         let observed: Vec<ObservedMachine> = (0..machines)
             .filter(|i| !declared_dead.contains(i))
             .map(|i| ObservedMachine {
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -49,7 +49,7 @@
             && !machine.unplaced_tasks.has_tasks_of_unknown_jobs()
             && machine.health.placement_backoff_until <= self.now
             && !self.failure_detector.zone_unreachable(&machine.zone)
-            && machine.commands.responses_without_effect < limits::MAX_UNACKNOWLEDGED_HEARTBEATS
+            && machine.commands.responses_without_effect < limits::MAX_RESPONSES_WITHOUT_EFFECT
             && self.now < machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s)
     }
 
@@ -74,12 +74,12 @@
         self.unaccounted_kinds = unaccounted_kinds.map(MachineKind::of).collect();
     }
 
-    /// Releases the machines whose leases have expired. Runs once per `LEASE_EXPIRY_INTERVAL`.
+    /// Releases the machines whose leases have expired. Runs once per `EXPIRY_CHECK_INTERVAL`.
     pub(super) fn expire_leases(&mut self) {
         if self.now < self.next_expiry_check_at {
             return;
         }
-        self.next_expiry_check_at = self.now + limits::LEASE_EXPIRY_INTERVAL;
+        self.next_expiry_check_at = self.now + limits::EXPIRY_CHECK_INTERVAL;
         self.update_reachability();
         for name in self.expired_machines() {
             self.expire_lease(&name);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -130,7 +130,7 @@
     pub fn new(config: Config, now: Timestamp) -> Self {
         let write_budget = records::write_budget(config.write_rps, now);
         // Leaseholders of the last leader may renew leases of workers until their shard leases expire.
-        let others_may_have_renewed_until = now + limits::lengthened(config.shard_lease);
+        let others_may_have_renewed_until = now + limits::plus_clock_drift(config.shard_lease);
         Scheduler {
             config,
             now,
--- a/src/scheduler/model/commands.rs
+++ b/src/scheduler/model/commands.rs
@@ -40,6 +40,6 @@
     /// stated the token yet. The next periodic heartbeat may acknowledge the response by stating it.
     pub token_unacknowledged: bool,
     /// Consecutive heartbeats that did not acknowledge the response before them. From
-    /// `MAX_UNACKNOWLEDGED_HEARTBEATS` on, no task is placed on the machine.
+    /// `MAX_RESPONSES_WITHOUT_EFFECT` on, no task is placed on the machine.
     pub responses_without_effect: u32,
 }
--- a/src/scheduler/peer_nodes.rs
+++ b/src/scheduler/peer_nodes.rs
@@ -69,7 +69,7 @@
         shard_lease: Duration,
         worker_lease: Duration,
     ) -> Timestamp {
-        let shard_lease = limits::lengthened(shard_lease);
+        let shard_lease = limits::plus_clock_drift(shard_lease);
         let may_respond = self
             .leaseholders
             .values()
@@ -84,8 +84,10 @@
 
     /// Nodes recorded as unreachable less than one interval of the heartbeats between controllers ago.
     pub fn recently_unreachable(&self, now: Timestamp) -> BTreeSet<usize> {
-        let recent =
-            self.last_unreachable_at.iter().filter(|(_, last)| now < **last + limits::HEARTBEAT_INTERVAL);
+        let recent = self
+            .last_unreachable_at
+            .iter()
+            .filter(|(_, last)| now < **last + limits::PEER_HEARTBEAT_INTERVAL);
         recent.map(|(node, _)| *node).collect()
     }
 }
--- a/src/scheduler/peer_nodes_tests.rs
+++ b/src/scheduler/peer_nodes_tests.rs
@@ -36,7 +36,7 @@
 fn leaseholder_holds_back_lease_expiry_until_its_lease_and_those_it_renewed_have_ended() {
     let mut peers = PeerNodes::new(Timestamp::ZERO);
     peers.record_shard_heartbeat(1, Some(Timestamp::from_secs(90)), Timestamp::from_secs(100));
-    let ended = Timestamp::from_secs(100) + limits::lengthened(SHARD_LEASE) + WORKER_LEASE;
+    let ended = Timestamp::from_secs(100) + limits::plus_clock_drift(SHARD_LEASE) + WORKER_LEASE;
     assert_eq!(known_until(&peers, ended - Duration::from_micros(1)), Timestamp::from_secs(90));
     assert_eq!(known_until(&peers, ended), Timestamp::MAX);
 }
@@ -60,12 +60,12 @@
         BTreeSet::from([1, 2])
     );
     assert_eq!(
-        peers.recently_unreachable(Timestamp::from_secs(1) + limits::HEARTBEAT_INTERVAL),
+        peers.recently_unreachable(Timestamp::from_secs(1) + limits::PEER_HEARTBEAT_INTERVAL),
         BTreeSet::from([2])
     );
     assert!(peers
         .recently_unreachable(
-            Timestamp::from_secs(1) + Duration::from_micros(10) + limits::HEARTBEAT_INTERVAL
+            Timestamp::from_secs(1) + Duration::from_micros(10) + limits::PEER_HEARTBEAT_INTERVAL
         )
         .is_empty());
 }
--- a/tests/pinned_wire/http_edge.rs
+++ b/tests/pinned_wire/http_edge.rs
@@ -108,7 +108,8 @@
         health.cut_off.store(setup.cut_off, Ordering::Relaxed);
         let types = if setup.types { machine_types() } else { Types::default() };
         let (changes, polls) = setup.turns;
-        let room = Capacity { changes, polls, ..Capacity::of(4_096, 256.0) };
+        let room =
+            Capacity { concurrent_changes: changes, concurrent_polls: polls, ..Capacity::of(4_096, 256.0) };
         let summary: Summary = Arc::new(
             [
                 (JobId(412), TaskCounts { succeeded: 3, running: 13 }),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The platform's settings: the limits that the state service will have, teams.
 
-use dockpier::fleet_limits::{too_small, LimitWarnings};
+use dockpier::fleet_limits::{settings_too_small, LimitWarnings};
 use dockpier::settings::Settings;
 use std::path::Path;
 
@@ -69,18 +69,19 @@
 
 /// A limit that does not grow with the fleet is told once, by its field; the limits of a fleet's own size are not.
 #[test]
-fn settings_too_small_for_the_fleet_are_told_once_by_their_field() {
+fn settings_too_small_for_the_fleet_are_logged_once_by_their_field() {
     let mut deployment = with_next("").unwrap().deployment;
     (deployment.workers.report_s, deployment.workers.lease_s) = (2.5, 16.0);
     deployment.resources.max_sockets = 1_800;
     (deployment.resources.cpu, deployment.resources.memory_mb) = (0.12, 104.0);
-    assert!(too_small(670, &deployment).is_empty(), "{:?}", too_small(670, &deployment));
-    let fields: Vec<&str> = too_small(6_000, &deployment).iter().map(|limit| limit.field).collect();
+    assert!(settings_too_small(670, &deployment).is_empty(), "{:?}", settings_too_small(670, &deployment));
+    let fields: Vec<&str> =
+        settings_too_small(6_000, &deployment).iter().map(|limit| limit.setting).collect();
     let expected = ["max_sockets", "memory_mb", "cpu"].map(|name| format!("deployment.resources.{name}"));
     assert_eq!(fields, expected);
     let mut warnings = LimitWarnings::default();
-    assert_eq!(warnings.judge(670, &deployment), 0);
-    assert_eq!((warnings.judge(6_000, &deployment), warnings.judge(6_000, &deployment)), (3, 0));
+    assert_eq!(warnings.warn_of_new(670, &deployment), 0);
+    assert_eq!((warnings.warn_of_new(6_000, &deployment), warnings.warn_of_new(6_000, &deployment)), (3, 0));
     (deployment.state.write_rps, deployment.cloud.rps) = (0.5, 0.5);
-    assert_eq!(warnings.judge(6_000, &deployment), 2);
+    assert_eq!(warnings.warn_of_new(6_000, &deployment), 2);
 }
