--- a/crates/dockpier-simulation/examples/transcript/election_lines.rs
+++ b/crates/dockpier-simulation/examples/transcript/election_lines.rs
@@ -21,9 +21,9 @@
             of("take-over").with("token", token).with("version", version).with("over_lock", over_lock)
         }
         Action::Renew { lease } => of("renew").with("lease", lease),
-        Action::Release { lease } => of("release-lease").with("lease", lease),
+        Action::RevokeLease { lease } => of("release-lease").with("lease", lease),
         Action::Elected { token, version } => of("elected").with("token", token).with("version", version),
-        Action::Deposed { keep_until } => of("steps-down").with("keep_until", keep_until),
+        Action::Deposed { keep_alive_until } => of("steps-down").with("keep_until", keep_alive_until),
     }
 }
 
@@ -34,7 +34,7 @@
         Message::Grant { token, echo } => of("grant").with("token", token).with("echo", echo),
         Message::VoteRequest { sent } => of("promise-request").with("sent", sent),
         Message::Vote { echo } => of("promise").with("echo", echo),
-        Message::Release { token, successor } => {
+        Message::HandOver { token, successor } => {
             of("release").with("token", token).with("successor", successor)
         }
     }
@@ -46,7 +46,7 @@
         .with("age", to_micros(attestation.incarnation_age))
         .with("quiet", attestation.confirmations_suspended)
         .with("held", attestation.acknowledged)
-        .with("last", attestation.last)
+        .with("last", attestation.last_number)
         .list("cancelled", &attestation.cancelled)
 }
 
@@ -54,7 +54,7 @@
 pub fn queries(node: usize, now: Timestamp, leadership: &Leadership) -> Line {
     let followed = leadership.followed_leader(now);
     let age = Duration::from_secs(9);
-    let reported_age = |to| to_micros(leadership.reported_state_age(now, to, age));
+    let reported_age = |to| to_micros(leadership.reported_store_answer_age(now, to, age));
     Line::new("queries")
         .with("node", node)
         .with("leads", leadership.is_leader())
@@ -63,15 +63,15 @@
         .optional("acts_with", leadership.authority(now))
         .optional("lease_keeper", leadership.keep_alive_token(now))
         .with("block_lease", to_micros(leadership.shard_lease(now)))
-        .with("autonomous_until", leadership.autonomous_until(now))
+        .with("autonomous_until", leadership.others_kept_alive_until(now))
         .optional("leader_name", leadership.leader_name(now))
         .list(
             "followed",
             followed.map(|leader| format!("{}:{}:{}", leader.node, leader.token, leader.heartbeat_stamp)),
         )
         .list("out_of_touch", leadership.unreachable_peers(now))
-        .with("peer_has_state", leadership.peer_has_state(now))
-        .with("hears_a_peer", leadership.has_live_peer(now))
+        .with("peer_has_state", leadership.peer_reaches_store(now))
+        .with("hears_a_peer", leadership.has_peer_in_contact(now))
         .list("told_state_age", (0..3).map(reported_age))
 }
 
@@ -81,10 +81,10 @@
     let jobs = last_job.saturating_sub(JOBS_ASKED)..=last_job;
     Line::new("cancellations")
         .with("node", node)
-        .with("by_members", log.member_freshness())
-        .with("by_state", log.store_freshness())
-        .with("keeps_until", log.keep_alive_until())
-        .with("blindly", log.proves_no_recent_cancellation(now))
+        .with("by_members", log.known_until_by_members())
+        .with("by_state", log.known_until_by_store())
+        .with("keeps_until", log.responses_allowed_until())
+        .with("blindly", log.has_confirmed_none_recently(now))
         .list("over", jobs.clone().filter(|number| log.is_terminated(JobId(*number))))
         .list("live", jobs.filter(|number| log.is_live(JobId(*number))))
 }
--- a/crates/dockpier-simulation/examples/transcript/key_value_store.rs
+++ b/crates/dockpier-simulation/examples/transcript/key_value_store.rs
@@ -51,7 +51,7 @@
                 }
                 StoreResponse::Renewed { lease, sent: request.sent, alive }
             }
-            Action::Release { lease } => {
+            Action::RevokeLease { lease } => {
                 self.leases.remove(&lease);
                 StoreResponse::Failed
             }
--- a/crates/dockpier-simulation/examples/transcript/network.rs
+++ b/crates/dockpier-simulation/examples/transcript/network.rs
@@ -184,9 +184,14 @@
 
     fn status(&self, node: usize) -> Status {
         let reached = self.unreached.is_none_or(|(unreached, _)| unreached != node);
-        let state_age = self.local(node).since(self.nodes[node].state_answered);
-        let workers = if reached { 3 } else { 0 };
-        Status { state_age, workers, machines: 3, attests: !self.nodes[node].old }
+        let store_answer_age = self.local(node).since(self.nodes[node].state_answered);
+        let worker_heartbeats = if reached { 3 } else { 0 };
+        Status {
+            store_answer_age,
+            worker_heartbeats,
+            ready_machines: 3,
+            gives_attestations: !self.nodes[node].old,
+        }
     }
 
     fn ask(&mut self) {
@@ -246,9 +251,9 @@
                     self.send_to_peer(node, to, wire);
                 }
                 Action::Elected { token, .. } => self.nodes[node].led = token,
-                Action::Deposed { keep_until } => {
+                Action::Deposed { keep_alive_until } => {
                     let token = self.nodes[node].led;
-                    self.nodes[node].shard.retain_after_leadership(token, keep_until);
+                    self.nodes[node].shard.keep_alive_after_leadership(token, keep_alive_until);
                 }
                 action => self.ask_store(node, action),
             }
@@ -328,7 +333,7 @@
         }
         let now = self.local(to);
         let outcome = self.nodes[to].leadership.handle_attestation(now, from, incarnation, attestation);
-        self.note_over("attested-over", to, outcome.terminated);
+        self.note_over("attested-over", to, outcome.cancelled_jobs);
         self.act(to, outcome.actions);
     }
 
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -264,7 +264,7 @@
     /// The stops that a node in keep-alive mode sends; `None` where it may not respond by itself.
     fn autonomous_stops(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let (now, log) = (self.local(node), &self.nodes[node].leadership.cancellations);
-        (now + limits::AUTHORITY_MARGIN < log.keep_alive_until())
+        (now + limits::AUTHORITY_MARGIN < log.responses_allowed_until())
             .then(|| log.stop_commands(heartbeat))
             .flatten()
     }
--- a/src/controller/cold_start.rs
+++ b/src/controller/cold_start.rs
@@ -14,7 +14,7 @@
     /// Reads one job for the scheduler.
     pub(super) fn read_job(&self, job_id: JobId) {
         let store = self.clients.store.clone();
-        let sent = self.clock.now();
+        let sent_at = self.clock.now();
         self.spawn_scheduler_request(async move {
             let key = keys::live_job(job_id);
             let reading = match store.get(&key, limits::STORE_TIMEOUT).await {
@@ -27,7 +27,7 @@
                 Ok(None) => JobReading::Absent,
                 Err(_) => JobReading::Failed,
             };
-            Command::JobRead { job_id, sent_at: sent, reading }
+            Command::JobRead { job_id, sent_at, reading }
         });
     }
 
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -92,10 +92,10 @@
             recent.pop_front();
         }
         Status {
-            state_age: now.since(self.clients.store.last_response_at()),
-            workers: recent.len() as u32,
-            machines: self.scheduler.as_ref().map_or(0, Scheduler::ready_machine_count),
-            attests: true,
+            store_answer_age: now.since(self.clients.store.last_response_at()),
+            worker_heartbeats: recent.len() as u32,
+            ready_machines: self.scheduler.as_ref().map_or(0, Scheduler::ready_machine_count),
+            gives_attestations: true,
         }
     }
 
@@ -104,7 +104,8 @@
         let store_lost = now.since(self.clients.store.last_response_at()) >= limits::STORE_LOST_TIMEOUT;
         // In an outage of the state service for all nodes, no other node serves users better. A node that
         // receives nothing from any peer is more likely the only one that is cut off.
-        let outage_shared = self.leadership.has_live_peer(now) && !self.leadership.peer_has_state(now);
+        let outage_shared =
+            self.leadership.has_peer_in_contact(now) && !self.leadership.peer_reaches_store(now);
         let health = &self.publication.health;
         health.cut_off.store(store_lost && !outage_shared, Ordering::Relaxed);
         let healthy = !self.types.is_empty() && (!store_lost || outage_shared);
--- a/src/controller/leadership_actions.rs
+++ b/src/controller/leadership_actions.rs
@@ -34,11 +34,11 @@
                     self.take_over(token, version, lock_condition);
                 }
                 Action::Renew { lease } => self.renew_lock(lease),
-                Action::Release { lease } => self.release_lock(lease),
+                Action::RevokeLease { lease } => self.release_lock(lease),
                 Action::Elected { token, version } => self.begin_leadership(token, version),
-                Action::Deposed { keep_until } => {
+                Action::Deposed { keep_alive_until } => {
                     // Its workers now form a shard like that of any other node.
-                    self.routing.shard.retain_after_leadership(self.config.token, keep_until);
+                    self.routing.shard.keep_alive_after_leadership(self.config.token, keep_alive_until);
                     self.end_leadership();
                 }
             }
@@ -49,7 +49,7 @@
     fn send_message(&mut self, to: usize, message: Message) {
         let now = self.clock.now();
         let mut status = self.status(now);
-        status.state_age = self.leadership.reported_state_age(now, to, status.state_age);
+        status.store_answer_age = self.leadership.reported_store_answer_age(now, to, status.store_answer_age);
         self.peers.send(to, Payload::Leadership(status, message));
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -207,7 +207,7 @@
             Payload::Attestation(attestation) => {
                 let outcome = self.leadership.handle_attestation(now, from, incarnation, &attestation);
                 self.apply_actions(outcome.actions);
-                batch.remove_jobs(outcome.terminated);
+                batch.remove_jobs(outcome.cancelled_jobs);
             }
             Payload::Summary(jobs) => {
                 if !self.leadership.is_leader() {
@@ -261,7 +261,7 @@
 
     fn run_scheduler(&mut self, now: Timestamp, commands: Vec<Command>) {
         let Some(scheduler) = &mut self.scheduler else { return };
-        scheduler.record_others_may_have_renewed_until(self.leadership.autonomous_until(now));
+        scheduler.record_others_may_have_renewed_until(self.leadership.others_kept_alive_until(now));
         scheduler.record_unreachable_nodes(now, self.leadership.unreachable_peers(now));
         scheduler.time_of_day(now, wall_ms());
         let effects = scheduler.step(now, commands);
--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -42,7 +42,7 @@
     /// of a cancelled job alive for as long as it is cut off.
     fn keep_alive_until(&self, now: Timestamp) -> Timestamp {
         let peer_proof_until = self.granted_until(now).max(self.votes_until(now));
-        peer_proof_until.min(self.cancellations.keep_alive_until())
+        peer_proof_until.min(self.cancellations.responses_allowed_until())
     }
 
     /// Until when a leader may act by the grants of its peers alone. Its readings of the key-value store
@@ -50,8 +50,8 @@
     /// takes over by the time for which it has seen the lock free.
     fn peer_authority_until(&self, lease_until: Timestamp) -> Timestamp {
         let lease_confirmed_at = lease_until - limits::LOCK_LEASE;
-        let store_known_until = self.cancellations.store_freshness().min(lease_confirmed_at);
-        let known_until = store_known_until.max(self.cancellations.member_freshness());
+        let store_known_until = self.cancellations.known_until_by_store().min(lease_confirmed_at);
+        let known_until = store_known_until.max(self.cancellations.known_until_by_members());
         self.cancellations.keep_alive_limit(known_until)
     }
 
@@ -61,15 +61,15 @@
         if !self.is_leader() {
             return Duration::ZERO;
         }
-        self.cancellations.keep_alive_until().since(now).min(self.longest_autonomy)
+        self.cancellations.responses_allowed_until().since(now).min(self.longest_autonomy)
     }
 
     /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader: `now`
     /// while the leader has no grants of a majority, otherwise the time at which it got them back.
-    pub fn autonomous_until(&self, now: Timestamp) -> Timestamp {
+    pub fn others_kept_alive_until(&self, now: Timestamp) -> Timestamp {
         let has_majority = self.peers.granted_until(self.commitments.own_vote_counts(now)) > now;
         if has_majority {
-            self.autonomous_until
+            self.others_kept_alive_until
         } else {
             now
         }
@@ -78,12 +78,17 @@
     /// The time since the key-value store last answered this node, as it is reported to the peer `to`. A peer
     /// of an earlier version concludes that there is no recent cancellation once all members report the store
     /// as lost. Unless that conclusion is right, such a peer gets an age below `limits::STORE_LOST_TIMEOUT`.
-    pub fn reported_state_age(&self, now: Timestamp, to: usize, state_age: Duration) -> Duration {
-        let peer_attests = self.peers.get(to).status().attests;
-        if peer_attests || self.cancellations.proves_no_recent_cancellation(now) {
-            state_age
+    pub fn reported_store_answer_age(
+        &self,
+        now: Timestamp,
+        to: usize,
+        store_answer_age: Duration,
+    ) -> Duration {
+        let peer_attests = self.peers.get(to).status().gives_attestations;
+        if peer_attests || self.cancellations.has_confirmed_none_recently(now) {
+            store_answer_age
         } else {
-            state_age.min(limits::STORE_LOST_TIMEOUT - Duration::from_micros(1))
+            store_answer_age.min(limits::STORE_LOST_TIMEOUT - Duration::from_micros(1))
         }
     }
 }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -47,7 +47,7 @@
 
     /// Whether a node in keep-alive mode stays in it: until its bound, or until a leader can be elected.
     fn should_stay_in_keep_alive(&self, now: Timestamp) -> bool {
-        self.keep_alive_token(now).is_some() && !self.lock.is_known_free(now) && !self.peer_has_state(now)
+        self.keep_alive_token(now).is_some() && !self.lock.is_known_free(now) && !self.peer_reaches_store(now)
     }
 
     /// Whether the lock is free or keep-alive mode is possible, and no running grant or vote for another node
@@ -62,8 +62,8 @@
     fn may_enter_keep_alive(&self, now: Timestamp) -> bool {
         self.is_store_lost()
             && self.highest_token > FencingToken::NONE
-            && !self.peer_has_state(now)
-            && now + limits::GRANT_DURATION < self.cancellations.keep_alive_until()
+            && !self.peer_reaches_store(now)
+            && now + limits::GRANT_DURATION < self.cancellations.responses_allowed_until()
     }
 
     fn campaign(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
@@ -97,7 +97,7 @@
 
     /// Whether the key-value store has not answered this node for `limits::STORE_LOST_TIMEOUT`.
     pub(super) fn is_store_lost(&self) -> bool {
-        self.status.state_age >= limits::STORE_LOST_TIMEOUT
+        self.status.store_answer_age >= limits::STORE_LOST_TIMEOUT
     }
 
     /// Until when a majority votes for this node. Its own vote is part of the majority only while that vote
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -37,12 +37,13 @@
         let is_isolated = !self.peers.is_empty() && first_alive.is_none();
         // Several machines that become silent at once point to a fault of this node, not of the machines. A
         // peer should lead before the workers stop trying this node and report to the peer.
-        let many_machines = self.status.machines >= limits::MIN_CORRELATED_SILENT_MACHINES;
+        let many_machines = self.status.ready_machines >= limits::MIN_CORRELATED_SILENT_MACHINES;
         let successor = self.peers.reached_by_most_workers(now).or(first_alive.filter(|_| many_machines));
-        self.reachability.reached |= self.status.workers > 0;
+        self.reachability.reached |= self.status.worker_heartbeats > 0;
         // As long as no worker has reached this leader, the first heartbeats may well go to a peer.
-        let is_unreached =
-            self.reachability.reached && self.status.workers == 0 && (successor.is_some() || is_isolated);
+        let is_unreached = self.reachability.reached
+            && self.status.worker_heartbeats == 0
+            && (successor.is_some() || is_isolated);
         if !is_unreached || now < term.elected_at + limits::GRANT_DURATION {
             self.reachability.clear();
             return;
@@ -72,7 +73,7 @@
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) {
-        self.broadcast(Message::Release { token, successor }, actions);
+        self.broadcast(Message::HandOver { token, successor }, actions);
         self.step_down(now, actions);
         self.next_campaign_at = now + limits::STEP_DOWN_BACKOFF;
     }
@@ -81,8 +82,8 @@
     /// time.
     pub(super) fn step_down(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if let Some(term) = self.role.term().copied() {
-            actions.extend(term.lease.map(|lease| Action::Release { lease }));
-            actions.push(Action::Deposed { keep_until: self.keep_alive_after_term(term, now) });
+            actions.extend(term.lease.map(|lease| Action::RevokeLease { lease }));
+            actions.push(Action::Deposed { keep_alive_until: self.keep_alive_after_term(term, now) });
         }
         self.role = Role::Follower;
         self.followed = None;
@@ -96,7 +97,8 @@
     fn keep_alive_after_term(&self, term: Term, now: Timestamp) -> Timestamp {
         let granted_until = self.peers.granted_until(self.commitments.own_vote_counts(now));
         let acted_until = granted_until.max(term.lease_until).min(now);
-        (acted_until + minus_clock_drift(self.longest_autonomy)).min(self.cancellations.keep_alive_until())
+        (acted_until + minus_clock_drift(self.longest_autonomy))
+            .min(self.cancellations.responses_allowed_until())
     }
 
     /// Records a fencing token that a worker, a peer or the epoch record has shown. A leader with a lower
--- a/src/leadership/interface.rs
+++ b/src/leadership/interface.rs
@@ -12,14 +12,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Status {
     /// Time since the key-value store last answered this node.
-    pub state_age: Duration,
+    pub store_answer_age: Duration,
     /// Number of heartbeats that workers sent to this node within `limits::reach_window`.
-    pub workers: u32,
+    pub worker_heartbeats: u32,
     /// Number of machines that a leader counts as ready; not sent to peers.
-    pub machines: u32,
+    pub ready_machines: u32,
     /// Whether the node gives attestations of cancellations and accepts those of others (`cancellation_log`);
     /// earlier versions do not.
-    pub attests: bool,
+    pub gives_attestations: bool,
 }
 
 /// A message between controllers.
@@ -50,7 +50,7 @@
         echo: Timestamp,
     },
     /// The leader steps down and names its successor.
-    Release {
+    HandOver {
         /// Its fencing token.
         token: FencingToken,
         /// Number of the node that should lead next.
@@ -83,7 +83,7 @@
         lease: u64,
     },
     /// End the lock lease, on a best-effort basis.
-    Release {
+    RevokeLease {
         /// Id of the lease.
         lease: u64,
     },
@@ -97,7 +97,7 @@
     /// This node no longer leads. Like any leaseholder it may keep its workers alive for a limited time.
     Deposed {
         /// End of that time, on its own clock.
-        keep_until: Timestamp,
+        keep_alive_until: Timestamp,
     },
 }
 
@@ -143,7 +143,7 @@
 #[must_use = "the actions are to be carried out"]
 pub struct AttestationOutcome {
     /// Jobs that this node learnt from it to be cancelled.
-    pub terminated: Vec<JobId>,
+    pub cancelled_jobs: Vec<JobId>,
     /// To be carried out.
     pub actions: Vec<Action>,
 }
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -29,7 +29,7 @@
         if applied.has_new {
             self.attest(now, from, &mut actions);
         }
-        AttestationOutcome { terminated: applied.terminated, actions }
+        AttestationOutcome { cancelled_jobs: applied.terminated, actions }
     }
 
     /// Records a cancellation that is about to be confirmed to a user. The other members are informed at
@@ -44,7 +44,7 @@
     }
 
     fn attest(&mut self, now: Timestamp, to: usize, actions: &mut Vec<Action>) {
-        let store_access = if self.status.state_age >= limits::CONFIRMATION_SUSPENSION_DELAY {
+        let store_access = if self.status.store_answer_age >= limits::CONFIRMATION_SUSPENSION_DELAY {
             StoreAccess::Lost
         } else {
             StoreAccess::Available
@@ -79,7 +79,7 @@
         match message {
             Message::Heartbeat { token, sent } => {
                 self.peers.observe_heartbeat(now, from);
-                self.cancellations.observe_heartbeat(from, incarnation, status.attests, sent);
+                self.cancellations.observe_heartbeat(from, incarnation, status.gives_attestations, sent);
                 self.attest(now, from, &mut actions);
                 if token > FencingToken::NONE {
                     self.handle_leader_heartbeat(now, from, token, sent, &mut actions);
@@ -88,7 +88,7 @@
             Message::Grant { token, echo } => self.handle_grant(now, from, token, echo),
             Message::VoteRequest { sent } => self.handle_vote_request(now, from, sent, &mut actions),
             Message::Vote { echo } => self.handle_vote(now, from, echo, &mut actions),
-            Message::Release { token, successor } => self.handle_release(now, from, token, successor),
+            Message::HandOver { token, successor } => self.handle_handover(now, from, token, successor),
         }
         actions
     }
@@ -132,7 +132,7 @@
     ) {
         let same_term = self.followed.filter(|leader| (leader.node, leader.token) == (node, token));
         let reached_before = same_term.is_some_and(|leader| leader.reached_by_workers);
-        let reached_by_workers = reached_before || self.peers.get(node).status().workers > 0;
+        let reached_by_workers = reached_before || self.peers.get(node).status().worker_heartbeats > 0;
         let last_heartbeat_at = now;
         self.followed =
             Some(FollowedLeader { node, token, heartbeat_stamp, last_heartbeat_at, reached_by_workers });
@@ -141,7 +141,7 @@
     fn handle_grant(&mut self, now: Timestamp, from: usize, token: FencingToken, echo: Timestamp) {
         // An echo from the future belongs to the clock of an earlier incarnation.
         if self.role.token_for_grants() == Some(token) && echo <= now {
-            self.autonomous_until = self.autonomous_until(now);
+            self.others_kept_alive_until = self.others_kept_alive_until(now);
             self.peers.record_grant(from, echo);
         }
     }
@@ -175,7 +175,7 @@
         }
     }
 
-    fn handle_release(&mut self, now: Timestamp, from: usize, token: FencingToken, successor: usize) {
+    fn handle_handover(&mut self, now: Timestamp, from: usize, token: FencingToken, successor: usize) {
         if token >= self.highest_token {
             self.commitments.withdraw_grant_to(from);
         }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -70,8 +70,9 @@
     /// Whether workers reach this leader.
     reachability: WorkerReachability,
     /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader, as
-    /// recorded at the election and at each grant. [`Leadership::autonomous_until`] gives the present value.
-    autonomous_until: Timestamp,
+    /// recorded at the election and at each grant. [`Leadership::others_kept_alive_until`] gives
+    /// the present value.
+    others_kept_alive_until: Timestamp,
     /// How long workers may be kept alive beyond the moment up to which every cancellation is known, the lock
     /// lease aside ([`limits::longest_autonomy`]).
     longest_autonomy: Duration,
@@ -110,9 +111,9 @@
             next_campaign_at: now,
             campaigning: false,
             may_resume: true,
-            status: Status { state_age: Duration::MAX, ..Status::default() },
+            status: Status { store_answer_age: Duration::MAX, ..Status::default() },
             reachability: WorkerReachability::default(),
-            autonomous_until: now,
+            others_kept_alive_until: now,
             longest_autonomy: bounds.longest_autonomy,
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -128,7 +129,8 @@
     /// in vain.
     pub fn leader_name(&self, now: Timestamp) -> Option<&str> {
         let leader = self.followed.filter(|leader| leader.is_in_contact(now))?;
-        let lost_by_workers = leader.reached_by_workers && self.peers.get(leader.node).status().workers == 0;
+        let lost_by_workers =
+            leader.reached_by_workers && self.peers.get(leader.node).status().worker_heartbeats == 0;
         (!lost_by_workers).then(|| self.peers.name(leader.node))
     }
 
@@ -144,12 +146,12 @@
     }
 
     /// Whether a peer in contact reaches the key-value store.
-    pub fn peer_has_state(&self, now: Timestamp) -> bool {
+    pub fn peer_reaches_store(&self, now: Timestamp) -> bool {
         self.peers.first_reaching_store(now, limits::STORE_LOST_TIMEOUT).is_some()
     }
 
     /// Whether a peer is in contact, or the cluster has no other node.
-    pub fn has_live_peer(&self, now: Timestamp) -> bool {
+    pub fn has_peer_in_contact(&self, now: Timestamp) -> bool {
         self.peers.is_empty() || self.peers.first_alive(now).is_some()
     }
 
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -38,7 +38,7 @@
 
     /// Whether it is in contact, and the key-value store answered it less than `age` before its last message.
     pub(super) fn reaches_store_within(&self, now: Timestamp, age: Duration) -> bool {
-        self.is_alive(now) && self.status.state_age < age
+        self.is_alive(now) && self.status.store_answer_age < age
     }
 
     /// When its last heartbeat arrived; zero: never.
@@ -98,8 +98,8 @@
     /// in contact.
     pub(super) fn reached_by_most_workers(&self, now: Timestamp) -> Option<usize> {
         self.others()
-            .filter(|node| self.peers[*node].is_alive(now) && self.peers[*node].status.workers > 0)
-            .max_by_key(|node| self.peers[*node].status.workers)
+            .filter(|node| self.peers[*node].is_alive(now) && self.peers[*node].status.worker_heartbeats > 0)
+            .max_by_key(|node| self.peers[*node].status.worker_heartbeats)
     }
 
     /// The first other node in contact that reported an answer of the key-value store less than `age` old.
--- a/src/leadership/store_responses.rs
+++ b/src/leadership/store_responses.rs
@@ -44,7 +44,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Role::TakingOver { token, proof } = self.role else {
-            actions.push(Action::Release { lease: takeover.lease });
+            actions.push(Action::RevokeLease { lease: takeover.lease });
             return;
         };
         let lease_until = takeover.lease_sent + minus_clock_drift(limits::LOCK_LEASE);
@@ -56,7 +56,7 @@
         if !proof_holds || lease_until <= now + limits::AUTHORITY_MARGIN {
             info!("takeover abandoned: commit response arrived too late for the votes or the lock lease");
             self.role = Role::Follower;
-            actions.push(Action::Release { lease: takeover.lease });
+            actions.push(Action::RevokeLease { lease: takeover.lease });
             return;
         }
         info!(%token, version = takeover.version, "leadership acquired");
@@ -75,14 +75,14 @@
         self.commitments.bind_leader();
         self.may_resume = false;
         self.reachability.begin_term();
-        self.autonomous_until = now;
+        self.others_kept_alive_until = now;
         self.followed = None;
         self.next_renewal_at = now + limits::LOCK_RENEWAL_INTERVAL;
         self.next_heartbeat_at = now;
     }
 
     fn handle_failed_takeover(&mut self, now: Timestamp, lease: Option<u64>, actions: &mut Vec<Action>) {
-        actions.extend(lease.map(|lease| Action::Release { lease }));
+        actions.extend(lease.map(|lease| Action::RevokeLease { lease }));
         if self.role.is_taking_over() {
             self.role = Role::Follower;
             self.lock.make_probe_due(now);
--- a/src/leadership/tests/cancellation_scenarios.rs
+++ b/src/leadership/tests/cancellation_scenarios.rs
@@ -127,8 +127,10 @@
         cluster.nodes[other].is_earlier_version = true;
         cluster.run(2 * SECOND);
         let now = cluster.local_time(leader);
-        let reported = |state_age| cluster.nodes[leader].leadership.reported_state_age(now, other, state_age);
-        let proves_none = cluster.nodes[leader].leadership.cancellations.proves_no_recent_cancellation(now);
+        let reported = |store_answer_age| {
+            cluster.nodes[leader].leadership.reported_store_answer_age(now, other, store_answer_age)
+        };
+        let proves_none = cluster.nodes[leader].leadership.cancellations.has_confirmed_none_recently(now);
         assert_eq!(reported(limits::STORE_LOST_TIMEOUT) >= limits::STORE_LOST_TIMEOUT, proves_none);
         cluster.store_down = true;
         cluster.run(LONGEST_AUTONOMY + 6 * SECOND);
--- a/src/leadership/tests/cluster.rs
+++ b/src/leadership/tests/cluster.rs
@@ -202,19 +202,19 @@
 
     /// What the node reports of itself.
     pub(super) fn status(&self, node: usize) -> Status {
-        let state_age = self.local_time(node).since(self.nodes[node].store_answered_at);
-        let attests = !self.nodes[node].is_earlier_version;
+        let store_answer_age = self.local_time(node).since(self.nodes[node].store_answered_at);
+        let gives_attestations = !self.nodes[node].is_earlier_version;
         let leads = self.nodes[node].leadership.is_leader();
         if self.first_workers_at_peers {
-            let workers = if leads { 0 } else { 2 };
-            return Status { state_age, workers, machines: 0, attests };
+            let worker_heartbeats = if leads { 0 } else { 2 };
+            return Status { store_answer_age, worker_heartbeats, ready_machines: 0, gives_attestations };
         }
         let is_alone = self.partition.as_ref().is_some_and(|partition| partition.inside == [node]);
         let cut_off = is_alone || self.cut_off_from_workers == Some(node);
         // Only the leader has workers: none has reported to a peer yet.
         let has_no_workers_yet = self.cut_off_from_workers.is_some() && !leads;
-        let workers = if cut_off || has_no_workers_yet { 0 } else { 3 };
-        Status { state_age, workers, machines: 3, attests }
+        let worker_heartbeats = if cut_off || has_no_workers_yet { 0 } else { 3 };
+        Status { store_answer_age, worker_heartbeats, ready_machines: 3, gives_attestations }
     }
 
     // ---- faults ----
--- a/src/leadership/tests/components.rs
+++ b/src/leadership/tests/components.rs
@@ -110,7 +110,7 @@
 fn a_peer_is_in_contact_until_the_timeout_after_its_last_message() {
     let mut peers = peers();
     assert_eq!(peers.first_alive(NOW), None);
-    let status = Status { state_age: SECOND, workers: 2, ..Status::default() };
+    let status = Status { store_answer_age: SECOND, worker_heartbeats: 2, ..Status::default() };
     peers.observe_message(NOW, 2, status);
     let expires_at = NOW + limits::PEER_TIMEOUT;
     assert_eq!(peers.first_alive(expires_at - Duration::from_micros(1)), Some(2));
--- a/src/leadership/tests/invariants.rs
+++ b/src/leadership/tests/invariants.rs
@@ -24,9 +24,9 @@
         if let (Some((leader, _)), Some(other)) = (acting.first(), in_keep_alive.first()) {
             // A leader has to take into account that a node in keep-alive mode may renew leases.
             let now = self.local_time(*leader);
-            let autonomous_until = self.nodes[*leader].leadership.autonomous_until(now);
+            let others_kept_alive_until = self.nodes[*leader].leadership.others_kept_alive_until(now);
             assert!(
-                autonomous_until >= now,
+                others_kept_alive_until >= now,
                 "leader {leader} counts leases as expired beside node {other} in keep-alive mode at {}",
                 self.now
             );
@@ -49,9 +49,9 @@
     pub(super) fn check_expired_leases(&mut self) {
         let Some(leader) = self.leader().filter(|node| self.is_running(*node)) else { return };
         let now = self.local_time(leader);
-        let autonomous_until = self.nodes[leader].leadership.autonomous_until(now);
+        let others_kept_alive_until = self.nodes[leader].leadership.others_kept_alive_until(now);
         let ledger = &mut self.nodes[leader].ledger;
-        ledger.leases_begin_no_earlier_than(autonomous_until);
+        ledger.leases_begin_no_earlier_than(others_kept_alive_until);
         let lease = plus_clock_drift(WORKER_LEASE) + limits::LEASE_MARGIN;
         let covered_until = ledger.covered_until(now, plus_clock_drift(LONGEST_AUTONOMY) + lease);
         for (number, worker) in self.workers.iter().enumerate() {
--- a/src/leadership/tests/network.rs
+++ b/src/leadership/tests/network.rs
@@ -102,13 +102,14 @@
                     // The leader has not read the live jobs in this term yet.
                     self.nodes[node].jobs_read_at = Timestamp::ZERO;
                 }
-                Action::Deposed { keep_until } => {
+                Action::Deposed { keep_alive_until } => {
                     let token = self.nodes[node].ledger.token();
-                    self.nodes[node].shard.retain_after_leadership(token, keep_until);
-                }
-                Action::Probe | Action::TakeOver { .. } | Action::Renew { .. } | Action::Release { .. } => {
-                    self.request_store(node, action)
+                    self.nodes[node].shard.keep_alive_after_leadership(token, keep_alive_until);
                 }
+                Action::Probe
+                | Action::TakeOver { .. }
+                | Action::Renew { .. }
+                | Action::RevokeLease { .. } => self.request_store(node, action),
             }
         }
     }
--- a/src/leadership/tests/single_node.rs
+++ b/src/leadership/tests/single_node.rs
@@ -66,12 +66,12 @@
     assert_eq!(node.handle_message(now + Duration::from_micros(1), 2, 8, Status::default(), grant), []);
     let soon = now + SECOND;
     assert_eq!(
-        node.autonomous_until(soon),
+        node.others_kept_alive_until(soon),
         soon,
         "a node in keep-alive mode may keep workers alive beside it"
     );
     let later = now + plus_clock_drift(limits::GRANT_DURATION) + Duration::from_micros(1);
     let grant = Message::Grant { token: FencingToken(6), echo: later };
     assert_eq!(node.handle_message(later, 2, 8, Status::default(), grant), []);
-    assert!(node.autonomous_until(later + Duration::from_micros(1)) <= later, "its own vote counts again");
+    assert!(node.others_kept_alive_until(later + Duration::from_micros(1)) <= later, "own vote counts again");
 }
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -304,7 +304,7 @@
             return Some(Vec::new());
         }
         let (now, cancellations) = (self.local_time(node), &self.nodes[node].leadership.cancellations);
-        (now + limits::AUTHORITY_MARGIN < cancellations.keep_alive_until())
+        (now + limits::AUTHORITY_MARGIN < cancellations.responses_allowed_until())
             .then(|| cancellations.stop_commands(heartbeat))
             .flatten()
     }
@@ -319,7 +319,7 @@
         let orphaned = heartbeat.tasks.iter().filter(|task| !cancellations.is_live(task.id.job_id));
         let stop =
             |task: &ReportedTask| TaskCommand::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 };
-        (now < cancellations.keep_alive_until())
+        (now < cancellations.responses_allowed_until())
             .then(|| cancellations.with_stop_commands(orphaned.map(stop).collect(), heartbeat))
     }
 }
--- a/src/lease/cancellation_log.rs
+++ b/src/lease/cancellation_log.rs
@@ -42,7 +42,7 @@
     /// The highest number of the receiver's own cancellations that the sender knows.
     pub acknowledged: u64,
     /// The highest number of the sender's cancellations.
-    pub last: u64,
+    pub last_number: u64,
     /// Job ids of the sender's cancellations up to `last` that the receiver has not acknowledged.
     pub cancelled: Vec<u64>,
 }
@@ -105,7 +105,7 @@
     started_at: Timestamp,
     /// How long workers may be kept alive beyond the time up to which every cancellation is known: the bound
     /// of the settings plus the lock lease.
-    longest_autonomy: Duration,
+    keep_alive_bound: Duration,
     /// How long a cancellation is remembered. Its tasks have ended after `cancel_s`, and nothing depends on
     /// it any more.
     retention: Duration,
@@ -136,7 +136,7 @@
             local_node,
             incarnation,
             started_at: now,
-            longest_autonomy: bounds.longest_autonomy + limits::LOCK_LEASE,
+            keep_alive_bound: bounds.longest_autonomy + limits::LOCK_LEASE,
             retention: bounds.retention,
             members: vec![Member::new(now); members],
             own_confirmations: VecDeque::new(),
@@ -156,7 +156,7 @@
     /// The time up to which this node knows every cancellation by the members' attestations;
     /// [`Timestamp::ZERO`]: the live jobs were not read in this incarnation, or a member has attested
     /// nothing.
-    pub fn member_freshness(&self) -> Timestamp {
+    pub fn known_until_by_members(&self) -> Timestamp {
         if self.store_read_at == Timestamp::ZERO {
             return Timestamp::ZERO;
         }
@@ -167,7 +167,7 @@
 
     /// The time up to which this node knows every cancellation by the key-value store: when the request was
     /// sent that last read the live jobs; [`Timestamp::ZERO`]: not read in this incarnation.
-    pub fn store_freshness(&self) -> Timestamp {
+    pub fn known_until_by_store(&self) -> Timestamp {
         self.store_read_at
     }
 
@@ -177,13 +177,13 @@
         if known_until == Timestamp::ZERO {
             Timestamp::ZERO
         } else {
-            known_until + minus_clock_drift(self.longest_autonomy)
+            known_until + minus_clock_drift(self.keep_alive_bound)
         }
     }
 
     /// Until when this node may keep workers alive.
-    pub fn keep_alive_until(&self) -> Timestamp {
-        self.keep_alive_limit(self.store_freshness().max(self.member_freshness()))
+    pub fn responses_allowed_until(&self) -> Timestamp {
+        self.keep_alive_limit(self.known_until_by_store().max(self.known_until_by_members()))
     }
 
     /// Whether the job has ended, so that none of its tasks may start.
@@ -286,11 +286,17 @@
         ConfirmOutcome { is_new, is_permitted }
     }
 
-    /// A heartbeat of the member `from` arrived, sent at `stamp` on its clock. `attests`: the member sends
-    /// attestations and accepts them.
-    pub fn observe_heartbeat(&mut self, from: usize, incarnation: u64, attests: bool, stamp: Timestamp) {
+    /// A heartbeat of the member `from` arrived, sent at `stamp` on its clock. `gives_attestations`: the member
+    /// sends attestations and accepts them.
+    pub fn observe_heartbeat(
+        &mut self,
+        from: usize,
+        incarnation: u64,
+        gives_attestations: bool,
+        stamp: Timestamp,
+    ) {
         if let Some(member) = self.members.get_mut(from) {
-            member.observe_heartbeat(incarnation, attests, stamp);
+            member.observe_heartbeat(incarnation, gives_attestations, stamp);
         }
     }
 
@@ -315,7 +321,7 @@
             member.promise_suspension(now);
         }
         let incarnation_age = now.since(self.started_at);
-        Some(Attestation { incarnation_age, last: self.last_number, cancelled, ..attestation })
+        Some(Attestation { incarnation_age, last_number: self.last_number, cancelled, ..attestation })
     }
 
     /// Applies an attestation of the member `from`. `incarnation`: that of the sending process.
@@ -347,7 +353,7 @@
     /// only once it has read the live jobs or the retention time has passed. Members of an earlier version
     /// conclude from a node's loss of the key-value store that no cancellation is in effect without the
     /// store.
-    pub fn proves_no_recent_cancellation(&self, now: Timestamp) -> bool {
+    pub fn has_confirmed_none_recently(&self, now: Timestamp) -> bool {
         let is_recent = |own: &OwnConfirmation| now < own.recorded_at + self.retention;
         let has_recent = self.own_confirmations.back().is_some_and(is_recent);
         !has_recent && (self.store_read_at > Timestamp::ZERO || now >= self.started_at + self.retention)
--- a/src/lease/cancellation_log_member.rs
+++ b/src/lease/cancellation_log_member.rs
@@ -58,11 +58,11 @@
         self.sends_no_attestations || now >= self.suspended_until || self.acknowledged >= number
     }
 
-    /// A heartbeat of the member arrived, sent at `stamp` on its clock. `attests`: the member sends
-    /// attestations and accepts them.
-    pub(super) fn observe_heartbeat(&mut self, incarnation: u64, attests: bool, stamp: Timestamp) {
-        self.sends_no_attestations = !attests;
-        let incarnation = Some(incarnation).filter(|incarnation| attests && *incarnation != 0);
+    /// A heartbeat of the member arrived, sent at `stamp` on its clock. `gives_attestations`: the member
+    /// sends attestations and accepts them.
+    pub(super) fn observe_heartbeat(&mut self, incarnation: u64, gives_attestations: bool, stamp: Timestamp) {
+        self.sends_no_attestations = !gives_attestations;
+        let incarnation = Some(incarnation).filter(|incarnation| gives_attestations && *incarnation != 0);
         if self.incarnation != incarnation {
             // A new incarnation has acknowledged no confirmation of this node, and numbers its own from one.
             self.incarnation = incarnation;
@@ -100,8 +100,8 @@
     ) -> bool {
         self.acknowledged = self.acknowledged.max(attestation.acknowledged);
         // An attestation that was overtaken by a later one has no cancellations that the later one lacked.
-        let has_new = attestation.last > self.received;
-        self.received = self.received.max(attestation.last);
+        let has_new = attestation.last_number > self.received;
+        self.received = self.received.max(attestation.last_number);
         let incarnation_began = now - minus_clock_drift(attestation.incarnation_age);
         // If the incarnation began later, there is a gap: the member does not know what its earlier
         // incarnation confirmed in it.
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -81,16 +81,16 @@
     let (mut node_0, mut node_1) = two_nodes();
     node_1.observe_heartbeat(0, 70, true, NOW);
     exchange(NOW + 2 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available);
-    assert_eq!(node_1.member_freshness(), NOW + 2 * SECOND);
+    assert_eq!(node_1.known_until_by_members(), NOW + 2 * SECOND);
     // A new incarnation of the member does not know what the previous one confirmed before it ended.
     let mut node_0 = CancellationLog::new(2, 0, 72, NOW + 4 * SECOND, BOUNDS);
     node_1.observe_heartbeat(0, 72, true, NOW);
     exchange(NOW + 5 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available);
-    assert_eq!(node_1.member_freshness(), NOW + 2 * SECOND);
+    assert_eq!(node_1.known_until_by_members(), NOW + 2 * SECOND);
     // Its attestations apply again once the live jobs have been read after its start.
     node_1.apply_live_jobs(NOW + 6 * SECOND, NOW + 6 * SECOND, false, &[], &[]);
     exchange(NOW + 7 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available);
-    assert_eq!(node_1.member_freshness(), NOW + 7 * SECOND);
+    assert_eq!(node_1.known_until_by_members(), NOW + 7 * SECOND);
 }
 
 #[test]
@@ -119,7 +119,7 @@
     node_1.observe_heartbeat(0, 72, true, NOW);
     exchange(NOW + 29 * SECOND, &mut node_0, &mut node_1, StoreAccess::Available);
     let promised = NOW + 22 * SECOND + limits::minus_clock_drift(limits::CONFIRMATION_SUSPENSION);
-    assert_eq!(node_1.member_freshness(), promised.max(NOW + 29 * SECOND));
+    assert_eq!(node_1.known_until_by_members(), promised.max(NOW + 29 * SECOND));
     assert!(node_0.confirm(NOW + 28 * SECOND + limits::CONFIRMATION_SUSPENSION, JobId(2)).is_permitted);
 }
 
@@ -158,7 +158,7 @@
     let mut node_0 = CancellationLog::new(2, 0, 70, NOW, BOUNDS);
     node_1.observe_heartbeat(0, 70, true, NOW);
     exchange(NOW + 2 * SECOND, &mut node_0, &mut node_1, StoreAccess::Lost);
-    assert_eq!(node_1.keep_alive_until(), Timestamp::ZERO);
+    assert_eq!(node_1.responses_allowed_until(), Timestamp::ZERO);
 }
 
 /// If a node has more cancellations than one frame holds, it sends no attestations, so that workers' leases
@@ -176,8 +176,8 @@
     assert!(node_0.attest_to(NOW + SECOND, 1, StoreAccess::Available).is_some(), "as many as a frame holds");
     assert!(node_0.confirm(NOW + SECOND, JobId(max_attested)).is_new);
     assert_eq!(node_0.attest_to(NOW + SECOND, 1, StoreAccess::Available), None);
-    let known_until = node_1.member_freshness();
+    let known_until = node_1.known_until_by_members();
     node_0.apply_live_jobs(NOW + SECOND + RETENTION, NOW + SECOND + RETENTION, false, &[], &[]);
     assert!(node_0.attest_to(NOW + SECOND + RETENTION, 1, StoreAccess::Available).is_some());
-    assert_eq!(node_1.member_freshness(), known_until, "nothing was attested meanwhile");
+    assert_eq!(node_1.known_until_by_members(), known_until, "nothing was attested meanwhile");
 }
--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -22,7 +22,7 @@
     /// (`Scheduler::load`).
     BeforeLoad,
     /// A node in keep-alive mode responded: the next leader counts leases from the last time at which that
-    /// node may have responded (`Leadership::autonomous_until`).
+    /// node may have responded (`Leadership::others_kept_alive_until`).
     KeepAlive,
     /// A leaseholder responded and will name the machine in its next shard heartbeat. Until that heartbeat
     /// arrives, the leader treats no lease of the shard as expired.
@@ -68,24 +68,24 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LastRenewal {
     /// On the leader's clock; [`Timestamp::ZERO`]: never.
-    at: Timestamp,
+    renewed_at: Timestamp,
 }
 
 impl LastRenewal {
     /// Records a response of the leader itself at `now`.
     pub fn record(&mut self, now: Timestamp) -> LeaseRenewal {
-        self.at = self.at.max(now);
+        self.renewed_at = self.renewed_at.max(now);
         LeaseRenewal::with_basis(RenewalBasis::Leader)
     }
 
     /// Records at `now` that a leaseholder has reported its own response to the machine.
     pub fn record_by_leaseholder(&mut self, now: Timestamp) {
-        self.at = self.at.max(now);
+        self.renewed_at = self.renewed_at.max(now);
     }
 
     /// The last time at which a lease may have begun, on the leader's clock; [`Timestamp::ZERO`]: never.
-    pub fn at(&self) -> Timestamp {
-        self.at
+    pub fn renewed_at(&self) -> Timestamp {
+        self.renewed_at
     }
 }
 
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -143,7 +143,7 @@
     }
 
     /// This node has stopped leading under `token` and may keep workers alive until `until`.
-    pub fn retain_after_leadership(&mut self, token: FencingToken, until: Timestamp) {
+    pub fn keep_alive_after_leadership(&mut self, token: FencingToken, until: Timestamp) {
         self.follow(token);
         self.lease_until = until;
     }
--- a/src/peer/codec/mod.rs
+++ b/src/peer/codec/mod.rs
@@ -95,15 +95,15 @@
 }
 
 fn write_leadership(status: Status, message: Message, head: &mut Head) {
-    head.state_age = to_micros(status.state_age).into();
-    head.workers = status.workers.into();
-    head.abilities = (if status.attests { ATTESTS } else { 0 }).into();
+    head.state_age = to_micros(status.store_answer_age).into();
+    head.workers = status.worker_heartbeats.into();
+    head.abilities = (if status.gives_attestations { ATTESTS } else { 0 }).into();
     let (kind, token, stamp) = match message {
         Message::Heartbeat { token, sent } => (LEADER_HEARTBEAT, token, sent),
         Message::Grant { token, echo } => (GRANT, token, echo),
         Message::VoteRequest { sent } => (VOTE_REQUEST, FencingToken::NONE, sent),
         Message::Vote { echo } => (VOTE, FencingToken::NONE, echo),
-        Message::Release { token, successor } => {
+        Message::HandOver { token, successor } => {
             head.successor = (successor as u32).into();
             (RELEASE, token, Timestamp::ZERO)
         }
@@ -129,7 +129,7 @@
         for_incarnation: attestation.for_incarnation.into(),
         incarnation_age: to_micros(attestation.incarnation_age).into(),
         acknowledged: attestation.acknowledged.into(),
-        last: attestation.last.into(),
+        last: attestation.last_number.into(),
         confirmations_suspended: attestation.confirmations_suspended.into(),
         reserved: [0; 7],
     };
@@ -180,7 +180,7 @@
         VOTE_REQUEST => read_leadership(head, Message::VoteRequest { sent: stamp }),
         VOTE => read_leadership(head, Message::Vote { echo: stamp }),
         RELEASE => {
-            read_leadership(head, Message::Release { token, successor: head.successor.get() as usize })
+            read_leadership(head, Message::HandOver { token, successor: head.successor.get() as usize })
         }
         SUMMARY => Payload::Summary(read_summary(body)?),
         RELAYED_HEARTBEAT => {
@@ -210,10 +210,10 @@
 
 fn read_leadership(head: &Head, message: Message) -> Payload {
     let status = Status {
-        state_age: Duration::from_micros(head.state_age.get()),
-        workers: head.workers.get(),
-        machines: 0,
-        attests: head.abilities.get() & ATTESTS != 0,
+        store_answer_age: Duration::from_micros(head.state_age.get()),
+        worker_heartbeats: head.workers.get(),
+        ready_machines: 0,
+        gives_attestations: head.abilities.get() & ATTESTS != 0,
     };
     Payload::Leadership(status, message)
 }
@@ -236,7 +236,7 @@
         incarnation_age: Duration::from_micros(line.incarnation_age.get()),
         confirmations_suspended: line.confirmations_suspended != 0,
         acknowledged: line.acknowledged.get(),
-        last: line.last.get(),
+        last_number: line.last.get(),
         cancelled: cancelled.iter().map(|job_id| job_id.get()).collect(),
     })
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -15,13 +15,18 @@
 #[test]
 fn frames_survive_the_trip_and_garbage_does_not() {
     let sender = Sender { node: 2, incarnation: 77 };
-    let status = Status { state_age: Duration::from_micros(5), workers: 9, machines: 0, attests: true };
+    let status = Status {
+        store_answer_age: Duration::from_micros(5),
+        worker_heartbeats: 9,
+        ready_machines: 0,
+        gives_attestations: true,
+    };
     for message in [
         Message::Heartbeat { token: FencingToken(4), sent: Timestamp::from_micros(11) },
         Message::Grant { token: FencingToken(4), echo: Timestamp::from_micros(11) },
         Message::VoteRequest { sent: Timestamp::from_micros(3) },
         Message::Vote { echo: Timestamp::from_micros(3) },
-        Message::Release { token: FencingToken(4), successor: 1 },
+        Message::HandOver { token: FencingToken(4), successor: 1 },
     ] {
         let bytes = encode(sender, 6, &Payload::Leadership(status, message));
         let Frame { node, incarnation, sequence, payload } = decode(&bytes).unwrap();
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -24,7 +24,7 @@
 impl Machine {
     /// When its lease may last have been renewed.
     fn lease_renewed_at(&self) -> Timestamp {
-        self.last_renewal.at().max(self.heartbeats.last_at)
+        self.last_renewal.renewed_at().max(self.heartbeats.last_at)
     }
 
     /// Whether an earlier leader may have started tasks on it that this leader does not know.
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -41,8 +41,13 @@
 }
 
 /// What production was asked to write.
-fn payloads(attests: bool) -> Vec<(&'static str, Payload)> {
-    let status = Status { state_age: Duration::from_micros(5_000), workers: 9, machines: 0, attests };
+fn payloads(gives_attestations: bool) -> Vec<(&'static str, Payload)> {
+    let status = Status {
+        store_answer_age: Duration::from_micros(5_000),
+        worker_heartbeats: 9,
+        ready_machines: 0,
+        gives_attestations,
+    };
     let id = TaskId { job_id: JobId(412), task: 3 };
     let statuses = [
         TaskStatus::Fetching,
@@ -82,7 +87,7 @@
         ("grant", leadership(Message::Grant { token: FencingToken(4), echo: Timestamp::from_micros(11) })),
         ("promise-request", leadership(Message::VoteRequest { sent: Timestamp::from_micros(3) })),
         ("promise", leadership(Message::Vote { echo: Timestamp::from_micros(3) })),
-        ("release", leadership(Message::Release { token: FencingToken(4), successor: 1 })),
+        ("release", leadership(Message::HandOver { token: FencingToken(4), successor: 1 })),
         ("summary", Payload::Summary(vec![summary(412, 3, 1), summary(413, 0, 0)])),
         ("report", Payload::RelayedHeartbeat { id: 9, stamp: Timestamp::from_micros(11), heartbeat }),
         (
@@ -140,7 +145,7 @@
         incarnation_age: Duration::from_micros(13),
         confirmations_suspended: true,
         acknowledged: 3,
-        last: 5,
+        last_number: 5,
         cancelled: vec![412, 9],
     }
 }
