--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -1,6 +1,6 @@
 //! Part one, second driver: the scheduler as a leader with two leaseholders. Workers send heartbeats to any of
-//! three controllers; the leaseholders are real shards, which relay heartbeats (`Heartbeat` with `relayed_by`)
-//! and report which machines they renewed (`ShardHeartbeat`).
+//! three controllers; the leaseholders are real shards, which relay heartbeats (`Heartbeat` with
+//! `relayed_by`) and report which machines they renewed (`ShardHeartbeat`).
 
 mod events;
 mod outside;
--- a/src/lease/cancellation_log.rs
+++ b/src/lease/cancellation_log.rs
@@ -286,8 +286,8 @@
         ConfirmOutcome { is_new, is_permitted }
     }
 
-    /// A heartbeat of the member `from` arrived, sent at `stamp` on its clock. `gives_attestations`: the member
-    /// sends attestations and accepts them.
+    /// A heartbeat of the member `from` arrived, sent at `stamp` on its clock. `gives_attestations`: the
+    /// member sends attestations and accepts them.
     pub fn observe_heartbeat(
         &mut self,
         from: usize,
