--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -187,7 +187,7 @@
         reply: oneshot::Sender<()>,
         batch: &mut Batch,
     ) {
-        let outcome = self.leadership.confirm_cancellation(now, job_id);
+        let outcome = self.leadership.request_confirmation(now, job_id);
         self.apply_actions(outcome.actions);
         if outcome.is_new {
             batch.commands.push(Command::JobRemoved(job_id));
--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -1,5 +1,6 @@
-//! Computes until when this node may act as the leader or keep workers alive, and how long leaseholders may
-//! respond without it. Called by the controller's event loop and by the other modules of leadership.
+//! Computes until when this node may act as the leader or keep workers alive, and how long followers with a
+//! shard lease may respond to workers without it. Called by the controller's event loop and by the other
+//! modules of leadership.
 
 use super::role::Role;
 use super::Leadership;
@@ -9,11 +10,12 @@
 use std::time::Duration;
 
 impl Leadership {
-    /// Until when the grants of a majority run, at most one grant duration after `now`. The majority includes
-    /// this node where its own vote counts.
+    /// Until when the grants of a majority run. The majority includes this node if it may count itself.
+    /// Capped at one grant duration after `now`, because the only node of a cluster needs no grants
+    /// ([`Timestamp::MAX`]).
     fn granted_until(&self, now: Timestamp) -> Timestamp {
-        let own_vote_counts = self.commitments.own_vote_counts(now);
-        self.peers.granted_until(own_vote_counts).min(now + limits::GRANT_DURATION)
+        let counts_itself = self.commitments.counts_itself(now);
+        self.peers.granted_until(counts_itself).min(now + limits::GRANT_DURATION)
     }
 
     /// The fencing token with which this node may act as the leader at `now`. None: it may not.
@@ -26,8 +28,9 @@
     /// lead. `limits::AUTHORITY_MARGIN` is already subtracted.
     pub fn authority_until(&self, now: Timestamp) -> Timestamp {
         let Some(term) = self.role.term() else { return Timestamp::ZERO };
-        let peer_proof_until = self.granted_until(now).min(self.peer_authority_until(term.lease_until));
-        peer_proof_until.max(term.lease_until) - limits::AUTHORITY_MARGIN
+        let authority_by_grants_until =
+            self.granted_until(now).min(self.cancellation_bound_without_lock(term.lease_until));
+        authority_by_grants_until.max(term.lease_until) - limits::AUTHORITY_MARGIN
     }
 
     /// The fencing token under which this node, in keep-alive mode, may renew worker leases. None: it may
@@ -37,26 +40,28 @@
         (now + limits::AUTHORITY_MARGIN < self.keep_alive_until(now)).then_some(token)
     }
 
-    /// Until when a node in keep-alive mode may keep workers alive. Cancellations may not reach this node:
-    /// without the bound by the cancellation log, a zone cut off with a majority in it would keep the tasks
-    /// of a cancelled job alive for as long as it is cut off.
+    /// Until when a node in keep-alive mode may keep workers alive. Cancellations might fail to reach this
+    /// node: without the bound by the cancellation log, a zone cut off with a majority in it would keep the
+    /// tasks of a cancelled job alive for as long as it is cut off.
     fn keep_alive_until(&self, now: Timestamp) -> Timestamp {
-        let peer_proof_until = self.granted_until(now).max(self.votes_until(now));
-        peer_proof_until.min(self.cancellations.responses_allowed_until())
+        let majority_until = self.granted_until(now).max(self.votes_until(now));
+        majority_until.min(self.cancellations.responses_allowed_until())
     }
 
-    /// Until when a leader may act by the grants of its peers alone. Its readings of the key-value store
-    /// prove cancellations known at most up to the last confirmed renewal of the lock lease, because a peer
-    /// takes over by the time for which it has seen the lock free.
-    fn peer_authority_until(&self, lease_until: Timestamp) -> Timestamp {
+    /// The bound by known cancellations on how long a leader may act without the lock lease. Readings of the
+    /// key-value store count only up to the last confirmed renewal of the lock lease: a peer may take over a
+    /// fixed time after it first saw the lock free, so later readings must not extend this leader's
+    /// authority.
+    fn cancellation_bound_without_lock(&self, lease_until: Timestamp) -> Timestamp {
         let lease_confirmed_at = lease_until - limits::LOCK_LEASE;
         let store_known_until = self.cancellations.known_until_by_store().min(lease_confirmed_at);
         let known_until = store_known_until.max(self.cancellations.known_until_by_members());
         self.cancellations.keep_alive_limit(known_until)
     }
 
-    /// How long a leaseholder may respond to workers without the leader after this leader received its shard
-    /// heartbeat; zero: this node does not lead.
+    /// The duration of the shard lease (`lease::shard`) that this leader gives when a follower's shard
+    /// heartbeat arrives; the follower may respond to workers without the leader for that long. Zero: this
+    /// node does not lead.
     pub fn shard_lease(&self, now: Timestamp) -> Duration {
         if !self.is_leader() {
             return Duration::ZERO;
@@ -64,20 +69,22 @@
         self.cancellations.responses_allowed_until().since(now).min(self.longest_autonomy)
     }
 
-    /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader: `now`
-    /// while the leader has no grants of a majority, otherwise the time at which it got them back.
+    /// The last time at which another node, in keep-alive mode, may have renewed worker leases without this
+    /// leader's knowledge: `now` while the leader has no grants of a majority, otherwise the last recorded
+    /// time at which it had none.
     pub fn others_kept_alive_until(&self, now: Timestamp) -> Timestamp {
-        let has_majority = self.peers.granted_until(self.commitments.own_vote_counts(now)) > now;
+        let has_majority = self.peers.granted_until(self.commitments.counts_itself(now)) > now;
         if has_majority {
-            self.others_kept_alive_until
+            self.without_majority_until
         } else {
             now
         }
     }
 
     /// The time since the key-value store last answered this node, as it is reported to the peer `to`. A peer
-    /// of an earlier version concludes that there is no recent cancellation once all members report the store
-    /// as lost. Unless that conclusion is right, such a peer gets an age below `limits::STORE_LOST_TIMEOUT`.
+    /// that runs an earlier release concludes that there is no recent cancellation once all other nodes
+    /// report the store as lost. Unless this node has confirmed none recently, such a peer gets an age below
+    /// `limits::STORE_LOST_TIMEOUT`.
     pub fn reported_store_answer_age(
         &self,
         now: Timestamp,
--- a/src/leadership/commitments.rs
+++ b/src/leadership/commitments.rs
@@ -33,7 +33,7 @@
     started_at: Timestamp,
     grant: Option<Commitment>,
     vote: Option<Commitment>,
-    /// When the last grant or vote expires that this leader gave to another node before it led.
+    /// When the last of the grants and votes expires that this node gave to others before it became leader.
     bound_to_others_until: Timestamp,
 }
 
@@ -55,11 +55,11 @@
         now < self.started_at + plus_clock_drift(limits::GRANT_DURATION)
     }
 
-    /// Whether this node's own vote counts for itself. It does not while a grant or vote for another node
-    /// runs that was given before the takeover. Without this rule a leader that resumed its epoch counted
-    /// worker leases as expired beside the node in keep-alive mode that it had granted (found by the network
-    /// test).
-    pub(super) fn own_vote_counts(&self, now: Timestamp) -> bool {
+    /// Whether this node may count itself in the majority that grants it leadership. It may not while a grant
+    /// or vote that it gave to another node before its takeover runs. Without this rule a leader that took
+    /// over after a restart counted worker leases as expired while a node in keep-alive mode, which held its
+    /// grant, still renewed them (found by the network test).
+    pub(super) fn counts_itself(&self, now: Timestamp) -> bool {
         !self.in_restart_grace(now) && now >= self.bound_to_others_until
     }
 
@@ -105,9 +105,9 @@
         }
     }
 
-    /// This node became the leader. Its own vote does not count until its grants and votes for other nodes
-    /// have expired.
-    pub(super) fn bind_leader(&mut self) {
+    /// Records that this node became the leader. It may not count itself in a majority until its grants and
+    /// votes for other nodes have expired.
+    pub(super) fn record_own_election(&mut self) {
         let given = [self.grant, self.vote].into_iter().flatten();
         let to_others = given.filter(|given| given.node != self.local_node);
         self.bound_to_others_until = to_others.map(|given| given.until).max().unwrap_or_default();
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -30,7 +30,9 @@
             if self.should_stay_in_keep_alive(now) {
                 return;
             }
-            info!("keep-alive mode ended");
+            info!(
+                "keep-alive mode ended: time limit passed, lock free, or key-value store reached by a peer"
+            );
             self.role = Role::Follower;
             self.next_campaign_at = now;
         }
@@ -45,7 +47,8 @@
         }
     }
 
-    /// Whether a node in keep-alive mode stays in it: until its bound, or until a leader can be elected.
+    /// Whether a node in keep-alive mode stays in it: until its permission to keep workers alive expires
+    /// (`keep_alive_until`), the lock is free, or a peer reaches the key-value store.
     fn should_stay_in_keep_alive(&self, now: Timestamp) -> bool {
         self.keep_alive_token(now).is_some() && !self.lock.is_known_free(now) && !self.peer_reaches_store(now)
     }
@@ -72,9 +75,9 @@
         if !self.commitments.in_restart_grace(now) {
             self.commitments.give_vote(now, self.peers.local_node());
         }
-        if let Some(free) = self.lock.free().filter(|_| self.lock.is_known_free(now)) {
+        if let Some(free) = self.lock.continuously_free().filter(|_| self.lock.is_known_free(now)) {
             if now >= self.former_leader_authority_until(free.since) {
-                return self.start_takeover(free.epoch_version, TakeoverProof::LockExpired, actions);
+                return self.start_takeover(free.epoch_version, TakeoverProof::LockFreeLongEnough, actions);
             }
         }
         self.campaigning = true;
@@ -83,10 +86,12 @@
         self.try_takeover(now, actions);
     }
 
-    /// When the former holder of a lock that has been free since `unlocked_at` can no longer act by its peers
-    /// alone. That leader relies on its readings from before the lock was freed, or on the attestations of
-    /// all members, this node's among them. Added to the later of both are the longest autonomy, the time for
-    /// which an earlier version trusts a peer's status, and the duration of a grant.
+    /// The time after which the former holder of a lock that has been free since `unlocked_at` can no longer
+    /// act with grants only. It knows all cancellations at most up to `unlocked_at` minus
+    /// `limits::LOCK_LEASE` by the key-value store, or up to `attested_until` by the attestations of all its
+    /// peers, this node among them. It may act for the longest autonomy plus `limits::LOCK_LEASE` after the
+    /// later of the two. Added are the time for which an earlier release trusts a peer's status, and the
+    /// duration of a grant.
     fn former_leader_authority_until(&self, unlocked_at: Timestamp) -> Timestamp {
         let attested = self.attested_until + limits::LOCK_LEASE;
         unlocked_at.max(attested)
@@ -121,13 +126,13 @@
         if self.is_store_lost() {
             self.enter_keep_alive(now);
         } else if !self.lock.is_locked() {
-            self.start_takeover(self.lock.epoch_version(), TakeoverProof::Votes, actions);
+            self.start_takeover(self.lock.epoch_version(), TakeoverProof::MajorityVotes, actions);
         }
     }
 
     /// Starts to keep workers alive. Without the key-value store this node cannot verify that both proofs of
-    /// a former leader have expired. A former leader that acts by its lock lease alone expires no worker
-    /// lease meanwhile.
+    /// a former leader have expired. A former leader that still acts by its lock lease alone does no harm:
+    /// without grants of a majority it counts no worker lease as expired (`others_kept_alive_until`).
     fn enter_keep_alive(&mut self, now: Timestamp) {
         info!(
             token = %self.highest_token,
@@ -145,7 +150,7 @@
         self.campaigning = false;
         self.role = Role::TakingOver { token, proof };
         info!(%token, proof = ?proof, "takeover started");
-        let ignore_lock = proof == TakeoverProof::PreviousIncarnation;
+        let ignore_lock = proof == TakeoverProof::LedBeforeRestart;
         actions.push(Action::TakeOver { token, version, ignore_lock });
     }
 }
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -14,7 +14,8 @@
 pub(super) struct WorkerReachability {
     /// Whether a worker has sent this leader a heartbeat since it was elected.
     reached: bool,
-    /// Since when no worker reaches this leader, although a peer could lead instead or no peer is in contact.
+    /// Since when no worker has reached this leader while it has a reason to step down: a peer could lead
+    /// instead, or no peer is in contact. None: not so at present.
     unreached_since: Option<Timestamp>,
 }
 
@@ -31,7 +32,7 @@
 
 impl Leadership {
     /// Hands over if no worker reaches this leader any more, or steps down if no peer is in contact either. A
-    /// leader without heartbeats is of no use to the workers, whatever else it reaches.
+    /// leader that gets no worker heartbeats is of no use, even if it reaches the key-value store or peers.
     pub(super) fn check_reachability(&mut self, term: Term, now: Timestamp, actions: &mut Vec<Action>) {
         let first_alive = self.peers.first_alive(now);
         let is_isolated = !self.peers.is_empty() && first_alive.is_none();
@@ -40,7 +41,8 @@
         let many_machines = self.status.ready_machines >= limits::MIN_CORRELATED_SILENT_MACHINES;
         let successor = self.peers.reached_by_most_workers(now).or(first_alive.filter(|_| many_machines));
         self.reachability.reached |= self.status.worker_heartbeats > 0;
-        // As long as no worker has reached this leader, the first heartbeats may well go to a peer.
+        // Workers may not have found a new leader yet and still report to a peer, so silence is a sign of a
+        // fault only after a first worker has reached this leader.
         let is_unreached = self.reachability.reached
             && self.status.worker_heartbeats == 0
             && (successor.is_some() || is_isolated);
@@ -78,8 +80,8 @@
         self.next_campaign_at = now + limits::STEP_DOWN_BACKOFF;
     }
 
-    /// Becomes a follower. Like any leaseholder, a former leader may keep its workers alive for a limited
-    /// time.
+    /// Becomes a follower. Like a follower with a shard lease (`lease::shard`), a former leader may keep its
+    /// workers alive for a limited time.
     pub(super) fn step_down(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if let Some(term) = self.role.term().copied() {
             actions.extend(term.lease.map(|lease| Action::RevokeLease { lease }));
@@ -95,7 +97,7 @@
     /// Until when this node may keep its workers alive after its term. Counted from the last time at which it
     /// surely had authority, because the process may have been suspended since.
     fn keep_alive_after_term(&self, term: Term, now: Timestamp) -> Timestamp {
-        let granted_until = self.peers.granted_until(self.commitments.own_vote_counts(now));
+        let granted_until = self.peers.granted_until(self.commitments.counts_itself(now));
         let acted_until = granted_until.max(term.lease_until).min(now);
         (acted_until + minus_clock_drift(self.longest_autonomy))
             .min(self.cancellations.responses_allowed_until())
--- a/src/leadership/interface.rs
+++ b/src/leadership/interface.rs
@@ -17,8 +17,8 @@
     pub worker_heartbeats: u32,
     /// Number of machines that a leader counts as ready; not sent to peers.
     pub ready_machines: u32,
-    /// Whether the node gives attestations of cancellations and accepts those of others (`cancellation_log`);
-    /// earlier versions do not.
+    /// Whether the node gives attestations of cancellations and accepts those of others
+    /// (`lease::cancellation_log`); nodes that run an earlier release do not.
     pub gives_attestations: bool,
 }
 
@@ -36,7 +36,7 @@
     Grant {
         /// The token of the heartbeat.
         token: FencingToken,
-        /// The send time of the heartbeat, on the receiver's clock.
+        /// `sent` of the heartbeat, returned unchanged: on the clock of the node that gets this grant.
         echo: Timestamp,
     },
     /// A candidate asks for a vote.
@@ -46,7 +46,7 @@
     },
     /// A vote in answer to a request.
     Vote {
-        /// The send time of the request, on the receiver's clock.
+        /// `sent` of the request, returned unchanged: on the clock of the node that gets this vote.
         echo: Timestamp,
     },
     /// The leader steps down and names its successor.
@@ -94,7 +94,8 @@
         /// Version of its epoch record.
         version: u64,
     },
-    /// This node no longer leads. Like any leaseholder it may keep its workers alive for a limited time.
+    /// This node no longer leads. Like a follower with a shard lease (`lease::shard`), it may keep its
+    /// workers alive for a limited time.
     Deposed {
         /// End of that time, on its own clock.
         keep_alive_until: Timestamp,
@@ -134,11 +135,11 @@
         /// Whether the lease still runs.
         alive: bool,
     },
-    /// A probe, renewal or release got no answer.
+    /// A probe, renewal or revocation got no answer.
     Failed,
 }
 
-/// Outcome of a member's attestation.
+/// Outcome of a peer's attestation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[must_use = "the actions are to be carried out"]
 pub struct AttestationOutcome {
@@ -151,8 +152,8 @@
 /// Outcome of a request to confirm a cancellation to a user.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[must_use = "the actions are to be carried out"]
-pub struct CancellationOutcome {
-    /// Whether this node did not know yet that the job is over, or had not recorded a confirmation of its
+pub struct ConfirmationOutcome {
+    /// False only if this node already knew that the job has ended and had recorded a confirmation of its
     /// own.
     pub is_new: bool,
     /// Whether the cancellation may be confirmed to the user now.
--- a/src/leadership/lock_observation.rs
+++ b/src/leadership/lock_observation.rs
@@ -35,7 +35,7 @@
     probed_at: Option<Timestamp>,
     next_probe_at: Timestamp,
     probe_in_flight: bool,
-    free: Option<FreeLock>,
+    continuously_free: Option<FreeLock>,
 }
 
 impl LockObservation {
@@ -47,7 +47,7 @@
             probed_at: None,
             next_probe_at: now,
             probe_in_flight: false,
-            free: None,
+            continuously_free: None,
         }
     }
 
@@ -69,22 +69,23 @@
         self.locked
     }
 
-    /// Whether a reading within `limits::LOCK_PROBE_INTERVAL` shows the lock free. A takeover transaction
-    /// needs one: it compares the version of the epoch record that was read.
+    /// Whether a reading within `limits::LOCK_PROBE_INTERVAL` shows the lock free. The takeover transaction
+    /// fails unless the version of the epoch record that was read is still current, so it needs a recent
+    /// reading.
     pub(super) fn is_known_free(&self, now: Timestamp) -> bool {
         self.probed_at.is_some_and(|at| now < at + limits::LOCK_PROBE_INTERVAL) && !self.locked
     }
 
     /// The lock, if the last reading showed it free and the key-value store has not been lost since. None:
     /// held, or not known.
-    pub(super) fn free(&self) -> Option<FreeLock> {
-        self.free
+    pub(super) fn continuously_free(&self) -> Option<FreeLock> {
+        self.continuously_free
     }
 
     /// Forgets since when the lock has been free: while the key-value store is lost, another node may take
     /// the lock unnoticed.
     pub(super) fn forget_free_lock(&mut self) {
-        self.free = None;
+        self.continuously_free = None;
     }
 
     pub(super) fn is_probe_due(&self, now: Timestamp) -> bool {
@@ -121,9 +122,9 @@
         self.epoch = epoch.map(|(epoch, version)| EpochRecord { epoch, version });
         self.locked = locked;
         let epoch_version = self.epoch_version();
-        let seen_free = self.free.filter(|free| free.epoch_version == epoch_version);
+        let seen_free = self.continuously_free.filter(|free| free.epoch_version == epoch_version);
         let since = seen_free.map_or(now, |free| free.since);
-        self.free = (!locked).then_some(FreeLock { epoch_version, since });
+        self.continuously_free = (!locked).then_some(FreeLock { epoch_version, since });
         self.probed_at = Some(now);
     }
 
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -2,7 +2,7 @@
 //! Called by the controller's event loop.
 
 use super::role::Role;
-use super::{Action, AttestationOutcome, CancellationOutcome, FollowedLeader, Leadership, Message, Status};
+use super::{Action, AttestationOutcome, ConfirmationOutcome, FollowedLeader, Leadership, Message, Status};
 use crate::fencing_token::FencingToken;
 use crate::lease::cancellation_log::{Attestation, StoreAccess};
 use crate::limits;
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 impl Leadership {
-    /// Applies a member's attestation, sent by the process with this incarnation. The member may need this
-    /// node's acknowledgement before it can confirm a cancellation to a user, so the answer does not wait for
-    /// the next heartbeat.
+    /// Applies an attestation of the peer `from`, sent by the process with this incarnation. The peer may
+    /// need this node's acknowledgement before it can confirm a cancellation to a user, so the answer does
+    /// not wait for the next heartbeat.
     pub fn handle_attestation(
         &mut self,
         now: Timestamp,
@@ -23,24 +23,25 @@
     ) -> AttestationOutcome {
         let applied = self.cancellations.apply_attestation(now, from, incarnation, attestation);
         let mut actions = Vec::new();
-        // Only an attestation with something new is answered. Before this rule, two members that rejected
-        // each other's attestations, those of other incarnations for example, answered each other without
-        // end, and every repeated message doubled the number in flight (found by the network test).
+        // Answered only if it reports new cancellations. Without this rule, two nodes that rejected each
+        // other's attestations, for example because these were meant for another incarnation, answered each
+        // other without end, and every repeated message doubled the number in flight (found by the network
+        // test).
         if applied.has_new {
             self.attest(now, from, &mut actions);
         }
         AttestationOutcome { cancelled_jobs: applied.terminated, actions }
     }
 
-    /// Records a cancellation that is about to be confirmed to a user. The other members are informed at
-    /// once.
-    pub fn confirm_cancellation(&mut self, now: Timestamp, job_id: JobId) -> CancellationOutcome {
+    /// Records a cancellation that is about to be confirmed to a user, and returns whether it may be
+    /// confirmed now. The peers are informed at once.
+    pub fn request_confirmation(&mut self, now: Timestamp, job_id: JobId) -> ConfirmationOutcome {
         let outcome = self.cancellations.confirm(now, job_id);
         let mut actions = Vec::new();
         if outcome.is_new || !outcome.is_permitted {
             self.peers.others().for_each(|node| self.attest(now, node, &mut actions));
         }
-        CancellationOutcome { is_new: outcome.is_new, is_permitted: outcome.is_permitted, actions }
+        ConfirmationOutcome { is_new: outcome.is_new, is_permitted: outcome.is_permitted, actions }
     }
 
     fn attest(&mut self, now: Timestamp, to: usize, actions: &mut Vec<Action>) {
@@ -50,8 +51,8 @@
             StoreAccess::Available
         };
         let Some(attestation) = self.cancellations.attest_to(now, to, store_access) else { return };
-        // The attestation proves nothing beyond the heartbeat that it answers, except for the promise to
-        // suspend confirmations.
+        // The receiver may conclude that it knows this node's cancellations up to the time of its heartbeat
+        // that this attestation answers, and, if confirmations are suspended, for the suspension longer.
         let suspension = match store_access {
             StoreAccess::Lost => limits::CONFIRMATION_SUSPENSION,
             StoreAccess::Available => Duration::ZERO,
@@ -82,7 +83,7 @@
                 self.cancellations.observe_heartbeat(from, incarnation, status.gives_attestations, sent);
                 self.attest(now, from, &mut actions);
                 if token > FencingToken::NONE {
-                    self.handle_leader_heartbeat(now, from, token, sent, &mut actions);
+                    self.handle_heartbeat_with_token(now, from, token, sent, &mut actions);
                 }
             }
             Message::Grant { token, echo } => self.handle_grant(now, from, token, echo),
@@ -93,7 +94,8 @@
         actions
     }
 
-    fn handle_leader_heartbeat(
+    /// Handles a heartbeat of a leader or of a node in keep-alive mode.
+    fn handle_heartbeat_with_token(
         &mut self,
         now: Timestamp,
         from: usize,
@@ -141,7 +143,7 @@
     fn handle_grant(&mut self, now: Timestamp, from: usize, token: FencingToken, echo: Timestamp) {
         // An echo from the future belongs to the clock of an earlier incarnation.
         if self.role.token_for_grants() == Some(token) && echo <= now {
-            self.others_kept_alive_until = self.others_kept_alive_until(now);
+            self.without_majority_until = self.others_kept_alive_until(now);
             self.peers.record_grant(from, echo);
         }
     }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -6,11 +6,14 @@
 //!
 //! A leader has two independent proofs of leadership: the lock lease behind `leader/lock` in the key-value
 //! store, and grants by a majority of controllers. Either proof suffices to act, and another node may take
-//! over only after both have expired. The side that relies on a deadline counts it from when its request was
-//! sent and shortens it for clock drift. The side that granted it counts from receipt and lengthens it.
+//! over only after both have expired. The leader counts the lock lease and each grant from when it sent the
+//! request, shortened for clock drift. A peer counts the grant or vote that it gave from when the request
+//! arrived, lengthened for clock drift.
 //!
-//! Without the lock lease a leader acts only for a bounded time after the moment up to which it knows every
-//! cancellation (`cancellation_log`). The same bound holds for every node that keeps workers alive.
+//! A node keeps a worker alive by answering its heartbeat, which renews the worker's lease. Without the lock
+//! lease a node may do so only for a bounded time after T, the latest time up to which it knows every
+//! confirmed cancellation. It learns of them from the key-value store and from its peers' attestations, in
+//! which a peer states which cancellations it has confirmed to users (`lease::cancellation_log`).
 
 mod authority;
 mod commitments;
@@ -25,7 +28,7 @@
 mod store_responses;
 
 pub use followed_leader::FollowedLeader;
-pub use interface::{Action, AttestationOutcome, CancellationOutcome, Message, Status, StoreResponse};
+pub use interface::{Action, AttestationOutcome, ConfirmationOutcome, Message, Status, StoreResponse};
 
 use crate::fencing_token::FencingToken;
 use crate::lease::cancellation_log::{CancellationBounds, CancellationLog};
@@ -52,7 +55,7 @@
     commitments: Commitments,
     /// The highest fencing token known.
     highest_token: FencingToken,
-    /// The leader whose heartbeat arrived last.
+    /// The leader, or node in keep-alive mode, whose heartbeat arrived last.
     followed: Option<FollowedLeader>,
     /// Epoch record and lock as last read from the key-value store.
     lock: LockObservation,
@@ -69,17 +72,17 @@
     status: Status,
     /// Whether workers reach this leader.
     reachability: WorkerReachability,
-    /// The last time at which a node in keep-alive mode may have kept workers alive beside this leader, as
-    /// recorded at the election and at each grant. [`Leadership::others_kept_alive_until`] gives
-    /// the present value.
-    others_kept_alive_until: Timestamp,
-    /// How long workers may be kept alive beyond the moment up to which every cancellation is known, the lock
-    /// lease aside ([`limits::longest_autonomy`]).
+    /// The last time at which this leader had no grants of a majority, as recorded at the election and at
+    /// each grant. Until then a node in keep-alive mode may have renewed worker leases without its knowledge;
+    /// see [`Leadership::others_kept_alive_until`] for the present value.
+    without_majority_until: Timestamp,
+    /// How long workers may be kept alive after the time up to which every cancellation is known, not
+    /// including `limits::LOCK_LEASE`, which [`CancellationLog`] adds ([`limits::longest_autonomy`]).
     longest_autonomy: Duration,
     /// The cancellations that this node knows, and up to when it knows all of them.
     pub cancellations: CancellationLog,
-    /// Up to when other members may rely on this node's attestations that they know every cancellation it
-    /// confirmed.
+    /// Up to this time a peer may conclude, from attestations sent by this node, that it knows every
+    /// cancellation that this node confirmed.
     attested_until: Timestamp,
     rng: SmallRng,
 }
@@ -97,7 +100,8 @@
     ) -> Self {
         Leadership {
             cancellations: CancellationLog::new(node_names.len(), local_node, incarnation, now, bounds),
-            // An earlier incarnation may have promised to suspend confirmations right before it ended.
+            // The previous incarnation may have sent, right before it ended, an attestation with the promise
+            // to suspend confirmations, which is valid for `CONFIRMATION_SUSPENSION`.
             attested_until: now + limits::CONFIRMATION_SUSPENSION,
             peers: Peers::new(node_names, local_node),
             incarnation,
@@ -113,7 +117,7 @@
             may_resume: true,
             status: Status { store_answer_age: Duration::MAX, ..Status::default() },
             reachability: WorkerReachability::default(),
-            others_kept_alive_until: now,
+            without_majority_until: now,
             longest_autonomy: bounds.longest_autonomy,
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -161,7 +165,9 @@
         self.status = status;
         let mut actions = Vec::new();
         if self.is_leader() && self.authority(now).is_none() {
-            warn!("leadership lost: authority to act expired");
+            warn!(
+                "leadership lost: lock lease expired, and grants expired or cancellations unknown too long"
+            );
             self.step_down(now, &mut actions);
         }
         match self.role.term().copied() {
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -145,20 +145,20 @@
             .for_each(|peer| (peer.grant_until, peer.vote_until) = (Timestamp::ZERO, Timestamp::ZERO));
     }
 
-    /// Until when a majority grants this node leadership. `own_vote_counts`: the node is part of the majority
+    /// Until when a majority grants this node leadership. `counts_itself`: the node is part of the majority
     /// itself.
-    pub(super) fn granted_until(&self, own_vote_counts: bool) -> Timestamp {
-        self.majority_until(own_vote_counts, |peer| peer.grant_until)
+    pub(super) fn granted_until(&self, counts_itself: bool) -> Timestamp {
+        self.majority_until(counts_itself, |peer| peer.grant_until)
     }
 
-    /// Until when a majority votes for this node. `own_vote_counts`: the node is part of the majority itself.
-    pub(super) fn voted_until(&self, own_vote_counts: bool) -> Timestamp {
-        self.majority_until(own_vote_counts, |peer| peer.vote_until)
+    /// Until when a majority votes for this node. `counts_itself`: the node is part of the majority itself.
+    pub(super) fn voted_until(&self, counts_itself: bool) -> Timestamp {
+        self.majority_until(counts_itself, |peer| peer.vote_until)
     }
 
-    fn majority_until(&self, own_vote_counts: bool, deadline: impl Fn(&Peer) -> Timestamp) -> Timestamp {
+    fn majority_until(&self, counts_itself: bool, deadline: impl Fn(&Peer) -> Timestamp) -> Timestamp {
         let majority = self.names.len() / 2 + 1;
-        let needed = majority - usize::from(own_vote_counts);
+        let needed = majority - usize::from(counts_itself);
         if needed == 0 {
             return Timestamp::MAX;
         }
--- a/src/leadership/role.rs
+++ b/src/leadership/role.rs
@@ -11,8 +11,9 @@
     Follower,
     /// The takeover transaction is under way.
     TakingOver { token: FencingToken, proof: TakeoverProof },
-    /// Keeps workers alive under the last token during an outage of the key-value store without a leader, by
-    /// votes and grants of a majority. Starts no tasks, and stops only those of cancelled jobs.
+    /// The key-value store does not answer and nobody leads. A majority voted for this node to renew worker
+    /// leases under the highest token that it knew then, until a leader can be elected. It starts no tasks,
+    /// and stops only those of cancelled jobs.
     KeepAlive { token: FencingToken },
     /// Leads.
     Leader(Term),
@@ -31,15 +32,15 @@
     pub(super) elected_at: Timestamp,
 }
 
-/// The evidence that no other node acts. All but `PreviousIncarnation` need the lock to be free as well.
+/// The evidence that no other node acts. All but `LedBeforeRestart` need the lock to be free as well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TakeoverProof {
     /// A majority voted for this node.
-    Votes,
+    MajorityVotes,
     /// The epoch names this node's own previous incarnation.
-    PreviousIncarnation,
-    /// The lock has been free for longer than a former leader may act by its peers alone.
-    LockExpired,
+    LedBeforeRestart,
+    /// The lock has been free for longer than a former leader may act with grants only.
+    LockFreeLongEnough,
 }
 
 impl Role {
--- a/src/leadership/store_responses.rs
+++ b/src/leadership/store_responses.rs
@@ -50,11 +50,11 @@
         let lease_until = takeover.lease_sent + minus_clock_drift(limits::LOCK_LEASE);
         // The response must have arrived before the votes expire.
         let proof_holds = match proof {
-            TakeoverProof::Votes => self.votes_until(now) > now,
-            TakeoverProof::PreviousIncarnation | TakeoverProof::LockExpired => true,
+            TakeoverProof::MajorityVotes => self.votes_until(now) > now,
+            TakeoverProof::LedBeforeRestart | TakeoverProof::LockFreeLongEnough => true,
         };
         if !proof_holds || lease_until <= now + limits::AUTHORITY_MARGIN {
-            info!("takeover abandoned: commit response arrived too late for the votes or the lock lease");
+            info!("takeover abandoned: votes or lock lease expired before the store's response arrived");
             self.role = Role::Follower;
             actions.push(Action::RevokeLease { lease: takeover.lease });
             return;
@@ -72,10 +72,10 @@
         self.highest_token = self.highest_token.max(term.token);
         self.role = Role::Leader(term);
         self.peers.clear_grants_and_votes();
-        self.commitments.bind_leader();
+        self.commitments.record_own_election();
         self.may_resume = false;
         self.reachability.begin_term();
-        self.others_kept_alive_until = now;
+        self.without_majority_until = now;
         self.followed = None;
         self.next_renewal_at = now + limits::LOCK_RENEWAL_INTERVAL;
         self.next_heartbeat_at = now;
@@ -104,8 +104,8 @@
         }
     }
 
-    /// The lock lease has expired. The leader may go on by the grants of its peers, but other nodes may take
-    /// the lock.
+    /// Handles the expiry of the lock lease. The leader may go on with the grants of its peers, but other
+    /// nodes may take the lock.
     fn end_lock_lease(&mut self, now: Timestamp, lease: u64) {
         if let Some(term) = self.term_with_lease(lease) {
             term.lease = None;
@@ -130,7 +130,8 @@
         }
         self.lock.record_probe(now, epoch, locked);
         if self.role.term().is_some_and(|term| term.lease.is_none()) {
-            // The lock lease has expired while grants still run: take the lock again, under a new token.
+            // The lock lease has expired while grants still run. If the lock is free, the leader steps down
+            // and campaigns at once, to take the lock again under a new token.
             if !locked {
                 self.step_down(now, actions);
                 self.next_campaign_at = now;
@@ -140,14 +141,14 @@
         self.try_resume(actions);
     }
 
-    /// Resumes if the epoch names this node before it restarted: that process has ended, so no other node
-    /// acts.
+    /// Takes over without votes if the epoch names an earlier process of this node: the last leader was that
+    /// process, and it has ended, so no other node acts.
     fn try_resume(&mut self, actions: &mut Vec<Action>) {
         let Some(record) = self.lock.epoch() else { return };
         let is_previous_incarnation =
             record.epoch.node == self.peers.local_name() && record.epoch.incarnation != self.incarnation;
         if is_previous_incarnation && self.may_resume && self.role.is_follower() {
-            self.start_takeover(record.version, TakeoverProof::PreviousIncarnation, actions);
+            self.start_takeover(record.version, TakeoverProof::LedBeforeRestart, actions);
         }
     }
 }
--- a/src/leadership/tests/cancellation_scenarios.rs
+++ b/src/leadership/tests/cancellation_scenarios.rs
@@ -11,7 +11,7 @@
 /// a lease, the leader must know how long it may run, and no task of a job may run longer than
 /// `CANCELLATION_DEADLINE` after its cancellation was confirmed.
 #[test]
-fn under_random_faults_no_renewed_lease_is_counted_as_expired() {
+fn under_random_faults_no_running_lease_is_counted_as_expired() {
     let (mut expired, mut autonomous, mut confirmed) = (0, 0, 0);
     for seed in 200..540 {
         let mut cluster = Cluster::with_workers(seed, 200);
@@ -36,9 +36,9 @@
 
 /// The key-value store refuses only the leader, while other nodes confirm cancellations to users. Then it is
 /// down for all nodes, for longer than `CANCELLATION_DEADLINE`, while the workers go on reporting. Guards
-/// against a leader that keeps alive tasks whose cancellation it has not received, because the members attest
-/// only that they cannot commit at present. `additional_fault`: begins right after the outage does; its
-/// arguments are the cluster and the leader's number.
+/// against this fault: the other nodes report only that they cannot commit at present, the leader concludes
+/// that nothing was cancelled, and it keeps alive tasks whose cancellation it has missed. `additional_fault`:
+/// begins right after the outage does; its arguments are the cluster and the leader's number.
 fn run_outage_after_refused_leader(additional_fault: impl Fn(&mut Cluster, usize)) {
     let mut confirmed = 0;
     for seed in 0..20 {
@@ -93,8 +93,8 @@
     });
 }
 
-/// While all members attest and no job is cancelled, an outage of the key-value store for all nodes ends no
-/// worker lease, however long it lasts, also if the leader crashes in it.
+/// While all nodes give attestations and no job is cancelled, an outage of the key-value store for all nodes
+/// ends no worker lease, however long it lasts, also if the leader crashes in it.
 #[test]
 fn in_a_store_outage_without_cancellations_no_worker_loses_its_lease() {
     for crash in [false, true] {
@@ -114,17 +114,18 @@
     }
 }
 
-/// A member of an earlier version gives no attestations. The other members do not know what it confirmed, so
-/// their authority without the key-value store is bounded. In turn, it must not be sent a status that it
-/// would take as proof of no cancellations.
+/// A node that runs an earlier release gives no attestations. The other nodes do not know what it confirmed,
+/// so their authority without the key-value store is bounded. Such a node takes a lost store, reported by all
+/// others, as proof that nothing was cancelled, so the leader reports a lost store only if it has confirmed
+/// no cancellation recently.
 #[test]
-fn authority_without_the_store_is_bounded_while_a_member_runs_an_earlier_version() {
+fn authority_without_the_store_is_bounded_while_a_node_runs_an_earlier_release() {
     for seed in 0..10 {
         let mut cluster = Cluster::with_workers(seed, 60);
         cluster.run(12 * SECOND);
         let leader = cluster.leader().expect("a leader");
         let other = (leader + 1) % NODE_COUNT;
-        cluster.nodes[other].is_earlier_version = true;
+        cluster.nodes[other].is_earlier_release = true;
         cluster.run(2 * SECOND);
         let now = cluster.local_time(leader);
         let reported = |store_answer_age| {
@@ -152,10 +153,10 @@
     for (case, fault) in [restarts_at_once, crashes, refused, cut_off].into_iter().enumerate() {
         let mut confirmed = 0;
         for seed in 0..12 {
-            // The leader itself for even seeds, the next node for odd ones.
             let mut cluster = Cluster::with_workers(seed, 40);
             cluster.run(12 * SECOND);
             let leader = cluster.leader().expect("a leader");
+            // The fault hits the leader for even seeds, the next node for odd ones.
             let node = (leader + seed as usize % 2) % NODE_COUNT;
             let before = cluster.confirmed.len();
             fault(&mut cluster, node);
@@ -164,8 +165,14 @@
             cluster.run(2 * CANCELLATION_DEADLINE);
             cluster.refused_by_store = None;
             cluster.run(15 * SECOND);
-            assert!(cluster.leader().is_some(), "case {case}, seed {seed}: nobody leads");
+            assert!(
+                cluster.leader().is_some(),
+                "fault {case} of the list, seed {seed}: nobody leads after it"
+            );
         }
-        assert!(confirmed > 100, "case {case}: only {confirmed} cancellations were confirmed meanwhile");
+        assert!(
+            confirmed > 100,
+            "fault {case} of the list: only {confirmed} cancellations were confirmed in it"
+        );
     }
 }
--- a/src/leadership/tests/cluster.rs
+++ b/src/leadership/tests/cluster.rs
@@ -34,11 +34,11 @@
     pub(super) store_answered_at: Timestamp,
     /// When it next reads the live jobs, on its clock.
     pub(super) next_job_read_at: Timestamp,
-    /// When it last read the live jobs, on its clock; zero: not in this process or this term as leader. A
-    /// leader has loaded its state once it has read them.
+    /// When it last read the live jobs, on its clock; zero: not since its process started or it was last
+    /// elected. A leader has loaded its state once it has read them.
     pub(super) jobs_read_at: Timestamp,
-    /// Whether it runs an earlier version, which gives no attestations.
-    pub(super) is_earlier_version: bool,
+    /// Whether it runs an earlier release, which gives no attestations.
+    pub(super) is_earlier_release: bool,
 }
 
 /// Nodes that are cut off from the other nodes, and from the workers on the other nodes' side.
@@ -74,13 +74,14 @@
     pub(super) suspension: Option<Suspension>,
     /// The node that no worker reaches.
     pub(super) cut_off_from_workers: Option<usize>,
-    /// Whether workers report to the peers only, and none has reported to the leader yet.
-    pub(super) first_workers_at_peers: bool,
+    /// Whether workers report only to nodes that do not lead.
+    pub(super) workers_report_to_peers_only: bool,
 
     pub(super) workers: Vec<Worker>,
-    /// In each step, a node that reaches the key-value store cancels the oldest job with a probability of one
-    /// in this number; zero: never.
-    pub(super) cancellation_period: u32,
+    /// Zero: no jobs, and no node reads the live jobs. Otherwise each node that reaches the key-value store
+    /// reads them, and in one step of so many, at random, submits a job and cancels the oldest one if more
+    /// than four are live.
+    pub(super) steps_per_job: u32,
     /// Cancelled jobs, and when the cancellation was confirmed to the user, in true time.
     pub(super) confirmed: BTreeMap<JobId, Timestamp>,
 
@@ -112,9 +113,9 @@
             partition: None,
             suspension: None,
             cut_off_from_workers: None,
-            first_workers_at_peers: false,
+            workers_report_to_peers_only: false,
             workers: Vec::new(),
-            cancellation_period: 0,
+            steps_per_job: 0,
             confirmed: BTreeMap::new(),
             expired_leases: 0,
             autonomous_responses: 0,
@@ -149,7 +150,7 @@
             store_answered_at: Timestamp::ZERO,
             next_job_read_at: Timestamp::ZERO,
             jobs_read_at: Timestamp::ZERO,
-            is_earlier_version: self.nodes.get(node).is_some_and(|node| node.is_earlier_version),
+            is_earlier_release: self.nodes.get(node).is_some_and(|node| node.is_earlier_release),
         }
     }
 
@@ -203,15 +204,15 @@
     /// What the node reports of itself.
     pub(super) fn status(&self, node: usize) -> Status {
         let store_answer_age = self.local_time(node).since(self.nodes[node].store_answered_at);
-        let gives_attestations = !self.nodes[node].is_earlier_version;
+        let gives_attestations = !self.nodes[node].is_earlier_release;
         let leads = self.nodes[node].leadership.is_leader();
-        if self.first_workers_at_peers {
+        if self.workers_report_to_peers_only {
             let worker_heartbeats = if leads { 0 } else { 2 };
             return Status { store_answer_age, worker_heartbeats, ready_machines: 0, gives_attestations };
         }
         let is_alone = self.partition.as_ref().is_some_and(|partition| partition.inside == [node]);
         let cut_off = is_alone || self.cut_off_from_workers == Some(node);
-        // Only the leader has workers: none has reported to a peer yet.
+        // In the test that cuts the leader off from workers, none has reported to a peer yet.
         let has_no_workers_yet = self.cut_off_from_workers.is_some() && !leads;
         let worker_heartbeats = if cut_off || has_no_workers_yet { 0 } else { 3 };
         Status { store_answer_age, worker_heartbeats, ready_machines: 3, gives_attestations }
--- a/src/leadership/tests/components.rs
+++ b/src/leadership/tests/components.rs
@@ -34,9 +34,9 @@
     let commitments = commitments();
     let grace_ends = START + plus_clock_drift(limits::GRANT_DURATION);
     assert!(!commitments.permit(grace_ends - Duration::from_micros(1), 1));
-    assert!(!commitments.own_vote_counts(grace_ends - Duration::from_micros(1)));
+    assert!(!commitments.counts_itself(grace_ends - Duration::from_micros(1)));
     assert!(commitments.permit(grace_ends, 1));
-    assert!(commitments.own_vote_counts(grace_ends));
+    assert!(commitments.counts_itself(grace_ends));
 }
 
 #[test]
@@ -72,18 +72,18 @@
 fn a_new_leader_is_bound_by_its_grant_to_another_node_but_not_by_its_own_vote() {
     let mut own_vote_only = commitments();
     own_vote_only.give_vote(NOW, LOCAL_NODE);
-    own_vote_only.bind_leader();
-    assert!(own_vote_only.own_vote_counts(NOW));
+    own_vote_only.record_own_election();
+    assert!(own_vote_only.counts_itself(NOW));
     let mut granted = commitments();
     granted.give_grant(NOW, 1);
-    granted.bind_leader();
+    granted.record_own_election();
     let expires_at = NOW + plus_clock_drift(limits::GRANT_DURATION);
-    assert!(!granted.own_vote_counts(expires_at - Duration::from_micros(1)));
-    assert!(granted.own_vote_counts(expires_at));
+    assert!(!granted.counts_itself(expires_at - Duration::from_micros(1)));
+    assert!(granted.counts_itself(expires_at));
 }
 
 #[test]
-fn a_majority_lasts_until_the_last_grant_that_it_needs_runs_out() {
+fn a_majority_ends_when_the_first_grant_that_it_needs_expires() {
     let mut peers = peers();
     assert_eq!(peers.granted_until(true), Timestamp::ZERO);
     peers.record_grant(1, NOW);
@@ -141,7 +141,8 @@
 #[test]
 fn the_time_since_which_a_lock_is_free_restarts_with_another_epoch_or_a_lost_store() {
     let mut lock = LockObservation::new(START);
-    let free_since = |lock: &LockObservation| lock.free().map(|free| (free.epoch_version, free.since));
+    let free_since =
+        |lock: &LockObservation| lock.continuously_free().map(|free| (free.epoch_version, free.since));
     lock.record_probe(NOW, Some((epoch(FencingToken(3)), 11)), false);
     lock.record_probe(NOW + SECOND, Some((epoch(FencingToken(3)), 11)), false);
     assert_eq!(free_since(&lock), Some((11, NOW)));
--- a/src/leadership/tests/election_scenarios.rs
+++ b/src/leadership/tests/election_scenarios.rs
@@ -26,7 +26,7 @@
 #[test]
 fn a_store_outage_alone_does_not_end_leadership() {
     let mut cluster = Cluster::new(1);
-    cluster.cancellation_period = 400;
+    cluster.steps_per_job = 400;
     cluster.run(5 * SECOND);
     let leader = cluster.leader().expect("a leader");
     let tokens = cluster.elected_tokens.len();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_crashed_leader_is_replaced_within_the_shortest_worker_lease() {
+fn a_crashed_leader_is_replaced_within_six_seconds() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed);
         cluster.run(5 * SECOND);
@@ -97,7 +97,7 @@
 fn a_leader_crash_in_a_store_outage_leaves_a_node_in_keep_alive_mode() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed);
-        cluster.cancellation_period = 400;
+        cluster.steps_per_job = 400;
         cluster.run(5 * SECOND);
         cluster.store_down = true;
         cluster.run(2 * SECOND);
@@ -121,7 +121,7 @@
 #[test]
 fn a_leader_not_yet_reached_by_any_worker_does_not_hand_over() {
     let mut cluster = Cluster::new(6);
-    cluster.first_workers_at_peers = true;
+    cluster.workers_report_to_peers_only = true;
     cluster.run(12 * SECOND);
     assert_eq!(cluster.elected_tokens.len(), 1, "{:?}", cluster.elected_tokens);
 }
@@ -133,8 +133,9 @@
 fn a_majority_cut_off_from_the_store_stops_and_the_node_outside_leads() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed);
-        cluster.cancellation_period = 400;
-        // Until promises that an earlier incarnation may have given have expired.
+        cluster.steps_per_job = 400;
+        // Each node assumes that its previous incarnation promised to suspend confirmations. After 12 s this
+        // promise has expired (`limits::CONFIRMATION_SUSPENSION`).
         cluster.run(12 * SECOND);
         let leader = cluster.leader().expect("a leader");
         let outside = (leader + 1) % NODE_COUNT;
@@ -155,8 +156,8 @@
     }
 }
 
-/// A leader is suspended until its authority has expired. When it resumes, it must not send what was pending,
-/// although it has not noticed the expiry yet.
+/// A leader is suspended until its authority has expired. When it resumes, `authority` must be None before
+/// the first tick notices the expiry, so that the leader sends no pending responses.
 #[test]
 fn a_leader_suspended_past_its_authority_has_none_when_it_resumes() {
     let mut cluster = Cluster::new(7);
--- a/src/leadership/tests/invariants.rs
+++ b/src/leadership/tests/invariants.rs
@@ -53,10 +53,11 @@
         let ledger = &mut self.nodes[leader].ledger;
         ledger.leases_begin_no_earlier_than(others_kept_alive_until);
         let lease = plus_clock_drift(WORKER_LEASE) + limits::LEASE_MARGIN;
-        let covered_until = ledger.covered_until(now, plus_clock_drift(LONGEST_AUTONOMY) + lease);
+        let responses_known_until =
+            ledger.responses_known_until(now, plus_clock_drift(LONGEST_AUTONOMY) + lease);
         for (number, worker) in self.workers.iter().enumerate() {
             let renewal = ledger.last_renewal(number);
-            if now.min(covered_until) < renewal.at_leader + lease {
+            if now.min(responses_known_until) < renewal.at_leader + lease {
                 continue;
             }
             self.expired_leases += 1;
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -10,7 +10,7 @@
 
 /// The time of a renewal of a worker lease, or of the arrival of a shard heartbeat, on two clocks.
 #[derive(Clone, Copy)]
-pub(super) struct Renewal {
+pub(super) struct TimeOnBothClocks {
     /// Time on the leader's clock.
     pub(super) at_leader: Timestamp,
     /// The same time in true time.
@@ -21,7 +21,7 @@
 #[derive(Default)]
 struct LeaseholderRecord {
     /// Up to this time the leader knows every response that the leaseholder gave.
-    covered_until: Timestamp,
+    responses_known_until: Timestamp,
     last_heartbeat_at: Timestamp,
 }
 
@@ -35,7 +35,7 @@
     /// clock.
     assumed_lease_start: Timestamp,
     /// By worker.
-    renewals: BTreeMap<usize, Renewal>,
+    renewals: BTreeMap<usize, TimeOnBothClocks>,
     /// By node.
     leaseholders: BTreeMap<usize, LeaseholderRecord>,
 }
@@ -55,22 +55,23 @@
     }
 
     /// The time up to which the leader knows every response of the leaseholders that may still renew leases.
-    /// `validity`: for how long after its last shard heartbeat the shard lease of a leaseholder, and worker
-    /// leases renewed under it, may run.
-    pub(super) fn covered_until(&self, now: Timestamp, validity: Duration) -> Timestamp {
+    /// `validity`: a leaseholder is ignored this long after its last shard heartbeat. By then its shard lease
+    /// and the worker leases renewed under it have expired.
+    pub(super) fn responses_known_until(&self, now: Timestamp, validity: Duration) -> Timestamp {
         let records = self.leaseholders.values();
         let unexpired = records.filter(|record| now < record.last_heartbeat_at + validity);
-        unexpired.map(|record| record.covered_until).min().unwrap_or(Timestamp::MAX)
+        unexpired.map(|record| record.responses_known_until).min().unwrap_or(Timestamp::MAX)
     }
 
-    /// The last time at which the worker's lease may have begun.
-    pub(super) fn last_renewal(&self, worker: usize) -> Renewal {
-        let unknown = Renewal { at_leader: Timestamp::ZERO, at: self.elected_at };
+    /// The last time at which the worker's lease may have begun. `at_leader` is raised to the assumed start
+    /// of leases without a later renewal; `at` is the last recorded renewal, or the election.
+    pub(super) fn last_renewal(&self, worker: usize) -> TimeOnBothClocks {
+        let unknown = TimeOnBothClocks { at_leader: Timestamp::ZERO, at: self.elected_at };
         let renewal = self.renewals.get(&worker).copied().unwrap_or(unknown);
-        Renewal { at_leader: renewal.at_leader.max(self.assumed_lease_start), at: renewal.at }
+        TimeOnBothClocks { at_leader: renewal.at_leader.max(self.assumed_lease_start), at: renewal.at }
     }
 
-    pub(super) fn record_renewal(&mut self, worker: usize, renewal: Renewal) {
+    pub(super) fn record_renewal(&mut self, worker: usize, renewal: TimeOnBothClocks) {
         self.renewals.insert(worker, renewal);
     }
 
@@ -80,14 +81,14 @@
         node: usize,
         heartbeat: &ShardHeartbeat,
         stamp: Timestamp,
-        received: Renewal,
+        received: TimeOnBothClocks,
     ) {
         if heartbeat.none_acknowledged {
             self.leases_begin_no_earlier_than(received.at_leader);
         }
         let record = self.leaseholders.entry(node).or_default();
         if heartbeat.complete {
-            record.covered_until = record.covered_until.max(stamp);
+            record.responses_known_until = record.responses_known_until.max(stamp);
         }
         record.last_heartbeat_at = received.at_leader;
         for machine in &heartbeat.machines {
--- a/src/leadership/tests/mod.rs
+++ b/src/leadership/tests/mod.rs
@@ -9,7 +9,7 @@
 //! - `invariants`: checks after every step;
 //! - `faults`: random faults;
 //! - `election_scenarios`, `cancellation_scenarios`: tests in the simulated cluster;
-//! - `single_node`, `components`: tests without a network.
+//! - `one_node_of_three`, `components`: tests without a network.
 
 mod cancellation_scenarios;
 mod cluster;
@@ -20,7 +20,7 @@
 mod key_value_store;
 mod lease_ledger;
 mod network;
-mod single_node;
+mod one_node_of_three;
 mod workers;
 
 use crate::lease::cancellation_log::CancellationBounds;
@@ -35,13 +35,13 @@
 const MS: Duration = Duration::from_millis(1);
 const NODE_COUNT: usize = 3;
 const NODE_NAMES: [&str; NODE_COUNT] = ["a", "b", "c"];
-/// How long workers may be kept alive beyond the moment up to which every cancellation is known, the lock
-/// lease aside.
+/// How long workers may be kept alive after the time up to which every cancellation is known, not including
+/// `limits::LOCK_LEASE`, which `CancellationLog` adds.
 const LONGEST_AUTONOMY: Duration = Duration::from_secs(10);
 /// The lease of a worker.
 const WORKER_LEASE: Duration = Duration::from_secs(10);
-/// How long tasks of a cancelled job may run after the cancellation was confirmed to the user:
-/// `limits::longest_autonomy` solved for `cancel_s`.
+/// How long tasks of a cancelled job may run after the cancellation was confirmed to the user: the setting
+/// `cancel_s` from which `limits::longest_autonomy` computes `LONGEST_AUTONOMY`.
 const CANCELLATION_DEADLINE: Duration = LONGEST_AUTONOMY
     .saturating_add(WORKER_LEASE)
     .saturating_add(limits::LOCK_LEASE)
--- a/src/leadership/tests/network.rs
+++ b/src/leadership/tests/network.rs
@@ -69,7 +69,7 @@
         random_duration(&mut self.rng, MS..12 * MS)
     }
 
-    /// Frames that a partition holds back arrive after its end, and some frames arrive twice.
+    /// Sends a message to a peer. A partition delays it until after its end, and some messages arrive twice.
     fn send_to_peer(&mut self, from: usize, to: usize, delivery: impl Fn() -> Delivery) {
         let held_back = match &self.partition {
             Some(partition) if self.are_partitioned(from, to) => partition.until.since(self.now),
@@ -123,7 +123,8 @@
             return self.send(delay, Delivery::StoreRequest { node, process, action, sent });
         }
         if matches!(action, Action::TakeOver { .. }) {
-            // A delayed transaction is applied late. No response arrives in time.
+            // The request may still arrive up to 20 s later: the store then commits the transaction, after
+            // the node may have given up.
             let held_back = random_duration(&mut self.rng, Duration::ZERO..20 * SECOND);
             self.send(delay + held_back, Delivery::StoreRequest { node, process, action, sent });
         } else {
@@ -197,7 +198,7 @@
             return;
         }
         let now = self.local_time(node);
-        // A response that does not arrive fails its request.
+        // If the response cannot reach the node, the node sees its request fail.
         let lost = !self.reaches_store(node);
         let response = match response {
             StoreResponse::TakeoverCommitted { .. } | StoreResponse::TakeoverFailed { .. } if lost => {
@@ -230,7 +231,7 @@
             return;
         }
         let now = self.local_time(node);
-        let outcome = self.nodes[node].leadership.confirm_cancellation(now, job_id);
+        let outcome = self.nodes[node].leadership.request_confirmation(now, job_id);
         self.apply_actions(node, outcome.actions);
         if outcome.is_permitted {
             self.confirmed.entry(job_id).or_insert(self.now);
--- a/src/leadership/tests/single_node.rs
+++ b/src/leadership/tests/one_node_of_three.rs
@@ -1,5 +1,5 @@
-//! Tests of one node without a network: its reactions to messages and responses that are hard to produce in
-//! the simulated cluster.
+//! Tests of one node of a cluster of three, without a network: its reactions to messages and responses that
+//! are hard to produce in the simulated cluster.
 
 use super::{BOUNDS, NODE_NAMES};
 use crate::fencing_token::FencingToken;
@@ -31,11 +31,11 @@
     assert!(node.votes_until(later) <= later);
 }
 
-/// A node resumes its own epoch without votes, while its grant to a node in keep-alive mode still runs.
-/// Guards against counting its own vote then: with that vote and one grant it assumed a majority, and counted
-/// worker leases as expired.
+/// A restarted node takes over without votes, while its grant to a node in keep-alive mode still runs. Guards
+/// against a leader that counts itself in the majority then: with itself and one grant it assumed a majority,
+/// and counted worker leases as expired.
 #[test]
-fn a_resumed_leader_does_not_count_its_own_vote_while_its_grant_to_another_runs() {
+fn a_resumed_leader_does_not_count_itself_while_its_grant_to_another_runs() {
     let names = NODE_NAMES.map(String::from).to_vec();
     let started_at = Timestamp::from_micros(1 << 45);
     let mut node = Leadership::new(names, 0, 2, started_at, BOUNDS, 0);
@@ -73,5 +73,5 @@
     let later = now + plus_clock_drift(limits::GRANT_DURATION) + Duration::from_micros(1);
     let grant = Message::Grant { token: FencingToken(6), echo: later };
     assert_eq!(node.handle_message(later, 2, 8, Status::default(), grant), []);
-    assert!(node.others_kept_alive_until(later + Duration::from_micros(1)) <= later, "own vote counts again");
+    assert!(node.others_kept_alive_until(later + Duration::from_micros(1)) <= later, "counts itself again");
 }
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -1,7 +1,7 @@
 //! Simulated workers, leaseholders and jobs around the three controllers.
 
 use super::cluster::Cluster;
-use super::lease_ledger::Renewal;
+use super::lease_ledger::TimeOnBothClocks;
 use super::network::Delivery;
 use super::random_duration;
 use super::{CANCELLATION_DEADLINE, MS, NODE_COUNT, WORKER_LEASE};
@@ -20,6 +20,7 @@
     node: usize,
     /// Number of the node on whose side of a partition it is.
     home: usize,
+    /// Number of the worker's starts, from one; its lease and tasks belong to one of them.
     pub(super) agent_epoch: u64,
     /// When this agent epoch began, in true time.
     pub(super) agent_epoch_began_at: Timestamp,
@@ -94,9 +95,9 @@
 
 impl Cluster {
     /// A cluster with six workers, two on the side of each node, and jobs that are submitted and cancelled.
-    pub(super) fn with_workers(seed: u64, cancellation_period: u32) -> Self {
+    pub(super) fn with_workers(seed: u64, steps_per_job: u32) -> Self {
         let mut cluster = Cluster::new(seed);
-        cluster.cancellation_period = cancellation_period;
+        cluster.steps_per_job = steps_per_job;
         cluster.workers = (0..6).map(|number| Worker::new(number % NODE_COUNT)).collect();
         cluster
     }
@@ -108,7 +109,7 @@
     /// Lets every node that reaches the key-value store read the live jobs when due, and submits and cancels
     /// jobs at random.
     pub(super) fn run_jobs(&mut self) {
-        if self.cancellation_period == 0 {
+        if self.steps_per_job == 0 {
             return;
         }
         for node in 0..NODE_COUNT {
@@ -116,7 +117,7 @@
                 continue;
             }
             self.read_live_jobs_when_due(node);
-            if self.rng.random_ratio(1, self.cancellation_period) {
+            if self.rng.random_ratio(1, self.steps_per_job) {
                 self.submit_job();
                 self.cancel_oldest_job(node);
             }
@@ -147,8 +148,8 @@
         }
     }
 
-    /// Cancels the oldest live job while more than four are live: some nodes have not read the newest ones
-    /// yet.
+    /// Cancels the oldest live job if more than four are live. The four that remain let workers also run jobs
+    /// that some nodes have not read yet.
     fn cancel_oldest_job(&mut self, node: usize) {
         if self.store.live_jobs.len() <= 4 {
             return;
@@ -180,7 +181,7 @@
         if !accepted || self.rng.random_bool(0.1) {
             return;
         }
-        let received = Renewal { at_leader: leader_time, at: self.now };
+        let received = TimeOnBothClocks { at_leader: leader_time, at: self.now };
         self.nodes[leader].ledger.record_shard_heartbeat(node, &heartbeat, stamp, received);
         let lease = self.nodes[leader].leadership.shard_lease(leader_time);
         if self.rng.random_bool(0.9) {
@@ -238,16 +239,19 @@
     fn report_to(&mut self, number: usize, node: usize) -> Option<WorkerResponse> {
         let now = self.local_time(node);
         let heartbeat = self.workers[number].heartbeat(number.to_string());
-        let keep_alive_stops = self.keep_alive_stops(node, &heartbeat);
+        let stop_commands_without_leader = self.stop_commands_without_leader(node, &heartbeat);
         if let Some(token) = self.nodes[node].leadership.authority(now) {
-            let stops =
-                if self.has_loaded(node) { self.leader_stops(node, &heartbeat) } else { keep_alive_stops }?;
-            let renewal = Renewal { at_leader: now, at: self.now };
+            let stops = if self.has_loaded(node) {
+                self.stop_commands_of_leader(node, &heartbeat)
+            } else {
+                stop_commands_without_leader
+            }?;
+            let renewal = TimeOnBothClocks { at_leader: now, at: self.now };
             self.nodes[node].ledger.record_renewal(number, renewal);
             return Some(WorkerResponse::new(token, stops));
         }
         if let Some(token) = self.nodes[node].leadership.keep_alive_token(now) {
-            let stops = keep_alive_stops?;
+            let stops = stop_commands_without_leader?;
             self.autonomous_responses += 1;
             return Some(WorkerResponse::new(token, stops));
         }
@@ -255,7 +259,7 @@
         if let Some(leader) = followed {
             self.nodes[node].shard.follow(leader.token);
         }
-        if let Some(stops) = keep_alive_stops {
+        if let Some(stops) = stop_commands_without_leader {
             if let Some(token) = self.nodes[node].shard.respond(now, &heartbeat, followed.is_some()).token() {
                 self.autonomous_responses += 1;
                 return Some(WorkerResponse::new(token, stops));
@@ -283,8 +287,8 @@
         if !reached || !self.has_loaded(leader) {
             return None;
         }
-        let stops = self.leader_stops(leader, &heartbeat)?;
-        let renewal = Renewal { at_leader: self.local_time(leader), at: self.now };
+        let stops = self.stop_commands_of_leader(leader, &heartbeat)?;
+        let renewal = TimeOnBothClocks { at_leader: self.local_time(leader), at: self.now };
         self.nodes[leader].ledger.record_renewal(number, renewal);
         let now = self.local_time(node);
         let leaseholder_may_respond = stops.is_empty();
@@ -294,13 +298,13 @@
 
     /// Whether the node has read the jobs since its process or its term as leader began.
     fn has_loaded(&self, node: usize) -> bool {
-        self.cancellation_period == 0 || self.nodes[node].jobs_read_at > Timestamp::ZERO
+        self.steps_per_job == 0 || self.nodes[node].jobs_read_at > Timestamp::ZERO
     }
 
     /// The stop commands of a response that the node gives without the leader's job list, as
     /// `Controller::keep_alive_stops` does; None: it may not respond.
-    fn keep_alive_stops(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
-        if self.cancellation_period == 0 {
+    fn stop_commands_without_leader(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
+        if self.steps_per_job == 0 {
             return Some(Vec::new());
         }
         let (now, cancellations) = (self.local_time(node), &self.nodes[node].leadership.cancellations);
@@ -310,8 +314,8 @@
     }
 
     /// The stop commands of a leader that has loaded the jobs; None: it may not respond.
-    fn leader_stops(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
-        if self.cancellation_period == 0 {
+    fn stop_commands_of_leader(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
+        if self.steps_per_job == 0 {
             return Some(Vec::new());
         }
         let (now, cancellations) = (self.local_time(node), &self.nodes[node].leadership.cancellations);
