--- a/src/fleet_limits.rs
+++ b/src/fleet_limits.rs
@@ -1,14 +1,14 @@
 //! Warns operators of settings that are too small for the fleet. The service keeps working, and each warning
-//! is logged once with the consequence. The settings name no number of machines, so the check is possible
-//! only while the service runs. Called by the leader's `controller::health`.
+//! is logged once with the consequence. The settings do not state the number of machines, so the check is
+//! possible only while the service runs. Called by the leader's `controller::health`.
 
 use crate::limits;
 use crate::settings::Deployment;
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// Processor time of one heartbeat, in seconds of a full core: a third of 4,000 workers that send a heartbeat
-/// every 2.5 s take 0.07 of a core of a controller that does not lead.
+/// Processor time of one heartbeat, in seconds of a full core, rounded up: a third of 4,000 workers with a
+/// heartbeat every 2.5 s each (533 heartbeats a second) take 0.07 of a core of a follower.
 const HEARTBEAT_CPU_S: f64 = 0.000_15;
 /// Memory of a process without machines, in MB.
 const BASE_MEMORY_MB: f64 = 24.0;
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -29,7 +29,7 @@
         if applied.has_new {
             self.attest(now, from, &mut actions);
         }
-        AttestationOutcome { cancelled_jobs: applied.terminated, actions }
+        AttestationOutcome { cancelled_jobs: applied.cancelled_jobs, actions }
     }
 
     /// Records a cancellation that is about to be confirmed to a user. The other members are informed at
--- a/src/lease/cancellation_log.rs
+++ b/src/lease/cancellation_log.rs
@@ -9,15 +9,16 @@
 //! responds to workers only for a bounded time after the time up to which it knows every cancellation, and
 //! each response contains the stop commands for the cancellations that the node knows.
 //!
-//! The time up to which a node knows every cancellation has two proofs, and the later one applies:
-//! 1. the key-value store: a copy of the live jobs. Its time is when the request that read them was sent;
-//! 2. the attestations of all other members. Each member's attestation proves that this node knows every
-//!    cancellation that the member confirmed to users before this node sent the heartbeat which the
-//!    attestation answers; the earliest of these times applies. An attestation covers only the incarnation
-//!    that gives it, since a restarted member does not know what its earlier incarnation confirmed.
-//!    Attestations must therefore follow one another without a gap. A member that has lost the key-value
-//!    store also promises that for a while it will confirm no cancellation that this node has not
-//!    acknowledged. Its attestation covers that time too, even if the member restarts within it.
+//! The time up to which a node knows every cancellation is the later of two:
+//! 1. by the key-value store: when the node sent the request that last read the live jobs;
+//! 2. by the attestations of all other members: a member's attestation answers a heartbeat of this node. With
+//!    it this node knows every cancellation that the member confirmed to users before it sent that heartbeat.
+//!    The earliest such send time over all members applies. An attestation covers only the incarnation that
+//!    gives it, since a restarted member does not know what its earlier incarnation confirmed. The
+//!    attestations of a new incarnation therefore apply only if it began before the time up to which this
+//!    node already knows every cancellation. A member that has lost the key-value store also promises that
+//!    for a while it will confirm no cancellation that this node has not acknowledged. Its attestation covers
+//!    that time too, even if the member restarts within it.
 
 use super::cancellation_log_member::Member;
 use crate::limits::{self, minus_clock_drift};
@@ -39,20 +40,21 @@
     /// Whether the sender promises to confirm no cancellation that the receiver has not acknowledged, for
     /// `limits::CONFIRMATION_SUSPENSION`.
     pub confirmations_suspended: bool,
-    /// The highest number of the receiver's own cancellations that the sender knows.
+    /// Number of the receiver's last confirmation that the sender knows. Each incarnation numbers its
+    /// confirmations from one; zero: none.
     pub acknowledged: u64,
-    /// The highest number of the sender's cancellations.
+    /// Number of the sender's last confirmation.
     pub last_number: u64,
-    /// Job ids of the sender's cancellations up to `last` that the receiver has not acknowledged.
+    /// Job ids of the sender's confirmations up to `last_number` that the receiver has not acknowledged.
     pub cancelled: Vec<u64>,
 }
 
-/// Durations that follow from the settings and bound how long a node may act without news of cancellations,
-/// and how long it remembers them.
+/// Durations that follow from the settings: how long a node may act without learning of cancellations, and
+/// how long it remembers them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancellationBounds {
-    /// How long workers may be kept alive beyond the time up to which every cancellation is known, not
-    /// counting the lock lease ([`limits::longest_autonomy`]).
+    /// How long workers may be kept alive beyond the time up to which every cancellation is known, without
+    /// the lock lease, which the log adds ([`limits::longest_autonomy`]).
     pub longest_autonomy: Duration,
     /// How long a cancellation is remembered ([`limits::cancellation_retention`]).
     pub retention: Duration,
@@ -72,7 +74,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use = "a cancellation may be confirmed only where this permits it"]
 pub struct ConfirmOutcome {
-    /// Whether this node did not yet know that the job has ended, or had no confirmation of its own recorded.
+    /// True when this node first learns that the job has ended, or first records its own confirmation.
     pub is_new: bool,
     /// Whether the cancellation may be confirmed now. False while any member that was promised a suspension
     /// of confirmations has not acknowledged the cancellation.
@@ -82,8 +84,8 @@
 /// The changes made by an attestation.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct AppliedAttestation {
-    /// Jobs that this node did not yet know to be cancelled.
-    pub terminated: Vec<JobId>,
+    /// Cancelled jobs that this node did not yet know to have ended.
+    pub cancelled_jobs: Vec<JobId>,
     /// Whether the member reported cancellations that it had not reported before.
     pub has_new: bool,
 }
@@ -106,14 +108,14 @@
     /// How long workers may be kept alive beyond the time up to which every cancellation is known: the bound
     /// of the settings plus the lock lease.
     keep_alive_bound: Duration,
-    /// How long a cancellation is remembered. Its tasks have ended after `cancel_s`, and nothing depends on
-    /// it any more.
+    /// How long a cancellation is remembered. It is not needed once its tasks have ended, `cancel_s` after
+    /// it was confirmed.
     retention: Duration,
     /// By node number; the local node's entry is unused.
     members: Vec<Member>,
     /// The oldest first.
     own_confirmations: VecDeque<OwnConfirmation>,
-    /// The highest number of a confirmation of this incarnation; zero: none.
+    /// Number of this incarnation's last confirmation; zero: none.
     last_number: u64,
     /// Jobs that have ended, by any source, and when this node learnt it.
     terminated: HashMap<JobId, Timestamp>,
@@ -160,8 +162,8 @@
         if self.store_read_at == Timestamp::ZERO {
             return Timestamp::ZERO;
         }
-        // Without other members every cancellation is known at any time. Half of the range leaves room for
-        // additions.
+        // Without other members this node always knows every cancellation. Half of the range is later than
+        // every instant of a clock, and a duration can be added to it without saturation.
         self.other_members().map(Member::known_until).min().unwrap_or(Timestamp::from_micros(u64::MAX / 2))
     }
 
@@ -345,14 +347,16 @@
         }
         let has_new = member.apply(now, attestation, self.store_read_at);
         let cancelled = attestation.cancelled.iter().map(|job_id| JobId(*job_id));
-        let terminated = cancelled.filter(|job_id| self.record_terminated(now, *job_id)).collect();
-        AppliedAttestation { terminated, has_new }
+        let cancelled_jobs = cancelled.filter(|job_id| self.record_terminated(now, *job_id)).collect();
+        AppliedAttestation { cancelled_jobs, has_new }
     }
 
-    /// Whether this node has confirmed no cancellation within the retention time. After a restart it knows so
-    /// only once it has read the live jobs or the retention time has passed. Members of an earlier version
-    /// conclude from a node's loss of the key-value store that no cancellation is in effect without the
-    /// store.
+    /// Whether this node has confirmed no cancellation within the retention time. False for a restarted node
+    /// until it has read the live jobs or the retention time has passed.
+    ///
+    /// Needed for members of an earlier version only: once all members report the key-value store as lost,
+    /// they conclude that there is no recent cancellation. This node therefore reports the loss to them only
+    /// if this returns true.
     pub fn has_confirmed_none_recently(&self, now: Timestamp) -> bool {
         let is_recent = |own: &OwnConfirmation| now < own.recorded_at + self.retention;
         let has_recent = self.own_confirmations.back().is_some_and(is_recent);
--- a/src/lease/cancellation_log_member.rs
+++ b/src/lease/cancellation_log_member.rs
@@ -19,20 +19,19 @@
     sends_no_attestations: bool,
     /// The send time of its last heartbeat, on its clock.
     heartbeat_stamp: Timestamp,
-    /// The highest number of this node's confirmations that the member's current incarnation has
-    /// acknowledged.
+    /// Number of this node's last confirmation that the member's current incarnation has acknowledged.
     acknowledged: u64,
-    /// Until then this node has promised to confirm no cancellation that the member has not acknowledged.
+    /// Until when this node has promised to confirm no cancellation that the member has not acknowledged.
     suspended_until: Timestamp,
-    /// The highest number of the member's confirmations that this node knows.
+    /// Number of the member's last confirmation that this node knows.
     received: u64,
     /// This node knows every cancellation that the member confirmed before then.
     known_until: Timestamp,
 }
 
 impl Member {
-    /// A member to which an earlier incarnation of this node may have promised to suspend confirmations right
-    /// before it ended at `now`.
+    /// The state when this process starts, at `now`. An earlier incarnation of this node may have promised
+    /// the member up to that moment to suspend confirmations, so the promise is taken as given.
     pub(super) fn new(now: Timestamp) -> Self {
         Member { suspended_until: now + limits::CONFIRMATION_SUSPENSION, ..Member::default() }
     }
@@ -42,8 +41,7 @@
         self.incarnation == Some(incarnation)
     }
 
-    /// The highest number of this node's confirmations that the member's current incarnation has
-    /// acknowledged.
+    /// Number of this node's last confirmation that the member's current incarnation has acknowledged.
     pub(super) fn acknowledged(&self) -> u64 {
         self.acknowledged
     }
@@ -103,8 +101,8 @@
         let has_new = attestation.last_number > self.received;
         self.received = self.received.max(attestation.last_number);
         let incarnation_began = now - minus_clock_drift(attestation.incarnation_age);
-        // If the incarnation began later, there is a gap: the member does not know what its earlier
-        // incarnation confirmed in it.
+        // If the incarnation began after the time up to which this node knows every cancellation, an earlier
+        // incarnation may have confirmed some in between, which the member no longer knows.
         if incarnation_began <= self.known_until.max(store_read_at) {
             let suspension = if attestation.confirmations_suspended {
                 minus_clock_drift(limits::CONFIRMATION_SUSPENSION)
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -15,7 +15,7 @@
 const RETENTION: Duration = Duration::from_secs(80);
 const BOUNDS: CancellationBounds =
     CancellationBounds { longest_autonomy: Duration::from_secs(10), retention: RETENTION };
-const NOTHING_APPLIED: AppliedAttestation = AppliedAttestation { terminated: Vec::new(), has_new: false };
+const NOTHING_APPLIED: AppliedAttestation = AppliedAttestation { cancelled_jobs: Vec::new(), has_new: false };
 
 /// The logs of nodes 0 and 1, of incarnations 70 and 71. Both have read jobs 1 and 2 as live.
 fn two_nodes() -> (CancellationLog, CancellationLog) {
@@ -37,7 +37,7 @@
 ) -> Vec<JobId> {
     sender.observe_heartbeat(receiver.local_node, receiver.incarnation, true, now);
     let attestation = sender.attest_to(now, receiver.local_node, store_access).unwrap();
-    receiver.apply_attestation(now, sender.local_node, sender.incarnation, &attestation).terminated
+    receiver.apply_attestation(now, sender.local_node, sender.incarnation, &attestation).cancelled_jobs
 }
 
 fn heartbeat(job_ids: &[u64]) -> Heartbeat {
@@ -141,7 +141,7 @@
     assert_eq!(node_1.apply_attestation(NOW + 2 * SECOND, 0, 70, &before_start), NOTHING_APPLIED);
     assert_eq!(
         node_1.apply_attestation(NOW + 2 * SECOND, 0, 70, &attestation),
-        AppliedAttestation { terminated: vec![JobId(1)], has_new: true }
+        AppliedAttestation { cancelled_jobs: vec![JobId(1)], has_new: true }
     );
     // A repeated attestation has nothing new: if it were answered, the answers would be answered in turn,
     // without end.
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -4,6 +4,10 @@
 //! send their heartbeats to a controller which does not lead. [`cancellation_log`] bounds how long a
 //! controller may respond to workers without knowing every cancellation.
 //!
+//! A controller node in keep-alive mode keeps workers alive under the last fencing token while the key-value
+//! store is out of service and there is no leader. It needs votes and grants of a majority, and starts no
+//! tasks.
+//!
 //! The controller's event loop (`controller`) owns one [`shard::Shard`]. [`crate::leadership`] owns the
 //! [`cancellation_log::CancellationLog`]. The scheduler keeps a [`renewal::LastRenewal`] for each machine.
 
--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -2,9 +2,9 @@
 //!
 //! A worker keeps its tasks for `lease_s` after it sent the last heartbeat that got a response, so the leader
 //! may start them elsewhere only after that. Every response must therefore be recorded where the leader
-//! counts it. A response is built from a [`LeaseRenewal`], which only two sources hand out: the record in
-//! which the response was entered, and cases in which another rule makes the leader wait long enough (see
-//! [`RenewalBasis`]).
+//! counts it. A response is built from a [`LeaseRenewal`]. One is created by recording the response
+//! ([`LastRenewal`], `UnacknowledgedRenewals`) or, without a record on this node, where another rule makes
+//! the leader wait long enough (see [`RenewalBasis`]).
 //!
 //! The scheduler owns a [`LastRenewal`] for each machine, [`crate::lease::shard::Shard`] the
 //! `UnacknowledgedRenewals`, and the controller's event loop the [`RenewalCounts`].
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -129,8 +129,8 @@
     }
 
     /// A leader with this fencing token was observed. If it is new, the shard is reset: until the new leader
-    /// acknowledges a shard heartbeat, this node responds to no worker itself. Leases that an earlier leader
-    /// granted may still keep workers alive on other nodes.
+    /// acknowledges a shard heartbeat, this node responds to no worker itself. Other nodes that have not yet
+    /// observed the new leader may still respond under shard leases of an earlier one.
     pub fn follow(&mut self, token: FencingToken) {
         if token > self.token {
             *self = Shard {
@@ -174,7 +174,8 @@
 
     /// Whether to redirect a worker with changes while this node is not in contact with a leader. A worker of
     /// this shard tries the other nodes first, since perhaps only this node has lost the leader. A worker
-    /// that has just come back from them is kept alive, and a worker that is not cached is treated the same.
+    /// that has just come back from them is kept alive. So is a worker that is not cached: another node has
+    /// probably redirected it here.
     fn redirects(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> bool {
         let is_cached = self.cached.contains_key(&heartbeat.machine);
         let initial = if is_cached { Redirection::NotTried } else { Redirection::Returned(now) };
--- a/src/lease/shard_tests.rs
+++ b/src/lease/shard_tests.rs
@@ -103,8 +103,8 @@
         shard.respond(Timestamp::from_secs(3), &worker_heartbeat(3, 3), false),
         ShardResponse::NotResponsible
     );
-    // In a network partition it waited for two of them, four seconds each, with a pause of one second.
-    // Redirected again at once, it would lose its lease.
+    // In a network partition the worker has waited for two of the other nodes, four seconds each, with a
+    // pause of one second. If it were redirected again at once, its lease would expire.
     assert_eq!(
         shard.respond(Timestamp::from_secs(14), &worker_heartbeat(4, 3), false).token(),
         Some(FencingToken(4))
@@ -124,8 +124,9 @@
     );
 }
 
-/// In a partitioned zone, two thirds of the workers had reported to nodes outside it. They were redirected to
-/// the node inside the zone, which had not cached them and let their leases expire.
+/// Guards against lost leases in a partitioned zone: two thirds of its workers reported to nodes outside it
+/// before and are redirected to the node inside, which has not cached them and must keep them alive all the
+/// same.
 #[test]
 fn without_a_leader_workers_redirected_from_other_nodes_are_kept_alive() {
     let mut shard = shard_with_lease();
--- a/src/limits/drain.rs
+++ b/src/limits/drain.rs
@@ -7,12 +7,14 @@
 /// Time limit of the solver for one drain step, in seconds. It considers 200 machines at most; if the time
 /// does not suffice, machines are taken in their order of preference.
 pub const DRAIN_SOLVER_TIMEOUT_S: f64 = 0.02;
-/// Candidates that are offered to the planner for each machine that may begin to drain.
+/// Candidates that the solver gets, as a multiple of the number of machines that may begin to drain in the
+/// step.
 pub const MAX_DRAIN_CANDIDATES: usize = 8;
 /// Searches for a destination in one round, each over every machine: 16 at 4,000 machines take some 5 ms of a
 /// full core.
 pub const MAX_DRAIN_PLACEMENT_SEARCHES: usize = 16;
-/// A ledger that no stop waits for is written at this interval, so that a new leader misses little.
+/// A team's ledger of disruptions is written before the stops that it records are sent. If no stop waits for
+/// it, changes are written at this interval, so that a new leader misses little.
 pub const DRAIN_LEDGER_INTERVAL: Duration = Duration::from_secs(10);
 /// Interval at which a drain's summary for operators is written.
 pub const DRAIN_SUMMARY_INTERVAL: Duration = Duration::from_secs(2);
--- a/src/limits/election.rs
+++ b/src/limits/election.rs
@@ -1,17 +1,18 @@
-//! Elections, votes, the lock lease, and how long a node may act without news of cancellations. Used by
+//! Elections, votes, the lock lease, and how long a node may act without learning of cancellations. Used by
 //! `leadership` and `lease::cancellation_log`.
 
 use super::{LEASE_MARGIN, SECOND};
 use crate::time::{from_seconds, scaled};
 use std::time::Duration;
 
-/// Relative drift between two clocks, the rate of each of which may be off by 0.05% (PROTOCOL, durations).
+/// Relative drift between two clocks. The rate of each may be off by 0.05% (PROTOCOL, durations).
 pub const CLOCK_DRIFT: f64 = 0.001;
 /// How long a peer's grant or vote is valid. Short enough that a new leader reaches workers well within a
-/// worker lease of 10 s, long enough for five missed heartbeats on 4% of a core.
+/// worker lease of 10 s. Long enough for five missed peer heartbeats, as they occur if a process has only 4%
+/// of a core.
 pub const GRANT_DURATION: Duration = Duration::from_millis(2_500);
-/// The lock lease behind `leader/lock`. Longer than a grant, so that a short partition between peers
-/// changes nothing.
+/// The lock lease behind `leader/lock`. Longer than a grant: a takeover by votes also needs the lock to be
+/// free, so a short network partition between peers causes none.
 pub const LOCK_LEASE: Duration = Duration::from_secs(3);
 /// Interval between two heartbeats to the peers: five to a grant.
 pub const PEER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -23,9 +24,10 @@
 /// A campaign is repeated after this time plus a random time of up to as much again, so that two candidates
 /// do not collide repeatedly.
 pub const CAMPAIGN_INTERVAL: Duration = Duration::from_millis(300);
-/// Interval at which the epoch and the lock are read while a leader's heartbeats arrive.
+/// Interval at which `leader/epoch` (the last leader and its fencing token) and `leader/lock` are read while
+/// a leader's heartbeats arrive.
 pub const LOCK_PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval at which the epoch and the lock are read while there is no leader.
+/// Interval at which `leader/epoch` and `leader/lock` are read while there is no leader.
 pub const LEADERLESS_PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// A node considers the key-value store lost after this long without a response.
 pub const STORE_LOST_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -34,35 +36,37 @@
 /// A leader that stepped down in favour of the others starts no campaign for this long.
 pub const STEP_DOWN_BACKOFF: Duration = Duration::from_secs(6);
 
-/// How long a node may keep workers alive after the moment up to which it knows every cancellation, not
-/// counting the lock lease. It applies to leaders that act by their peers alone, nodes in keep-alive mode,
-/// former leaders, and leaseholders without contact with a leader.
+/// How long a node may keep workers alive after the time up to which it knows every cancellation, without the
+/// lock lease, which `CancellationLog` adds. It applies to leaders that hold grants of a majority but not the
+/// lock, nodes in keep-alive mode, former leaders, and leaseholders without contact with a leader.
 ///
-/// A worker that gets a response at the very end keeps its tasks for its lease, and all tasks must have ended
-/// `cancel_s` after the cancellation was confirmed to the user. Also subtracted are the lock lease, which
-/// bounds how long a leader may miss a cancellation, the delay with which a worker observes the end of its
-/// lease, and a second of transfer time. Stop commands are sent to workers directly, so a network partition
-/// delays only stop commands of cancellations that were confirmed before it began.
+/// All tasks must have ended `cancel_s` after the cancellation was confirmed to the user, and a worker that
+/// gets a response at the very end keeps its tasks for its lease. Subtracted besides are the lock lease (the
+/// longest time for which a leader may miss a cancellation), the delay with which a worker observes the end
+/// of its lease, and a second of transfer time. A second suffices, since stop commands are sent to workers
+/// directly: those that a network partition holds back belong to cancellations confirmed by the time it
+/// began.
 pub fn longest_autonomy(cancel_s: f64, lease_s: f64) -> Duration {
     from_seconds(cancel_s - lease_s).saturating_sub(LOCK_LEASE + LEASE_MARGIN + SECOND)
 }
 
 /// A member that has lost the key-value store promises in each attestation that for this long it will confirm
-/// no cancellation before the receiver has acknowledged it. It covers the time that a process is down after a
-/// crash (3 and 6 s by the requirements), its start, and the wait for its next attestation, so that a crash
-/// during an outage leaves no gap between attestations.
+/// no cancellation before the receiver has acknowledged it. The promise covers the time that a process is
+/// down after a crash (3 s or 6 s in the requirements), its start, and the wait for its next attestation.
+/// Without it, a crash during an outage would leave a gap between two attestations.
 pub const CONFIRMATION_SUSPENSION: Duration = Duration::from_secs(10);
 /// A member gives the promise of [`CONFIRMATION_SUSPENSION`] after this long without a response of the
-/// key-value store, where the live jobs are read once a second. An unnecessary promise costs little, and a
-/// crash may follow the beginning of an outage within two seconds.
+/// key-value store. The live jobs are read from it once a second, so a longer pause points to an outage. The
+/// delay is short because an unnecessary promise costs little, and a crash may follow the beginning of an
+/// outage within two seconds.
 pub const CONFIRMATION_SUSPENSION_DELAY: Duration = Duration::from_millis(1_500);
 /// How long a user's request waits for the members to acknowledge a cancellation. After that the user is
 /// asked to retry.
 pub const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(300);
 /// Cancellations in one attestation: 32 KiB of the 64 KiB that a frame holds.
 pub const MAX_ATTESTED_CANCELLATIONS: usize = 4_096;
-/// The live jobs are read at least this often, also without polls: what a node knows of cancellations by the
-/// key-value store is as recent as the last reading.
+/// The live jobs are read at least this often. Users' polls also cause readings, but without polls a node
+/// must learn of cancellations too, and by the key-value store it knows those up to the last reading.
 pub const LIVE_JOBS_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a cancellation is remembered. Its tasks have ended `cancel_s` after it was confirmed. Doubled,
--- a/src/limits/lease.rs
+++ b/src/limits/lease.rs
@@ -1,4 +1,4 @@
-//! Worker leases, and when a silent machine is suspected or declared lost. Used by the scheduler.
+//! Worker leases, and when a silent machine is suspected or declared dead. Used by the scheduler.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 }
 
 /// A machine that has sent no heartbeat for this long gets no new tasks and is suspected of being dead.
-/// Heartbeats arrive every `report_s` plus a quarter. After one that its leaseholder could not relay, the
-/// next follows 2.5 s later.
+/// Heartbeats arrive up to 1.25 times `report_s` apart. If a leaseholder could not relay one, the next
+/// follows 2.5 s later; the other 0.75 s are a margin.
 pub fn silence_timeout(report_s: f64) -> Duration {
     from_seconds(report_s * 1.25) + Duration::from_millis(3_250)
 }
@@ -26,17 +26,18 @@
 /// Suspected machines are deleted before their lease expires only while at most this share of all machines
 /// (or two machines) is silent: with more, the fault is likely to be on the controllers' side.
 pub const MAX_SILENT_SHARE: f64 = 0.25;
-/// The same share of the machines whose heartbeats arrive by one route: the route may be at fault although
-/// heartbeats of other machines still arrive by it.
+/// The corresponding limit for the machines whose heartbeats arrive by one route: the route may be at fault
+/// although heartbeats of some machines still arrive by it.
 pub const MAX_SILENT_ROUTE_SHARE: f64 = 0.5;
 
 /// After this many consecutive heartbeats that show no effect of the previous response, responses are taken
 /// not to reach the machine: it gets no new tasks and is deleted. One lost response is ordinary.
 pub const MAX_RESPONSES_WITHOUT_EFFECT: u32 = 2;
 /// A node's route, or a zone, is unreachable once no heartbeat has arrived from any of its machines for this
-/// long plus three times the mean interval between heartbeats. Leaseholders send a shard heartbeat once a
-/// second, and machines that all reported at once (after a network partition) next do so three quarters of an
-/// interval later at the earliest.
+/// long plus three times the mean time between two heartbeats of all its machines, which the caller adds.
+/// `heartbeat_interval`: that of one machine. Machines that all reported at once (after a network partition)
+/// next do so three quarters of an interval later at the earliest. At least 1.5 s, since leaseholders send a
+/// shard heartbeat only once a second.
 pub fn route_silence_timeout(heartbeat_interval: Duration) -> Duration {
     let three_quarters = Duration::from_micros(to_micros(heartbeat_interval) / 4 * 3);
     (three_quarters + Duration::from_millis(500)).max(Duration::from_millis(1_500))
@@ -44,8 +45,9 @@
 /// When at least this many machines fall silent at the same time, the fault is likely to be in the
 /// controller's own connection.
 pub const MIN_CORRELATED_SILENT_MACHINES: u32 = 3;
-/// After a change of leader, a machine may wait for two nodes that do not respond (4 s and a pause of 1 s
-/// each, PROTOCOL) before it reports to the leader. It is not declared lost before that.
+/// No machine is declared dead for this long after a change of leader, or after an outage of its route or
+/// zone: it may first wait for two nodes that do not respond (4 s and a pause of 1 s each, PROTOCOL) before
+/// its heartbeat reaches the leader.
 pub const FAILOVER_GRACE_PERIOD: Duration = Duration::from_millis(9_500);
 
 /// The time window in which heartbeats are counted to decide whether workers reach a node.
--- a/src/limits/scheduling.rs
+++ b/src/limits/scheduling.rs
@@ -4,8 +4,8 @@
 
 use crate::time::from_seconds;
 
-/// Budget of one round of decisions, in decision steps. The next round resumes where this one stopped. 4,000
-/// decision steps take about 2 ms on a full core.
+/// Budget of one round of decisions, in decision steps. A step considers a job, or one machine for a job. The
+/// next round resumes where this one stopped. 4,000 decision steps take about 2 ms on a full core.
 pub const MAX_ROUND_STEPS: usize = 4_000;
 /// A round's budget suffices for at least this many jobs, each compared with every machine. At 1,900 machines
 /// `MAX_ROUND_STEPS` alone suffices for two jobs, and a queue of hundreds would take half a minute.
@@ -38,7 +38,8 @@
 /// A job smaller or larger than the average ages faster or slower, by this factor at most: owners' estimates
 /// are often wrong by half, and a job of a single task must not pass all others at once.
 pub const MAX_AGING_FACTOR: f64 = 10.0;
-/// Interval of rounds while nothing changes, for rescale gaps that end and jobs that age.
+/// Interval of rounds while nothing changes: jobs age, and the time `rescale_gap_s` between two changes of a
+/// job's width ends.
 pub const IDLE_ROUND_INTERVAL: Duration = Duration::from_millis(500);
 /// For this long a job waits for machines that are fetching other images. After that it shares their fetch
 /// rate, so that a fetch that hangs blocks no other job.
@@ -51,24 +52,24 @@
 /// A job of which no task has succeeded is suspected of being faulty once it has failed on this many
 /// machines. Where one machine in thirty is faulty, two faulty ones in a row may be chance, three hardly.
 pub const SUSPECT_JOB_MACHINES: usize = 3;
-/// First backoff of a job that is suspected, or that a worker did not know. Doubles with each failure up to
-/// `MAX_JOB_BACKOFF`.
+/// First backoff of a job that is suspected, or one of whose tasks a worker reported as unknown. Doubles with
+/// each failure up to `MAX_JOB_BACKOFF`.
 pub const JOB_BACKOFF: Duration = Duration::from_secs(2);
 /// The longest backoff of a job whose tasks fail.
 pub const MAX_JOB_BACKOFF: Duration = Duration::from_secs(60);
 /// A machine that refused a start for lack of room, or on which a task failed, gets no new tasks for this
 /// long.
 pub const NO_ROOM_BACKOFF: Duration = Duration::from_secs(3);
-/// How long a gang's tasks wait for one another, in seconds, where the settings do not say: the least value
-/// in operators' files.
+/// Default of `gang_wait_s`: how long a gang's tasks wait for one another, in seconds. The smallest value
+/// that occurs in operators' files.
 pub const GANG_WAIT_S: f64 = 30.0;
-/// How soon a gang's tasks notice that one is gone, in seconds, where the settings do not say: the greatest
-/// value in operators' files.
+/// Default of `gang_peer_s`: how soon a gang's tasks notice that one is gone, in seconds. The largest value
+/// that occurs in operators' files.
 pub const GANG_PEER_S: f64 = 6.0;
 
-/// A gang that lacks some of its tasks and finds no room for them is stopped as a whole after this time. With
-/// a heartbeat and a fetch it lies within `gang_wait_s`, for which the started tasks wait, so that their
-/// places do not idle until then.
+/// A gang that lacks some of its tasks and finds no room for them is stopped as a whole after this time. The
+/// started tasks wait for the others for `gang_wait_s`. This time plus a heartbeat and a fetch is shorter, so
+/// that the started tasks' places do not idle until `gang_wait_s` ends.
 pub fn gang_completion_timeout(gang_wait_s: f64) -> Duration {
     from_seconds(gang_wait_s / 3.0)
 }
--- a/src/limits/transport.rs
+++ b/src/limits/transport.rs
@@ -87,8 +87,8 @@
 /// Pause after a failed request to the key-value store. Most callers extend it at random up to double, to
 /// prevent a stampede after an outage.
 pub const STORE_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Time limit of requests to the cloud, which may be slow. A request without a response is repeated under its
-/// name.
+/// Time limit of requests to the cloud, which may be slow. A rental without a response is repeated with the
+/// same `request_id`, so that nothing is rented twice.
 pub const CLOUD_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time limit of direct commands to a worker's address.
 pub const DIRECT_COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
