--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -4,6 +4,10 @@
 //! The controller turns messages of workers, users, the state service and the cloud into commands, and
 //! carries out the effects. The scheduler assumes that an effect was carried out only after a command has
 //! reported its outcome.
+//!
+//! There are two kinds of lease. A worker keeps its tasks until its lease expires. A leaseholder is a
+//! controller with a shard lease from the leader: it responds itself to unchanged heartbeats of the workers
+//! that report to it, which renews their leases.
 
 use super::cold_start::{ColdStartReport, JobReading};
 use super::drains::{DrainKey, DrainValue, LoadedDrains};
@@ -32,8 +36,8 @@
     pub zones: Vec<String>,
     /// By how many seconds the cloud's list of machines may lag behind.
     pub list_lag_s: f64,
-    /// Decision steps that a round or a scaling plan may take; for a round with many machines there are more,
-    /// see `MIN_ROUND_JOBS`.
+    /// Budget of a round or of one call of the scaling plan, in decision steps (about one look at a job or
+    /// a machine each). A round may take `MIN_ROUND_JOBS` steps per machine if that is more.
     pub max_round_steps: usize,
     /// Share of one processor core that this process has.
     pub cpu_share: f64,
@@ -45,7 +49,8 @@
     pub max_value_bytes: usize,
     /// Maximum number of rental requests under way at the same time.
     pub max_concurrent_rentals: usize,
-    /// How long a leaseholder may respond to heartbeats without the leader; zero: there are no leaseholders.
+    /// Duration of a shard lease: how long a leaseholder may respond to heartbeats without contact to the
+    /// leader. Zero: there are no leaseholders.
     pub shard_lease: Duration,
 }
 
@@ -92,11 +97,11 @@
     Changed,
     /// It lists the same as the heartbeat before it.
     Unchanged,
-    /// It is older than a response to a direct command that arrived first. Its list is ignored, but its
-    /// worker waits for a response, which renews the worker's lease.
+    /// A newer heartbeat, which the worker returned for a direct command, arrived before it. Its task list is
+    /// ignored, but the worker still waits for the leader's response, which renews the worker's lease.
     Overtaken,
-    /// It is a duplicate, late, of an agent epoch that has ended, or of a machine that is deleted. The
-    /// response to it must not renew a lease.
+    /// It is a duplicate or late (not just overtaken), its agent epoch has ended, or its machine is deleted.
+    /// The response to it must not renew a lease.
     Stale,
 }
 
@@ -116,24 +121,25 @@
     JobRemoved(JobId),
     /// A worker's periodic heartbeat.
     Heartbeat {
-        /// Number under which the response goes out.
+        /// The controller's number of the request that waits for the response.
         response_id: u64,
         /// The heartbeat.
         heartbeat: Heartbeat,
         /// Index of the leaseholder that relayed it. None: it came directly to the leader.
         relayed_by: Option<usize>,
     },
-    /// Machines to which a leaseholder has responded without the leader.
+    /// A leaseholder's periodic message, which extends its shard lease. Names the machines to which it has
+    /// responded without the leader.
     ShardHeartbeat {
         /// Index of the leaseholder.
         node: usize,
         /// Names of the machines.
         machines: Vec<String>,
-        /// `machines` has every machine to which the leaseholder responded before this time and whose renewal
-        /// the leader had not acknowledged. None: the list may be incomplete.
+        /// Each machine to which the leaseholder responded before this time is in `machines` or was in an
+        /// earlier shard heartbeat that the leader acknowledged. None: the list may be incomplete.
         covers_until: Option<Timestamp>,
-        /// Whether the leader has acknowledged no shard heartbeat of this incarnation of the leaseholder yet:
-        /// an earlier incarnation may have responded to any machine until now.
+        /// Whether this leader has not yet acknowledged a shard heartbeat of this incarnation of the
+        /// leaseholder. Then an earlier incarnation may have responded to any machine until now.
         none_acknowledged: bool,
     },
     /// A worker's heartbeat in response to a direct command.
@@ -202,7 +208,7 @@
         /// Result of the read.
         reading: JobReading,
     },
-    /// Outcome of the write of the cold start's report; see [`Effect::WriteColdStart`].
+    /// Outcome of the write of the report of the cold start; see [`Effect::WriteColdStart`].
     ColdStartWritten(RequestOutcome),
 }
 
@@ -211,7 +217,7 @@
 pub enum Effect {
     /// Send the response to a heartbeat.
     HeartbeatResponse {
-        /// Number of the response; see [`Command::Heartbeat`].
+        /// Number of the request; see [`Command::Heartbeat`].
         response_id: u64,
         /// Proof that the lease renewal is recorded. None: the response must not renew a lease.
         renewal: Option<LeaseRenewal>,
@@ -245,10 +251,10 @@
         job_id: JobId,
         /// Version of its record.
         version: u64,
-        /// Indices of the succeeded tasks that are not stored yet.
+        /// Indices of the succeeded tasks that have to be stored.
         tasks: BTreeSet<u32>,
-        /// Indices of all its succeeded tasks: they are stored in chunks, of which each is written as a
-        /// whole.
+        /// Indices of all its succeeded tasks, stored or not: they are stored in chunks, and a chunk with a
+        /// new one is written as a whole.
         all_succeeded: BTreeSet<u32>,
     },
     /// Write the final state of a job whose tasks have all succeeded and remove its live record, in one
@@ -300,7 +306,8 @@
         /// The job.
         job_id: JobId,
     },
-    /// Store the report of the cold start.
+    /// Store the report of the cold start, the phase in which a new leader reconciles inherited work with the
+    /// workers' heartbeats.
     WriteColdStart(Box<ColdStartReport>),
     /// A worker has stated this fencing token, which is higher than the leader's own: another node leads.
     Deposed(FencingToken),
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -54,7 +54,7 @@
 /// already recorded, so that the scheduler does not treat the lease as expired meanwhile.
 #[derive(Debug)]
 struct PendingHeartbeat {
-    /// Number under which the response goes out.
+    /// The controller's number of the request that waits for the response.
     response_id: u64,
     /// Name of the machine.
     machine: String,
@@ -68,7 +68,7 @@
     pub config: Config,
     /// Time of the last step.
     pub now: Timestamp,
-    /// When this leader loaded its state; until then, when it was created.
+    /// When this leader loaded its state; before that, when the scheduler was created.
     pub started_at: Timestamp,
     /// Whether it has loaded its state. Until then it makes no decisions.
     pub loaded: bool,
@@ -92,11 +92,12 @@
     pub decision_steps: u64,
     /// Number of attempts that this leader has started.
     attempts_started: u64,
-    /// Mean estimated work of the jobs that are neither services nor terminated, as of the last round, in
-    /// seconds of one slot.
+    /// Mean estimated work of the jobs that are neither services nor terminated, as of the last round: the
+    /// estimated run times of all tasks of a job added up, in seconds.
     mean_job_work: f64,
     /// Recent decisions for operators, the oldest first.
     recent_decisions: VecDeque<String>,
+    /// Use of machines by teams and jobs that has not been logged.
     usage_ledger: usage::UsageLedger,
 
     // Heartbeats and leases.
@@ -110,7 +111,8 @@
     next_expiry_check_at: Timestamp,
 
     // Machines and tasks of earlier leaders.
-    /// Whether all machines of earlier leaders are accounted for.
+    /// Whether each machine of earlier leaders is accounted for (see [`Machine::accounted_for`]), or every
+    /// lease that they granted has expired.
     all_accounted_for: bool,
     /// Kinds of machine (type, zone, spot) of which at least one machine of an earlier leader is not
     /// accounted for, as of the last round.
@@ -118,7 +120,9 @@
     cold_start: cold_start::ColdStart,
 
     // Persistence.
+    /// Records of machines in the state service, and their due writes.
     machine_records: records::Records,
+    /// Limits the writes to the state service.
     write_budget: crate::token_bucket::TokenBucket,
 
     /// Effects of the current step so far.
--- a/src/scheduler/model/commands.rs
+++ b/src/scheduler/model/commands.rs
@@ -21,7 +21,7 @@
         /// Grace period in which the task may save a checkpoint, in seconds.
         grace_s: f64,
     },
-    /// Discard the result of an exited task.
+    /// Discard the result of an exited task and stop listing it in heartbeats.
     Forget {
         /// The task.
         id: TaskId,
@@ -33,11 +33,12 @@
 /// What the next periodic heartbeat of a machine has to acknowledge; `reachability` evaluates this.
 #[derive(Debug, Clone, Default)]
 pub struct CommandTracker {
-    /// Commands in the last response, if that was not relayed by a leaseholder. The next periodic heartbeat
-    /// must show the effect of at least one.
+    /// Commands in the last response; empty if another node relays the response, which may be lost on its way
+    /// there. If the next periodic heartbeat shows the effect of none of them, the machine may not be
+    /// receiving responses.
     pub unacknowledged: Vec<TaskCommand>,
-    /// Whether the last response, not relayed, carried this leader's fencing token to a worker that had not
-    /// stated the token yet. The next periodic heartbeat may acknowledge the response by stating it.
+    /// Whether the last response went directly to a worker that had not stated this leader's fencing token
+    /// yet. The next periodic heartbeat acknowledges the response by stating the token.
     pub token_unacknowledged: bool,
     /// Consecutive heartbeats that did not acknowledge the response before them. From
     /// `MAX_RESPONSES_WITHOUT_EFFECT` on, no task is placed on the machine.
--- a/src/scheduler/model/heartbeat.rs
+++ b/src/scheduler/model/heartbeat.rs
@@ -7,7 +7,8 @@
 /// Position of a heartbeat among those of its worker: ordered by agent epoch, then by sequence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatNumber {
-    /// Increased each time the worker starts over. Tasks of earlier agent epochs have ended.
+    /// Increased each time the worker starts over without tasks, for example after its lease has ended. Tasks
+    /// of earlier agent epochs have ended.
     pub agent_epoch: u64,
     /// Increased with each heartbeat and each response to a direct command within the agent epoch.
     pub sequence: u64,
@@ -17,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
     /// The worker sent it periodically, not on request. It proves that the response to the previous periodic
-    /// heartbeat was carried out or dropped.
+    /// heartbeat has taken effect or never will.
     Periodic,
     /// The worker returned it in response to a direct command. It proves nothing about earlier responses to
     /// heartbeats.
@@ -85,14 +86,15 @@
 }
 
 impl HeartbeatTracker {
-    /// Records a periodic heartbeat of the current agent epoch that changes nothing and arrived at `now`.
+    /// Records a periodic heartbeat of the current agent epoch, newer than all before, that repeats the last
+    /// task list and arrived at `now`.
     pub(in crate::scheduler) fn record_unchanged(&mut self, sequence: u64, now: Timestamp) {
         self.newest.sequence = sequence;
         self.record_overtaken(sequence, now);
     }
 
-    /// Records a periodic heartbeat that arrived at `now`, after a newer direct response. Its task list is
-    /// older than `reported_tasks`.
+    /// Records the arrival of a periodic heartbeat at `now`, but not as the newest: a direct response has
+    /// overtaken it, so its task list is older than `reported_tasks`.
     pub(in crate::scheduler) fn record_overtaken(&mut self, sequence: u64, now: Timestamp) {
         self.last_periodic_sequence = sequence;
         self.last_at = now;
--- a/src/scheduler/model/id.rs
+++ b/src/scheduler/model/id.rs
@@ -7,8 +7,7 @@
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Parses an id. Only the canonical form is accepted: to users, two spellings of one number would be two
-    /// ids.
+    /// Parses an id. Only the canonical form is accepted, so that no job has two ids.
     pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("job-")?;
         let is_numeric = digits.len() >= 6 && digits.bytes().all(|b| b.is_ascii_digit());
--- a/src/scheduler/model/job.rs
+++ b/src/scheduler/model/job.rs
@@ -27,7 +27,8 @@
     Normal,
     /// Before normal jobs.
     High,
-    /// Before everything else. May also preempt jobs inside their rescale gap and below their minimum width.
+    /// Before everything else. May also preempt jobs inside their rescale gap (see [`Elasticity`]) and below
+    /// their minimum width.
     Critical,
 }
 
@@ -36,7 +37,7 @@
 pub struct JobSpec {
     /// The job's id.
     pub job_id: JobId,
-    /// Job class, for the overview and the usage log.
+    /// Label that the submitter chose. Shown in the overview and in logs; no decision depends on it.
     pub class: String,
     /// The team whose quota it counts against.
     pub team: String,
@@ -101,7 +102,8 @@
     pub pending: BTreeSet<u32>,
     /// Tasks that have succeeded, stored or not.
     pub succeeded: BTreeSet<u32>,
-    /// Succeeded tasks whose success is not stored in the state service yet.
+    /// Succeeded tasks that have to be stored in the state service. May include stored ones: a gang's success
+    /// is recorded for all its tasks at once.
     pub unrecorded: BTreeSet<u32>,
     /// Since when there have been unrecorded tasks. None: there are none.
     pub unrecorded_since: Option<Timestamp>,
@@ -113,7 +115,8 @@
 }
 
 impl Progress {
-    /// Records that these tasks have succeeded at `now`. Has no effect if all of them had succeeded before.
+    /// Records at `now` that these tasks have succeeded and have to be stored. Without effect if all of them
+    /// had succeeded before.
     pub(in crate::scheduler) fn record_succeeded(&mut self, tasks: Range<u32>, now: Timestamp) {
         let previous_count = self.succeeded.len();
         self.succeeded.extend(tasks.clone());
@@ -145,8 +148,9 @@
 /// Failures of the tasks of a job, and the backoff that follows from them.
 #[derive(Debug, Clone, Default)]
 pub struct JobFailures {
-    /// Failures for which the job backed off: it was suspected to be faulty, or the worker did not know the
-    /// task. Each doubles the next backoff, up to `MAX_JOB_BACKOFF`.
+    /// Backoffs since a task of the job last succeeded. It backs off if a task fails while the job is
+    /// suspected to be faulty (`is_suspected`), or if a worker did not know a task. Each doubles the next
+    /// backoff, up to `MAX_JOB_BACKOFF`.
     pub consecutive_backoffs: u32,
     /// Names of the machines on which its tasks have failed since a task of the job last succeeded.
     pub machines: BTreeSet<String>,
@@ -154,13 +158,18 @@
     pub backoff_until: Timestamp,
 }
 
-/// The width of a job (its number of tasks at the same time) and when it last changed.
+/// The width of a job and when it last changed.
+///
+/// Growth, preemption or the move of a replica begins the job's rescale gap of `rescale_gap_s` seconds.
+/// Inside it, a running job grows only into capacity that jobs outside theirs leave, and only critical jobs
+/// preempt its tasks.
 #[derive(Debug, Clone, Default)]
 pub struct Elasticity {
     /// When its width last changed or a replica of it was last moved; zero: never. Its rescale gap begins
-    /// here.
+    /// then.
     pub last_resized_at: Timestamp,
-    /// The width that it was last given.
+    /// Target number of tasks placed at the same time. Tasks lost below it are replaced even inside the
+    /// rescale gap.
     pub width: u32,
 }
 
@@ -243,7 +252,7 @@
         self.spec.tasks - self.progress.succeeded.len() as u32
     }
 
-    /// Estimated work of this many of its tasks, in seconds of one slot. An estimate below 1 s counts as 1 s.
+    /// Estimated run time of this many of its tasks added up, in seconds; per task at least 1 s.
     pub fn estimated_work_s(&self, tasks: u32) -> f64 {
         f64::from(tasks) * self.spec.estimate_s.max(1.0)
     }
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -14,7 +14,7 @@
     pub name: String,
     /// Resources of one machine.
     pub capacity: Resources,
-    /// Price per hour as an ordinary machine.
+    /// Price per hour as an on-demand machine (not spot).
     pub price: f64,
     /// Current price per hour as a spot machine. None: not offered as a spot machine.
     pub spot_price: Option<f64>,
@@ -61,7 +61,7 @@
 pub struct ImageCache {
     /// Names of the images.
     pub images: BTreeSet<String>,
-    /// Whether an image was added since a write of the machine's record was last requested.
+    /// Whether `images` has one that was added after the last request to write the machine's record.
     pub has_unrecorded_image: bool,
 }
 
@@ -72,8 +72,8 @@
     pub failed_jobs: BTreeSet<JobId>,
     /// No task is placed here before this time, since a task failed here or the worker refused to start one.
     pub placement_backoff_until: Timestamp,
-    /// Consecutive tasks whose run time here was more than `SLOW_FACTOR` times the mean of the tasks of the
-    /// same job that had succeeded before.
+    /// Consecutive tasks here that took more than `SLOW_FACTOR` times the mean run time of the tasks of their
+    /// job that had succeeded before.
     pub consecutive_slow_tasks: u32,
     /// No array or gang is placed here before this time.
     pub quarantined_until: Timestamp,
@@ -86,8 +86,8 @@
     pub recall_at: Option<Timestamp>,
     /// Whether it is to be replaced because tasks fail on it: it gets no new tasks, and is deleted once idle.
     pub to_be_replaced: bool,
-    /// Whether it is an ordinary machine that neither the headroom nor tasks that may not use spot machines
-    /// need; see `consolidation`.
+    /// Whether it is an on-demand machine to be emptied and deleted: the tasks that may not use spot machines
+    /// and the headroom (places kept free for critical services) do not need it; see `consolidation`.
     pub consolidation_target: bool,
     /// Whether its deletion has been requested from the cloud.
     pub deleting: bool,
@@ -101,6 +101,7 @@
 
 impl Lifecycle {
     /// Whether the machine is to be replaced, its deletion has been requested, or the cloud will recall it.
+    /// Operators' drains are not included; see `Drains::is_cordoned`.
     pub(in crate::scheduler) fn is_leaving(&self) -> bool {
         self.to_be_replaced || self.deleting || self.recall_at.is_some()
     }
@@ -123,10 +124,11 @@
     pub capacity: Resources,
     /// Its state.
     pub state: MachineState,
-    /// Whether a heartbeat has stated this leader's fencing token, from which on its task lists are exact, or
-    /// its lease has expired.
+    /// Whether the leader knows all tasks on it: a heartbeat has stated this leader's fencing token, since
+    /// when its task lists are exact, or its lease has expired.
     pub accounted_for: bool,
-    /// Whether it is recorded in the state service, so that a later leader knows to wait for it.
+    /// Whether it is recorded in the state service. A later leader then waits for its heartbeat or the expiry
+    /// of its lease before it restarts tasks.
     pub recorded: bool,
     /// Whether an earlier leader recorded it, and may have started tasks on it.
     pub inherited: bool,
@@ -137,11 +139,11 @@
     pub tasks: BTreeMap<TaskId, Placement>,
     /// Record of its heartbeats.
     pub heartbeats: HeartbeatTracker,
-    /// The controller through which it sends its heartbeats.
+    /// The node through which it sends its heartbeats.
     pub route: Route,
     /// What its next periodic heartbeat has to acknowledge.
     pub commands: CommandTracker,
-    /// Tasks in its heartbeats that are not placed on it.
+    /// Tasks that its heartbeats list and for which the leader has no placement here.
     pub unplaced_tasks: UnplacedTasks,
     /// Images that are known to be on it.
     pub image_cache: ImageCache,
--- a/src/scheduler/model/mod.rs
+++ b/src/scheduler/model/mod.rs
@@ -11,11 +11,11 @@
 mod job_summary;
 mod machine;
 mod pending_reason;
-mod reported_tasks;
 mod resources;
 mod route;
 mod task;
 mod termination_proof;
+mod unplaced_tasks;
 
 pub use commands::{CommandTracker, TaskCommand};
 pub use heartbeat::{Heartbeat, HeartbeatNumber, HeartbeatSource, HeartbeatTracker, ReportedTask};
@@ -24,11 +24,11 @@
 pub use job_summary::{JobSummary, TaskCounts};
 pub use machine::{ImageCache, Lifecycle, Machine, MachineHealth, MachineState, MachineType, StoredMachine};
 pub use pending_reason::PendingReason;
-pub use reported_tasks::UnplacedTasks;
 pub use resources::Resources;
 pub use route::{PreviousRoute, Route};
 pub use task::{ExitReason, Placement, StopRequest, TaskStatus};
 pub use termination_proof::{PreviousPlacement, TerminationProof};
+pub use unplaced_tasks::UnplacedTasks;
 
 #[cfg(test)]
 mod tests;
--- a/src/scheduler/model/pending_reason.rs
+++ b/src/scheduler/model/pending_reason.rs
@@ -7,24 +7,27 @@
 pub enum PendingReason {
     /// Some of its tasks failed, and its backoff has not ended.
     TasksFailed,
-    /// A machine on which an earlier leader may have started it is not reconciled.
+    /// A machine on which an earlier leader may have started its tasks has neither reported to this leader
+    /// nor lost its lease.
     UnreconciledMachines,
-    /// Its width may not grow: it last changed less than a rescale gap ago.
+    /// No task is missing from its width, which may not grow inside its rescale gap (see
+    /// [`super::Elasticity`]).
     RescaleGap,
-    /// The cold start may start no more tasks at its pace for now.
+    /// The rate limit of a cold start on starts of inherited tasks is used up.
     ColdStartPace,
     /// Its team's limit does not allow enough tasks.
     TeamLimit,
-    /// Some of its tasks were placed; there is no room for more.
+    /// Some of its tasks were placed in this round; there is no room for more.
     NoFurtherFreeSlot,
     /// There is enough room, but on machines where stops are under way or that fetch an image for another
     /// job.
     RoomNotFreeYet,
     /// There is not enough room, and no lower-priority job that may be preempted.
     NothingToPreempt,
-    /// There is not enough room, and preemption of lower jobs would not free enough for its minimum width.
+    /// There is not enough room, and preemption of lower-priority jobs would not free enough for the tasks
+    /// missing from its minimum width (for a service: not even for one replica).
     PreemptionInsufficient,
-    /// Tasks of lower jobs are being preempted for it.
+    /// Tasks of lower-priority jobs are being preempted for it.
     PreemptionUnderWay,
     /// A part of its gang is placed; there is no room for the other tasks.
     NoSlotForRestOfGang,
--- a/src/scheduler/model/resources.rs
+++ b/src/scheduler/model/resources.rs
@@ -1,6 +1,6 @@
-//! Amounts of processors, GPUs and memory_mb.
+//! Amounts of processors, GPUs and memory.
 
-/// Amounts as integers, in thousandths (memory_mb in MB), so that sums are exact.
+/// Amounts as integers, in thousandths (memory in MB), so that sums are exact.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Resources {
     /// Thousandths of a processor core.
--- a/src/scheduler/model/route.rs
+++ b/src/scheduler/model/route.rs
@@ -1,24 +1,24 @@
-//! The controller through which a machine sends its heartbeats.
+//! The node (controller) through which a machine sends its heartbeats.
 
 use crate::time::Timestamp;
 
-/// The controller through which a machine sends its heartbeats.
+/// The node (controller) through which a machine sends its heartbeats.
 #[derive(Debug, Clone, Default)]
 pub struct Route {
-    /// Index of the node that relayed the last heartbeat. None: it came directly to the leader's own node.
+    /// Index of the node that relayed the last heartbeat. None: it came directly to the leader.
     pub relayed_by: Option<usize>,
-    /// Whether that node, a leaseholder, may respond to unchanged heartbeats without the leader.
+    /// Whether that node, as a leaseholder, may respond to unchanged heartbeats without the leader.
     pub leaseholder_may_respond: bool,
     /// The route before this one.
     pub previous: Option<PreviousRoute>,
-    /// Whether the leaseholder has been asked to relay the machine's next heartbeat.
+    /// Whether that node has been asked to relay the machine's next heartbeat.
     pub relay_requested: bool,
 }
 
 /// A route that a machine no longer uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PreviousRoute {
-    /// Index of the node that relayed its heartbeats. None: they came directly to the leader's own node.
+    /// Index of the node that relayed its heartbeats. None: they came directly to the leader.
     pub relayed_by: Option<usize>,
     /// When the first heartbeat arrived by another route.
     pub left_at: Timestamp,
--- a/src/scheduler/model/task.rs
+++ b/src/scheduler/model/task.rs
@@ -16,9 +16,9 @@
     Error,
     /// The worker had no resources for it.
     NoRoom,
-    /// The worker refused it with the reason `in_use`.
+    /// The worker refused it (reason `in_use` in its heartbeat). Handled like `NoRoom`.
     Busy,
-    /// The worker did not know the task.
+    /// The worker did not know the task (reason `unknown` in its heartbeat). The job backs off.
     Unknown,
 }
 
@@ -38,7 +38,7 @@
 /// A stop that was requested of a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StopRequest {
-    /// When a stop with this grace period was first requested.
+    /// When it was requested. Only a request with a shorter grace period replaces it.
     pub requested_at: Timestamp,
     /// Grace period in which the task may save a checkpoint, in seconds.
     pub grace_s: f64,
@@ -69,7 +69,7 @@
     pub running_since: Option<Timestamp>,
     /// Name of its image.
     pub image: String,
-    /// When this leader placed it or first saw it. A shrink stops the newest placements first.
+    /// When this leader placed it or first saw it. Preemption stops the newest placements of a job first.
     pub placed_at: Timestamp,
     /// The stop that was requested, if any.
     pub stopping: Option<StopRequest>,
--- a/src/scheduler/model/termination_proof.rs
+++ b/src/scheduler/model/termination_proof.rs
@@ -23,10 +23,9 @@
     },
     /// The worker's lease has expired.
     LeaseExpired {
-        /// When the lease was last renewed, as far as recorded: the later of the last response and the last
-        /// heartbeat.
+        /// The last renewal that this leader recorded: the later of the last response and the last heartbeat.
         last_renewal: Timestamp,
-        /// Index of the leaseholder through which the last heartbeat came. None: the leader's own node.
+        /// Index of the node that relayed the last heartbeat. None: it came directly to the leader.
         relayed_by: Option<usize>,
         /// When the leader detected the expiry.
         at: Timestamp,
@@ -41,13 +40,15 @@
             TerminationProof::NeverSent => f.write_str("start command never sent"),
             TerminationProof::Exited => f.write_str("exit reported by the worker"),
             TerminationProof::NotListed { heartbeat: HeartbeatNumber { agent_epoch, sequence } } => {
-                write!(f, "not listed in heartbeat {agent_epoch}/{sequence}")
+                write!(f, "not listed in heartbeat {sequence} of agent epoch {agent_epoch}")
+            }
+            TerminationProof::NewAgentEpoch { agent_epoch } => {
+                write!(f, "worker began agent epoch {agent_epoch}, so its earlier tasks have ended")
             }
-            TerminationProof::NewAgentEpoch { agent_epoch } => write!(f, "agent epoch {agent_epoch} began"),
             TerminationProof::LeaseExpired { last_renewal, relayed_by, at } => {
                 let since_renewal_s = as_seconds(at.since(*last_renewal));
                 write!(f, "lease expired {since_renewal_s:.3} s after its last renewal")?;
-                relayed_by.map_or(Ok(()), |node| write!(f, " via node {node}"))
+                relayed_by.map_or(Ok(()), |node| write!(f, ", last heartbeat via node {node}"))
             }
             TerminationProof::Deleted => f.write_str("deletion confirmed by the cloud"),
         }
--- a/src/scheduler/model/tests.rs
+++ b/src/scheduler/model/tests.rs
@@ -8,6 +8,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// A change of a machine, and its name for the messages of failed assertions.
+type NamedChange = (&'static str, fn(&mut Machine));
+
 fn task_id(job_id: u64, task: u32) -> TaskId {
     TaskId { job_id: JobId(job_id), task }
 }
@@ -134,26 +137,30 @@
     settled.tasks.insert(task_id(1, 0), placement("image", TaskStatus::Running));
     assert!(settled.is_settled());
     assert_eq!(settled.last_renewal, LastRenewal::default());
-    let unsettling_changes: [fn(&mut Machine); 7] = [
-        |machine| machine.state = MachineState::Lost,
-        |machine| machine.accounted_for = false,
-        |machine| machine.recorded = false,
-        |machine| machine.lifecycle.recall_at = Some(Timestamp::from_secs(1)),
-        |machine| machine.commands.unacknowledged.push(TaskCommand::Forget { id: task_id(1, 0), attempt: 1 }),
-        |machine| {
+    let unsettling_changes: [NamedChange; 7] = [
+        ("lease expired", |machine| machine.state = MachineState::Lost),
+        ("not accounted for", |machine| machine.accounted_for = false),
+        ("not recorded", |machine| machine.recorded = false),
+        ("recalled", |machine| machine.lifecycle.recall_at = Some(Timestamp::from_secs(1))),
+        ("command unacknowledged", |machine| {
+            machine.commands.unacknowledged.push(TaskCommand::Forget { id: task_id(1, 0), attempt: 1 })
+        }),
+        ("task of an unknown job", |machine| {
             machine.unplaced_tasks.orphaned.insert(TaskAttempt { task: task_id(9, 0), attempt: 1 });
-        },
-        |machine| machine.tasks.values_mut().for_each(|placement| placement.confirmed = false),
+        }),
+        ("task not confirmed", |machine| {
+            machine.tasks.values_mut().for_each(|placement| placement.confirmed = false)
+        }),
     ];
-    for (case, unsettle) in unsettling_changes.iter().enumerate() {
+    for (case, unsettle) in unsettling_changes {
         let mut machine = settled.clone();
         unsettle(&mut machine);
-        assert!(!machine.is_settled(), "case {case}");
+        assert!(!machine.is_settled(), "settled despite: {case}");
     }
 }
 
 #[test]
-fn succeeded_tasks_are_recorded_once() {
+fn success_is_recorded_only_if_a_task_is_new() {
     let mut progress = Progress { pending: BTreeSet::from([0, 1, 2]), ..Progress::default() };
     progress.record_succeeded(1..2, Timestamp::from_secs(1));
     assert_eq!(
@@ -173,12 +180,12 @@
 
 #[test]
 fn placement_is_unsent_only_until_its_start_is_sent_or_a_heartbeat_lists_it() {
-    let mut reserved = placement("image", TaskStatus::Fetching);
-    reserved.confirmed = false;
-    assert!(reserved.is_unsent());
+    let mut unsent = placement("image", TaskStatus::Fetching);
+    unsent.confirmed = false;
+    assert!(unsent.is_unsent());
     let sent = HeartbeatNumber { agent_epoch: 1, sequence: 1 };
-    assert!(!Placement { start_sent_in: Some(sent), ..reserved.clone() }.is_unsent());
-    assert!(!Placement { confirmed: true, ..reserved }.is_unsent());
+    assert!(!Placement { start_sent_in: Some(sent), ..unsent.clone() }.is_unsent());
+    assert!(!Placement { confirmed: true, ..unsent }.is_unsent());
 }
 
 #[test]
@@ -192,10 +199,13 @@
     let texts = [
         (TerminationProof::NeverSent, "start command never sent"),
         (TerminationProof::Exited, "exit reported by the worker"),
-        (TerminationProof::NotListed { heartbeat }, "not listed in heartbeat 3/7"),
-        (TerminationProof::NewAgentEpoch { agent_epoch: 4 }, "agent epoch 4 began"),
+        (TerminationProof::NotListed { heartbeat }, "not listed in heartbeat 7 of agent epoch 3"),
+        (
+            TerminationProof::NewAgentEpoch { agent_epoch: 4 },
+            "worker began agent epoch 4, so its earlier tasks have ended",
+        ),
         (expired(None), "lease expired 12.500 s after its last renewal"),
-        (expired(Some(2)), "lease expired 12.500 s after its last renewal via node 2"),
+        (expired(Some(2)), "lease expired 12.500 s after its last renewal, last heartbeat via node 2"),
         (TerminationProof::Deleted, "deletion confirmed by the cloud"),
     ];
     for (proof, text) in texts {
--- a/src/scheduler/model/reported_tasks.rs
+++ b/src/scheduler/model/unplaced_tasks.rs
@@ -1,18 +1,19 @@
-//! Tasks in a machine's heartbeats that are not placed on it.
+//! Tasks that a machine's heartbeats list and for which the leader has no placement there.
 
 use super::{ExitReason, TaskAttempt};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks in a machine's heartbeats that are not placed on it.
+/// Tasks that a machine's heartbeats list and for which the leader has no placement there. `task_lists`
+/// updates them; `HeartbeatTracker::reported_tasks` is the whole list.
 #[derive(Debug, Clone, Default)]
 pub struct UnplacedTasks {
     /// Exited tasks that the worker still lists, and the reason of each exit.
     pub exited: BTreeMap<TaskAttempt, ExitReason>,
-    /// Tasks of jobs that do not exist, as far as this leader knows. They are stopped.
+    /// Tasks of unknown jobs, to be stopped.
     pub orphaned: BTreeSet<TaskAttempt>,
-    /// Tasks of jobs that this leader does not know, and when each was first reported. They are kept until
-    /// the state service has been asked about their jobs.
+    /// Tasks of unknown jobs, and when each was first reported. They are kept until the state service has
+    /// been asked whether the jobs exist; only if the cold start is enabled, else they are orphaned.
     pub unverified: BTreeMap<TaskAttempt, Timestamp>,
 }
 
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -13,10 +13,10 @@
 pub(super) struct RoundSchedule {
     /// The job at which the next round begins, if the last round ran out of budget before it.
     pub resume_at: Option<JobId>,
-    /// When the next round is due if nothing changes.
-    next_at: Timestamp,
-    /// The earliest time of the next round if something has changed.
-    earliest_at: Timestamp,
+    /// When the next round is due even if nothing has changed.
+    due_without_request_at: Timestamp,
+    /// When the next round is due if something has changed.
+    due_on_request_at: Timestamp,
     /// Whether something has changed since the last round.
     requested: bool,
 }
@@ -26,8 +26,8 @@
     pub fn new() -> Self {
         RoundSchedule {
             resume_at: None,
-            next_at: Timestamp::ZERO,
-            earliest_at: Timestamp::ZERO,
+            due_without_request_at: Timestamp::ZERO,
+            due_on_request_at: Timestamp::ZERO,
             requested: true,
         }
     }
@@ -44,21 +44,20 @@
 
     /// Whether a round is due, which the caller then runs. If so, clears the request.
     pub fn begin_if_due(&mut self, now: Timestamp) -> bool {
-        let due = self.requested && now >= self.earliest_at || now >= self.next_at;
+        let due = self.requested && now >= self.due_on_request_at || now >= self.due_without_request_at;
         if due {
             self.requested = false;
         }
         due
     }
 
-    /// Records that a round has ended. The next one begins after `pause` at the earliest: it is due then if
-    /// it was requested or if this round did not reach all jobs, otherwise after `IDLE_ROUND_INTERVAL` if
-    /// that is longer.
+    /// Records that a round has ended. The next one is due after `pause` if it is requested or if this round
+    /// did not reach all jobs; otherwise after the longer of `pause` and `IDLE_ROUND_INTERVAL`.
     pub fn end(&mut self, now: Timestamp, pause: Duration) {
         let idle_interval =
             if self.resume_at.is_some() { Duration::ZERO } else { limits::IDLE_ROUND_INTERVAL };
-        self.earliest_at = now + pause;
-        self.next_at = now + pause.max(idle_interval);
+        self.due_on_request_at = now + pause;
+        self.due_without_request_at = now + pause.max(idle_interval);
     }
 }
 
