--- a/crates/dockpier-cold-start-report/src/measure.rs
+++ b/crates/dockpier-cold-start-report/src/measure.rs
@@ -144,7 +144,7 @@
         self.peak_commands = self.peak_commands.max(commands - self.commands);
         self.commands = commands;
         let first = |so_far: Option<f64>, holds: bool| so_far.or(holds.then_some(now_s));
-        self.reconciled_s = first(self.reconciled_s, fleet.scheduler.is_reconciled());
+        self.reconciled_s = first(self.reconciled_s, fleet.scheduler.all_machines_accounted_for());
         self.services_s = first(self.services_s, fleet.history.running_now() >= workload.replicas);
         self.complete_s = first(self.complete_s, fleet.history.running_tasks() >= workload.tasks);
     }
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -3,7 +3,8 @@
 //! Missing heartbeats have many causes that look alike for a while: a failed machine, a hang, a lost route
 //! (the controller that relayed its heartbeats), a partitioned zone, a fault of the leader itself. A machine
 //! that is declared dead is deleted, and with it everything that may still run there. So causes that leave
-//! the machines running are ruled out first: by zone, by route and by time.
+//! the machines running are ruled out first: by zone, by route, and by waiting for a while after an outage or
+//! a change of leader.
 //!
 //! [`FailureDetector`] owns the reachability of zones and routes. `lease_expiry` has it updated, the
 //! autoscaler asks which machines to delete, and placement asks which zones are unreachable.
@@ -43,19 +44,19 @@
     }
 
     /// When the last outage began; `Timestamp::MAX` if there was none.
-    fn unreachable_from(&self) -> Timestamp {
+    fn outage_began_at(&self) -> Timestamp {
         self.last_outage.map_or(Timestamp::MAX, |outage| outage.from)
     }
 
     /// Until when the last outage explains that a machine is still silent; zero if there was none. After an
     /// outage, a machine may have to wait for timeouts at two nodes before its heartbeats arrive.
-    fn recovered_at(&self) -> Timestamp {
+    fn outage_explains_silence_until(&self) -> Timestamp {
         self.last_outage.map_or(Timestamp::ZERO, |outage| outage.until + limits::FAILOVER_GRACE_PERIOD)
     }
 
     /// Whether no outage explains silence at `now`.
     fn is_recovered(&self, now: Timestamp) -> bool {
-        !self.unreachable && now >= self.recovered_at()
+        !self.unreachable && now >= self.outage_explains_silence_until()
     }
 }
 
@@ -73,9 +74,9 @@
     /// When its last heartbeat arrived.
     pub last_heartbeat_at: Timestamp,
     /// Whether its heartbeats show that it receives no responses.
-    pub unresponsive: bool,
+    pub receives_no_responses: bool,
     /// Whether an earlier leader recorded it and it has sent no heartbeat to this one.
-    pub expected: bool,
+    pub awaits_first_heartbeat: bool,
     /// Whether its lease has expired: it holds no task, but still counts for the reachability of its zone.
     pub lost: bool,
 }
@@ -87,19 +88,19 @@
     /// towards a common cause; otherwise the first would be declared dead before enough of them were silent.
     fn is_late(&self, now: Timestamp, timeouts: &DetectionTimeouts) -> bool {
         let due = self.last_heartbeat_at + timeouts.heartbeat_interval / 4 * 5;
-        self.unresponsive || now >= due + limits::LATE_HEARTBEAT_MARGIN
+        self.receives_no_responses || now >= due + limits::LATE_HEARTBEAT_MARGIN
     }
 
     /// Whether it is dead, if no common cause explains its silence.
     fn is_dead(&self, now: Timestamp, timeouts: &DetectionTimeouts) -> bool {
-        self.unresponsive || now >= self.last_heartbeat_at + timeouts.silence
+        self.receives_no_responses || now >= self.last_heartbeat_at + timeouts.silence
     }
 
     /// Whether it left this route since the route became unreachable.
     fn left_during_outage(&self, route: Option<usize>, reachability: Reachability) -> bool {
         let previous = self.previous_route;
         previous
-            .is_some_and(|left| left.relayed_by == route && left.left_at >= reachability.unreachable_from())
+            .is_some_and(|left| left.relayed_by == route && left.left_at >= reachability.outage_began_at())
     }
 }
 
@@ -119,9 +120,9 @@
 impl DetectionTimeouts {
     /// Whether a zone or route is unreachable, judged by the last heartbeat of any of its machines.
     ///
-    /// The more machines there are, the sooner their common silence is significant: three mean intervals
-    /// between their heartbeats. The fixed timeout is needed besides, since heartbeats that once arrived
-    /// together do so again.
+    /// The more machines there are, the sooner their common silence is significant: after three times the
+    /// mean interval between their heartbeats, if these are spread evenly. After a partition they may all
+    /// arrive together, and then none for most of an interval; the fixed timeout covers that gap.
     fn is_unreachable(&self, now: Timestamp, arrivals: Arrivals) -> bool {
         let mean_interval =
             Duration::from_micros(to_micros(self.heartbeat_interval) / arrivals.machines.max(1) as u64);
@@ -179,7 +180,7 @@
     ) {
         self.observe_zones(now, timeouts, observed);
         let mut arrivals: BTreeMap<Option<usize>, Arrivals> = BTreeMap::new();
-        for machine in observed.iter().filter(|machine| !machine.expected && !machine.lost) {
+        for machine in observed.iter().filter(|machine| !machine.awaits_first_heartbeat && !machine.lost) {
             arrivals.entry(machine.route).or_default().add(machine.last_heartbeat_at);
         }
         for (route, arrivals) in arrivals {
@@ -223,7 +224,7 @@
         self.routes.get(&route).copied().unwrap_or_default()
     }
 
-    /// Names of the machines that are silent or unresponsive and for which no common cause is likely.
+    /// Names of the machines that are silent or receive no responses and for which no common cause is likely.
     pub fn declared_dead<'a>(
         &self,
         now: Timestamp,
@@ -238,9 +239,9 @@
             .iter()
             .filter(|machine| !machine.lost && self.zone(machine.zone).is_recovered(now))
             .collect();
-        let mut dead = dead_among_expected(&reachable);
+        let mut dead = dead_among_awaited(&reachable);
         let mut routes = MachinesByRoute::new();
-        for &machine in reachable.iter().filter(|machine| !machine.expected) {
+        for &machine in reachable.iter().filter(|machine| !machine.awaits_first_heartbeat) {
             routes.entry(machine.route).or_default().push(machine);
         }
         let many_are_late = self.many_are_late(now, timeouts, &routes);
@@ -251,8 +252,8 @@
             let moved = reachable.iter().filter(|machine| machine.left_during_outage(*route, reachability));
             let route_size = machines.len() + moved.count();
             let late = machines.iter().filter(|machine| machine.is_late(now, timeouts)).count();
-            // If many machines fall silent together, of all or of one route, lease expiry decides. A few on
-            // one route point to no common cause: three dead machines may by chance be on a route of nine.
+            // If many machines of the cluster or of the route are late, none is declared dead: tasks restart
+            // when leases expire. A few may share a route by chance: three dead machines on a route of nine.
             if now < silence_explained_until(reachability, timeouts)
                 || many_are_late && !reachability.unreachable
                 || suggest_common_cause(late, route_size, limits::MAX_SILENT_ROUTE_SHARE)
@@ -265,7 +266,8 @@
         dead
     }
 
-    /// Whether so many machines of all recovered routes are late that a common cause is likely.
+    /// Whether so many machines of all recovered routes are late that a common cause is likely. Says nothing
+    /// about the machines of an unreachable route.
     fn many_are_late(&self, now: Timestamp, timeouts: &DetectionTimeouts, routes: &MachinesByRoute) -> bool {
         let recovered = routes.iter().filter(|(route, _)| self.route(**route).is_recovered(now));
         let (mut total, mut late) = (0, 0);
@@ -280,22 +282,25 @@
 /// Names of the machines of earlier leaders that have sent no heartbeat to this one: they are dead, unless
 /// they are many. They have no route yet, so their number is compared with all machines that should send
 /// heartbeats.
-fn dead_among_expected<'a>(reachable: &[&ObservedMachine<'a>]) -> Vec<&'a str> {
-    let expected: Vec<&str> =
-        reachable.iter().filter(|machine| machine.expected).map(|machine| machine.name).collect();
-    if suggest_common_cause(expected.len(), reachable.len(), limits::MAX_SILENT_SHARE) {
+fn dead_among_awaited<'a>(reachable: &[&ObservedMachine<'a>]) -> Vec<&'a str> {
+    let awaited: Vec<&str> = reachable
+        .iter()
+        .filter(|machine| machine.awaits_first_heartbeat)
+        .map(|machine| machine.name)
+        .collect();
+    if suggest_common_cause(awaited.len(), reachable.len(), limits::MAX_SILENT_SHARE) {
         return Vec::new();
     }
-    expected
+    awaited
 }
 
-/// Until when the state of a route explains the silence of its machines. A leaseholder that only the leader
-/// cannot reach responds to unchanged heartbeats until its shard lease ends.
+/// Until when the state of a route explains the silence of its machines. A leaseholder that its machines can
+/// reach and the leader cannot responds to unchanged heartbeats until its shard lease ends.
 fn silence_explained_until(reachability: Reachability, timeouts: &DetectionTimeouts) -> Timestamp {
     if reachability.unreachable {
-        reachability.unreachable_from() + timeouts.shard_lease + limits::FAILOVER_GRACE_PERIOD
+        reachability.outage_began_at() + timeouts.shard_lease + limits::FAILOVER_GRACE_PERIOD
     } else {
-        reachability.recovered_at()
+        reachability.outage_explains_silence_until()
     }
 }
 
@@ -312,28 +317,28 @@
 
     /// All machines from which heartbeats should arrive.
     fn observed_machines(&self) -> Vec<ObservedMachine<'_>> {
-        let is_expected = |machine: &Machine| {
+        let awaits_first_heartbeat = |machine: &Machine| {
             machine.inherited && !machine.accounted_for && machine.state == MachineState::Pending
         };
         self.machines
             .values()
-            .filter(|machine| machine.state != MachineState::Pending || is_expected(machine))
+            .filter(|machine| machine.state != MachineState::Pending || awaits_first_heartbeat(machine))
             .map(|machine| ObservedMachine {
                 name: &machine.name,
                 zone: &machine.zone,
                 route: machine.route.relayed_by,
                 previous_route: machine.route.previous,
                 last_heartbeat_at: machine.heartbeats.last_at,
-                unresponsive: machine.commands.responses_without_effect
+                receives_no_responses: machine.commands.responses_without_effect
                     >= limits::MAX_RESPONSES_WITHOUT_EFFECT,
-                expected: is_expected(machine),
+                awaits_first_heartbeat: awaits_first_heartbeat(machine),
                 lost: machine.state == MachineState::Lost,
             })
             .collect()
     }
 
     /// Updates which zones and routes are unreachable.
-    pub(super) fn update_reachability(&mut self) {
+    pub(super) fn observe_zones_and_routes(&mut self) {
         let mut detector = std::mem::take(&mut self.failure_detector);
         let unreachable_nodes = self.peers.recently_unreachable(self.now);
         let observed = self.observed_machines();
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -1,4 +1,4 @@
-//! Declared-dead machines by the pattern of missing heartbeats: a table of outages at several cluster sizes.
+//! Checks which machines are declared dead in a table of outages, each at several cluster sizes.
 
 use super::*;
 use crate::limits::SECOND;
@@ -15,7 +15,7 @@
 const CLUSTER_SIZES: [usize; 4] = [20, 120, 1_900, 6_000];
 
 /// How long a machine is silent from `OUTAGE_START` on, by its index and the number of machines.
-type Outage = fn(usize, usize) -> Duration;
+type SilenceDuration = fn(usize, usize) -> Duration;
 
 fn timeouts() -> DetectionTimeouts {
     DetectionTimeouts {
@@ -52,16 +52,22 @@
 }
 
 /// Simulates an outage of some of `machines`. Heartbeats are spread evenly over the interval, a third of them
-/// on each of three routes. `lost_route`: a node that the leader cannot reach from `OUTAGE_START` on.
-fn simulate(machines: usize, outage: Outage, lost_route: Option<usize>, duration: Duration) -> DeclaredDead {
+/// on each of three routes. `unreachable_node`: a node that the leader cannot reach from `OUTAGE_START` on.
+/// `time_after_start`: simulated time from `OUTAGE_START` on.
+fn simulate(
+    machines: usize,
+    outage: SilenceDuration,
+    unreachable_node: Option<usize>,
+    time_after_start: Duration,
+) -> DeclaredDead {
     let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
     let timeouts = timeouts();
     let mut detector = FailureDetector::default();
     let mut declared_dead: BTreeSet<usize> = BTreeSet::new();
     let mut first_after = Duration::MAX;
     let start = OUTAGE_START - OUTAGE_START.since(Timestamp::ZERO) / 2;
-    let simulated = start.since(Timestamp::ZERO) + duration;
-    let steps = to_micros(simulated) / to_micros(limits::EXPIRY_CHECK_INTERVAL);
+    let total_time = start.since(Timestamp::ZERO) + time_after_start;
+    let steps = to_micros(total_time) / to_micros(limits::EXPIRY_CHECK_INTERVAL);
     for step in 0..steps as u32 {
         let now = start + step * limits::EXPIRY_CHECK_INTERVAL;
         let observed: Vec<ObservedMachine> = (0..machines)
@@ -72,13 +78,13 @@
                 route: [None, Some(1), Some(2)][i % 3],
                 previous_route: None,
                 last_heartbeat_at: last_heartbeat_at(i, outage(i, machines), now),
-                unresponsive: false,
-                expected: false,
+                receives_no_responses: false,
+                awaits_first_heartbeat: false,
                 lost: false,
             })
             .collect();
-        let lost = lost_route.filter(|_| now >= OUTAGE_START).into_iter().collect();
-        detector.observe(now, &timeouts, &observed, &lost);
+        let unreachable_nodes = unreachable_node.filter(|_| now >= OUTAGE_START).into_iter().collect();
+        detector.observe(now, &timeouts, &observed, &unreachable_nodes);
         for name in detector.declared_dead(now, &timeouts, &observed) {
             first_after = first_after.min(now.since(OUTAGE_START));
             declared_dead.extend(name[2..].parse::<usize>());
@@ -87,8 +93,8 @@
     DeclaredDead { machines: declared_dead.len(), first_after }
 }
 
-/// Guards against a zone that stays unreachable for ever: that happened once the cloud's list had named all
-/// its machines as failed.
+/// Guards against a zone that stays unreachable for ever after the cloud's list has named all its machines as
+/// failed.
 #[test]
 fn unreachable_zone_is_reachable_again_when_its_last_machine_is_gone() {
     let timeouts = timeouts();
@@ -98,8 +104,8 @@
         route: None,
         previous_route: None,
         last_heartbeat_at: Timestamp::from_secs(1),
-        unresponsive: false,
-        expected: false,
+        receives_no_responses: false,
+        awaits_first_heartbeat: false,
         lost,
     };
     let mut detector = FailureDetector::default();
@@ -117,8 +123,8 @@
 /// An outage and the machines that have to be declared dead in it.
 struct Case {
     name: &'static str,
-    outage: Outage,
-    lost_route: Option<usize>,
+    outage: SilenceDuration,
+    unreachable_node: Option<usize>,
     /// Number of machines to be declared dead, by the number of all machines.
     expected: fn(usize) -> usize,
     /// Longest time from the start of the outage to the first declaration.
@@ -127,14 +133,14 @@
 
 impl Case {
     /// Failures without a common cause: each machine is declared dead as soon as it is silent.
-    fn failures(name: &'static str, outage: Outage, expected: fn(usize) -> usize) -> Self {
+    fn failures(name: &'static str, outage: SilenceDuration, expected: fn(usize) -> usize) -> Self {
         let within = limits::silence_timeout(3.0) + SECOND;
-        Case { name, outage, lost_route: None, expected, within }
+        Case { name, outage, unreachable_node: None, expected, within }
     }
 
     /// No outage, or silence with a common cause: no machine is declared dead.
-    fn none_dead(name: &'static str, outage: Outage) -> Self {
-        Case { name, outage, lost_route: None, expected: |_| 0, within: Duration::MAX }
+    fn none_dead(name: &'static str, outage: SilenceDuration) -> Self {
+        Case { name, outage, unreachable_node: None, expected: |_| 0, within: Duration::MAX }
     }
 }
 
@@ -171,10 +177,10 @@
             |i, _| if i % 2 == 1 { PERMANENT } else { Duration::ZERO },
         ),
         Case::none_dead("all are silent", |_, _| 45 * SECOND),
-        // The leaseholder responds without the leader. Its machines change their route when its lease has
-        // ended.
+        // The leaseholder responds without the leader. The leader hears from its machines again when they
+        // have changed their route after the shard lease ended: here, they are silent for 25 s.
         Case {
-            lost_route: Some(1),
+            unreachable_node: Some(1),
             ..Case::none_dead("the leader cannot reach a leaseholder", |i, _| {
                 if i % 3 == 1 {
                     25 * SECOND
@@ -189,8 +195,8 @@
 #[test]
 fn only_failures_without_a_common_cause_are_declared_dead_at_every_size() {
     for machines in CLUSTER_SIZES {
-        for Case { name, outage, lost_route, expected, within } in cases() {
-            let dead = simulate(machines, outage, lost_route, 90 * SECOND);
+        for Case { name, outage, unreachable_node, expected, within } in cases() {
+            let dead = simulate(machines, outage, unreachable_node, 90 * SECOND);
             let expected = expected(machines);
             let first = dead.first_after;
             assert_eq!(dead.machines, expected, "{name}, {machines} machines");
@@ -199,8 +205,8 @@
     }
 }
 
-/// The other machines of the zone send heartbeats again once the partition is over, and are not declared
-/// dead.
+/// Machines that stay silent after the partition of their zone are declared dead; those that send heartbeats
+/// again are not.
 #[test]
 fn machines_missing_after_a_zone_partition_are_declared_dead_at_every_size() {
     let partition = |i: usize, n: usize| match i % 2 {
@@ -214,6 +220,7 @@
         let first = dead.first_after;
         assert!(expected < machines / 2 / 2);
         assert_eq!(dead.machines, expected, "a partition, {machines} machines");
+        // The outage was last observed one check before its end, 45 s after its start.
         assert!(first >= 44 * SECOND + limits::FAILOVER_GRACE_PERIOD, "{machines} machines: after {first:?}");
     }
 }
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -3,6 +3,9 @@
 //!
 //! Every response that may renew a worker's lease is recorded before it is made
 //! ([`Scheduler::record_renewal`]).
+//!
+//! A shard heartbeat is a leaseholder's periodic message to the leader that names the machines to which the
+//! leaseholder responded itself.
 
 use super::model::{ExitReason, Job, JobId, Machine, MachineState, TaskCommand};
 use super::{Effect, Scheduler};
@@ -62,7 +65,8 @@
     /// gone: the response must not renew a lease.
     pub(super) fn record_renewal(&mut self, name: &str) -> Option<LeaseRenewal> {
         let Some(machine) = self.machines.get_mut(name) else {
-            // A leader that has not loaded knows no machines; one that has knows that the machine is gone.
+            // Before `Scheduler::load`, no machine is known, and expiry counts every lease from `started_at`
+            // or later. After it, an unknown machine is gone.
             return (!self.loaded).then(LeaseRenewal::before_load);
         };
         debug!(
@@ -100,16 +104,16 @@
     /// Returns the commands for a machine and marks them as sent.
     fn take_commands(&mut self, name: &str) -> Vec<TaskCommand> {
         let Some(machine) = self.machines.get_mut(name) else { return Vec::new() };
-        let is_direct = machine.route.relayed_by.is_none();
+        let came_without_relay = machine.route.relayed_by.is_none();
         machine.route.relay_requested = false;
-        machine.commands.token_unacknowledged = is_direct && !machine.accounted_for;
+        machine.commands.token_unacknowledged = came_without_relay && !machine.accounted_for;
         let mut task_commands: Vec<TaskCommand> = stop_commands(machine).collect();
         task_commands.extend(forget_commands(machine, &self.jobs));
         if machine.accounted_for && machine.recorded {
             task_commands.extend(take_start_commands(machine));
             // A response may be lost on the way to the leaseholder that relays it. So its missing effect does
             // not show that the machine is unreachable.
-            if is_direct {
+            if came_without_relay {
                 machine.commands.unacknowledged.clone_from(&task_commands);
             }
         }
@@ -129,9 +133,10 @@
         machine.route.leaseholder_may_respond
     }
 
-    /// Records that the leaseholder `node` renewed the leases of these machines without the leader, and of no
-    /// others before `covers_until` (None: the list may be incomplete). For a machine with a command or a new
-    /// route, asks the leaseholder to relay the next heartbeat, even if it was asked before.
+    /// Records that the leaseholder `node` renewed the leases of the machines `names` without the leader.
+    /// Before `covers_until` it renewed those of no other machine (None: the list may be incomplete). For a
+    /// machine with a command or a new route, asks the leaseholder to relay the next heartbeat, even if the
+    /// leaseholder was asked before.
     pub(super) fn apply_shard_heartbeat(
         &mut self,
         node: usize,
@@ -145,9 +150,9 @@
             machine.last_renewal.record_by_leaseholder(now);
             machine.heartbeats.last_at = now;
             // A machine may return to a leaseholder that still has its heartbeat cached and therefore relays
-            // nothing. Without this record of its route, the machine was taken for silent on the route that
-            // it had left. The leaseholder does not know of the machine's changes in between, so it has to
-            // relay the next heartbeat.
+            // nothing. Unless the new route is recorded here, the machine is taken for silent on the route
+            // that it left. The leaseholder does not know what changed while the machine was on the other
+            // route, so it has to relay the next heartbeat.
             let changed_route = machine.route.record(Some(node), now);
             if changed_route || !machine.is_settled() {
                 machine.route.relay_requested = false;
@@ -158,7 +163,7 @@
     }
 
     /// Asks a leaseholder that may respond without the leader to relay the machine's next heartbeat, so that
-    /// the leader can respond with its commands. Without effect if it has been asked already.
+    /// the leader can respond with its commands. Has no effect if the leaseholder has been asked already.
     pub(super) fn request_relay(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let Some(node) = machine.route.relayed_by else { return };
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,11 +1,11 @@
 //! Handles workers' heartbeats, from arrival to the reconciled task list. Called by `Scheduler::apply`.
 //!
 //! The path of a heartbeat through the scheduler:
-//! 1. `Scheduler::apply` in `mod.rs` passes a periodic heartbeat to [`Scheduler::handle_heartbeat`]. The
-//!    response to a direct command goes straight to [`Scheduler::apply_heartbeat`].
+//! 1. `Scheduler::apply` in `mod.rs` passes a periodic heartbeat to [`Scheduler::handle_heartbeat`]. A
+//!    heartbeat that a worker returns in answer to a direct command goes to [`Scheduler::apply_heartbeat`].
 //! 2. `apply_heartbeat` classifies it as a [`HeartbeatOutcome`]. An unchanged one is recorded and needs
 //!    nothing else. A late one goes to `stale_heartbeats`. For a new one, `reachability` checks that the
-//!    machine receives its commands, `task_lists` reconciles the task list with the placements, `task_exit`
+//!    machine receives its responses, `task_lists` reconciles the task list with the placements, `task_exit`
 //!    and `placements` apply the results, and `recall` stops tasks on machines that the cloud is about to
 //!    recall.
 //! 3. `handle_heartbeat` records the lease renewal, before any response is made; a stale heartbeat renews no
@@ -13,13 +13,16 @@
 //!    task there.
 //! 4. `heartbeat_responses` makes the response.
 //!
-//! An arrival is recorded in two places, and lease expiry counts from the later of them:
-//! - `Machine::last_renewal` protects the lease. It is recorded for every response that may renew the lease,
-//!   also where the task list is ignored (the first heartbeat of a machine to this leader, and overtaken
-//!   ones).
-//! - `HeartbeatTracker::last_at` is for failure detection: when the machine last showed that it is alive.
-//!   Wherever it is recorded, the renewal is recorded in the same step, so for lease expiry it is a
-//!   second protection of the same lease.
+//! A leaseholder is a controller other than the leader that holds the lease of a shard of the machines: it
+//! relays their heartbeats to the leader and responds to unchanged ones itself (`lease::shard`).
+//!
+//! An arrival is recorded in two places:
+//! - `Machine::last_renewal`, for lease expiry: the last response that may have renewed the lease, also where
+//!   the task list is ignored (the first heartbeat of a machine to this leader, and overtaken ones).
+//! - `HeartbeatTracker::last_at`, for failure detection: when the machine last showed that it is alive.
+//!
+//! Wherever `last_at` is set, `last_renewal` is set in the same step. As a safeguard, lease expiry counts
+//! from the later of the two.
 
 use super::model::{
     Heartbeat, HeartbeatNumber, HeartbeatSource, Machine, MachineState, ReportedTask, StoredMachine,
@@ -70,8 +73,8 @@
     }
 
     /// Applies a periodic heartbeat and responds to it, or leaves the response to the next round if it
-    /// changed something. `response_id`: number of the response. `relayed_by`: the leaseholder that
-    /// relayed the heartbeat (None: it came straight to the leader).
+    /// changed something. `response_id`: number under which the response is sent. `relayed_by`: the
+    /// leaseholder that relayed the heartbeat (None: it came directly to the leader's own node).
     pub(super) fn handle_heartbeat(
         &mut self,
         response_id: u64,
@@ -103,8 +106,8 @@
         }
     }
 
-    /// Applies what a heartbeat states about its machine, and its task list. Without effect before
-    /// `Scheduler::load`.
+    /// Applies what a heartbeat states about its machine, and its task list. Before `Scheduler::load`, has no
+    /// effect and returns `Unchanged`, so that the response renews the lease all the same.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -154,7 +157,7 @@
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
         if source == HeartbeatSource::Periodic {
             let agent_epoch = machine.heartbeats.newest.agent_epoch;
-            machine.commands.assess_reachability(agent_epoch, &heartbeat, token);
+            machine.commands.assess_response_delivery(agent_epoch, &heartbeat, token);
         }
         self.end_earlier_agent_epochs(&heartbeat);
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatOutcome::Stale };
@@ -170,14 +173,15 @@
         } else if was_known && !machine.recorded {
             // This is the machine's first heartbeat to this leader, or a copy of one sent to an earlier
             // leader, which may be of any age. Its task list may be out of date and is not applied: tasks
-            // would seem to be on two machines. The machine itself may be long gone, so one that was not
-            // known before is not recorded yet. The worker's next heartbeat states this leader's token.
+            // would seem to be on two machines. The machine may be long gone, so its record is written only
+            // if this leader knew the machine before. The worker's next heartbeat states this leader's token.
             self.request_record_write(&heartbeat.machine);
         }
         HeartbeatOutcome::Changed
     }
 
-    /// Applies the task list of a worker that has stated this leader's token, so that the list is exact.
+    /// Applies the task list of a worker that has stated this leader's token. Such a list is exact: it is no
+    /// copy from the time of an earlier leader, so a task that it does not list is not on the machine.
     fn apply_exact_task_list(
         &mut self,
         name: &str,
@@ -195,8 +199,8 @@
         }
     }
 
-    /// Releases the machine if the heartbeat begins a new agent epoch of its worker: tasks of earlier epochs
-    /// ended with their lease.
+    /// Removes all placements from the machine if the heartbeat begins a new agent epoch of its worker: tasks
+    /// of earlier epochs ended with their lease.
     fn end_earlier_agent_epochs(&mut self, heartbeat: &Heartbeat) {
         let agent_epoch = heartbeat.agent_epoch;
         let Some(machine) = self.machines.get(&heartbeat.machine) else { return };
--- a/src/scheduler/job_registry.rs
+++ b/src/scheduler/job_registry.rs
@@ -33,8 +33,8 @@
     pub(super) fn handle_job_end_written(&mut self, job_id: JobId, outcome: RequestOutcome) {
         match outcome {
             RequestOutcome::Done => self.remove_job(job_id),
-            // The job was cancelled meanwhile, or the outcome is not known. The write is repeated, and the
-            // job's stored record decides.
+            // The job was cancelled meanwhile, or the outcome is not known. The write is repeated; it
+            // succeeds only if the job's stored record still has the version that this leader knows.
             RequestOutcome::Refused | RequestOutcome::Unknown => {
                 if let Some(job) = self.jobs.get_mut(&job_id) {
                     job.progress.write_in_flight = false;
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -1,12 +1,11 @@
-//! Releases machines whose worker lease has expired, and tracks which machines of earlier leaders are
-//! accounted for: those that have stated this leader's fencing token, or whose lease has expired. Called by
-//! `Scheduler::step`; placement asks which machines are schedulable.
+//! Removes all placements from machines whose worker lease has expired, and tracks which machines of earlier
+//! leaders are accounted for: those that have stated this leader's fencing token, or whose lease has expired.
+//! Called by `Scheduler::step`; placement asks which machines are schedulable.
 //!
 //! A task may be started elsewhere only when its worker's lease has provably expired. The lease of a machine
 //! counts from the latest of four records:
 //! - `Machine::last_renewal`: the last response that may have renewed it, by this leader or by a leaseholder;
-//! - `HeartbeatTracker::last_at`: its last heartbeat, since the worker may have begun the lease when it sent
-//!   that;
+//! - `HeartbeatTracker::last_at`: when its last heartbeat arrived, as a safeguard (see `heartbeats`);
 //! - `Scheduler::started_at`: responses before this leader had loaded its state are recorded nowhere else;
 //! - `PeerNodes::others_may_have_renewed_until`: another node may have responded until then.
 //!
@@ -22,20 +21,20 @@
 use tracing::info;
 
 impl Machine {
-    /// When its lease may last have been renewed.
+    /// The last time at which its lease may have been renewed, as far as the machine's own records say.
     fn lease_renewed_at(&self) -> Timestamp {
         self.last_renewal.renewed_at().max(self.heartbeats.last_at)
     }
 
     /// Whether an earlier leader may have started tasks on it that this leader does not know.
-    fn is_unreconciled(&self) -> bool {
+    fn is_unaccounted_for(&self) -> bool {
         self.inherited && !self.accounted_for
     }
 }
 
 impl Scheduler {
     /// Whether all machines of earlier leaders are accounted for.
-    pub fn is_reconciled(&self) -> bool {
+    pub fn all_machines_accounted_for(&self) -> bool {
         self.all_accounted_for
     }
 
@@ -53,13 +52,13 @@
             && self.now < machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s)
     }
 
-    /// Whether every machine on which an earlier leader may have started the job is accounted for, as of the
-    /// start of the round.
+    /// Whether every machine on which an earlier leader may have started the job is accounted for: true if no
+    /// machine of a kind that the job may use was unaccounted for at the start of the round.
     pub(super) fn is_accounted_for_job(&self, job: &Job) -> bool {
-        let may_use = |offer: &MachineKind| {
-            job.spec.allows_type(&offer.machine_type)
-                && job.spec.allows_zone(&offer.zone)
-                && (!offer.spot || job.spec.allows_spot)
+        let may_use = |kind: &MachineKind| {
+            job.spec.allows_type(&kind.machine_type)
+                && job.spec.allows_zone(&kind.zone)
+                && (!kind.spot || job.spec.allows_spot)
         };
         self.all_accounted_for || !self.unaccounted_kinds.iter().any(may_use)
     }
@@ -70,22 +69,23 @@
             self.unaccounted_kinds = BTreeSet::new();
             return;
         }
-        let unaccounted_kinds = self.machines.values().filter(|machine| machine.is_unreconciled());
+        let unaccounted_kinds = self.machines.values().filter(|machine| machine.is_unaccounted_for());
         self.unaccounted_kinds = unaccounted_kinds.map(MachineKind::of).collect();
     }
 
-    /// Releases the machines whose leases have expired. Runs once per `EXPIRY_CHECK_INTERVAL`.
+    /// Removes all placements from the machines whose leases have expired. Has an effect once per
+    /// `EXPIRY_CHECK_INTERVAL`.
     pub(super) fn expire_leases(&mut self) {
         if self.now < self.next_expiry_check_at {
             return;
         }
         self.next_expiry_check_at = self.now + limits::EXPIRY_CHECK_INTERVAL;
-        self.update_reachability();
+        self.observe_zones_and_routes();
         for name in self.expired_machines() {
             self.expire_lease(&name);
         }
         if self.loaded && !self.all_accounted_for {
-            self.update_reconciled();
+            self.update_accounted_for();
         }
     }
 
@@ -98,17 +98,16 @@
     fn expired_machines(&self) -> Vec<String> {
         let worker_lease = limits::worker_lease(self.config.workers.lease_s);
         let known_until = self.peers.responses_known_until(self.now, self.config.shard_lease, worker_lease);
-        let silent_until = self.now.min(known_until);
+        let responses_known_until = self.now.min(known_until);
         let unrecorded_until = self.unrecorded_renewals_until();
         let lease_may_run = |machine: &Machine| {
-            // The lease also counts from the last heartbeat, not only from the last response: the worker may
-            // have begun it then. Without that, every machine younger than this leader expired as soon as it
-            // came up.
-            silent_until < machine.lease_renewed_at().max(unrecorded_until) + worker_lease
+            // `lease_renewed_at` includes the last heartbeat as a safeguard: a machine younger than this
+            // leader whose renewal was not recorded would otherwise expire as soon as it came up.
+            responses_known_until < machine.lease_renewed_at().max(unrecorded_until) + worker_lease
         };
         let may_hold_tasks = |machine: &Machine| match machine.state {
             MachineState::Ready => true,
-            MachineState::Pending => !machine.tasks.is_empty() || machine.is_unreconciled(),
+            MachineState::Pending => !machine.tasks.is_empty() || machine.is_unaccounted_for(),
             MachineState::Lost => false,
         };
         self.machines
@@ -137,13 +136,16 @@
     /// Updates whether all machines of earlier leaders are accounted for: each has stated this leader's token
     /// or its lease has expired, or the time has passed by which every lease granted by an earlier leader has
     /// expired.
-    fn update_reconciled(&mut self) {
+    fn update_accounted_for(&mut self) {
         let worker_lease = limits::worker_lease(self.config.workers.lease_s);
         let all_expired = self.now >= self.unrecorded_renewals_until() + worker_lease;
-        self.all_accounted_for = all_expired || !self.machines.values().any(Machine::is_unreconciled);
+        self.all_accounted_for = all_expired || !self.machines.values().any(Machine::is_unaccounted_for);
         if self.all_accounted_for {
             let after_ms = to_millis(self.now.since(self.started_at));
-            info!(after_ms, "all machines of earlier leaders reconciled");
+            info!(
+                after_ms,
+                "all machines of earlier leaders accounted for, by a heartbeat or by an expired lease"
+            );
             self.rounds.request();
             self.record_verdicts_when_accounted_for();
         }
--- a/src/scheduler/peer_nodes.rs
+++ b/src/scheduler/peer_nodes.rs
@@ -25,8 +25,8 @@
     leaseholders: BTreeMap<usize, Leaseholder>,
     /// Until when another node may have renewed leases of workers without a record here.
     others_may_have_renewed_until: Timestamp,
-    /// When each node was last recorded as out of touch, that is, unreachable from this leader. For a while
-    /// after that, machines that report through it may change their route.
+    /// When each node was last recorded as unreachable from this leader. Machines that report through such a
+    /// node may change their route for a while after that; `failure_detection` allows for it.
     last_unreachable_at: BTreeMap<usize, Timestamp>,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Records that another node may have renewed leases until `at`. Without effect if a later time is
+    /// Records that another node may have renewed leases until `at`. Has no effect if a later time is
     /// recorded.
     pub fn record_others_may_have_renewed_until(&mut self, at: Timestamp) {
         self.others_may_have_renewed_until = self.others_may_have_renewed_until.max(at);
@@ -82,7 +82,7 @@
         self.last_unreachable_at.extend(nodes.map(|node| (node, now)));
     }
 
-    /// Nodes recorded as unreachable less than one interval of the heartbeats between controllers ago.
+    /// Nodes recorded as unreachable within the last `PEER_HEARTBEAT_INTERVAL`.
     pub fn recently_unreachable(&self, now: Timestamp) -> BTreeSet<usize> {
         let recent = self
             .last_unreachable_at
--- a/src/scheduler/peer_nodes_tests.rs
+++ b/src/scheduler/peer_nodes_tests.rs
@@ -1,4 +1,4 @@
-//! How long leaseholders hold back lease expiry, and how long a node is out of touch.
+//! How long leaseholders hold back lease expiry, and how long a node counts as unreachable.
 
 use super::*;
 use crate::time::Timestamp;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn kept_alive_until_never_moves_back() {
+fn others_may_have_renewed_until_never_moves_back() {
     let mut peers = PeerNodes::new(Timestamp::from_secs(5));
     peers.record_others_may_have_renewed_until(Timestamp::from_secs(4));
     assert_eq!(peers.others_may_have_renewed_until(), Timestamp::from_secs(5));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn node_is_out_of_touch_for_a_heartbeat_interval_after_the_last_record() {
+fn node_is_unreachable_for_a_peer_heartbeat_interval_after_the_last_record() {
     let mut peers = PeerNodes::new(Timestamp::ZERO);
     peers.record_unreachable(Timestamp::from_secs(1), [1, 2].into_iter());
     peers.record_unreachable(Timestamp::from_secs(1) + Duration::from_micros(10), std::iter::once(2));
--- a/src/scheduler/quarantine.rs
+++ b/src/scheduler/quarantine.rs
@@ -16,7 +16,7 @@
 pub(super) enum TaskFailure {
     /// It started, and exited with an error.
     WhileRunning,
-    /// The worker did not know the task.
+    /// The worker reported that it does not know the task: the job backs off, the machine does not.
     NotKnownToWorker,
 }
 
@@ -35,7 +35,7 @@
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.failure_history.machines.insert(name.to_string());
-        let proven_faulty = !job.progress.succeeded.is_empty();
+        let machine_proven_faulty = !job.progress.succeeded.is_empty();
         let suspected = job.is_suspected();
         if suspected || failure == TaskFailure::NotKnownToWorker {
             // A job that fails everywhere must not be restarted in a tight loop.
@@ -47,13 +47,13 @@
             return;
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            // Other machines are tried first.
+            // For a while nothing is placed here, so that other machines are tried first.
             machine.health.placement_backoff_until = now + limits::NO_ROOM_BACKOFF;
             if !suspected {
                 machine.health.failed_jobs.insert(job_id);
             }
         }
-        self.replace_if_faulty(name, proven_faulty);
+        self.replace_if_faulty(name, machine_proven_faulty);
     }
 
     /// Records that a task of the job succeeded: machines on which other tasks of it failed are at fault.
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -1,5 +1,5 @@
 //! Detects machines that do not receive the responses to their heartbeats. Called by `heartbeats` with each
-//! new periodic heartbeat.
+//! new periodic heartbeat. The reachability of zones and routes is in `failure_detection`.
 
 use super::model::{CommandTracker, Heartbeat, TaskCommand, TaskStatus};
 use crate::fencing_token::FencingToken;
@@ -11,17 +11,17 @@
     /// and no direct command. Its heartbeats then show no effect of the responses before them.
     /// `previous_agent_epoch` is the epoch of the heartbeat before this one; `token` is the leader's fencing
     /// token.
-    pub(super) fn assess_reachability(
+    pub(super) fn assess_response_delivery(
         &mut self,
         previous_agent_epoch: u64,
         heartbeat: &Heartbeat,
         token: FencingToken,
     ) {
         if heartbeat.agent_epoch > previous_agent_epoch {
-            // The worker's lease ended although it was sent commands: the response with them did not arrive,
-            // unless it was sent more than a lease ago.
-            let lease_ended_despite_commands = previous_agent_epoch > 0 && !self.unacknowledged.is_empty();
-            self.responses_without_effect += u32::from(lease_ended_despite_commands);
+            // The worker's lease ended. The response with the commands would have renewed it, so most likely
+            // it did not arrive. (A response that was sent more than a lease ago is counted too.)
+            let commands_without_effect = previous_agent_epoch > 0 && !self.unacknowledged.is_empty();
+            self.responses_without_effect += u32::from(commands_without_effect);
             self.unacknowledged.clear();
             return;
         }
--- a/src/scheduler/reachability_tests.rs
+++ b/src/scheduler/reachability_tests.rs
@@ -22,11 +22,11 @@
     }
 }
 
-/// Number of unacknowledged heartbeats after a response with this command and a heartbeat that lists the task
+/// `responses_without_effect` after a response with this command and then a heartbeat that lists the task
 /// with this status (None: does not list it).
-fn unacknowledged_after(command: TaskCommand, status: Option<TaskStatus>) -> u32 {
+fn responses_without_effect_after(command: TaskCommand, status: Option<TaskStatus>) -> u32 {
     let mut commands = CommandTracker { unacknowledged: vec![command], ..CommandTracker::default() };
-    commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), status), FencingToken(TOKEN));
+    commands.assess_response_delivery(1, &heartbeat(1, FencingToken(TOKEN), status), FencingToken(TOKEN));
     assert!(commands.unacknowledged.is_empty(), "each response is judged once");
     commands.responses_without_effect
 }
@@ -34,61 +34,61 @@
 #[test]
 fn start_is_acknowledged_when_the_task_is_listed() {
     let start = TaskCommand::Start { id: TASK, attempt: 3 };
-    assert_eq!(unacknowledged_after(start.clone(), Some(TaskStatus::Fetching)), 0);
-    assert_eq!(unacknowledged_after(start.clone(), Some(TaskStatus::Exited(ExitReason::Busy))), 0);
-    assert_eq!(unacknowledged_after(start, None), 1);
+    assert_eq!(responses_without_effect_after(start.clone(), Some(TaskStatus::Fetching)), 0);
+    assert_eq!(responses_without_effect_after(start.clone(), Some(TaskStatus::Exited(ExitReason::Busy))), 0);
+    assert_eq!(responses_without_effect_after(start, None), 1);
 }
 
 #[test]
 fn stop_is_acknowledged_when_the_task_does_not_run() {
     let stop = TaskCommand::Stop { id: TASK, attempt: 3, grace_s: 0.0 };
-    assert_eq!(unacknowledged_after(stop.clone(), None), 0);
-    assert_eq!(unacknowledged_after(stop.clone(), Some(TaskStatus::Saving)), 0);
-    assert_eq!(unacknowledged_after(stop.clone(), Some(TaskStatus::Running)), 1);
-    assert_eq!(unacknowledged_after(stop, Some(TaskStatus::Fetching)), 1);
+    assert_eq!(responses_without_effect_after(stop.clone(), None), 0);
+    assert_eq!(responses_without_effect_after(stop.clone(), Some(TaskStatus::Saving)), 0);
+    assert_eq!(responses_without_effect_after(stop.clone(), Some(TaskStatus::Running)), 1);
+    assert_eq!(responses_without_effect_after(stop, Some(TaskStatus::Fetching)), 1);
 }
 
 #[test]
 fn forget_is_acknowledged_when_the_task_is_not_listed() {
     let forget = TaskCommand::Forget { id: TASK, attempt: 3 };
-    assert_eq!(unacknowledged_after(forget.clone(), None), 0);
-    assert_eq!(unacknowledged_after(forget, Some(TaskStatus::Exited(ExitReason::Done))), 1);
+    assert_eq!(responses_without_effect_after(forget.clone(), None), 0);
+    assert_eq!(responses_without_effect_after(forget, Some(TaskStatus::Exited(ExitReason::Done))), 1);
 }
 
 #[test]
 fn other_attempt_of_the_task_acknowledges_no_start() {
     let start = TaskCommand::Start { id: TASK, attempt: 4 };
-    assert_eq!(unacknowledged_after(start, Some(TaskStatus::Running)), 1);
+    assert_eq!(responses_without_effect_after(start, Some(TaskStatus::Running)), 1);
 }
 
 #[test]
 fn first_response_is_acknowledged_by_the_fencing_token() {
     let mut commands = CommandTracker { token_unacknowledged: true, ..CommandTracker::default() };
-    commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN - 1), None), FencingToken(TOKEN));
+    commands.assess_response_delivery(1, &heartbeat(1, FencingToken(TOKEN - 1), None), FencingToken(TOKEN));
     assert_eq!(commands.responses_without_effect, 1);
     commands.token_unacknowledged = true;
-    commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
+    commands.assess_response_delivery(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
     assert_eq!(commands.responses_without_effect, 0);
 }
 
 #[test]
 fn heartbeat_after_an_empty_response_leaves_the_count_unchanged() {
     let mut commands = CommandTracker { responses_without_effect: 2, ..CommandTracker::default() };
-    commands.assess_reachability(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
+    commands.assess_response_delivery(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
     assert_eq!(commands.responses_without_effect, 2);
 }
 
 #[test]
-fn new_agent_epoch_despite_commands_counts_as_unacknowledged() {
+fn new_agent_epoch_with_unacknowledged_commands_counts_as_response_without_effect() {
     let start = TaskCommand::Start { id: TASK, attempt: 3 };
-    for (agent_epoch, expected) in [(0, 0), (1, 1)] {
+    for (previous_agent_epoch, expected) in [(0, 0), (1, 1)] {
         let mut commands =
             CommandTracker { unacknowledged: vec![start.clone()], ..CommandTracker::default() };
-        commands.assess_reachability(
-            agent_epoch,
+        commands.assess_response_delivery(
+            previous_agent_epoch,
             &heartbeat(2, FencingToken(TOKEN), None),
             FencingToken(TOKEN),
         );
-        assert_eq!(commands.responses_without_effect, expected, "after epoch {agent_epoch}");
+        assert_eq!(commands.responses_without_effect, expected, "after epoch {previous_agent_epoch}");
     }
 }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -15,7 +15,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Writes of a finished job besides its chunks of finished tasks: its final state and its live record.
+/// Writes of a finished job besides its chunks of finished tasks: a put of its final state, and a delete of
+/// its live record, which it had while unfinished.
 const FINAL_WRITES: f64 = 2.0;
 /// Bytes that an image takes in a record besides its name: quotes and a comma.
 const IMAGE_OVERHEAD_BYTES: usize = 3;
@@ -24,11 +25,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
     /// No write is due: the last requested one is in flight or has ended.
-    Written,
+    NotDue,
     /// The images of a machine changed. They only improve placements after a failover.
     Images,
-    /// A machine was deleted. In its record, it would cost the next leader a deletion before inherited work
-    /// starts.
+    /// A machine was deleted, or moved to another record. As long as the record names a deleted machine, the
+    /// next leader has to delete it before inherited work starts.
     RemovedMachine,
     /// A machine is new. It gets no task before its record is written.
     NewMachine,
@@ -53,7 +54,7 @@
     }
 
     fn request_write(&mut self, urgency: Urgency, now: Timestamp) {
-        if self.urgency == Urgency::Written {
+        if self.urgency == Urgency::NotDue {
             self.due_since = now;
         }
         self.urgency = self.urgency.max(urgency);
@@ -68,19 +69,20 @@
 /// The records of machines, by the last part of their keys in the state service.
 #[derive(Debug, Default)]
 pub struct Records {
-    records: BTreeMap<String, Record>,
+    by_key: BTreeMap<String, Record>,
     /// The record that each machine is in.
     key_of_machine: BTreeMap<String, String>,
     keys_made: u64,
 }
 
 impl Records {
-    /// Returns a key of token and running number that no record has and that is not `reserved`.
+    /// Returns a new key, made of the token and a running number. `reserved`: the key of a record that is
+    /// being loaded and is not in `by_key` yet.
     fn new_key(&mut self, token: FencingToken, reserved: &str) -> String {
         loop {
             self.keys_made += 1;
             let key = format!("{token}-{}", self.keys_made);
-            if key != reserved && !self.records.contains_key(&key) {
+            if key != reserved && !self.by_key.contains_key(&key) {
                 return key;
             }
         }
@@ -91,7 +93,7 @@
         if let Some(key) = self.key_of_machine.get(machine) {
             return key.clone();
         }
-        let with_room = self.records.iter().rev().find(|(_, record)| record.machines.len() < max_machines);
+        let with_room = self.by_key.iter().rev().find(|(_, record)| record.machines.len() < max_machines);
         match with_room {
             Some((key, _)) => key.clone(),
             None => self.new_key(token, ""),
@@ -101,14 +103,14 @@
     /// Keys of the records of at least this urgency whose write was requested `delay` ago and has nothing to
     /// wait for.
     fn due(&self, urgency: Urgency, delay: Duration, now: Timestamp) -> Vec<String> {
-        let is_written = |key: &String| self.records.get(key).is_none_or(Record::has_no_new_machine);
+        let is_written = |key: &String| self.by_key.get(key).is_none_or(Record::has_no_new_machine);
         let is_due = |record: &Record| {
             record.urgency >= urgency
                 && record.in_flight.is_none()
                 && now >= record.due_since + delay
                 && record.write_after.iter().all(is_written)
         };
-        self.records.iter().filter(|(_, record)| is_due(record)).map(|(key, _)| key.clone()).collect()
+        self.by_key.iter().filter(|(_, record)| is_due(record)).map(|(key, _)| key.clone()).collect()
     }
 }
 
@@ -129,7 +131,7 @@
         let key = records.key_for(name, self.config.max_machines_per_record, self.config.token);
         records.key_of_machine.insert(name.to_string(), key.clone());
         let record =
-            records.records.entry(key).or_insert_with(|| Record::new(BTreeSet::new(), Urgency::Written, now));
+            records.by_key.entry(key).or_insert_with(|| Record::new(BTreeSet::new(), Urgency::NotDue, now));
         let is_added = record.machines.insert(name.to_string());
         // A machine whose first write is due or in flight needs no second one.
         if is_added || urgency == Urgency::Images {
@@ -158,7 +160,7 @@
             self.insert_record(new_key.clone(), Record::new(excess, Urgency::NewMachine, now));
             new_keys.push(new_key);
         }
-        let urgency = if new_keys.is_empty() { Urgency::Written } else { Urgency::RemovedMachine };
+        let urgency = if new_keys.is_empty() { Urgency::NotDue } else { Urgency::RemovedMachine };
         let mut record = Record::new(remaining.into_iter().collect(), urgency, now);
         record.write_after = new_keys;
         self.insert_record(key, record);
@@ -177,13 +179,13 @@
     fn insert_record(&mut self, key: String, record: Record) {
         let entries = record.machines.iter().map(|name| (name.clone(), key.clone()));
         self.machine_records.key_of_machine.extend(entries);
-        self.machine_records.records.insert(key, record);
+        self.machine_records.by_key.insert(key, record);
     }
 
     /// Removes a deleted machine from its record, and requests a write of the record.
     pub fn unrecord(&mut self, name: &str) {
         let Some(key) = self.machine_records.key_of_machine.remove(name) else { return };
-        if let Some(record) = self.machine_records.records.get_mut(&key) {
+        if let Some(record) = self.machine_records.by_key.get_mut(&key) {
             record.machines.remove(name);
             record.request_write(Urgency::RemovedMachine, self.now);
         }
@@ -191,14 +193,14 @@
 
     /// Applies the outcome of the write of a record. A failed write is requested again.
     pub fn handle_machine_record_written(&mut self, key: &str, outcome: RequestOutcome) {
-        let Some(record) = self.machine_records.records.get_mut(key) else { return };
+        let Some(record) = self.machine_records.by_key.get_mut(key) else { return };
         let Some(written) = record.in_flight.take() else { return };
         if outcome != RequestOutcome::Done {
             record.request_write(Urgency::NewMachine, self.now);
             return;
         }
-        if record.machines.is_empty() && record.urgency == Urgency::Written {
-            self.machine_records.records.remove(key);
+        if record.machines.is_empty() && record.urgency == Urgency::NotDue {
+            self.machine_records.by_key.remove(key);
         }
         for name in written {
             if let Some(machine) = self.machines.get_mut(&name) {
@@ -228,8 +230,8 @@
             if !self.write_budget.take_allowing_debt(1.0) {
                 return false;
             }
-            let Some(record) = self.machine_records.records.get_mut(&key) else { continue };
-            record.urgency = Urgency::Written;
+            let Some(record) = self.machine_records.by_key.get_mut(&key) else { continue };
+            record.urgency = Urgency::NotDue;
             record.write_after.clear();
             record.in_flight = Some(record.machines.clone());
             let machines = record.machines.iter().filter_map(|name| self.machines.get(name));
@@ -256,9 +258,9 @@
         true
     }
 
-    /// Writes the finished tasks of jobs with unfinished ones, `FINISHED_TASKS_DELAY` after the first of
-    /// them. Until then the workers keep their results, and tasks that finish meanwhile are written with
-    /// them. Returns whether the budget sufficed.
+    /// For each job that still has unfinished tasks, writes its finished ones `FINISHED_TASKS_DELAY` after
+    /// the first of them finished, together with those that finished meanwhile. Until then the workers keep
+    /// the results. Returns whether the budget sufficed.
     fn write_finished_tasks(&mut self) -> bool {
         let now = self.now;
         let mut ready: Vec<(Option<Timestamp>, JobId)> = self
--- a/src/scheduler/stale_heartbeats.rs
+++ b/src/scheduler/stale_heartbeats.rs
@@ -16,11 +16,11 @@
 }
 
 impl Scheduler {
-    /// Ignores the task list of a heartbeat that is not newer than the newest.
+    /// Ignores the task list of a heartbeat that is not newer than the newest one applied.
     ///
     /// A periodic heartbeat may have been overtaken by the response to a direct command. Its worker still
-    /// waits for a response, which renews the lease, so the renewal must be recorded. Without that record,
-    /// tasks were started elsewhere seconds before the lease under which they ran had ended.
+    /// waits for a response, which renews the lease, so the renewal must be recorded. Otherwise tasks would
+    /// be started elsewhere seconds before the lease under which they run ends.
     pub(super) fn ignore_late_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -42,7 +42,7 @@
             self.ignored_heartbeats.overtaken += 1;
             return HeartbeatOutcome::Overtaken;
         }
-        debug!(machine = name, agent_epoch, sequence, newest, periodic, "late heartbeat ignored");
+        debug!(machine = name, agent_epoch, sequence, newest, periodic, "stale heartbeat ignored");
         if !periodic {
             return HeartbeatOutcome::Stale;
         }
@@ -50,7 +50,10 @@
             machine.heartbeats.stale_logged = true;
             info!(
                 machine = name,
-                agent_epoch, sequence, newest, "late or duplicate heartbeat; further ones are only counted"
+                agent_epoch,
+                sequence,
+                newest,
+                "late or duplicate heartbeat ignored, lease not renewed; others of this machine only counted"
             );
         }
         self.ignored_heartbeats.stale += 1;
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -78,8 +78,8 @@
         }
         let succeeded = match job.spec.kind {
             Kind::Service => 0..0,
-            // The tasks of a gang complete together: recording them must not wait for the heartbeat of a lost
-            // machine.
+            // The tasks of a gang complete together, so one success is recorded for all: the machines of the
+            // others may be lost before they report.
             Kind::Gang => 0..job.spec.tasks,
             Kind::Array => id.task..id.task + 1,
         };
@@ -88,8 +88,9 @@
 
     /// Compares the run time of a succeeded task with the mean of earlier ones of its job.
     ///
-    /// Run times within one job differ by about half. A task that takes far longer than the mean counts
-    /// against its machine; after several in a row the machine gets no arrays and gangs for a while.
+    /// Run times within one job differ by up to 2.3 times from shortest to longest. A task that takes more
+    /// than `SLOW_FACTOR` times the mean counts against its machine; after `MAX_SLOW_TASKS` in a row the
+    /// machine gets no arrays and gangs for a while.
     fn assess_speed(&mut self, name: &str, job_id: JobId, run_time: Duration) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let earlier = job.run_times;
--- a/src/scheduler/task_lists.rs
+++ b/src/scheduler/task_lists.rs
@@ -19,9 +19,10 @@
     live: BTreeSet<TaskAttempt>,
     /// Tasks that have exited.
     exited: BTreeSet<TaskAttempt>,
-    /// See `UnplacedTasks::orphaned`.
+    /// Tasks of jobs that do not exist, which are to be stopped; see `UnplacedTasks::orphaned`.
     orphaned: BTreeSet<TaskAttempt>,
-    /// See `UnplacedTasks::unverified`.
+    /// Tasks left alone until the state service has been asked about their jobs, and when each was first
+    /// reported; see `UnplacedTasks::unverified`.
     unverified: BTreeMap<TaskAttempt, Timestamp>,
 }
 
@@ -53,7 +54,8 @@
 }
 
 impl Machine {
-    /// Records an image, which the machine has since a task of it runs. Returns whether that is new.
+    /// Records that the machine has the image, because a task that uses it runs there. Returns whether the
+    /// image was not recorded before.
     fn record_image(&mut self, image: &str) -> bool {
         if self.image_cache.images.contains(image) {
             return false;
@@ -112,7 +114,8 @@
             Some(placement) if placement.attempt == task.attempt || !placement.confirmed => {
                 placement.confirm(task, now);
             }
-            // The worker never holds two attempts of one task.
+            // Another attempt than the confirmed one is listed. A worker never holds two attempts of one
+            // task, so the confirmed one is gone: `remove_unlisted` removes its placement.
             Some(_) => {}
             None => {
                 machine.tasks.insert(task.id, Placement::adopted(task, &job.spec, now));
@@ -140,7 +143,7 @@
     fn adopt(&mut self, name: &str, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
         let is_elsewhere = job.placements.get(&id.task).is_some_and(|names| !names.is_empty());
-        let has_succeeded = job.progress.succeeded.contains(&id.task) || id.task >= job.spec.tasks;
+        let must_not_run = job.progress.succeeded.contains(&id.task) || id.task >= job.spec.tasks;
         job.progress.pending.remove(&id.task);
         let names = job.placements.entry(id.task).or_default();
         if !names.iter().any(|other| other == name) {
@@ -152,7 +155,7 @@
         if is_elsewhere {
             warn!(task = %id, machine = name, "task is on two machines; stopping it on this machine");
         }
-        if terminated || is_elsewhere || has_succeeded {
+        if terminated || is_elsewhere || must_not_run {
             self.request_stop(name, id, 0.0);
         }
     }
