--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -72,8 +72,9 @@
         None
     }
 
-    /// How many tasks of the job may start now, given its width, its team's limit and the pace of a cold
-    /// start. At least 1; the error is the reason why none may start.
+    /// How many tasks of the job may start now, given its width, its team's limit and, for a job inherited
+    /// from an earlier leader, the pace of a cold start. At least 1; the error is the reason why none may
+    /// start.
     fn tasks_to_start(
         &mut self,
         job_id: JobId,
@@ -82,11 +83,12 @@
     ) -> Result<u32, PendingReason> {
         let Some(job) = self.jobs.get(&job_id) else { return Err(PendingReason::RescaleGap) };
         let (placed, admission_minimum) = (job.placements.len() as u32, job.admission_width());
-        let missing = self.missing_tasks(job, pass);
-        if missing == 0 {
+        let allowed_by_width = self.tasks_allowed_by_width(job, pass);
+        // A pending task that the width does not allow is growth, which waits for the end of the gap.
+        if allowed_by_width == 0 {
             return Err(PendingReason::RescaleGap);
         }
-        let allowed = missing.min(self.tasks_within_limit(job, team_usage));
+        let allowed = allowed_by_width.min(self.tasks_within_limit(job, team_usage));
         let allowed =
             if self.is_limited_to_minimum(job, pass) { allowed.min(job.minimum_width()) } else { allowed };
         let tasks = self.tasks_allowed_by_start_pace(&job_id, allowed);
@@ -103,7 +105,7 @@
 
     /// How many pending tasks the job may start, given its width (figure 3). Restoring lost width ignores the
     /// rescale gap; growth beyond the width waits until the gap has passed.
-    fn missing_tasks(&self, job: &Job, pass: Pass) -> u32 {
+    fn tasks_allowed_by_width(&self, job: &Job, pass: Pass) -> u32 {
         let placed = job.placements.len() as u32;
         let may_grow = placed == 0 || pass == Pass::Leftover || !self.is_in_rescale_gap(job);
         let target = if may_grow {
@@ -115,7 +117,8 @@
     }
 
     /// Exception 5 of `docs/design.md`: an array whose rank is raised because it has waited long for its
-    /// first task gets only its minimum width by that rank. It grows further by its regular rank.
+    /// first task starts with only its minimum width. Once started, it has its regular rank again, which
+    /// decides when it grows.
     fn is_limited_to_minimum(&self, job: &Job, pass: Pass) -> bool {
         pass == Pass::Regular
             && job.spec.kind == Kind::Array
@@ -141,8 +144,9 @@
         self.admission_after_placement(job_id)
     }
 
-    /// Exception 6 of `docs/design.md`: image fetches share a machine's rate only after the job has waited
-    /// for `SHARED_FETCH_DELAY`.
+    /// Exception 6 of `docs/design.md`: tasks of the job may go to machines that are fetching another image,
+    /// where the two fetches share the fetch rate, only after the job has waited for `SHARED_FETCH_DELAY`
+    /// since its submission or its last change of width.
     fn shared_fetch(&self, job: &Job) -> SharedFetch {
         let waits_since = job.submitted_at.max(job.elasticity.last_resized_at);
         if self.now < waits_since + limits::SHARED_FETCH_DELAY {
@@ -162,8 +166,8 @@
         }
     }
 
-    /// Exception 2 of `docs/design.md`: the remaining replicas of a service may preempt. Other jobs have
-    /// their admission minimum.
+    /// Whether the job may preempt for the tasks that are still pending after some were placed. A service may
+    /// (exception 2 of `docs/design.md`). Other jobs have their admission minimum by now and may not.
     fn admission_after_placement(&mut self, job_id: JobId) -> Admission {
         let Some(job) = self.jobs.get(&job_id).filter(|job| !job.progress.pending.is_empty()) else {
             return Admission::Settled;
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Preempts tasks of lower jobs for the tasks missing from the job's minimum width (figure 2). If that is
+    /// Preempts tasks of other jobs for the tasks missing from the job's minimum width (figure 2). If that is
     /// impossible for a service, tries again for a single replica (exception 2 of `docs/design.md`).
     fn preempt_for_minimum(&mut self, job_id: JobId, round: &mut Round) {
         let Some(job) = self.jobs.get(&job_id) else { return };
@@ -184,11 +188,11 @@
         let missing =
             job.minimum_width().saturating_sub(placed).max(1).min(job.progress.pending.len() as u32);
         let is_service = job.spec.kind == Kind::Service;
-        match self.preempt_for(job_id, missing, round) {
+        match self.try_preempt_for(job_id, missing, round) {
             Preemption::UnderWay => {}
             // Replicas serve independently of each other.
             Preemption::Impossible if is_service && missing > 1 => {
-                let _second_attempt = self.preempt_for(job_id, 1, round);
+                let _second_attempt = self.try_preempt_for(job_id, 1, round);
             }
             Preemption::Impossible => {}
         }
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -16,10 +16,10 @@
 /// Whether a task may go to a machine where its image would be fetched at the same time as another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::scheduler) enum SharedFetch {
-    /// Simultaneous fetches share the machine's rate. Fetched one after the other, the first image arrives
-    /// earlier and the last one no later (exception 6 of `docs/design.md`).
+    /// It may not: simultaneous fetches share the machine's fetch rate. Fetched one after the other, the
+    /// first image arrives earlier and the last one no later (exception 6 of `docs/design.md`).
     Avoid,
-    /// A fetch may be shared.
+    /// It may.
     Allow,
 }
 
@@ -30,7 +30,7 @@
     pub job: &'a Job,
     /// Maximum number of tasks to find machines for.
     pub tasks: u32,
-    /// Whether image fetches may share a machine's rate.
+    /// Whether image fetches may share a machine's fetch rate.
     pub shared_fetch: SharedFetch,
 }
 
@@ -45,8 +45,8 @@
 
 impl Scheduler {
     /// Names of machines for the tasks of the request, best first, with one entry per task: a machine that
-    /// takes several tasks is listed several times. The free slots of figure 2 of the paper are places that
-    /// fit a task here. Adds the decision steps taken to `steps`.
+    /// takes several tasks is listed several times. What figure 2 of the paper calls free slots are here the
+    /// places with room for a task. Adds the decision steps taken to `steps`.
     pub(in crate::scheduler) fn find_machines(
         &self,
         request: PlacementRequest<'_>,
@@ -61,7 +61,7 @@
         let mut pool = CandidatePool {
             job: request.job,
             by_zone,
-            zone_count: ZoneCount::of(request.job, &self.machines),
+            tasks_by_zone: ZoneCount::of(request.job, &self.machines),
             headroom: HeadroomGuard::new(request.job, capacity),
         };
         pool.sort(steps);
@@ -103,9 +103,9 @@
     }
 
     /// Filter: whether the job may use the machine now, regardless of the machine's free resources. A
-    /// consolidation target is closed to jobs that may use spot machines (exception 3 of `docs/design.md`). A
-    /// replacement is reserved for critical jobs and the tasks that move off the machine it replaces. A
-    /// quarantined machine takes services only.
+    /// consolidation target, a machine to be emptied, is closed to jobs that may use spot machines (exception
+    /// 3 of `docs/design.md`). A replacement is reserved for critical jobs and the tasks that move off the
+    /// machine it replaces. A quarantined machine takes services only.
     fn passes_filter(&self, job: &Job, machine: &Machine) -> bool {
         // A suspected job has failed on several machines; excluding them might leave it none.
         let failed_here = !job.is_suspected() && job.failure_history.machines.contains(&machine.name);
@@ -122,7 +122,8 @@
         // A task placed on a machine that will be drained would have to move again.
         score.penalty += i64::from(self.drains.is_targeted(&machine.name));
         // All tasks of a gang wait for the last one to start, and starts are sent in responses to heartbeats:
-        // prefer machines whose next heartbeat is due soon.
+        // prefer machines whose next heartbeat is due soon. A second until then counts twice as much as each
+        // of the other reasons in the penalty.
         if job.spec.kind == Kind::Gang {
             score.penalty += 2 * self.heartbeat_due_s(machine);
         }
@@ -135,7 +136,7 @@
     job: &'a Job,
     /// The candidates of each zone. After `sort` the best one is last, so that it can be popped.
     by_zone: BTreeMap<&'a str, Vec<Candidate<'a>>>,
-    zone_count: ZoneCount,
+    tasks_by_zone: ZoneCount,
     headroom: HeadroomGuard,
 }
 
@@ -164,7 +165,7 @@
                 continue;
             }
             self.headroom.take(best.machine, &best.available, request);
-            self.zone_count.add(&best.machine.zone);
+            self.tasks_by_zone.add(&best.machine.zone);
             assigned.push(best.machine.name.clone());
             best.available = best.available.minus(request);
             best.remainder = scoring::best_fit_remainder(self.job, &best.available);
@@ -179,11 +180,11 @@
     /// Between equal scores, critical jobs prefer the zone with fewest of their tasks.
     fn best_zone(&self) -> Option<&'a str> {
         let spreads = self.job.spec.priority == Priority::Critical;
-        let allowed_zones = self.by_zone.iter().filter(|(zone, _)| self.zone_count.allows(self.job, zone));
+        let allowed_zones = self.by_zone.iter().filter(|(zone, _)| self.tasks_by_zone.allows(self.job, zone));
         allowed_zones
             .filter_map(|(zone, candidates)| candidates.last().map(|best| (*zone, best)))
             .min_by_key(|(zone, best)| {
-                let tasks_in_zone = if spreads { self.zone_count.get(zone) } else { 0 };
+                let tasks_in_zone = if spreads { self.tasks_by_zone.get(zone) } else { 0 };
                 (best.score, tasks_in_zone, best.remainder, &best.machine.name)
             })
             .map(|(zone, _)| zone)
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -12,20 +12,20 @@
 /// Computed once per round, since examining every machine for every job does not scale.
 #[derive(Clone)]
 pub struct FreeCapacity {
-    /// Free resources by machine name, for machines that can hold the smallest waiting request (the least
-    /// amount of each resource). No waiting task fits on the others.
+    /// Free resources by machine name, for machines that can hold the smallest waiting request (of each
+    /// resource the least amount that a waiting job requests). No waiting task fits on the others.
     pub(super) available: BTreeMap<String, Resources>,
     /// The machines of `available` by equivalence class.
     pub(super) classes: EquivalenceClasses,
-    /// By zone, the number of places for the largest critical task on those machines that are ordinary (not
-    /// spot).
-    pub(super) critical_places: BTreeMap<String, i64>,
+    /// By zone, the number of places for the largest critical task on the ordinary (not spot) machines of
+    /// `available`.
+    pub(super) critical_places_by_zone: BTreeMap<String, i64>,
     /// By machine name, the resources that stops under way will free.
     pub(super) freed_by_stops: BTreeMap<String, Resources>,
     /// By job, the number of its tasks that were asked to stop.
     pub(super) stopping_tasks: BTreeMap<JobId, u32>,
     /// Resources of one place for a critical task. None: there are no critical jobs.
-    pub(super) critical_place: Option<Resources>,
+    pub(super) critical_place_size: Option<Resources>,
     /// Number of places kept free in each zone for critical services.
     pub(super) headroom_per_zone: i64,
     /// The lowest priority among arrays with placed tasks. None: there are no such arrays.
@@ -64,7 +64,7 @@
         self.set(machine, available);
     }
 
-    /// Limits the resources of the machine that all jobs may use to `room`; the rest is reserved.
+    /// Makes only `room` of the machine's resources available to jobs; the rest is reserved for moves.
     pub(in crate::scheduler) fn limit_available(&mut self, machine: &Machine, room: Resources) {
         if self.available.contains_key(&machine.name) {
             self.set(machine, room);
@@ -81,15 +81,15 @@
         self.count_critical_places(machine, before, available);
     }
 
-    /// Updates `critical_places` for a machine whose free resources change from `before` to `after`. A
-    /// `before` of None: the machine was not counted yet.
+    /// Updates `critical_places_by_zone` for a machine whose free resources change from `before` to `after`.
+    /// A `before` of None: the machine was not counted yet.
     fn count_critical_places(&mut self, machine: &Machine, before: Option<Resources>, after: Resources) {
-        let Some(place) = self.critical_place.filter(|_| !machine.spot) else { return };
+        let Some(place) = self.critical_place_size.filter(|_| !machine.spot) else { return };
         let change = place.count_in(&after) - before.map_or(0, |before| place.count_in(&before));
-        match self.critical_places.get_mut(&machine.zone) {
+        match self.critical_places_by_zone.get_mut(&machine.zone) {
             Some(places) => *places += change,
             None => {
-                self.critical_places.insert(machine.zone.clone(), change);
+                self.critical_places_by_zone.insert(machine.zone.clone(), change);
             }
         }
     }
@@ -150,10 +150,10 @@
         FreeCapacity {
             available: BTreeMap::new(),
             classes: EquivalenceClasses::default(),
-            critical_places: BTreeMap::new(),
+            critical_places_by_zone: BTreeMap::new(),
             freed_by_stops: BTreeMap::new(),
             stopping_tasks: BTreeMap::new(),
-            critical_place: self.critical_place(),
+            critical_place_size: self.critical_place(),
             headroom_per_zone: self.headroom_per_zone(),
             lowest_preemptible: preemptible.map(|job| job.spec.priority).min(),
             preemption_order: None,
--- a/src/scheduler/elastic/equivalence_class.rs
+++ b/src/scheduler/elastic/equivalence_class.rs
@@ -18,7 +18,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneIndex(usize);
 
-/// The properties that two machines share if they are equivalent for every job that has failed on neither.
+/// What the machines of one class have in common. Not part of it: their images, past failures of a job on
+/// them, and when their next heartbeats are due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EquivalenceClass {
     machine_type: TypeIndex,
@@ -165,16 +166,22 @@
         warm: WarmMachines<'_>,
         names: &mut BTreeSet<&'a str>,
     ) -> usize {
-        let mut warm_remaining = if warm.are_all_evaluated() { 0 } else { tasks };
-        let mut cold_remaining = tasks;
+        let mut with_image_remaining = if warm.are_all_evaluated() { 0 } else { tasks };
+        let mut without_image_remaining = tasks;
         for (index, name) in members.iter().enumerate() {
-            let remaining = if warm.contains(name) { &mut warm_remaining } else { &mut cold_remaining };
+            let remaining =
+                if warm.contains(name) { &mut with_image_remaining } else { &mut without_image_remaining };
             if *remaining > 0 && !self.unclassified.contains(name) {
                 *remaining -= 1;
                 names.insert(name);
             }
-            // Within a class, all machines with the image are better than those without.
-            let is_enough = if warm.are_all_evaluated() { cold_remaining == 0 } else { warm_remaining == 0 };
+            // Within a class, all machines with the image are better than those without, so `tasks` of them
+            // are enough. If they are all evaluated anyway, only members without the image are counted here.
+            let is_enough = if warm.are_all_evaluated() {
+                without_image_remaining == 0
+            } else {
+                with_image_remaining == 0
+            };
             if is_enough {
                 return index + 1;
             }
--- a/src/scheduler/elastic/headroom_guard.rs
+++ b/src/scheduler/elastic/headroom_guard.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::model::{Job, Machine, Priority, Resources};
 use std::collections::BTreeMap;
 
-/// Limits how many places for critical tasks the tasks of one job may use up. Only ordinary machines have
+/// Limits how many of the places for critical tasks one job may use up. Only ordinary machines have
 /// such places; spot machines have none.
 pub(super) struct HeadroomGuard {
     /// Resources of one place. None: the job may use all places, because it is critical or because there are
@@ -16,10 +16,10 @@
 
 impl HeadroomGuard {
     pub(super) fn new(job: &Job, capacity: &FreeCapacity) -> Self {
-        let place = capacity.critical_place.filter(|_| job.spec.priority != Priority::Critical);
+        let place = capacity.critical_place_size.filter(|_| job.spec.priority != Priority::Critical);
         let mut spare = BTreeMap::new();
         if place.is_some() {
-            spare.clone_from(&capacity.critical_places);
+            spare.clone_from(&capacity.critical_places_by_zone);
             spare.values_mut().for_each(|places| *places -= capacity.headroom_per_zone);
         }
         HeadroomGuard { place, spare }
--- a/src/scheduler/elastic/headroom_guard_tests.rs
+++ b/src/scheduler/elastic/headroom_guard_tests.rs
@@ -1,4 +1,4 @@
-//! Guards against tasks of other jobs using up the places kept free for critical services.
+//! Tests that jobs that are not critical do not use up the places kept free for critical services.
 
 use super::*;
 use crate::scheduler::scoring::tests::machine;
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -2,6 +2,10 @@
 //! fit. Follows figures 2 and 3 of the paper with the exceptions of `docs/design.md`. `Scheduler::step` runs
 //! a round when one is due.
 //!
+//! The width of a job is the number of its tasks that run at once, its maximum width the number of its
+//! unfinished tasks, and a slot a place that fits one of its tasks. The rescale gap is the time after a
+//! change of a job's width in which the width is normally not changed again.
+//!
 //! Jobs are considered by aged priority, earlier ones first. A waiting job starts with the smaller of its
 //! maximum width and the number of free slots, if that is at least its minimum width. Otherwise jobs of lower
 //! priority that are outside their rescale gap are shrunk, lowest first and never below their minimum width,
@@ -34,9 +38,9 @@
 pub(in crate::scheduler) struct Round {
     /// Free capacity after the decisions made so far.
     pub capacity: FreeCapacity,
-    /// Decision steps taken so far.
+    /// Decision steps taken so far: one for each job, machine or victim examined and each task assigned.
     pub steps: usize,
-    /// Limit of the decision steps.
+    /// Maximum number of decision steps.
     budget: usize,
 }
 
@@ -63,7 +67,8 @@
     }
 
     /// Determines the free capacity and the budget. The steps for examining every machine are added to the
-    /// budget, so that they do not reduce the steps for jobs.
+    /// budget, so that they do not reduce the steps for jobs. The steps for jobs suffice for `MIN_ROUND_JOBS`
+    /// jobs that each examine every machine.
     fn begin_round(&self, order: &[JobId]) -> Round {
         let mut steps = 0;
         let capacity = self.free_capacity(order, &mut steps);
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -28,10 +28,10 @@
 }
 
 impl Scheduler {
-    /// Figure 2: stops the newest tasks of lower jobs, lowest job first, if that frees places for `missing`
-    /// tasks of the job. Places that stops under way will free are used first, so that no second preemption
-    /// is made for them, and so are places on machines that are fetching an image for another job.
-    pub(super) fn preempt_for(&mut self, job_id: JobId, missing: u32, round: &mut Round) -> Preemption {
+    /// Figure 2: stops tasks of other jobs if that frees places for `missing` tasks of the job, beginning
+    /// with the job of lowest rank and in each job with the newest task. If places that stops under way will
+    /// free and places on machines that are fetching another image suffice, reserves those and stops nothing.
+    pub(super) fn try_preempt_for(&mut self, job_id: JobId, missing: u32, round: &mut Round) -> Preemption {
         let Some(job) = self.jobs.get(&job_id) else { return Preemption::Impossible };
         let request = job.spec.resource_request;
         let after_stops = round.capacity.after_stops(&self.machines);
@@ -52,7 +52,7 @@
             return Preemption::Impossible;
         };
         round.capacity.take_on_each(&plan.targets, &self.machines, &request);
-        self.preempt(job_id, plan, &mut round.capacity);
+        self.request_victim_stops(job_id, plan, &mut round.capacity);
         self.set_pending_reason(job_id, PendingReason::PreemptionUnderWay);
         Preemption::UnderWay
     }
@@ -73,7 +73,8 @@
         steps: &mut usize,
     ) -> Option<PreemptionPlan> {
         // Exception 4 of `docs/design.md`: for a critical job, protection is lifted in stages. Otherwise many
-        // lower jobs at their minimum of one task each would block it until a new machine has booted.
+        // jobs of lower priority at their minimum of one task each would block it until a new machine has
+        // booted.
         let stages: &[Protection] = match newcomer.job.spec.priority {
             Priority::Critical => &[Protection::GapAndMinimum, Protection::Minimum, Protection::None],
             Priority::Low | Priority::Normal | Priority::High => &[Protection::GapAndMinimum],
@@ -93,7 +94,7 @@
 
     /// Requests the stops of the victims, which begins the rescale gap of their jobs. Their resources are
     /// free once the workers confirm the stops (paper, 3.1).
-    fn preempt(&mut self, newcomer: JobId, plan: PreemptionPlan, capacity: &mut FreeCapacity) {
+    fn request_victim_stops(&mut self, newcomer: JobId, plan: PreemptionPlan, capacity: &mut FreeCapacity) {
         let now = self.now;
         for Victim { machine, task } in plan.victims {
             debug!(task = %task, machine, preempting_job = %newcomer, "preempting task");
@@ -124,10 +125,9 @@
         }
         let is_guaranteed = self.within_guarantee(&job.spec.team, &job.spec.resource_request, usage);
         let victim_is_guaranteed = self.within_guarantee(&victim.spec.team, &Resources::default(), usage);
-        // Without this protection, two teams preempted each other in a loop: capacity that a team reclaimed
-        // within its guarantee was preempted again by a job of higher priority that its own team's guarantee
-        // did not cover. Critical jobs may ignore the protection: they are not preempted, so no loop can
-        // arise.
+        // Without this protection, two teams would preempt each other in a loop: team A, within its
+        // guarantee, preempts team B; then a job of B that has a higher priority but exceeds B's guarantee
+        // preempts A. Critical jobs may ignore the protection: they are not preempted, so no loop can arise.
         let is_protected = victim_is_guaranteed && !is_guaranteed && job.spec.priority != Priority::Critical;
         is_guaranteed && !victim_is_guaranteed || is_higher && !is_protected
     }
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -18,8 +18,8 @@
 impl Scheduler {
     /// Aged rank, in thousandths of a priority class: the class plus what the job has gained by age. Higher
     /// is served first. Every job ages from its submission. If only waiting jobs aged, a new job would
-    /// overtake earlier jobs that are still growing, and a job below its width would be preempted after an
-    /// earlier job that has its full width.
+    /// overtake earlier jobs that are still growing, and a later job that still waits for tasks would outrank
+    /// an earlier one that has its full width, which would then be preempted first.
     ///
     /// A job that has not started any task for `AGING_DELAY` ages faster, so that wide jobs do not starve
     /// (exception 5 of `docs/design.md`).
@@ -28,16 +28,16 @@
         if job.has_started() || job.spec.priority == Priority::Critical {
             return rank;
         }
-        rank.max(self.aged_rank(job, job.submitted_at + limits::AGING_DELAY, limits::AGING_INTERVAL))
+        rank.max(self.rank_after_aging(job, job.submitted_at + limits::AGING_DELAY, limits::AGING_INTERVAL))
     }
 
-    /// The rank without exception 5. Before the scaling by size, a job with a deadline gains at least one
-    /// priority class by its deadline. A job that has missed its deadline ages at the normal rate and leaves
-    /// capacity to jobs that can still meet theirs.
+    /// The rank without exception 5. A job with a deadline ages fast enough to gain at least one priority
+    /// class by then, apart from the scaling below. A job that has missed its deadline ages at the normal
+    /// rate and leaves capacity to jobs that can still meet theirs.
     ///
-    /// Both rates are scaled by `size`, the relative size of the remaining work; smaller jobs age faster
-    /// (exception 7 of `docs/design.md`). Under overload, serving jobs in order of arrival makes all of them
-    /// late, and most jobs are short.
+    /// The rate, with or without a deadline, is scaled by `size`, the relative size of the remaining work:
+    /// smaller jobs age faster (exception 7 of `docs/design.md`). Under overload, serving jobs in order of
+    /// arrival makes all of them late; as most jobs are short, preferring short ones keeps most in time.
     pub(super) fn regular_rank(&self, job: &Job, size: f64) -> u64 {
         if job.spec.priority == Priority::Critical {
             return CRITICAL_RANK;
@@ -47,7 +47,7 @@
         let deadline =
             job.spec.deadline_s.map(from_seconds).filter(|deadline| !deadline.is_zero() && age <= *deadline);
         let interval = scaled(deadline.map_or(interval, |deadline| interval.min(deadline)), size);
-        self.aged_rank(job, job.submitted_at, interval.max(Duration::from_micros(1)))
+        self.rank_after_aging(job, job.submitted_at, interval.max(Duration::from_micros(1)))
     }
 
     /// The remaining work of the job as a multiple of the mean work of a job, clamped to `MAX_AGING_FACTOR`
@@ -69,7 +69,7 @@
 
     /// The rank of a job that gains one priority class per `interval` from `since` on. It stays below the
     /// rank of critical jobs.
-    fn aged_rank(&self, job: &Job, since: Timestamp, interval: Duration) -> u64 {
+    fn rank_after_aging(&self, job: &Job, since: Timestamp, interval: Duration) -> u64 {
         let age = to_micros(self.now.since(since));
         let rank = job.spec.priority as u64 * RANKS_PER_CLASS + age * RANKS_PER_CLASS / to_micros(interval);
         rank.min(CRITICAL_RANK - 1)
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -1,5 +1,5 @@
-//! Guards against equivalence classes that leave out a machine: for random fleets and jobs, the search by
-//! classes must find the same machines as a search that evaluates every machine individually.
+//! Tests that the search by equivalence classes leaves out no machine: for random fleets and jobs, it must
+//! find the same machines as a search that evaluates every machine individually.
 
 use super::*;
 use crate::fencing_token::FencingToken;
@@ -39,10 +39,11 @@
     }
 }
 
-fn machine_type(name: &str, slots: f64, zones: &[String]) -> MachineType {
+/// A machine type with `amount` cores, GPUs and GB of memory each.
+fn machine_type(name: &str, amount: f64, zones: &[String]) -> MachineType {
     MachineType {
         name: name.into(),
-        capacity: Resources::rounded_down(slots, slots, slots),
+        capacity: Resources::rounded_down(amount, amount, amount),
         price: 1.0,
         spot_price: Some(0.5),
         boot_s: 10.0,
@@ -54,7 +55,7 @@
 fn random_job(rng: &mut SmallRng, id: u64) -> JobSpec {
     let kind = [Kind::Array, Kind::Service, Kind::Array][rng.random_range(0..3)];
     let priorities = [Priority::Low, Priority::Normal, Priority::High];
-    let slots = f64::from(rng.random_range(1..3u32));
+    let amount = f64::from(rng.random_range(1..3u32));
     JobSpec {
         job_id: JobId(id),
         class: "c".into(),
@@ -62,7 +63,7 @@
         kind,
         priority: if kind == Kind::Service { Priority::Critical } else { priorities[rng.random_range(0..3)] },
         tasks: rng.random_range(1..60),
-        resource_request: Resources::rounded_up(slots, slots, slots),
+        resource_request: Resources::rounded_up(amount, amount, amount),
         image: format!("i{}", rng.random_range(0..4)),
         image_gb: 1.0,
         allowed_machine_types: rng.random_bool(0.3).then(|| vec!["m".to_string()]),
--- a/src/scheduler/elastic/victims.rs
+++ b/src/scheduler/elastic/victims.rs
@@ -8,8 +8,8 @@
 use crate::scheduler::Scheduler;
 use crate::time::Timestamp;
 
-/// Protection of running jobs from preemption. Only critical jobs may preempt in spite of the first one
-/// (exception 4 of `docs/design.md`).
+/// Protection of running jobs from preemption. Jobs that are not critical always respect `GapAndMinimum`; for
+/// critical jobs the weaker ones are tried as well (exception 4 of `docs/design.md`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Protection {
     /// Jobs inside their rescale gap are not shrunk, others not below their minimum width: the paper's rule.
@@ -30,7 +30,7 @@
 
 /// A task that may be preempted. Ordered by age: the newest is the greatest.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct RunningTask<'a> {
+struct PreemptibleTask<'a> {
     placed_at: Timestamp,
     task: TaskId,
     machine: &'a str,
@@ -100,13 +100,13 @@
     fn shrink(&mut self, job: &Job, steps: &mut usize) -> Room {
         let scheduler = self.scheduler;
         let least_width = self.least_width(job);
-        let mut running = running_tasks(scheduler, job);
+        let mut preemptible = tasks_not_stopping(scheduler, job);
         // `may_preempt` is checked for each task, since each stop reduces the usage of the job's team, which
         // may bring it within its guarantee.
-        while running.len() as u32 > least_width
+        while preemptible.len() as u32 > least_width
             && scheduler.may_preempt(self.newcomer.job, job, &self.capacity.team_usage)
         {
-            let Some(task) = running.pop() else { break };
+            let Some(task) = preemptible.pop() else { break };
             *steps += 1;
             if !self.add_victim(job, &task) {
                 continue;
@@ -121,26 +121,26 @@
 
     /// Makes the task a victim if the newcomer may use its machine; a stop elsewhere would not help the
     /// newcomer. Returns whether the task became a victim.
-    fn add_victim(&mut self, job: &Job, running: &RunningTask<'_>) -> bool {
-        let machine = self.scheduler.machines.get(running.machine);
+    fn add_victim(&mut self, job: &Job, candidate: &PreemptibleTask<'_>) -> bool {
+        let machine = self.scheduler.machines.get(candidate.machine);
         let machine = machine.filter(|machine| self.scheduler.is_schedulable(machine));
         let Some(machine) = machine.filter(|machine| scoring::is_eligible(self.newcomer.job, machine)) else {
             return false;
         };
         self.capacity.release(machine, &job.spec.resource_request);
         self.capacity.team_usage.stop(&job.spec.team, &job.spec.resource_request);
-        self.victims.push(Victim { machine: running.machine.to_string(), task: running.task });
+        self.victims.push(Victim { machine: candidate.machine.to_string(), task: candidate.task });
         true
     }
 }
 
 /// The tasks of the job that were not asked to stop, the newest last.
-fn running_tasks<'a>(scheduler: &'a Scheduler, job: &'a Job) -> Vec<RunningTask<'a>> {
-    let mut running: Vec<_> = scheduler
+fn tasks_not_stopping<'a>(scheduler: &'a Scheduler, job: &'a Job) -> Vec<PreemptibleTask<'a>> {
+    let mut tasks: Vec<_> = scheduler
         .placements_of(job)
         .filter(|(_, _, placement)| placement.stopping.is_none())
-        .map(|(task, machine, placement)| RunningTask { placed_at: placement.placed_at, task, machine })
+        .map(|(task, machine, placement)| PreemptibleTask { placed_at: placement.placed_at, task, machine })
         .collect();
-    running.sort();
-    running
+    tasks.sort();
+    tasks
 }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -22,8 +22,9 @@
         /// The attempt that the missing tasks may join.
         attempt: u64,
     },
-    /// The attempt has ended: a task has terminated after the gang ran, was asked to stop, or gave up
-    /// waiting. The next attempt begins when every task of this one has provably terminated.
+    /// The attempt has ended: a task was asked to stop, a task is missing although another has run, or a task
+    /// exited as stopped, for example because it gave up waiting for the others. The next attempt begins when
+    /// every task of this one has provably terminated.
     Ended,
 }
 
@@ -97,9 +98,9 @@
         self.set_pending_reason(job_id, PendingReason::GangIncomplete);
     }
 
-    /// Stops the remaining tasks of an attempt that has ended; by themselves they would notice up to
-    /// `gang_peer_s` later. While any of them has a grace period to save a checkpoint, none is stopped: the
-    /// first checkpoint preserves the progress of all.
+    /// Stops the remaining tasks of an attempt that has ended. Otherwise they would notice only up to
+    /// `gang_peer_s` later that the others are gone. While any of them has a grace period to save a
+    /// checkpoint, none is stopped: the first checkpoint preserves the progress of the whole gang.
     fn end_gang_attempt(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let may_save = |stop: StopRequest| stop.grace_s > 0.0 && !stop.is_overdue(self.now);
@@ -136,10 +137,10 @@
     }
 
     /// Seconds, rounded down, until the machine's next heartbeat is due; a start is sent in the response to
-    /// it. A leaseholder reports the heartbeats that it responded to up to `SHARD_HEARTBEAT_INTERVAL` late: a
-    /// machine that seems due within that time may have just sent one, so that its next is due one heartbeat
-    /// interval later. 0 if the heartbeat interval is too short (at most twice that) for the difference to
-    /// matter.
+    /// it. A leaseholder, a node that responds to heartbeats without the leader, reports them up to
+    /// `SHARD_HEARTBEAT_INTERVAL` late. So a machine that seems due within that time may just have sent a
+    /// heartbeat; its next one is then taken to be due one heartbeat interval later. Returns 0 if the
+    /// heartbeat interval is at most twice `SHARD_HEARTBEAT_INTERVAL`: machines then hardly differ.
     pub(super) fn heartbeat_due_s(&self, machine: &Machine) -> i64 {
         let heartbeat_interval = from_seconds(self.config.workers.report_s);
         if heartbeat_interval <= 2 * limits::SHARD_HEARTBEAT_INTERVAL {
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -38,9 +38,9 @@
     pub(super) fn stop_all_within(&mut self, job_id: JobId, grace_s: f64) {
         let Some(job) = self.jobs.get(&job_id) else { return };
         let placements: Vec<_> =
-            self.placements_of(job).map(|(id, name, _)| (id, name.to_string())).collect();
-        for (id, name) in placements {
-            self.request_stop(&name, id, grace_s);
+            self.placements_of(job).map(|(id, machine_name, _)| (id, machine_name.to_string())).collect();
+        for (id, machine_name) in placements {
+            self.request_stop(&machine_name, id, grace_s);
         }
     }
 
@@ -72,11 +72,11 @@
         (self.config.token.0 << 32) | self.attempts_started
     }
 
-    /// Reserves resources for a task on the machine `name`. The start is sent in the response to the
-    /// machine's next heartbeat.
+    /// Reserves resources for a task on the machine. The start is sent in the response to the machine's next
+    /// heartbeat.
     pub(super) fn reserve_placement(
         &mut self,
-        name: &str,
+        machine_name: &str,
         id: TaskId,
         resource_request: Resources,
         image: String,
@@ -86,44 +86,45 @@
         self.record_start(id);
         let previous_placement =
             self.jobs.get_mut(&id.job_id).and_then(|job| job.previous_placements.remove(&id.task));
-        if let Some(machine) = self.machines.get_mut(name) {
+        if let Some(machine) = self.machines.get_mut(machine_name) {
             let previous_placement = previous_placement.map(tracing::field::display);
-            debug!(task = %id, machine = name, attempt, previous_placement, "task placed");
+            debug!(task = %id, machine = machine_name, attempt, previous_placement, "task placed");
             machine.tasks.insert(id, Placement::reserved(resource_request, image, attempt, now));
         }
-        self.request_relay(name);
+        self.request_relay(machine_name);
     }
 
     /// Asks the task to stop within `grace_s` seconds. If its start has not been sent, removes its placement
     /// at once. A later request with a shorter grace period replaces an earlier one.
-    pub(super) fn request_stop(&mut self, name: &str, id: TaskId, grace_s: f64) {
+    pub(super) fn request_stop(&mut self, machine_name: &str, id: TaskId, grace_s: f64) {
         let now = self.now;
-        let Some(machine) = self.machines.get_mut(name) else { return };
+        let Some(machine) = self.machines.get_mut(machine_name) else { return };
         let Some(placement) = machine.tasks.get_mut(&id) else { return };
         if placement.is_unsent() {
             machine.tasks.remove(&id);
-            self.remove_placement(name, id, TerminationProof::NeverSent);
+            self.remove_placement(machine_name, id, TerminationProof::NeverSent);
             return;
         }
         let grace_s = placement.stopping.map_or(grace_s, |stop| stop.grace_s.min(grace_s));
         if placement.stopping.is_none_or(|stop| stop.grace_s > grace_s) {
             placement.stopping = Some(StopRequest { requested_at: now, grace_s });
-            self.autoscaler.machines_with_direct_stops.insert(name.to_string());
-            self.request_relay(name);
+            // Also sent directly to the worker, since its next heartbeat may be seconds away.
+            self.autoscaler.machines_with_direct_stops.insert(machine_name.to_string());
+            self.request_relay(machine_name);
         }
     }
 
     /// Removes the placement of a task that is provably no longer on this machine. The task becomes pending
     /// again, unless it may be on another machine, has succeeded, or its job has terminated.
-    pub(super) fn remove_placement(&mut self, name: &str, id: TaskId, proof: TerminationProof) {
+    pub(super) fn remove_placement(&mut self, machine_name: &str, id: TaskId, proof: TerminationProof) {
         let Some(job) = self.jobs.get_mut(&id.job_id) else { return };
-        if let Some(names) = job.placements.get_mut(&id.task) {
-            names.retain(|other| other != name);
-            if names.is_empty() {
+        if let Some(machine_names) = job.placements.get_mut(&id.task) {
+            machine_names.retain(|other| other != machine_name);
+            if machine_names.is_empty() {
                 job.placements.remove(&id.task);
                 if !job.terminated && !job.progress.succeeded.contains(&id.task) {
                     job.progress.pending.insert(id.task);
-                    let previous = PreviousPlacement { machine: name.to_string(), proof };
+                    let previous = PreviousPlacement { machine: machine_name.to_string(), proof };
                     job.previous_placements.insert(id.task, previous);
                 }
             }
@@ -132,13 +133,13 @@
     }
 
     /// Removes all placements of a machine that provably runs no task any more.
-    pub(super) fn remove_all_placements(&mut self, name: &str, proof: TerminationProof) {
-        self.record_lost_work(name);
-        let Some(machine) = self.machines.get_mut(name) else { return };
+    pub(super) fn remove_all_placements(&mut self, machine_name: &str, proof: TerminationProof) {
+        self.record_lost_work(machine_name);
+        let Some(machine) = self.machines.get_mut(machine_name) else { return };
         let tasks = std::mem::take(&mut machine.tasks);
         machine.unplaced_tasks.clear();
         for id in tasks.into_keys() {
-            self.remove_placement(name, id, proof);
+            self.remove_placement(machine_name, id, proof);
         }
     }
 }
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -33,7 +33,7 @@
 
     /// Counts the whole capacity of the machine as unaccounted for: it may be full of tasks of any team.
     fn add_unaccounted(&mut self, machine: &Machine) {
-        // Zero until the machine's type is known.
+        // The capacity is zero until the machine's type is known.
         let capacity = Some(machine.capacity).filter(|capacity| *capacity != Resources::default());
         self.unaccounted = self.unaccounted.zip(capacity).map(|(sum, capacity)| sum.plus(&capacity));
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// One amount of a team's limit. 0 means no limit and is replaced by a value beyond any use.
+/// The limit of a team for one resource. A setting of 0 means no limit: returns a value beyond any use.
 fn limit_or_unlimited(limit: f64) -> f64 {
     if limit > 0.0 {
         limit
@@ -106,8 +106,8 @@
 
     /// Whether the machine may be full of tasks that are unknown to this leader: a machine of an earlier
     /// leader that has sent no heartbeat to this one, or a machine that reports tasks of unknown jobs. Such a
-    /// machine counts in full against every team. Waiting until all machines had reported kept every team of
-    /// a fleet without work because of one machine that had died.
+    /// machine counts in full against every team. If teams waited instead until all machines have reported,
+    /// one machine that has died would keep every team of the fleet without work.
     fn may_hold_unknown_tasks(&self, machine: &Machine) -> bool {
         let is_unreconciled = !self.all_accounted_for && machine.inherited && !machine.accounted_for;
         is_unreconciled || machine.unplaced_tasks.has_tasks_of_unknown_jobs()
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -72,12 +72,14 @@
 /// the fields are compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Score {
-    /// Whether the machine is ordinary and the job may use spot machines, while there are jobs that may not
-    /// (fixed work).
+    /// Whether the job, which may use spot machines, would take an ordinary machine while some other job may
+    /// use only ordinary machines.
     pub takes_from_non_spot_work: bool,
     /// Number of image fetches that a task waits for; see [`Machine::image_fetches`].
     pub image_fetches: i64,
-    /// Sum of the reasons against the machine; larger is worse.
+    /// Larger is worse. 1 each for a consolidation target, an ordinary machine for a job that may use spot
+    /// machines, and (added by `elastic`) a machine to be drained; for gangs also 2 for each second until the
+    /// next heartbeat.
     pub penalty: i64,
 }
 
@@ -98,9 +100,9 @@
     }
 }
 
-/// Score for best-fit bin packing: the resources of `room` that a task of the job would leave, in thousandths
-/// of a processor. A GPU counts as much as a thousand processors. Smaller is better: the fullest machines are
-/// filled first, so that others become empty.
+/// What remains of the free resources `room` after one more task of the job, for best-fit bin packing: in
+/// thousandths of a processor, where a GPU counts as much as a thousand processors. Smaller is better: the
+/// fullest machines are filled first, so that others become empty.
 pub fn best_fit_remainder(job: &Job, room: &Resources) -> i64 {
     let left = room.minus(&job.spec.resource_request);
     left.milli_gpus * 1000 + left.milli_cpus
--- a/src/scheduler/scoring_tests.rs
+++ b/src/scheduler/scoring_tests.rs
@@ -34,7 +34,7 @@
     Job::new(spec, 1, Timestamp::ZERO, false, BTreeSet::new())
 }
 
-/// A machine of the type `type` with four cores.
+/// A machine of the type `type` with four cores: a spot machine if `spot`, else an ordinary one.
 pub(in crate::scheduler) fn machine(name: &str, zone: &str, spot: bool) -> Machine {
     let stored = StoredMachine {
         name: name.into(),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn spot_jobs_prefer_spot_machines_then_warm_images_while_ordinary_ones_are_needed() {
+fn spot_jobs_prefer_spot_machines_to_warm_images_while_other_jobs_need_ordinary_machines() {
     let job = job(spec(Kind::Array, 1));
     let (cold_spot, ordinary) = (machine("m-1", "a", true), machine("m-2", "a", false));
     let mut warm_spot = machine("m-3", "a", true);
@@ -68,9 +68,9 @@
 
 #[test]
 fn machines_that_a_job_may_not_use_are_not_eligible() {
-    let fixed = job(JobSpec { allows_spot: false, ..spec(Kind::Service, 1) });
-    assert!(!is_eligible(&fixed, &machine("m-1", "a", true)));
-    assert!(is_eligible(&fixed, &machine("m-2", "a", false)));
+    let needs_ordinary = job(JobSpec { allows_spot: false, ..spec(Kind::Service, 1) });
+    assert!(!is_eligible(&needs_ordinary, &machine("m-1", "a", true)));
+    assert!(is_eligible(&needs_ordinary, &machine("m-2", "a", false)));
     let in_other_zone = job(JobSpec { required_zone: Some("b".into()), ..spec(Kind::Array, 1) });
     assert!(!is_eligible(&in_other_zone, &machine("m-3", "a", false)));
     let other_type =
