--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -120,7 +120,7 @@
     fn expire_lease(&mut self, name: &str) {
         let Some(machine) = self.machines.get(name) else { return };
         let proof = TerminationProof::LeaseExpired {
-            last_renewal: machine.lease_renewed_at(),
+            lease_renewed_at: machine.lease_renewed_at(),
             relayed_by: machine.route.relayed_by,
             at: self.now,
         };
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -2,8 +2,8 @@
 //! that it returns.
 //!
 //! The controller turns messages of workers, users, the state service and the cloud into commands, and
-//! carries out the effects. The scheduler assumes that an effect was carried out only after a command has
-//! reported its outcome.
+//! carries out the effects. Until a command has reported the outcome of an effect, the scheduler does not
+//! assume that it was carried out.
 //!
 //! There are two kinds of lease. A worker keeps its tasks until its lease expires. A leaseholder is a
 //! controller with a shard lease from the leader: it responds itself to unchanged heartbeats of the workers
@@ -37,7 +37,8 @@
     /// By how many seconds the cloud's list of machines may lag behind.
     pub list_lag_s: f64,
     /// Budget of a round or of one call of the scaling plan, in decision steps (about one look at a job or
-    /// a machine each). A round may take `MIN_ROUND_JOBS` steps per machine if that is more.
+    /// a machine each). A round gets at least the steps that `MIN_ROUND_JOBS` jobs need to examine every
+    /// machine once.
     pub max_round_steps: usize,
     /// Share of one processor core that this process has.
     pub cpu_share: f64,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -167,7 +167,7 @@
     }
 
     /// Records that another node may have renewed leases of workers until `at`: the scheduler treats none of
-    /// them as expired before a full worker lease after that time.
+    /// them as expired until a full worker lease has passed since `at`.
     pub fn record_others_may_have_renewed_until(&mut self, at: Timestamp) {
         self.peers.record_others_may_have_renewed_until(at);
     }
--- a/src/scheduler/model/commands.rs
+++ b/src/scheduler/model/commands.rs
@@ -33,9 +33,9 @@
 /// What the next periodic heartbeat of a machine has to acknowledge; `reachability` evaluates this.
 #[derive(Debug, Clone, Default)]
 pub struct CommandTracker {
-    /// Commands in the last response; empty if another node relays the response, which may be lost on its way
-    /// there. If the next periodic heartbeat shows the effect of none of them, the machine may not be
-    /// receiving responses.
+    /// Commands in the last response, if it went directly to the worker. Those in a relayed response are not
+    /// tracked: its loss on the way to the relay would say nothing about the machine. If the next periodic
+    /// heartbeat shows no effect of any of them, the machine may not be receiving responses.
     pub unacknowledged: Vec<TaskCommand>,
     /// Whether the last response went directly to a worker that had not stated this leader's fencing token
     /// yet. The next periodic heartbeat acknowledges the response by stating the token.
--- a/src/scheduler/model/heartbeat.rs
+++ b/src/scheduler/model/heartbeat.rs
@@ -90,12 +90,12 @@
     /// task list and arrived at `now`.
     pub(in crate::scheduler) fn record_unchanged(&mut self, sequence: u64, now: Timestamp) {
         self.newest.sequence = sequence;
-        self.record_overtaken(sequence, now);
+        self.record_periodic_arrival(sequence, now);
     }
 
-    /// Records the arrival of a periodic heartbeat at `now`, but not as the newest: a direct response has
-    /// overtaken it, so its task list is older than `reported_tasks`.
-    pub(in crate::scheduler) fn record_overtaken(&mut self, sequence: u64, now: Timestamp) {
+    /// Records the arrival of a periodic heartbeat at `now`, but leaves `newest` as it is. Called on its own
+    /// for a heartbeat that a direct response has overtaken: its task list is older than `reported_tasks`.
+    pub(in crate::scheduler) fn record_periodic_arrival(&mut self, sequence: u64, now: Timestamp) {
         self.last_periodic_sequence = sequence;
         self.last_at = now;
     }
--- a/src/scheduler/model/job.rs
+++ b/src/scheduler/model/job.rs
@@ -148,9 +148,9 @@
 /// Failures of the tasks of a job, and the backoff that follows from them.
 #[derive(Debug, Clone, Default)]
 pub struct JobFailures {
-    /// Backoffs since a task of the job last succeeded. It backs off if a task fails while the job is
-    /// suspected to be faulty (`is_suspected`), or if a worker did not know a task. Each doubles the next
-    /// backoff, up to `MAX_JOB_BACKOFF`.
+    /// Backoffs of the job since one of its tasks last succeeded. The job backs off if a task fails while the
+    /// job is suspected to be faulty (`is_suspected`), or if a worker did not know a task. Each doubles the
+    /// next backoff, up to `MAX_JOB_BACKOFF`.
     pub consecutive_backoffs: u32,
     /// Names of the machines on which its tasks have failed since a task of the job last succeeded.
     pub machines: BTreeSet<String>,
@@ -161,15 +161,15 @@
 /// The width of a job and when it last changed.
 ///
 /// Growth, preemption or the move of a replica begins the job's rescale gap of `rescale_gap_s` seconds.
-/// Inside it, a running job grows only into capacity that jobs outside theirs leave, and only critical jobs
-/// preempt its tasks.
+/// Inside the gap, a running job grows only into capacity that is left after the jobs that are not inside
+/// their rescale gaps have been served, and only critical jobs preempt its tasks.
 #[derive(Debug, Clone, Default)]
 pub struct Elasticity {
     /// When its width last changed or a replica of it was last moved; zero: never. Its rescale gap begins
     /// then.
     pub last_resized_at: Timestamp,
-    /// Target number of tasks placed at the same time. Tasks lost below it are replaced even inside the
-    /// rescale gap.
+    /// Target number of tasks placed at the same time. If tasks are lost so that fewer are placed, they are
+    /// replaced even inside the rescale gap.
     pub width: u32,
 }
 
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -14,7 +14,7 @@
     pub name: String,
     /// Resources of one machine.
     pub capacity: Resources,
-    /// Price per hour as an on-demand machine (not spot).
+    /// Price per hour as an ordinary machine, which means one that is not a spot machine.
     pub price: f64,
     /// Current price per hour as a spot machine. None: not offered as a spot machine.
     pub spot_price: Option<f64>,
@@ -32,7 +32,8 @@
     /// Known to the leader (rented, recorded or listed by the cloud), but no periodic heartbeat has stated
     /// the leader's fencing token yet.
     Pending,
-    /// Its worker has sent heartbeats, and its lease has not expired.
+    /// A periodic heartbeat has arrived while the machine was accounted for (see [`Machine::accounted_for`]),
+    /// and its lease has not expired since.
     Ready,
     /// Its lease has expired: it holds no task.
     Lost,
@@ -70,7 +71,7 @@
 pub struct MachineHealth {
     /// Jobs of which a task failed here while the job itself was not suspected to be faulty.
     pub failed_jobs: BTreeSet<JobId>,
-    /// No task is placed here before this time, since a task failed here or the worker refused to start one.
+    /// Until this time no task is placed here, because a task failed here or the worker refused to start one.
     pub placement_backoff_until: Timestamp,
     /// Consecutive tasks here that took more than `SLOW_FACTOR` times the mean run time of the tasks of their
     /// job that had succeeded before.
@@ -86,7 +87,7 @@
     pub recall_at: Option<Timestamp>,
     /// Whether it is to be replaced because tasks fail on it: it gets no new tasks, and is deleted once idle.
     pub to_be_replaced: bool,
-    /// Whether it is an on-demand machine to be emptied and deleted: the tasks that may not use spot machines
+    /// Whether it is an ordinary machine to be emptied and deleted: the tasks that may not use spot machines
     /// and the headroom (places kept free for critical services) do not need it; see `consolidation`.
     pub consolidation_target: bool,
     /// Whether its deletion has been requested from the cloud.
@@ -124,8 +125,9 @@
     pub capacity: Resources,
     /// Its state.
     pub state: MachineState,
-    /// Whether the leader knows all tasks on it: a heartbeat has stated this leader's fencing token, since
-    /// when its task lists are exact, or its lease has expired.
+    /// Whether the leader knows all tasks on it: true from the first heartbeat that states this leader's
+    /// fencing token (it is no old copy of one sent to an earlier leader, so its task list is exact), or from
+    /// the expiry of its lease.
     pub accounted_for: bool,
     /// Whether it is recorded in the state service. A later leader then waits for its heartbeat or the expiry
     /// of its lease before it restarts tasks.
--- a/src/scheduler/model/pending_reason.rs
+++ b/src/scheduler/model/pending_reason.rs
@@ -10,10 +10,11 @@
     /// A machine on which an earlier leader may have started its tasks has neither reported to this leader
     /// nor lost its lease.
     UnreconciledMachines,
-    /// No task is missing from its width, which may not grow inside its rescale gap (see
-    /// [`super::Elasticity`]).
+    /// As many tasks as its width are placed. Inside its rescale gap it gets more only from capacity that
+    /// other jobs leave (see [`super::Elasticity`]).
     RescaleGap,
-    /// The rate limit of a cold start on starts of inherited tasks is used up.
+    /// A new leader limits the rate at which it starts tasks of inherited jobs during its cold start (see
+    /// `cold_start`), and the limit is reached.
     ColdStartPace,
     /// Its team's limit does not allow enough tasks.
     TeamLimit,
--- a/src/scheduler/model/termination_proof.rs
+++ b/src/scheduler/model/termination_proof.rs
@@ -24,7 +24,7 @@
     /// The worker's lease has expired.
     LeaseExpired {
         /// The last renewal that this leader recorded: the later of the last response and the last heartbeat.
-        last_renewal: Timestamp,
+        lease_renewed_at: Timestamp,
         /// Index of the node that relayed the last heartbeat. None: it came directly to the leader.
         relayed_by: Option<usize>,
         /// When the leader detected the expiry.
@@ -45,8 +45,8 @@
             TerminationProof::NewAgentEpoch { agent_epoch } => {
                 write!(f, "worker began agent epoch {agent_epoch}, so its earlier tasks have ended")
             }
-            TerminationProof::LeaseExpired { last_renewal, relayed_by, at } => {
-                let since_renewal_s = as_seconds(at.since(*last_renewal));
+            TerminationProof::LeaseExpired { lease_renewed_at, relayed_by, at } => {
+                let since_renewal_s = as_seconds(at.since(*lease_renewed_at));
                 write!(f, "lease expired {since_renewal_s:.3} s after its last renewal")?;
                 relayed_by.map_or(Ok(()), |node| write!(f, ", last heartbeat via node {node}"))
             }
--- a/src/scheduler/model/tests.rs
+++ b/src/scheduler/model/tests.rs
@@ -69,7 +69,7 @@
     heartbeats.record_newest(number(6), HeartbeatSource::DirectResponse);
     assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 4));
     // The periodic heartbeat that the direct response has overtaken arrives.
-    heartbeats.record_overtaken(5, Timestamp::from_secs(1));
+    heartbeats.record_periodic_arrival(5, Timestamp::from_secs(1));
     assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 5));
     assert_eq!(heartbeats.last_at, Timestamp::from_secs(1));
 }
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn success_is_recorded_only_if_a_task_is_new() {
+fn success_is_recorded_only_if_a_task_had_not_succeeded_before() {
     let mut progress = Progress { pending: BTreeSet::from([0, 1, 2]), ..Progress::default() };
     progress.record_succeeded(1..2, Timestamp::from_secs(1));
     assert_eq!(
@@ -192,7 +192,7 @@
 fn termination_proofs_are_displayed_as_log_texts() {
     let heartbeat = HeartbeatNumber { agent_epoch: 3, sequence: 7 };
     let expired = |relayed_by| TerminationProof::LeaseExpired {
-        last_renewal: Timestamp::from_secs(1),
+        lease_renewed_at: Timestamp::from_secs(1),
         relayed_by,
         at: Timestamp::from_secs(13) + Duration::from_millis(500),
     };
--- a/src/scheduler/model/unplaced_tasks.rs
+++ b/src/scheduler/model/unplaced_tasks.rs
@@ -10,10 +10,11 @@
 pub struct UnplacedTasks {
     /// Exited tasks that the worker still lists, and the reason of each exit.
     pub exited: BTreeMap<TaskAttempt, ExitReason>,
-    /// Tasks of unknown jobs, to be stopped.
+    /// Tasks to be stopped: their jobs are not in the state service or, if the cold start is disabled, are
+    /// unknown to this leader.
     pub orphaned: BTreeSet<TaskAttempt>,
-    /// Tasks of unknown jobs, and when each was first reported. They are kept until the state service has
-    /// been asked whether the jobs exist; only if the cold start is enabled, else they are orphaned.
+    /// Tasks of jobs unknown to this leader, and when each was first reported. They keep running until the
+    /// state service has been asked whether their jobs exist. Empty if the cold start is disabled.
     pub unverified: BTreeMap<TaskAttempt, Timestamp>,
 }
 
--- a/src/scheduler/stale_heartbeats.rs
+++ b/src/scheduler/stale_heartbeats.rs
@@ -38,7 +38,7 @@
         let newest = machine.heartbeats.newest.sequence;
         if overtaken {
             debug!(machine = name, agent_epoch, sequence, newest, "heartbeat overtaken by a direct response");
-            machine.heartbeats.record_overtaken(sequence, now);
+            machine.heartbeats.record_periodic_arrival(sequence, now);
             self.ignored_heartbeats.overtaken += 1;
             return HeartbeatOutcome::Overtaken;
         }
