--- a/src/scheduler/cold_start/evidence.rs
+++ b/src/scheduler/cold_start/evidence.rs
@@ -17,7 +17,7 @@
             reconciliation.learn(Fact::Machine(machine.name.clone(), machine_fact(machine)));
         }
         for job in self.jobs.values().filter(|job| !job.terminated && job.inherited) {
-            let finished = job.progress.succeeded.difference(&job.progress.unrecorded).copied().collect();
+            let finished = job.progress.succeeded.difference(&job.progress.unstored).copied().collect();
             let fact = JobFact::Live { tasks: job.spec.tasks, finished };
             reconciliation.learn(Fact::Job(job.spec.job_id.0, fact));
         }
--- a/src/scheduler/cold_start/mod.rs
+++ b/src/scheduler/cold_start/mod.rs
@@ -75,8 +75,9 @@
 }
 
 impl Scheduler {
-    /// Whether tasks of unknown jobs are kept until the store was read after they were reported.
-    pub(in crate::scheduler) fn keeps_unknown_tasks(&self) -> bool {
+    /// Whether the operator has enabled the cold start. If so, tasks of unknown jobs are kept until the state
+    /// service has been read after they were reported.
+    pub(in crate::scheduler) fn cold_start_enabled(&self) -> bool {
         self.config.operator.cold_start.enabled
     }
 
@@ -124,7 +125,7 @@
     }
 
     /// A task is about to be started.
-    pub(in crate::scheduler) fn record_start(&mut self, id: TaskId) {
+    pub(in crate::scheduler) fn count_start_for_cold_start_pace(&mut self, id: TaskId) {
         let inherited = self.jobs.get(&id.job_id).is_some_and(|job| job.inherited);
         if inherited && self.cold_start.is_pacing() {
             self.cold_start.starts += 1;
--- a/src/scheduler/cold_start/report.rs
+++ b/src/scheduler/cold_start/report.rs
@@ -107,7 +107,7 @@
     }
 
     /// The state service has answered the write of the report.
-    pub(in crate::scheduler) fn cold_start_written(&mut self, done: bool) {
+    pub(in crate::scheduler) fn handle_cold_start_written(&mut self, done: bool) {
         let state = &mut self.cold_start.report;
         state.write_in_flight = false;
         state.written &= done;
--- a/src/scheduler/cold_start/unknown_jobs.rs
+++ b/src/scheduler/cold_start/unknown_jobs.rs
@@ -40,7 +40,12 @@
     }
 
     /// A read of the store that was sent at `sent_at`.
-    pub(in crate::scheduler) fn job_read(&mut self, job_id: JobId, sent_at: Timestamp, reading: JobReading) {
+    pub(in crate::scheduler) fn handle_job_read(
+        &mut self,
+        job_id: JobId,
+        sent_at: Timestamp,
+        reading: JobReading,
+    ) {
         match reading {
             JobReading::Failed => {}
             JobReading::Unreadable => {
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -4,7 +4,7 @@
 //! stopped in order to be moved.
 
 use super::model::{Job, Kind, Machine, Placement, Resources, TaskId, TaskStatus};
-use super::scoring::{self, ZoneCount};
+use super::scoring::{self, TasksByZone};
 use super::Scheduler;
 use crate::limits;
 use std::cmp::Reverse;
@@ -56,10 +56,10 @@
 
     /// Marks the ordinary machines that fixed work and the headroom could do without.
     pub(super) fn mark_consolidation_targets(&mut self) {
-        self.machines.values_mut().for_each(|machine| machine.lifecycle.consolidation_target = false);
+        self.machines.values_mut().for_each(|machine| machine.lifecycle.to_be_emptied = false);
         for name in self.consolidation_targets() {
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.lifecycle.consolidation_target = true;
+                machine.lifecycle.to_be_emptied = true;
             }
         }
     }
@@ -135,7 +135,7 @@
             self.autoscaler.last_move_at = self.now;
             let now = self.now;
             if let Some(job) = self.jobs.get_mut(&task.job_id) {
-                job.elasticity.last_resized_at = now;
+                job.width_state.last_resized_at = now;
             }
             self.request_stop(&from, task, 0.0);
         }
@@ -145,7 +145,7 @@
         let has_all_non_spot_work =
             |job: &Job| job.terminated || job.spec.allows_spot || job.progress.pending.is_empty();
         self.all_accounted_for
-            && self.now >= self.started_at + limits::REPLICA_MOVE_INITIAL_DELAY
+            && self.now >= self.loaded_at + limits::REPLICA_MOVE_INITIAL_DELAY
             && self.now >= self.autoscaler.last_move_at + limits::REPLICA_MOVE_INTERVAL
             && self.jobs.values().all(has_all_non_spot_work)
     }
@@ -154,7 +154,7 @@
         let replicas: usize = self.machines.values().map(|machine| self.fixed_tasks(machine)).sum();
         let max_moves = (replicas / limits::REPLICA_MOVE_DIVISOR).max(1);
         let holds_replicas =
-            |machine: &&Machine| machine.lifecycle.consolidation_target && self.fixed_tasks(machine) > 0;
+            |machine: &&Machine| machine.lifecycle.to_be_emptied && self.fixed_tasks(machine) > 0;
         let mut sources: Vec<&Machine> = self.machines.values().filter(holds_replicas).collect();
         sources.sort_by(|a, b| (a.tasks.len(), &a.name).cmp(&(b.tasks.len(), &b.name)));
         let mut room = self.room_on_staying_machines();
@@ -183,7 +183,7 @@
 
     fn room_on_staying_machines(&self) -> BTreeMap<String, Resources> {
         let staying = self.machines.values().filter(|machine| {
-            !machine.lifecycle.consolidation_target && !machine.spot && self.is_schedulable(machine)
+            !machine.lifecycle.to_be_emptied && !machine.spot && self.is_schedulable(machine)
         });
         let room = staying.map(|machine| (machine.name.clone(), machine.available()));
         room.filter(|(_, available)| available.milli_cpus > 0).collect()
@@ -192,11 +192,11 @@
     /// Whether a task of the job could go from this machine to another at once, without an image fetch; the
     /// place is then taken.
     fn take_warm_place(&self, job: &Job, from: &Machine, room: &mut BTreeMap<String, Resources>) -> bool {
-        let next_move_at = job.elasticity.last_resized_at + limits::JOB_REPLICA_MOVE_INTERVAL;
+        let next_move_at = job.width_state.last_resized_at + limits::JOB_REPLICA_MOVE_INTERVAL;
         if job.spec.kind != Kind::Service || next_move_at > self.now {
             return false;
         }
-        let mut zones = ZoneCount::of(job, &self.machines);
+        let mut zones = TasksByZone::of(job, &self.machines);
         zones.remove(&from.zone);
         let may_take = |machine: &Machine| {
             scoring::is_eligible(job, machine)
--- a/src/scheduler/drains/destination.rs
+++ b/src/scheduler/drains/destination.rs
@@ -3,7 +3,7 @@
 use super::reservations::ReservedCapacity;
 use crate::limits;
 use crate::scheduler::model::{Job, Machine, Resources};
-use crate::scheduler::scoring::{self, ZoneCount};
+use crate::scheduler::scoring::{self, TasksByZone};
 use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 
@@ -61,7 +61,7 @@
         from: &Machine,
         capacity: &MoveCapacity,
     ) -> Option<Destination> {
-        let mut zones = ZoneCount::of(job, &self.machines);
+        let mut zones = TasksByZone::of(job, &self.machines);
         zones.remove(&from.zone);
         let critical_place = self.critical_place();
         let passes_filter = |machine: &&Machine| {
--- a/src/scheduler/drains/disruption.rs
+++ b/src/scheduler/drains/disruption.rs
@@ -100,7 +100,7 @@
             return None;
         }
         if job.spec.kind == Kind::Service {
-            let silent = self.now.since(machine.heartbeats.last_at.max(self.started_at));
+            let silent = self.now.since(machine.heartbeats.last_at.max(self.loaded_at));
             return Some(Cost::replica(as_seconds(silent)));
         }
         let (ran_s, checkpoint_s) = (self.ran_s(placement), job.spec.checkpoint_interval_s);
--- a/src/scheduler/drains/reservations.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -4,7 +4,7 @@
 use crate::limits;
 use crate::scheduler::elastic::FreeCapacity;
 use crate::scheduler::model::{JobId, Machine, Resources, TaskId};
-use crate::scheduler::scoring::{self, ZoneCount};
+use crate::scheduler::scoring::{self, TasksByZone};
 use crate::scheduler::Scheduler;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
@@ -130,7 +130,7 @@
         let Some(machine) = self.machines.get(name) else { return false };
         self.is_schedulable(machine)
             && scoring::is_eligible(job, machine)
-            && ZoneCount::of(job, &self.machines).allows(job, &machine.zone)
+            && TasksByZone::of(job, &self.machines).allows(job, &machine.zone)
             && job.spec.resource_request.fits_into(&reserved.available_on(machine))
             && job.failure_history.backoff_until <= self.now
             && (!job.inherited || self.is_accounted_for_job(job))
--- a/src/scheduler/drains/store.rs
+++ b/src/scheduler/drains/store.rs
@@ -83,7 +83,7 @@
     }
 
     /// What operators ask for has changed.
-    pub(in crate::scheduler) fn take_drain_requests(&mut self, requests: Vec<StoredRequest>) {
+    pub(in crate::scheduler) fn handle_drain_requests(&mut self, requests: Vec<StoredRequest>) {
         if !self.drains.loaded {
             return;
         }
@@ -187,7 +187,7 @@
     }
 
     /// The state service has responded. What it has not confirmed is written again.
-    pub(in crate::scheduler) fn drain_written(&mut self, key: &DrainKey, outcome: RequestOutcome) {
+    pub(in crate::scheduler) fn handle_drain_written(&mut self, key: &DrainKey, outcome: RequestOutcome) {
         if let Some(write) = self.write_state(key) {
             write.end(outcome);
         }
--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -34,7 +34,7 @@
     /// Whether the job's width changed less than a rescale gap ago (paper, 3.2.1).
     pub(super) fn is_in_rescale_gap(&self, job: &Job) -> bool {
         let gap = from_seconds(self.config.operator.rescale_gap_s);
-        let last_resized_at = job.elasticity.last_resized_at;
+        let last_resized_at = job.width_state.last_resized_at;
         last_resized_at > Timestamp::ZERO && self.now < last_resized_at + gap
     }
 
@@ -111,7 +111,7 @@
         let target = if may_grow {
             job.unfinished_task_count()
         } else {
-            job.elasticity.width.max(job.minimum_width())
+            job.width_state.granted_width.max(job.minimum_width())
         };
         target.saturating_sub(placed).min(job.progress.pending.len() as u32)
     }
@@ -148,7 +148,7 @@
     /// where the two fetches share the fetch rate, only after the job has waited for `SHARED_FETCH_DELAY`
     /// since its submission or its last change of width.
     fn shared_fetch(&self, job: &Job) -> SharedFetch {
-        let waits_since = job.submitted_at.max(job.elasticity.last_resized_at);
+        let waits_since = job.submitted_at.max(job.width_state.last_resized_at);
         if self.now < waits_since + limits::SHARED_FETCH_DELAY {
             SharedFetch::Avoid
         } else {
@@ -160,9 +160,9 @@
     /// wide.
     fn widen(&mut self, job_id: JobId, width: u32) {
         let now = self.now;
-        if let Some(job) = self.jobs.get_mut(&job_id).filter(|job| width > job.elasticity.width) {
-            job.elasticity.width = width;
-            job.elasticity.last_resized_at = now;
+        if let Some(job) = self.jobs.get_mut(&job_id).filter(|job| width > job.width_state.granted_width) {
+            job.width_state.granted_width = width;
+            job.width_state.last_resized_at = now;
         }
     }
 
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -9,7 +9,7 @@
 use super::headroom_guard::HeadroomGuard;
 use super::zone_choice::ZoneChoice;
 use crate::scheduler::model::{Job, Kind, Machine, Priority, Resources};
-use crate::scheduler::scoring::{self, Score, ZoneCount};
+use crate::scheduler::scoring::{self, Score, TasksByZone};
 use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 
@@ -61,7 +61,7 @@
         let mut pool = CandidatePool {
             job: request.job,
             by_zone,
-            tasks_by_zone: ZoneCount::of(request.job, &self.machines),
+            tasks_by_zone: TasksByZone::of(request.job, &self.machines),
             headroom: HeadroomGuard::new(request.job, capacity),
         };
         pool.sort(steps);
@@ -111,7 +111,7 @@
         let failed_here = !job.is_suspected() && job.failure_history.machines.contains(&machine.name);
         scoring::is_eligible(job, machine)
             && !failed_here
-            && !(machine.lifecycle.consolidation_target && job.spec.allows_spot)
+            && !(machine.lifecycle.to_be_emptied && job.spec.allows_spot)
             && (job.spec.priority == Priority::Critical || !self.drains.is_replacement(&machine.name))
             && (job.spec.kind == Kind::Service || machine.health.quarantined_until <= self.now)
     }
@@ -136,7 +136,7 @@
     job: &'a Job,
     /// The candidates of each zone. After `sort` the best one is last, so that it can be popped.
     by_zone: BTreeMap<&'a str, Vec<Candidate<'a>>>,
-    tasks_by_zone: ZoneCount,
+    tasks_by_zone: TasksByZone,
     headroom: HeadroomGuard,
 }
 
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -78,11 +78,12 @@
 
     /// Applies figures 2 and 3 of the paper to each job, starting where the last round ran out of budget.
     fn regular_pass(&mut self, order: &[JobId], round: &mut Round) {
-        let resume_at = self.rounds.resume_at.take();
-        let start = resume_at.and_then(|resume_at| order.iter().position(|job_id| *job_id == resume_at));
+        let resume_from = self.rounds.resume_from.take();
+        let start =
+            resume_from.and_then(|resume_from| order.iter().position(|job_id| *job_id == resume_from));
         for job_id in &order[start.unwrap_or(0)..] {
             if round.is_out_of_budget() {
-                self.rounds.resume_at = Some(*job_id);
+                self.rounds.resume_from = Some(*job_id);
                 debug!(job = %job_id, "scheduling round out of budget; the next round resumes at this job");
                 break;
             }
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -101,8 +101,9 @@
             self.record_decision(format!("stop {task} on {machine} for {newcomer}"));
             let grace_s = self.jobs.get(&task.job_id).map_or(0.0, |job| job.spec.checkpoint_save_s);
             if let Some(job) = self.jobs.get_mut(&task.job_id) {
-                job.elasticity.last_resized_at = now;
-                job.elasticity.width = job.elasticity.width.saturating_sub(1).max(job.minimum_width());
+                job.width_state.last_resized_at = now;
+                job.width_state.granted_width =
+                    job.width_state.granted_width.saturating_sub(1).max(job.minimum_width());
                 let request = &job.spec.resource_request;
                 let freed = capacity.freed_by_stops.entry(machine.clone()).or_default();
                 *freed = freed.plus(request);
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -109,7 +109,7 @@
         let Some(machine) = scheduler.machines.get_mut(&name) else { continue };
         (machine.state, machine.accounted_for, machine.recorded) = (MachineState::Ready, true, true);
         (machine.heartbeats.last_at, machine.image_cache.images) = (Timestamp::from_secs(1), images);
-        machine.lifecycle.consolidation_target = !machine.spot && rng.random_bool(0.2);
+        machine.lifecycle.to_be_emptied = !machine.spot && rng.random_bool(0.2);
         machine.health.quarantined_until =
             if rng.random_bool(0.1) { Timestamp::from_secs(100) } else { Timestamp::ZERO };
         for task in 0..rng.random_range(0..4u32) {
@@ -118,7 +118,7 @@
             let placed = Placement {
                 attempt: 1,
                 resource_request: Resources::rounded_up(1.0, 1.0, 1.0),
-                start_sent_in: None,
+                start_sent_in_response_to: None,
                 confirmed: true,
                 status: if fetching { TaskStatus::Fetching } else { TaskStatus::Running },
                 running_since: None,
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -311,7 +311,7 @@
             heartbeat_interval: from_seconds(report_s),
             silence: limits::silence_timeout(report_s),
             shard_lease: self.config.shard_lease,
-            started_at: self.started_at,
+            started_at: self.loaded_at,
         }
     }
 
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -40,7 +40,7 @@
             let has_run = matches!(task.status, TaskStatus::Running | TaskStatus::Saving);
             has_ended |= task.stopping.is_some()
                 || has_run && placed < job.spec.tasks
-                || task.attempt <= job.gang.ended_attempt;
+                || task.attempt <= job.gang.last_ended_attempt;
         }
         match attempts.first() {
             None => GangStage::Unplaced,
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -35,7 +35,7 @@
     machine: &'a Machine,
     jobs: &'a BTreeMap<JobId, Job>,
 ) -> impl Iterator<Item = TaskCommand> + 'a {
-    let is_uncommitted = |job: &Job, task: u32| job.progress.unrecorded.contains(&task);
+    let is_uncommitted = |job: &Job, task: u32| job.progress.unstored.contains(&task);
     machine
         .unplaced_tasks
         .exited
@@ -55,7 +55,7 @@
         .iter_mut()
         .filter(|(_, placement)| placement.is_unsent() && placement.stopping.is_none());
     unsent.map(move |(id, placement)| {
-        placement.start_sent_in = Some(newest);
+        placement.start_sent_in_response_to = Some(newest);
         TaskCommand::Start { id: *id, attempt: placement.attempt }
     })
 }
@@ -65,7 +65,7 @@
     /// gone: the response must not renew a lease.
     pub(super) fn record_renewal(&mut self, name: &str) -> Option<LeaseRenewal> {
         let Some(machine) = self.machines.get_mut(name) else {
-            // Before `Scheduler::load`, no machine is known, and expiry counts every lease from `started_at`
+            // Before `Scheduler::load`, no machine is known, and expiry counts every lease from `loaded_at`
             // or later. After it, an unknown machine is gone.
             return (!self.loaded).then(LeaseRenewal::before_load);
         };
@@ -106,7 +106,7 @@
         let Some(machine) = self.machines.get_mut(name) else { return Vec::new() };
         let came_without_relay = machine.route.relayed_by.is_none();
         machine.route.relay_requested = false;
-        machine.commands.token_unacknowledged = came_without_relay && !machine.accounted_for;
+        machine.commands.awaits_token_echo = came_without_relay && !machine.accounted_for;
         let mut task_commands: Vec<TaskCommand> = stop_commands(machine).collect();
         task_commands.extend(forget_commands(machine, &self.jobs));
         if machine.accounted_for && machine.recorded {
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -4,7 +4,7 @@
 //! 1. `Scheduler::apply` in `mod.rs` passes a periodic heartbeat to [`Scheduler::handle_heartbeat`]. A
 //!    heartbeat that a worker returns in answer to a direct command goes to [`Scheduler::apply_heartbeat`].
 //! 2. `apply_heartbeat` classifies it as a [`HeartbeatOutcome`]. An unchanged one is recorded and needs
-//!    nothing else. A late one goes to `stale_heartbeats`. For a new one, `reachability` checks that the
+//!    nothing else. A late one goes to `stale_heartbeats`. For a new one, `response_delivery` checks that the
 //!    machine receives its responses, `task_lists` reconciles the task list with the placements, `task_exit`
 //!    and `placements` apply the results, and `recall` stops tasks on machines that the cloud is about to
 //!    recall.
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -6,7 +6,7 @@
 //! counts from the latest of four records:
 //! - `Machine::last_renewal`: the last response that may have renewed it, by this leader or by a leaseholder;
 //! - `HeartbeatTracker::last_at`: when its last heartbeat arrived, as a safeguard (see `heartbeats`);
-//! - `Scheduler::started_at`: responses before this leader had loaded its state are recorded nowhere else;
+//! - `Scheduler::loaded_at`: responses before this leader had loaded its state are recorded nowhere else;
 //! - `PeerNodes::others_may_have_renewed_until`: another node may have responded until then.
 //!
 //! A leaseholder may have responded to any machine since its last shard heartbeat, so a lease counts as
@@ -91,7 +91,7 @@
 
     /// Until when leases may have been renewed without a record here.
     pub(super) fn unrecorded_renewals_until(&self) -> Timestamp {
-        self.started_at.max(self.peers.others_may_have_renewed_until())
+        self.loaded_at.max(self.peers.others_may_have_renewed_until())
     }
 
     /// Names of the machines that may have held tasks and whose leases have expired.
@@ -141,7 +141,7 @@
         let all_expired = self.now >= self.unrecorded_renewals_until() + worker_lease;
         self.all_accounted_for = all_expired || !self.machines.values().any(Machine::is_unaccounted_for);
         if self.all_accounted_for {
-            let after_ms = to_millis(self.now.since(self.started_at));
+            let after_ms = to_millis(self.now.since(self.loaded_at));
             info!(
                 after_ms,
                 "all machines of earlier leaders accounted for, by a heartbeat or by an expired lease"
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -11,6 +11,7 @@
 pub mod drains;
 mod elastic;
 mod failure_detection;
+mod fault_attribution;
 mod gang;
 mod headroom;
 mod heartbeat_responses;
@@ -22,11 +23,10 @@
 pub mod overview;
 mod peer_nodes;
 mod placements;
-mod quarantine;
 mod quota;
-mod reachability;
 mod recall;
 mod records;
+mod response_delivery;
 mod rounds;
 mod scaling_plan;
 mod scoring;
@@ -69,7 +69,7 @@
     /// Time of the last step.
     pub now: Timestamp,
     /// When this leader loaded its state; before that, when the scheduler was created.
-    pub started_at: Timestamp,
+    pub loaded_at: Timestamp,
     /// Whether it has loaded its state. Until then it makes no decisions.
     pub loaded: bool,
 
@@ -138,7 +138,7 @@
         Scheduler {
             config,
             now,
-            started_at: now,
+            loaded_at: now,
             loaded: false,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -240,10 +240,12 @@
             Command::Deleted { machines, outcome } => self.handle_deletion_outcome(machines, outcome),
             Command::MachinesListed(list) => self.handle_machine_list(list),
             Command::LoadDrains(stored) => self.load_drains(stored),
-            Command::DrainRequests(requests) => self.take_drain_requests(requests),
-            Command::DrainWritten { key, outcome } => self.drain_written(&key, outcome),
-            Command::JobRead { job_id, sent_at, reading } => self.job_read(job_id, sent_at, reading),
-            Command::ColdStartWritten(outcome) => self.cold_start_written(outcome == RequestOutcome::Done),
+            Command::DrainRequests(requests) => self.handle_drain_requests(requests),
+            Command::DrainWritten { key, outcome } => self.handle_drain_written(&key, outcome),
+            Command::JobRead { job_id, sent_at, reading } => self.handle_job_read(job_id, sent_at, reading),
+            Command::ColdStartWritten(outcome) => {
+                self.handle_cold_start_written(outcome == RequestOutcome::Done)
+            }
         }
         self.rounds.request();
     }
@@ -280,7 +282,7 @@
             self.load_record(key, machines);
         }
         // Responses to heartbeats before this time were not recorded: leases may have been renewed until now.
-        self.started_at = self.now;
+        self.loaded_at = self.now;
         self.loaded = true;
         self.begin_cold_start();
     }
--- a/src/scheduler/model/commands.rs
+++ b/src/scheduler/model/commands.rs
@@ -30,16 +30,16 @@
     },
 }
 
-/// What the next periodic heartbeat of a machine has to acknowledge; `reachability` evaluates this.
+/// What the next periodic heartbeat of a machine has to acknowledge; `response_delivery` evaluates this.
 #[derive(Debug, Clone, Default)]
 pub struct CommandTracker {
-    /// Commands in the last response, if it went directly to the worker. Those in a relayed response are not
-    /// tracked: its loss on the way to the relay would say nothing about the machine. If the next periodic
-    /// heartbeat shows no effect of any of them, the machine may not be receiving responses.
+    /// Commands in the last response, if it went directly to the worker; empty if it was relayed, since a
+    /// response that is lost on the way to the relay says nothing about the machine. If the next periodic
+    /// heartbeat shows no effect of any of these commands, the machine may not be receiving responses.
     pub unacknowledged: Vec<TaskCommand>,
     /// Whether the last response went directly to a worker that had not stated this leader's fencing token
     /// yet. The next periodic heartbeat acknowledges the response by stating the token.
-    pub token_unacknowledged: bool,
+    pub awaits_token_echo: bool,
     /// Consecutive heartbeats that did not acknowledge the response before them. From
     /// `MAX_RESPONSES_WITHOUT_EFFECT` on, no task is placed on the machine.
     pub responses_without_effect: u32,
--- a/src/scheduler/model/job.rs
+++ b/src/scheduler/model/job.rs
@@ -27,7 +27,7 @@
     Normal,
     /// Before normal jobs.
     High,
-    /// Before everything else. May also preempt jobs inside their rescale gap (see [`Elasticity`]) and below
+    /// Before everything else. May also preempt jobs inside their rescale gap (see [`WidthState`]) and below
     /// their minimum width.
     Critical,
 }
@@ -104,12 +104,12 @@
     pub succeeded: BTreeSet<u32>,
     /// Succeeded tasks that have to be stored in the state service. May include stored ones: a gang's success
     /// is recorded for all its tasks at once.
-    pub unrecorded: BTreeSet<u32>,
-    /// Since when there have been unrecorded tasks. None: there are none.
-    pub unrecorded_since: Option<Timestamp>,
+    pub unstored: BTreeSet<u32>,
+    /// Since when there have been unstored tasks. None: there are none.
+    pub unstored_since: Option<Timestamp>,
     /// Indices of the chunks of succeeded tasks (`FINISHED_TASKS_CHUNK` each) that have a key in the state
     /// service.
-    pub recorded_chunks: BTreeSet<u32>,
+    pub stored_chunks: BTreeSet<u32>,
     /// Whether a write of this progress is under way.
     pub write_in_flight: bool,
 }
@@ -122,8 +122,8 @@
         self.succeeded.extend(tasks.clone());
         if self.succeeded.len() > previous_count {
             self.pending.retain(|task| !tasks.contains(task));
-            self.unrecorded.extend(tasks);
-            self.unrecorded_since.get_or_insert(now);
+            self.unstored.extend(tasks);
+            self.unstored_since.get_or_insert(now);
         }
     }
 }
@@ -164,20 +164,20 @@
 /// Inside the gap, a running job grows only into capacity that is left after the jobs that are not inside
 /// their rescale gaps have been served, and only critical jobs preempt its tasks.
 #[derive(Debug, Clone, Default)]
-pub struct Elasticity {
+pub struct WidthState {
     /// When its width last changed or a replica of it was last moved; zero: never. Its rescale gap begins
     /// then.
     pub last_resized_at: Timestamp,
     /// Target number of tasks placed at the same time. If tasks are lost so that fewer are placed, they are
     /// replaced even inside the rescale gap.
-    pub width: u32,
+    pub granted_width: u32,
 }
 
 /// The attempts of a gang.
 #[derive(Debug, Clone, Default)]
 pub struct GangState {
     /// Number of the last attempt of the gang that is known to have ended; zero: none.
-    pub ended_attempt: u64,
+    pub last_ended_attempt: u64,
     /// Since when only a part of the gang has been placed, without room for its other tasks.
     pub incomplete_since: Option<Timestamp>,
 }
@@ -208,7 +208,7 @@
     /// Failures of its tasks.
     pub failure_history: JobFailures,
     /// Its width and the last change of it.
-    pub elasticity: Elasticity,
+    pub width_state: WidthState,
     /// State of its attempts, if it is a gang.
     pub gang: GangState,
 }
@@ -224,7 +224,7 @@
         succeeded: BTreeSet<u32>,
     ) -> Self {
         let pending = (0..spec.tasks).filter(|task| !succeeded.contains(task)).collect();
-        let recorded_chunks = succeeded.iter().map(|task| task / limits::FINISHED_TASKS_CHUNK).collect();
+        let stored_chunks = succeeded.iter().map(|task| task / limits::FINISHED_TASKS_CHUNK).collect();
         Job {
             spec,
             submitted_at,
@@ -235,9 +235,9 @@
             terminated: false,
             run_times: RunTimes::default(),
             pending_reason: None,
-            progress: Progress { pending, succeeded, recorded_chunks, ..Progress::default() },
+            progress: Progress { pending, succeeded, stored_chunks, ..Progress::default() },
             failure_history: JobFailures::default(),
-            elasticity: Elasticity::default(),
+            width_state: WidthState::default(),
             gang: GangState::default(),
         }
     }
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -87,9 +87,10 @@
     pub recall_at: Option<Timestamp>,
     /// Whether it is to be replaced because tasks fail on it: it gets no new tasks, and is deleted once idle.
     pub to_be_replaced: bool,
-    /// Whether it is an ordinary machine to be emptied and deleted: the tasks that may not use spot machines
-    /// and the headroom (places kept free for critical services) do not need it; see `consolidation`.
-    pub consolidation_target: bool,
+    /// Whether it is a consolidation target, an ordinary machine to be emptied and deleted: the tasks that
+    /// may not use spot machines and the headroom (places kept free for critical services) do not need it;
+    /// see `consolidation`.
+    pub to_be_emptied: bool,
     /// Whether its deletion has been requested from the cloud.
     pub deleting: bool,
     /// Start of its idle time: when it last held a task, became ready or became known.
--- a/src/scheduler/model/mod.rs
+++ b/src/scheduler/model/mod.rs
@@ -20,7 +20,7 @@
 pub use commands::{CommandTracker, TaskCommand};
 pub use heartbeat::{Heartbeat, HeartbeatNumber, HeartbeatSource, HeartbeatTracker, ReportedTask};
 pub use id::{JobId, TaskAttempt, TaskId};
-pub use job::{Elasticity, GangState, Job, JobFailures, JobSpec, Kind, Priority, Progress, RunTimes};
+pub use job::{GangState, Job, JobFailures, JobSpec, Kind, Priority, Progress, RunTimes, WidthState};
 pub use job_summary::{JobSummary, TaskCounts};
 pub use machine::{ImageCache, Lifecycle, Machine, MachineHealth, MachineState, MachineType, StoredMachine};
 pub use pending_reason::PendingReason;
--- a/src/scheduler/model/pending_reason.rs
+++ b/src/scheduler/model/pending_reason.rs
@@ -11,7 +11,7 @@
     /// nor lost its lease.
     UnreconciledMachines,
     /// As many tasks as its width are placed. Inside its rescale gap it gets more only from capacity that
-    /// other jobs leave (see [`super::Elasticity`]).
+    /// other jobs leave (see [`super::WidthState`]).
     RescaleGap,
     /// A new leader limits the rate at which it starts tasks of inherited jobs during its cold start (see
     /// `cold_start`), and the limit is reached.
--- a/src/scheduler/model/task.rs
+++ b/src/scheduler/model/task.rs
@@ -60,7 +60,7 @@
     pub resource_request: Resources,
     /// Number of the heartbeat whose response contained the start command. None: this leader has sent no
     /// start.
-    pub start_sent_in: Option<HeartbeatNumber>,
+    pub start_sent_in_response_to: Option<HeartbeatNumber>,
     /// Whether a heartbeat has listed it.
     pub confirmed: bool,
     /// State that its worker last reported; `Fetching` before the first report.
@@ -79,6 +79,6 @@
     /// Whether the start was never sent and no heartbeat has listed the task: it is provably not on the
     /// machine.
     pub fn is_unsent(&self) -> bool {
-        self.start_sent_in.is_none() && !self.confirmed
+        self.start_sent_in_response_to.is_none() && !self.confirmed
     }
 }
--- a/src/scheduler/model/tests.rs
+++ b/src/scheduler/model/tests.rs
@@ -19,7 +19,7 @@
     Placement {
         attempt: 1,
         resource_request: Resources::rounded_up(1.0, 0.0, 1.0),
-        start_sent_in: None,
+        start_sent_in_response_to: None,
         confirmed: true,
         status,
         running_since: None,
@@ -164,18 +164,18 @@
     let mut progress = Progress { pending: BTreeSet::from([0, 1, 2]), ..Progress::default() };
     progress.record_succeeded(1..2, Timestamp::from_secs(1));
     assert_eq!(
-        (&progress.pending, progress.unrecorded_since),
+        (&progress.pending, progress.unstored_since),
         (&BTreeSet::from([0, 2]), Some(Timestamp::from_secs(1)))
     );
     // The success is stored. A second report of the same task must not cause another write.
-    progress.unrecorded.clear();
-    progress.unrecorded_since = None;
+    progress.unstored.clear();
+    progress.unstored_since = None;
     progress.record_succeeded(1..2, Timestamp::from_secs(2));
-    assert!(progress.unrecorded.is_empty());
-    assert_eq!(progress.unrecorded_since, None);
+    assert!(progress.unstored.is_empty());
+    assert_eq!(progress.unstored_since, None);
     progress.record_succeeded(0..3, Timestamp::from_secs(3));
     assert!(progress.pending.is_empty());
-    assert_eq!(progress.unrecorded, BTreeSet::from([0, 1, 2]));
+    assert_eq!(progress.unstored, BTreeSet::from([0, 1, 2]));
 }
 
 #[test]
@@ -184,7 +184,7 @@
     unsent.confirmed = false;
     assert!(unsent.is_unsent());
     let sent = HeartbeatNumber { agent_epoch: 1, sequence: 1 };
-    assert!(!Placement { start_sent_in: Some(sent), ..unsent.clone() }.is_unsent());
+    assert!(!Placement { start_sent_in_response_to: Some(sent), ..unsent.clone() }.is_unsent());
     assert!(!Placement { confirmed: true, ..unsent }.is_unsent());
 }
 
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -115,7 +115,7 @@
 impl Scheduler {
     /// Keeps a decision for the overview; the log has it too.
     pub(super) fn record_decision(&mut self, decision: String) {
-        let seconds = self.now.since(self.started_at).as_secs();
+        let seconds = self.now.since(self.loaded_at).as_secs();
         let line = format!("{seconds} s into token {}: {decision}", self.config.token);
         self.recent_decisions.push_back(line);
         if self.recent_decisions.len() > limits::MAX_RECENT_DECISIONS {
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -17,7 +17,7 @@
         Placement {
             attempt,
             resource_request,
-            start_sent_in: None,
+            start_sent_in_response_to: None,
             confirmed: false,
             status: TaskStatus::Fetching,
             running_since: None,
@@ -83,7 +83,7 @@
         attempt: u64,
     ) {
         let now = self.now;
-        self.record_start(id);
+        self.count_start_for_cold_start_pace(id);
         let previous_placement =
             self.jobs.get_mut(&id.job_id).and_then(|job| job.previous_placements.remove(&id.task));
         if let Some(machine) = self.machines.get_mut(machine_name) {
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -247,7 +247,7 @@
         let ready = self.jobs.values().filter(|job| job.ready_to_finish()).map(|job| job.spec.job_id);
         for job_id in ready.collect::<Vec<_>>() {
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
-            let chunks = job.recorded_chunks();
+            let chunks = job.stored_chunks();
             if !self.write_budget.take_allowing_debt(FINAL_WRITES + chunks.len() as f64) {
                 return false;
             }
@@ -267,7 +267,7 @@
             .jobs
             .values()
             .filter(|job| job.has_finished_tasks_due(now))
-            .map(|job| (job.progress.unrecorded_since, job.spec.job_id))
+            .map(|job| (job.progress.unstored_since, job.spec.job_id))
             .collect();
         ready.sort_unstable();
         for (_, job_id) in ready {
@@ -276,7 +276,7 @@
                 return false;
             }
             job.progress.write_in_flight = true;
-            let (tasks, all_succeeded) = (job.progress.unrecorded.clone(), job.progress.succeeded.clone());
+            let (tasks, all_succeeded) = (job.progress.unstored.clone(), job.progress.succeeded.clone());
             self.effects.push(Effect::WriteFinishedTasks {
                 job_id,
                 version: job.version,
@@ -298,9 +298,9 @@
         let progress = &mut job.progress;
         progress.write_in_flight = false;
         if outcome == RequestOutcome::Done {
-            progress.recorded_chunks.extend(tasks.iter().map(|task| task / limits::FINISHED_TASKS_CHUNK));
-            progress.unrecorded.retain(|task| !tasks.contains(task));
-            progress.unrecorded_since = (!progress.unrecorded.is_empty()).then_some(self.now);
+            progress.stored_chunks.extend(tasks.iter().map(|task| task / limits::FINISHED_TASKS_CHUNK));
+            progress.unstored.retain(|task| !tasks.contains(task));
+            progress.unstored_since = (!progress.unstored.is_empty()).then_some(self.now);
         }
     }
 }
@@ -333,16 +333,16 @@
     /// Whether the job has unfinished tasks, and finished ones that are due to be written.
     fn has_finished_tasks_due(&self, now: Timestamp) -> bool {
         let progress = &self.progress;
-        progress.unrecorded_since.is_some_and(|since| now >= since + limits::FINISHED_TASKS_DELAY)
+        progress.unstored_since.is_some_and(|since| now >= since + limits::FINISHED_TASKS_DELAY)
             && !progress.write_in_flight
             && !self.terminated
-            && !progress.unrecorded.is_empty()
+            && !progress.unstored.is_empty()
             && self.unfinished_task_count() > 0
     }
 
     /// The chunks of finished tasks that have a key in the state service.
-    fn recorded_chunks(&self) -> Vec<u32> {
-        self.progress.recorded_chunks.iter().copied().collect()
+    fn stored_chunks(&self) -> Vec<u32> {
+        self.progress.stored_chunks.iter().copied().collect()
     }
 }
 
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/response_delivery.rs
@@ -25,14 +25,14 @@
             self.unacknowledged.clear();
             return;
         }
-        if self.unacknowledged.is_empty() && !self.token_unacknowledged {
+        if self.unacknowledged.is_empty() && !self.awaits_token_echo {
             return;
         }
-        let acknowledged = self.token_unacknowledged && heartbeat.token == token
+        let acknowledged = self.awaits_token_echo && heartbeat.token == token
             || self.unacknowledged.iter().any(|command| command.shows_in(heartbeat));
         self.responses_without_effect = if acknowledged { 0 } else { self.responses_without_effect + 1 };
         self.unacknowledged.clear();
-        self.token_unacknowledged = false;
+        self.awaits_token_echo = false;
     }
 }
 
@@ -53,5 +53,5 @@
 }
 
 #[cfg(test)]
-#[path = "reachability_tests.rs"]
+#[path = "response_delivery_tests.rs"]
 mod tests;
--- a/src/scheduler/reachability_tests.rs
+++ b/src/scheduler/response_delivery_tests.rs
@@ -63,10 +63,10 @@
 
 #[test]
 fn first_response_is_acknowledged_by_the_fencing_token() {
-    let mut commands = CommandTracker { token_unacknowledged: true, ..CommandTracker::default() };
+    let mut commands = CommandTracker { awaits_token_echo: true, ..CommandTracker::default() };
     commands.assess_response_delivery(1, &heartbeat(1, FencingToken(TOKEN - 1), None), FencingToken(TOKEN));
     assert_eq!(commands.responses_without_effect, 1);
-    commands.token_unacknowledged = true;
+    commands.awaits_token_echo = true;
     commands.assess_response_delivery(1, &heartbeat(1, FencingToken(TOKEN), None), FencingToken(TOKEN));
     assert_eq!(commands.responses_without_effect, 0);
 }
--- a/src/scheduler/rounds.rs
+++ b/src/scheduler/rounds.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(super) struct RoundSchedule {
     /// The job at which the next round begins, if the last round ran out of budget before it.
-    pub resume_at: Option<JobId>,
+    pub resume_from: Option<JobId>,
     /// When the next round is due even if nothing has changed.
     due_without_request_at: Timestamp,
     /// When the next round is due if something has changed.
@@ -25,7 +25,7 @@
     /// The first round is due as soon as the state is loaded.
     pub fn new() -> Self {
         RoundSchedule {
-            resume_at: None,
+            resume_from: None,
             due_without_request_at: Timestamp::ZERO,
             due_on_request_at: Timestamp::ZERO,
             requested: true,
@@ -55,7 +55,7 @@
     /// did not reach all jobs; otherwise after the longer of `pause` and `IDLE_ROUND_INTERVAL`.
     pub fn end(&mut self, now: Timestamp, pause: Duration) {
         let idle_interval =
-            if self.resume_at.is_some() { Duration::ZERO } else { limits::IDLE_ROUND_INTERVAL };
+            if self.resume_from.is_some() { Duration::ZERO } else { limits::IDLE_ROUND_INTERVAL };
         self.due_on_request_at = now + pause;
         self.due_without_request_at = now + pause.max(idle_interval);
     }
--- a/src/scheduler/rounds_tests.rs
+++ b/src/scheduler/rounds_tests.rs
@@ -37,7 +37,7 @@
 fn round_that_ran_out_of_budget_is_resumed_after_the_pause() {
     let mut rounds = RoundSchedule::new();
     assert!(rounds.begin_if_due(Timestamp::from_secs(1)));
-    rounds.resume_at = Some(JobId(7));
+    rounds.resume_from = Some(JobId(7));
     rounds.end(Timestamp::from_secs(1), Duration::from_micros(50));
     assert!(!rounds.begin_if_due(Timestamp::from_secs(1) + Duration::from_micros(49)));
     assert!(rounds.begin_if_due(Timestamp::from_secs(1) + Duration::from_micros(50)));
--- a/src/scheduler/scaling_plan/coming_machines.rs
+++ b/src/scheduler/scaling_plan/coming_machines.rs
@@ -3,7 +3,7 @@
 
 use crate::scheduler::autoscaler::MachineKind;
 use crate::scheduler::model::{Job, Resources};
-use crate::scheduler::scoring::ZoneCount;
+use crate::scheduler::scoring::TasksByZone;
 
 /// Whether the plan has put a task on a machine. Those in use are filled first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -40,7 +40,7 @@
     /// The job.
     pub job: &'a Job,
     /// The job's tasks by zone, those in the plan included.
-    pub zones: ZoneCount,
+    pub zones: TasksByZone,
     /// Number of the tasks.
     pub tasks: u32,
 }
--- a/src/scheduler/scaling_plan/coming_machines_tests.rs
+++ b/src/scheduler/scaling_plan/coming_machines_tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn demand(job: &Job, tasks: u32) -> Demand<'_> {
-    Demand { job, zones: ZoneCount::default(), tasks }
+    Demand { job, zones: TasksByZone::default(), tasks }
 }
 
 #[test]
--- a/src/scheduler/scaling_plan/mod.rs
+++ b/src/scheduler/scaling_plan/mod.rs
@@ -7,7 +7,7 @@
 use super::autoscaler::{MachineKind, Rental};
 use super::model::{Job, JobId, Machine, MachineState, Resources};
 use super::quota::TeamUsage;
-use super::scoring::ZoneCount;
+use super::scoring::TasksByZone;
 use super::{Effect, Scheduler};
 use crate::limits;
 use crate::time::from_seconds;
@@ -171,7 +171,7 @@
     fn plan_job(&self, job: &Job, plan: &mut ScalingPlan, steps: &mut usize) {
         let allowed = self.tasks_within_limit(job, &plan.team_usage);
         let tasks = (job.progress.pending.len() as u32).min(allowed);
-        let mut demand = Demand { job, zones: ZoneCount::of(job, &self.machines), tasks };
+        let mut demand = Demand { job, zones: TasksByZone::of(job, &self.machines), tasks };
         *steps += 1 + plan.coming.groups();
         plan.coming.fill(&mut demand);
         if demand.tasks > 0 {
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -7,12 +7,12 @@
 
 /// Number of tasks of one job in each zone. A task that may be on several machines counts once for each.
 #[derive(Debug, Clone, Default)]
-pub struct ZoneCount(BTreeMap<String, u32>);
+pub struct TasksByZone(BTreeMap<String, u32>);
 
-impl ZoneCount {
+impl TasksByZone {
     /// Counts the placements of a job. Empty if the job's placement does not depend on zones.
     pub fn of(job: &Job, machines: &BTreeMap<String, Machine>) -> Self {
-        let mut count = ZoneCount::default();
+        let mut count = TasksByZone::default();
         let zones_matter = job.spec.spread || job.spec.one_zone || job.spec.priority == Priority::Critical;
         if !zones_matter {
             return count;
@@ -90,7 +90,7 @@
         Score {
             takes_from_non_spot_work: is_ordinary_for_spot_job && has_non_spot_work,
             image_fetches: machine.image_fetches(&job.spec.image),
-            penalty: i64::from(machine.lifecycle.consolidation_target) + i64::from(is_ordinary_for_spot_job),
+            penalty: i64::from(machine.lifecycle.to_be_emptied) + i64::from(is_ordinary_for_spot_job),
         }
     }
 
--- a/src/scheduler/scoring_tests.rs
+++ b/src/scheduler/scoring_tests.rs
@@ -80,7 +80,7 @@
 
 #[test]
 fn zone_rules_limit_the_further_tasks_in_a_zone() {
-    let mut count = ZoneCount::default();
+    let mut count = TasksByZone::default();
     count.add_many("a", 2);
     let spread = job(JobSpec { spread: true, ..spec(Kind::Service, 5) });
     assert_eq!((count.tasks_allowed(&spread, "a"), count.tasks_allowed(&spread, "b")), (1, 3));
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -1,7 +1,7 @@
 //! Applies the exits of tasks to their jobs and machines. Called by `task_lists`.
 
+use super::fault_attribution::TaskFailure;
 use super::model::{ExitReason, JobId, Kind, TaskAttempt, TaskId, TerminationProof};
-use super::quarantine::TaskFailure;
 use super::Scheduler;
 use crate::limits;
 use crate::time::to_micros;
@@ -57,7 +57,7 @@
             // attempt has ended for the whole gang.
             ExitReason::Stopped => {
                 if let Some(job) = self.jobs.get_mut(&job_id).filter(|job| job.spec.kind == Kind::Gang) {
-                    job.gang.ended_attempt = job.gang.ended_attempt.max(exited.attempt);
+                    job.gang.last_ended_attempt = job.gang.last_ended_attempt.max(exited.attempt);
                 }
             }
             ExitReason::NoRoom | ExitReason::Busy => {
--- a/src/scheduler/task_lists.rs
+++ b/src/scheduler/task_lists.rs
@@ -32,7 +32,7 @@
         Placement {
             attempt: task.attempt,
             resource_request: spec.resource_request,
-            start_sent_in: None,
+            start_sent_in_response_to: None,
             confirmed: true,
             status: task.status,
             running_since: None,
@@ -129,7 +129,7 @@
     fn classify_unknown(&self, name: &str, attempt: TaskAttempt, listed: &mut ListedTasks) {
         let reported = self.machines.get(name).map(|machine| &machine.unplaced_tasks);
         let is_orphaned = reported.is_some_and(|reported| reported.orphaned.contains(&attempt));
-        if is_orphaned || !self.keeps_unknown_tasks() {
+        if is_orphaned || !self.cold_start_enabled() {
             listed.orphaned.insert(attempt);
             return;
         }
@@ -150,7 +150,7 @@
             names.push(name.into());
         }
         let placed = job.placements.len() as u32;
-        job.elasticity.width = job.elasticity.width.max(placed);
+        job.width_state.granted_width = job.width_state.granted_width.max(placed);
         let terminated = job.terminated;
         if is_elsewhere {
             warn!(task = %id, machine = name, "task is on two machines; stopping it on this machine");
@@ -172,7 +172,8 @@
         let Some(machine) = self.machines.get_mut(name) else { return };
         // Until a later periodic heartbeat arrives, the start may still be on its way to the worker.
         let start_was_processed = |placement: &Placement| {
-            source == HeartbeatSource::Periodic && placement.start_sent_in.is_some_and(|sent| number > sent)
+            source == HeartbeatSource::Periodic
+                && placement.start_sent_in_response_to.is_some_and(|sent| number > sent)
         };
         let unlisted: Vec<TaskId> = machine
             .tasks
--- a/src/scheduler/usage.rs
+++ b/src/scheduler/usage.rs
@@ -45,7 +45,7 @@
 impl Scheduler {
     /// Adds up what runs, and writes it to the log when that is due.
     pub(super) fn account(&mut self) {
-        let elapsed = self.now.since(self.usage_ledger.counted_until.max(self.started_at));
+        let elapsed = self.now.since(self.usage_ledger.counted_until.max(self.loaded_at));
         let elapsed = i128::from(to_micros(elapsed));
         self.usage_ledger.counted_until = self.now;
         for machine in self.machines.values() {
