--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -11,9 +11,9 @@
 
 impl Leadership {
     /// Until when the grants of a majority run. The majority includes this node if it may count itself.
-    /// Capped at one grant duration after `now`, because the only node of a cluster needs no grants
-    /// ([`Timestamp::MAX`]).
-    fn granted_until(&self, now: Timestamp) -> Timestamp {
+    /// Capped at one grant duration after `now`: for the only node of a cluster, which needs no grants,
+    /// `Peers::granted_until` returns [`Timestamp::MAX`].
+    fn capped_granted_until(&self, now: Timestamp) -> Timestamp {
         let counts_itself = self.commitments.counts_itself(now);
         self.peers.granted_until(counts_itself).min(now + limits::GRANT_DURATION)
     }
@@ -29,7 +29,7 @@
     pub fn authority_until(&self, now: Timestamp) -> Timestamp {
         let Some(term) = self.role.term() else { return Timestamp::ZERO };
         let authority_by_grants_until =
-            self.granted_until(now).min(self.cancellation_bound_without_lock(term.lease_until));
+            self.capped_granted_until(now).min(self.cancellation_bound_without_lock(term.lease_until));
         authority_by_grants_until.max(term.lease_until) - limits::AUTHORITY_MARGIN
     }
 
@@ -44,17 +44,17 @@
     /// node: without the bound by the cancellation log, a zone cut off with a majority in it would keep the
     /// tasks of a cancelled job alive for as long as it is cut off.
     fn keep_alive_until(&self, now: Timestamp) -> Timestamp {
-        let majority_until = self.granted_until(now).max(self.votes_until(now));
+        let majority_until = self.capped_granted_until(now).max(self.votes_until(now));
         majority_until.min(self.cancellations.responses_allowed_until())
     }
 
-    /// The bound by known cancellations on how long a leader may act without the lock lease. Readings of the
-    /// key-value store count only up to the last confirmed renewal of the lock lease: a peer may take over a
-    /// fixed time after it first saw the lock free, so later readings must not extend this leader's
-    /// authority.
+    /// Until when a leader may act without the lock lease, by the time up to which it knows all cancellations.
+    /// Readings of the key-value store count only up to when the last confirmed renewal of the lock lease was
+    /// sent: a peer may take over a fixed time after it first saw the lock free, so later readings must not
+    /// extend this leader's authority.
     fn cancellation_bound_without_lock(&self, lease_until: Timestamp) -> Timestamp {
-        let lease_confirmed_at = lease_until - limits::LOCK_LEASE;
-        let store_known_until = self.cancellations.known_until_by_store().min(lease_confirmed_at);
+        let last_confirmed_renewal_sent_at = lease_until - limits::LOCK_LEASE;
+        let store_known_until = self.cancellations.known_until_by_store().min(last_confirmed_renewal_sent_at);
         let known_until = store_known_until.max(self.cancellations.known_until_by_members());
         self.cancellations.keep_alive_limit(known_until)
     }
@@ -66,10 +66,10 @@
         if !self.is_leader() {
             return Duration::ZERO;
         }
-        self.cancellations.responses_allowed_until().since(now).min(self.longest_autonomy)
+        self.cancellations.responses_allowed_until().since(now).min(self.autonomy_without_lock_lease)
     }
 
-    /// The last time at which another node, in keep-alive mode, may have renewed worker leases without this
+    /// The last time at which another node in keep-alive mode may have renewed worker leases without this
     /// leader's knowledge: `now` while the leader has no grants of a majority, otherwise the last recorded
     /// time at which it had none.
     pub fn others_kept_alive_until(&self, now: Timestamp) -> Timestamp {
@@ -83,8 +83,8 @@
 
     /// The time since the key-value store last answered this node, as it is reported to the peer `to`. A peer
     /// that runs an earlier release concludes that there is no recent cancellation once all other nodes
-    /// report the store as lost. Unless this node has confirmed none recently, such a peer gets an age below
-    /// `limits::STORE_LOST_TIMEOUT`.
+    /// report the store as lost. If this node may have confirmed a cancellation recently, it reports an age
+    /// below `limits::STORE_LOST_TIMEOUT` to such a peer, so that the peer does not conclude this.
     pub fn reported_store_answer_age(
         &self,
         now: Timestamp,
--- a/src/leadership/commitments.rs
+++ b/src/leadership/commitments.rs
@@ -55,22 +55,22 @@
         now < self.started_at + plus_clock_drift(limits::GRANT_DURATION)
     }
 
-    /// Whether this node may count itself in the majority that grants it leadership. It may not while a grant
-    /// or vote that it gave to another node before its takeover runs. Without this rule a leader that took
-    /// over after a restart counted worker leases as expired while a node in keep-alive mode, which held its
-    /// grant, still renewed them (found by the network test).
+    /// Whether this node may count itself in the majority that grants it leadership. It may not as long
+    /// as a grant or vote is running that it gave to another node before its takeover. Without this
+    /// rule a leader that took over after a restart counted worker leases as expired while a node in
+    /// keep-alive mode, which held its grant, still renewed them (found by the network test).
     pub(super) fn counts_itself(&self, now: Timestamp) -> bool {
         !self.in_restart_grace(now) && now >= self.bound_to_others_until
     }
 
     /// Whether a running grant or vote for another node forbids one for `node`.
-    pub(super) fn exclude(&self, now: Timestamp, node: usize) -> bool {
+    pub(super) fn is_excluded(&self, now: Timestamp, node: usize) -> bool {
         [self.grant, self.vote].into_iter().flatten().any(|given| given.excludes(now, node))
     }
 
     /// Whether this node may give `node` a grant or a vote.
-    pub(super) fn permit(&self, now: Timestamp, node: usize) -> bool {
-        !self.in_restart_grace(now) && !self.exclude(now, node)
+    pub(super) fn may_commit_to(&self, now: Timestamp, node: usize) -> bool {
+        !self.in_restart_grace(now) && !self.is_excluded(now, node)
     }
 
     pub(super) fn give_grant(&mut self, now: Timestamp, node: usize) {
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -31,7 +31,8 @@
                 return;
             }
             info!(
-                "keep-alive mode ended: time limit passed, lock free, or key-value store reached by a peer"
+                "keep-alive mode ended: no majority of grants or votes, knowledge of cancellations too old, \
+                 lock free, or key-value store reached by a peer"
             );
             self.role = Role::Follower;
             self.next_campaign_at = now;
@@ -57,7 +58,7 @@
     /// forbids a campaign.
     fn may_campaign(&self, now: Timestamp) -> bool {
         (self.lock.is_known_free(now) || self.may_enter_keep_alive(now))
-            && !self.commitments.exclude(now, self.peers.local_node())
+            && !self.commitments.is_excluded(now, self.peers.local_node())
     }
 
     /// Whether neither this node nor a peer in contact reaches the key-value store, a fencing token is known,
@@ -87,15 +88,15 @@
     }
 
     /// The time after which the former holder of a lock that has been free since `unlocked_at` can no longer
-    /// act with grants only. It knows all cancellations at most up to `unlocked_at` minus
-    /// `limits::LOCK_LEASE` by the key-value store, or up to `attested_until` by the attestations of all its
-    /// peers, this node among them. It may act for the longest autonomy plus `limits::LOCK_LEASE` after the
-    /// later of the two. Added are the time for which an earlier release trusts a peer's status, and the
-    /// duration of a grant.
+    /// act with grants only. Let K be the time up to which that leader knows all cancellations. K is at most
+    /// the later of `unlocked_at` minus `limits::LOCK_LEASE` (by the key-value store) and `attested_until` (by
+    /// the attestations of all its peers, this node among them). The leader may act until K plus
+    /// `limits::LOCK_LEASE` plus `autonomy_without_lock_lease`. Added are `limits::PEER_TIMEOUT`, for which an
+    /// earlier release trusts a peer's status, and `limits::GRANT_DURATION`.
     fn former_leader_authority_until(&self, unlocked_at: Timestamp) -> Timestamp {
         let attested = self.attested_until + limits::LOCK_LEASE;
         unlocked_at.max(attested)
-            + plus_clock_drift(self.longest_autonomy)
+            + plus_clock_drift(self.autonomy_without_lock_lease)
             + limits::PEER_TIMEOUT
             + limits::GRANT_DURATION
     }
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -14,8 +14,8 @@
 pub(super) struct WorkerReachability {
     /// Whether a worker has sent this leader a heartbeat since it was elected.
     reached: bool,
-    /// Since when no worker has reached this leader while it has a reason to step down: a peer could lead
-    /// instead, or no peer is in contact. None: not so at present.
+    /// Since when no worker reaches this leader, and either a peer could lead instead or no peer is in
+    /// contact. None: this is not the case.
     unreached_since: Option<Timestamp>,
 }
 
@@ -36,8 +36,8 @@
     pub(super) fn check_reachability(&mut self, term: Term, now: Timestamp, actions: &mut Vec<Action>) {
         let first_alive = self.peers.first_alive(now);
         let is_isolated = !self.peers.is_empty() && first_alive.is_none();
-        // Several machines that become silent at once point to a fault of this node, not of the machines. A
-        // peer should lead before the workers stop trying this node and report to the peer.
+        // If none of several ready machines sends heartbeats any more, the fault is likely to be this node's.
+        // Then any peer in contact should lead, before the workers stop trying this node and report to the peer.
         let many_machines = self.status.ready_machines >= limits::MIN_CORRELATED_SILENT_MACHINES;
         let successor = self.peers.reached_by_most_workers(now).or(first_alive.filter(|_| many_machines));
         self.reachability.reached |= self.status.worker_heartbeats > 0;
@@ -99,7 +99,7 @@
     fn keep_alive_after_term(&self, term: Term, now: Timestamp) -> Timestamp {
         let granted_until = self.peers.granted_until(self.commitments.counts_itself(now));
         let acted_until = granted_until.max(term.lease_until).min(now);
-        (acted_until + minus_clock_drift(self.longest_autonomy))
+        (acted_until + minus_clock_drift(self.autonomy_without_lock_lease))
             .min(self.cancellations.responses_allowed_until())
     }
 
--- a/src/leadership/interface.rs
+++ b/src/leadership/interface.rs
@@ -8,7 +8,7 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// The status of the sender, which every message between controllers carries.
+/// The status of a node. Every message between controllers carries the sender's, without `ready_machines`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Status {
     /// Time since the key-value store last answered this node.
@@ -153,8 +153,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[must_use = "the actions are to be carried out"]
 pub struct ConfirmationOutcome {
-    /// False only if this node already knew that the job has ended and had recorded a confirmation of its
-    /// own.
+    /// Whether this node did not know yet that the job has ended, or had recorded no confirmation of its own.
     pub is_new: bool,
     /// Whether the cancellation may be confirmed to the user now.
     pub is_permitted: bool,
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -51,8 +51,8 @@
             StoreAccess::Available
         };
         let Some(attestation) = self.cancellations.attest_to(now, to, store_access) else { return };
-        // The receiver may conclude that it knows this node's cancellations up to the time of its heartbeat
-        // that this attestation answers, and, if confirmations are suspended, for the suspension longer.
+        // By this attestation the receiver knows this node's cancellations up to the heartbeat that it answers
+        // or, while confirmations are suspended, up to `CONFIRMATION_SUSPENSION` after that heartbeat.
         let suspension = match store_access {
             StoreAccess::Lost => limits::CONFIRMATION_SUSPENSION,
             StoreAccess::Available => Duration::ZERO,
@@ -119,7 +119,7 @@
         if self.role.is_follower() {
             self.commitments.withdraw_own_vote();
         }
-        if self.commitments.permit(now, from) {
+        if self.commitments.may_commit_to(now, from) {
             self.commitments.give_grant(now, from);
             actions.push(Action::Send(from, Message::Grant { token, echo: sent }));
         }
@@ -163,7 +163,7 @@
             self.commitments.withdraw_own_vote();
             self.next_campaign_at = now + limits::GRANT_DURATION / 2;
         }
-        if self.commitments.permit(now, from) && self.role.is_follower() {
+        if self.commitments.may_commit_to(now, from) && self.role.is_follower() {
             self.commitments.give_vote(now, from);
             actions.push(Action::Send(from, Message::Vote { echo: sent }));
         }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -10,10 +10,14 @@
 //! request, shortened for clock drift. A peer counts the grant or vote that it gave from when the request
 //! arrived, lengthened for clock drift.
 //!
-//! A node keeps a worker alive by answering its heartbeat, which renews the worker's lease. Without the lock
-//! lease a node may do so only for a bounded time after T, the latest time up to which it knows every
-//! confirmed cancellation. It learns of them from the key-value store and from its peers' attestations, in
-//! which a peer states which cancellations it has confirmed to users (`lease::cancellation_log`).
+//! While the key-value store is lost and nobody leads, a node with a majority of votes may enter keep-alive
+//! mode: it renews worker leases, but starts no tasks (`Role::KeepAlive`).
+//!
+//! A node keeps a worker alive by answering its heartbeat, which renews the worker's lease, so that its tasks
+//! go on. The tasks of a cancelled job must end within the setting `cancel_s`. Therefore a node without the
+//! lock lease may respond to workers only for a bounded time after the time up to which it knows every
+//! confirmed cancellation. It learns of cancellations from the key-value store and from its peers'
+//! attestations, in which a peer states which ones it has confirmed to users (`lease::cancellation_log`).
 
 mod authority;
 mod commitments;
@@ -65,8 +69,8 @@
     next_campaign_at: Timestamp,
     /// Whether this node is collecting votes.
     campaigning: bool,
-    /// True until this incarnation first leads. Until then it may resume the epoch of its previous
-    /// incarnation without votes.
+    /// True until this incarnation first leads. Until then it may take over without votes, under a new token,
+    /// if the epoch names an earlier incarnation of this node.
     may_resume: bool,
     /// This node's own status at the last tick.
     status: Status,
@@ -78,11 +82,11 @@
     without_majority_until: Timestamp,
     /// How long workers may be kept alive after the time up to which every cancellation is known, not
     /// including `limits::LOCK_LEASE`, which [`CancellationLog`] adds ([`limits::longest_autonomy`]).
-    longest_autonomy: Duration,
+    autonomy_without_lock_lease: Duration,
     /// The cancellations that this node knows, and up to when it knows all of them.
     pub cancellations: CancellationLog,
-    /// Up to this time a peer may conclude, from attestations sent by this node, that it knows every
-    /// cancellation that this node confirmed.
+    /// The latest time up to which a peer may assume, because of this node's attestations, that it knows all
+    /// cancellations that this node confirmed.
     attested_until: Timestamp,
     rng: SmallRng,
 }
@@ -118,7 +122,7 @@
             status: Status { store_answer_age: Duration::MAX, ..Status::default() },
             reachability: WorkerReachability::default(),
             without_majority_until: now,
-            longest_autonomy: bounds.longest_autonomy,
+            autonomy_without_lock_lease: bounds.longest_autonomy,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -166,7 +170,8 @@
         let mut actions = Vec::new();
         if self.is_leader() && self.authority(now).is_none() {
             warn!(
-                "leadership lost: lock lease expired, and grants expired or cancellations unknown too long"
+                "leadership lost: lock lease expired, and no majority of grants or \
+                 knowledge of cancellations too old"
             );
             self.step_down(now, &mut actions);
         }
--- a/src/leadership/tests/cancellation_scenarios.rs
+++ b/src/leadership/tests/cancellation_scenarios.rs
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn jobs_cancelled_while_the_store_refuses_the_leader_end_in_the_outage_that_follows() {
+fn cancelled_jobs_end_in_an_outage_after_the_store_refused_the_leader() {
     run_outage_after_refused_leader(|_, _| {});
 }
 
 #[test]
-fn jobs_cancelled_while_the_store_refuses_the_leader_end_when_the_confirming_nodes_crash() {
+fn cancelled_jobs_end_in_an_outage_after_the_store_refused_the_leader_and_confirming_nodes_crash() {
     run_outage_after_refused_leader(|cluster, leader| {
         (0..NODE_COUNT).filter(|n| *n != leader).for_each(|n| cluster.crash(n, 3 * SECOND))
     });
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn jobs_cancelled_while_the_store_refuses_the_leader_end_when_the_leader_changes_in_the_outage() {
+fn cancelled_jobs_end_in_an_outage_after_the_store_refused_the_leader_and_the_leader_changes() {
     run_outage_after_refused_leader(|cluster, leader| cluster.crash(leader, 3 * SECOND));
     run_outage_after_refused_leader(|cluster, leader| {
         cluster.run(4 * SECOND);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn jobs_cancelled_while_the_store_refuses_the_leader_end_when_it_is_cut_off_from_the_confirming_nodes() {
+fn cancelled_jobs_end_in_an_outage_after_the_store_refused_the_leader_and_nodes_are_cut_off() {
     run_outage_after_refused_leader(|cluster, leader| {
         cluster.cut_off(vec![leader], true, cluster.now + 60 * SECOND);
     });
@@ -131,8 +131,9 @@
         let reported = |store_answer_age| {
             cluster.nodes[leader].leadership.reported_store_answer_age(now, other, store_answer_age)
         };
-        let proves_none = cluster.nodes[leader].leadership.cancellations.has_confirmed_none_recently(now);
-        assert_eq!(reported(limits::STORE_LOST_TIMEOUT) >= limits::STORE_LOST_TIMEOUT, proves_none);
+        let has_confirmed_none =
+            cluster.nodes[leader].leadership.cancellations.has_confirmed_none_recently(now);
+        assert_eq!(reported(limits::STORE_LOST_TIMEOUT) >= limits::STORE_LOST_TIMEOUT, has_confirmed_none);
         cluster.store_down = true;
         cluster.run(LONGEST_AUTONOMY + 6 * SECOND);
         assert_eq!(cluster.leader(), None, "seed {seed}");
--- a/src/leadership/tests/cluster.rs
+++ b/src/leadership/tests/cluster.rs
@@ -79,9 +79,9 @@
 
     pub(super) workers: Vec<Worker>,
     /// Zero: no jobs, and no node reads the live jobs. Otherwise each node that reaches the key-value store
-    /// reads them, and in one step of so many, at random, submits a job and cancels the oldest one if more
+    /// reads them, and on average once in this many steps submits a job and cancels the oldest one if more
     /// than four are live.
-    pub(super) steps_per_job: u32,
+    pub(super) mean_steps_between_jobs: u32,
     /// Cancelled jobs, and when the cancellation was confirmed to the user, in true time.
     pub(super) confirmed: BTreeMap<JobId, Timestamp>,
 
@@ -115,7 +115,7 @@
             cut_off_from_workers: None,
             workers_report_to_peers_only: false,
             workers: Vec::new(),
-            steps_per_job: 0,
+            mean_steps_between_jobs: 0,
             confirmed: BTreeMap::new(),
             expired_leases: 0,
             autonomous_responses: 0,
--- a/src/leadership/tests/components.rs
+++ b/src/leadership/tests/components.rs
@@ -33,9 +33,9 @@
 fn a_restarted_node_gives_no_grant_or_vote_while_earlier_ones_may_run() {
     let commitments = commitments();
     let grace_ends = START + plus_clock_drift(limits::GRANT_DURATION);
-    assert!(!commitments.permit(grace_ends - Duration::from_micros(1), 1));
+    assert!(!commitments.may_commit_to(grace_ends - Duration::from_micros(1), 1));
     assert!(!commitments.counts_itself(grace_ends - Duration::from_micros(1)));
-    assert!(commitments.permit(grace_ends, 1));
+    assert!(commitments.may_commit_to(grace_ends, 1));
     assert!(commitments.counts_itself(grace_ends));
 }
 
@@ -46,12 +46,12 @@
         give(&mut commitments, NOW, 1);
         let expires_at = NOW + plus_clock_drift(limits::GRANT_DURATION);
         assert!(
-            commitments.permit(expires_at - Duration::from_micros(1), 1),
+            commitments.may_commit_to(expires_at - Duration::from_micros(1), 1),
             "the same node may get another one"
         );
-        assert!(!commitments.permit(expires_at - Duration::from_micros(1), 2));
-        assert!(commitments.exclude(expires_at - Duration::from_micros(1), LOCAL_NODE));
-        assert!(commitments.permit(expires_at, 2));
+        assert!(!commitments.may_commit_to(expires_at - Duration::from_micros(1), 2));
+        assert!(commitments.is_excluded(expires_at - Duration::from_micros(1), LOCAL_NODE));
+        assert!(commitments.may_commit_to(expires_at, 2));
     }
 }
 
@@ -59,13 +59,13 @@
 fn a_withdrawn_own_vote_or_released_grant_excludes_no_node() {
     let mut commitments = commitments();
     commitments.give_vote(NOW, LOCAL_NODE);
-    assert!(commitments.own_vote(NOW).is_some() && !commitments.permit(NOW, 1));
+    assert!(commitments.own_vote(NOW).is_some() && !commitments.may_commit_to(NOW, 1));
     commitments.withdraw_own_vote();
     commitments.give_grant(NOW, 1);
     commitments.withdraw_grant_to(2);
-    assert!(!commitments.permit(NOW, 2), "the grant is for another node");
+    assert!(!commitments.may_commit_to(NOW, 2), "the grant is for another node");
     commitments.withdraw_grant_to(1);
-    assert!(commitments.permit(NOW, 2));
+    assert!(commitments.may_commit_to(NOW, 2));
 }
 
 #[test]
--- a/src/leadership/tests/election_scenarios.rs
+++ b/src/leadership/tests/election_scenarios.rs
@@ -26,7 +26,7 @@
 #[test]
 fn a_store_outage_alone_does_not_end_leadership() {
     let mut cluster = Cluster::new(1);
-    cluster.steps_per_job = 400;
+    cluster.mean_steps_between_jobs = 400;
     cluster.run(5 * SECOND);
     let leader = cluster.leader().expect("a leader");
     let tokens = cluster.elected_tokens.len();
@@ -97,7 +97,7 @@
 fn a_leader_crash_in_a_store_outage_leaves_a_node_in_keep_alive_mode() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed);
-        cluster.steps_per_job = 400;
+        cluster.mean_steps_between_jobs = 400;
         cluster.run(5 * SECOND);
         cluster.store_down = true;
         cluster.run(2 * SECOND);
@@ -133,7 +133,7 @@
 fn a_majority_cut_off_from_the_store_stops_and_the_node_outside_leads() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed);
-        cluster.steps_per_job = 400;
+        cluster.mean_steps_between_jobs = 400;
         // Each node assumes that its previous incarnation promised to suspend confirmations. After 12 s this
         // promise has expired (`limits::CONFIRMATION_SUSPENSION`).
         cluster.run(12 * SECOND);
--- a/src/leadership/tests/invariants.rs
+++ b/src/leadership/tests/invariants.rs
@@ -51,7 +51,7 @@
         let now = self.local_time(leader);
         let others_kept_alive_until = self.nodes[leader].leadership.others_kept_alive_until(now);
         let ledger = &mut self.nodes[leader].ledger;
-        ledger.leases_begin_no_earlier_than(others_kept_alive_until);
+        ledger.raise_assumed_lease_start(others_kept_alive_until);
         let lease = plus_clock_drift(WORKER_LEASE) + limits::LEASE_MARGIN;
         let responses_known_until =
             ledger.responses_known_until(now, plus_clock_drift(LONGEST_AUTONOMY) + lease);
@@ -61,7 +61,8 @@
                 continue;
             }
             self.expired_leases += 1;
-            let has_expired = worker.agent_epoch_began_at > renewal.at || worker.lease_until <= self.now;
+            let has_expired =
+                worker.agent_epoch_began_at > renewal.in_true_time || worker.lease_until <= self.now;
             assert!(
                 has_expired,
                 "at {}: the lease of worker {number} runs, and leader {leader} counts it as expired",
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -8,13 +8,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The time of a renewal of a worker lease, or of the arrival of a shard heartbeat, on two clocks.
+/// The time of a renewal of a worker lease, or of the arrival of a shard heartbeat, on the leader's clock and
+/// in true time.
 #[derive(Clone, Copy)]
 pub(super) struct TimeOnBothClocks {
-    /// Time on the leader's clock.
     pub(super) at_leader: Timestamp,
-    /// The same time in true time.
-    pub(super) at: Timestamp,
+    pub(super) in_true_time: Timestamp,
 }
 
 /// What a leader knows of a leaseholder. Times are on the leader's clock.
@@ -50,7 +49,7 @@
         self.token
     }
 
-    pub(super) fn leases_begin_no_earlier_than(&mut self, time: Timestamp) {
+    pub(super) fn raise_assumed_lease_start(&mut self, time: Timestamp) {
         self.assumed_lease_start = self.assumed_lease_start.max(time);
     }
 
@@ -63,12 +62,15 @@
         unexpired.map(|record| record.responses_known_until).min().unwrap_or(Timestamp::MAX)
     }
 
-    /// The last time at which the worker's lease may have begun. `at_leader` is raised to the assumed start
-    /// of leases without a later renewal; `at` is the last recorded renewal, or the election.
+    /// The last renewal of the worker's lease. `at_leader`: the latest time at which the lease may have begun,
+    /// as the leader assumes. `in_true_time`: the last recorded renewal, or the election. The two may differ.
     pub(super) fn last_renewal(&self, worker: usize) -> TimeOnBothClocks {
-        let unknown = TimeOnBothClocks { at_leader: Timestamp::ZERO, at: self.elected_at };
+        let unknown = TimeOnBothClocks { at_leader: Timestamp::ZERO, in_true_time: self.elected_at };
         let renewal = self.renewals.get(&worker).copied().unwrap_or(unknown);
-        TimeOnBothClocks { at_leader: renewal.at_leader.max(self.assumed_lease_start), at: renewal.at }
+        TimeOnBothClocks {
+            at_leader: renewal.at_leader.max(self.assumed_lease_start),
+            in_true_time: renewal.in_true_time,
+        }
     }
 
     pub(super) fn record_renewal(&mut self, worker: usize, renewal: TimeOnBothClocks) {
@@ -84,7 +86,7 @@
         received: TimeOnBothClocks,
     ) {
         if heartbeat.none_acknowledged {
-            self.leases_begin_no_earlier_than(received.at_leader);
+            self.raise_assumed_lease_start(received.at_leader);
         }
         let record = self.leaseholders.entry(node).or_default();
         if heartbeat.complete {
--- a/src/leadership/tests/mod.rs
+++ b/src/leadership/tests/mod.rs
@@ -4,7 +4,7 @@
 //! - `cluster`: the nodes, their clocks and the active faults;
 //! - `network`: messages in transit between nodes, and to and from the key-value store;
 //! - `key_value_store`: an in-memory substitute for the store;
-//! - `workers`: workers, leaseholders and jobs;
+//! - `workers`: workers, leaseholders (followers with a shard lease, `lease::shard`) and jobs;
 //! - `lease_ledger`: the leader's record of worker leases;
 //! - `invariants`: checks after every step;
 //! - `faults`: random faults;
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -95,9 +95,9 @@
 
 impl Cluster {
     /// A cluster with six workers, two on the side of each node, and jobs that are submitted and cancelled.
-    pub(super) fn with_workers(seed: u64, steps_per_job: u32) -> Self {
+    pub(super) fn with_workers(seed: u64, mean_steps_between_jobs: u32) -> Self {
         let mut cluster = Cluster::new(seed);
-        cluster.steps_per_job = steps_per_job;
+        cluster.mean_steps_between_jobs = mean_steps_between_jobs;
         cluster.workers = (0..6).map(|number| Worker::new(number % NODE_COUNT)).collect();
         cluster
     }
@@ -109,7 +109,7 @@
     /// Lets every node that reaches the key-value store read the live jobs when due, and submits and cancels
     /// jobs at random.
     pub(super) fn run_jobs(&mut self) {
-        if self.steps_per_job == 0 {
+        if self.mean_steps_between_jobs == 0 {
             return;
         }
         for node in 0..NODE_COUNT {
@@ -117,7 +117,7 @@
                 continue;
             }
             self.read_live_jobs_when_due(node);
-            if self.rng.random_ratio(1, self.steps_per_job) {
+            if self.rng.random_ratio(1, self.mean_steps_between_jobs) {
                 self.submit_job();
                 self.cancel_oldest_job(node);
             }
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Cancels the oldest live job if more than four are live. The four that remain let workers also run jobs
-    /// that some nodes have not read yet.
+    /// Cancels the oldest live job if more than four are live. Four stay live so that workers also run
+    /// recently submitted jobs, which some nodes have not read yet.
     fn cancel_oldest_job(&mut self, node: usize) {
         if self.store.live_jobs.len() <= 4 {
             return;
@@ -181,7 +181,7 @@
         if !accepted || self.rng.random_bool(0.1) {
             return;
         }
-        let received = TimeOnBothClocks { at_leader: leader_time, at: self.now };
+        let received = TimeOnBothClocks { at_leader: leader_time, in_true_time: self.now };
         self.nodes[leader].ledger.record_shard_heartbeat(node, &heartbeat, stamp, received);
         let lease = self.nodes[leader].leadership.shard_lease(leader_time);
         if self.rng.random_bool(0.9) {
@@ -246,7 +246,7 @@
             } else {
                 stop_commands_without_leader
             }?;
-            let renewal = TimeOnBothClocks { at_leader: now, at: self.now };
+            let renewal = TimeOnBothClocks { at_leader: now, in_true_time: self.now };
             self.nodes[node].ledger.record_renewal(number, renewal);
             return Some(WorkerResponse::new(token, stops));
         }
@@ -288,7 +288,7 @@
             return None;
         }
         let stops = self.stop_commands_of_leader(leader, &heartbeat)?;
-        let renewal = TimeOnBothClocks { at_leader: self.local_time(leader), at: self.now };
+        let renewal = TimeOnBothClocks { at_leader: self.local_time(leader), in_true_time: self.now };
         self.nodes[leader].ledger.record_renewal(number, renewal);
         let now = self.local_time(node);
         let leaseholder_may_respond = stops.is_empty();
@@ -298,13 +298,13 @@
 
     /// Whether the node has read the jobs since its process or its term as leader began.
     fn has_loaded(&self, node: usize) -> bool {
-        self.steps_per_job == 0 || self.nodes[node].jobs_read_at > Timestamp::ZERO
+        self.mean_steps_between_jobs == 0 || self.nodes[node].jobs_read_at > Timestamp::ZERO
     }
 
     /// The stop commands of a response that the node gives without the leader's job list, as
     /// `Controller::keep_alive_stops` does; None: it may not respond.
     fn stop_commands_without_leader(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
-        if self.steps_per_job == 0 {
+        if self.mean_steps_between_jobs == 0 {
             return Some(Vec::new());
         }
         let (now, cancellations) = (self.local_time(node), &self.nodes[node].leadership.cancellations);
@@ -315,7 +315,7 @@
 
     /// The stop commands of a leader that has loaded the jobs; None: it may not respond.
     fn stop_commands_of_leader(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
-        if self.steps_per_job == 0 {
+        if self.mean_steps_between_jobs == 0 {
             return Some(Vec::new());
         }
         let (now, cancellations) = (self.local_time(node), &self.nodes[node].leadership.cancellations);
