--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -48,10 +48,10 @@
         majority_until.min(self.cancellations.responses_allowed_until())
     }
 
-    /// Until when a leader may act without the lock lease, by the time up to which it knows all cancellations.
-    /// Readings of the key-value store count only up to when the last confirmed renewal of the lock lease was
-    /// sent: a peer may take over a fixed time after it first saw the lock free, so later readings must not
-    /// extend this leader's authority.
+    /// Until when a leader may act without the lock lease, given the time up to which it knows all
+    /// cancellations. Readings of the key-value store count only up to when the last confirmed renewal of the
+    /// lock lease was sent: a peer may take over a fixed time after it first saw the lock free, so later
+    /// readings must not extend this leader's authority.
     fn cancellation_bound_without_lock(&self, lease_until: Timestamp) -> Timestamp {
         let last_confirmed_renewal_sent_at = lease_until - limits::LOCK_LEASE;
         let store_known_until = self.cancellations.known_until_by_store().min(last_confirmed_renewal_sent_at);
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -89,10 +89,10 @@
 
     /// The time after which the former holder of a lock that has been free since `unlocked_at` can no longer
     /// act with grants only. Let K be the time up to which that leader knows all cancellations. K is at most
-    /// the later of `unlocked_at` minus `limits::LOCK_LEASE` (by the key-value store) and `attested_until` (by
-    /// the attestations of all its peers, this node among them). The leader may act until K plus
-    /// `limits::LOCK_LEASE` plus `autonomy_without_lock_lease`. Added are `limits::PEER_TIMEOUT`, for which an
-    /// earlier release trusts a peer's status, and `limits::GRANT_DURATION`.
+    /// the later of `unlocked_at` minus `limits::LOCK_LEASE` (by the key-value store) and `attested_until`
+    /// (by the attestations of all its peers, this node among them). The leader may act until K plus
+    /// `limits::LOCK_LEASE` plus `autonomy_without_lock_lease`. Added are `limits::PEER_TIMEOUT`, for which
+    /// an earlier release trusts a peer's status, and `limits::GRANT_DURATION`.
     fn former_leader_authority_until(&self, unlocked_at: Timestamp) -> Timestamp {
         let attested = self.attested_until + limits::LOCK_LEASE;
         unlocked_at.max(attested)
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -37,7 +37,8 @@
         let first_alive = self.peers.first_alive(now);
         let is_isolated = !self.peers.is_empty() && first_alive.is_none();
         // If none of several ready machines sends heartbeats any more, the fault is likely to be this node's.
-        // Then any peer in contact should lead, before the workers stop trying this node and report to the peer.
+        // Then any peer in contact should lead, before the workers stop trying this node and report to that
+        // peer.
         let many_machines = self.status.ready_machines >= limits::MIN_CORRELATED_SILENT_MACHINES;
         let successor = self.peers.reached_by_most_workers(now).or(first_alive.filter(|_| many_machines));
         self.reachability.reached |= self.status.worker_heartbeats > 0;
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -51,8 +51,8 @@
             StoreAccess::Available
         };
         let Some(attestation) = self.cancellations.attest_to(now, to, store_access) else { return };
-        // By this attestation the receiver knows this node's cancellations up to the heartbeat that it answers
-        // or, while confirmations are suspended, up to `CONFIRMATION_SUSPENSION` after that heartbeat.
+        // By this attestation the receiver knows all cancellations that this node confirmed up to the
+        // heartbeat answered or, with confirmations suspended, up to `CONFIRMATION_SUSPENSION` later.
         let suspension = match store_access {
             StoreAccess::Lost => limits::CONFIRMATION_SUSPENSION,
             StoreAccess::Available => Duration::ZERO,
--- a/src/leadership/tests/cancellation_scenarios.rs
+++ b/src/leadership/tests/cancellation_scenarios.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn cancelled_jobs_end_in_an_outage_after_the_store_refused_the_leader_and_nodes_are_cut_off() {
+fn cancelled_jobs_end_in_an_outage_after_the_store_refused_the_leader_and_confirming_nodes_are_cut_off() {
     run_outage_after_refused_leader(|cluster, leader| {
         cluster.cut_off(vec![leader], true, cluster.now + 60 * SECOND);
     });
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -62,8 +62,8 @@
         unexpired.map(|record| record.responses_known_until).min().unwrap_or(Timestamp::MAX)
     }
 
-    /// The last renewal of the worker's lease. `at_leader`: the latest time at which the lease may have begun,
-    /// as the leader assumes. `in_true_time`: the last recorded renewal, or the election. The two may differ.
+    /// `at_leader`: the latest time at which the worker's lease may have begun, as the leader assumes.
+    /// `in_true_time`: the last recorded renewal, or the election. The two may be different times.
     pub(super) fn last_renewal(&self, worker: usize) -> TimeOnBothClocks {
         let unknown = TimeOnBothClocks { at_leader: Timestamp::ZERO, in_true_time: self.elected_at };
         let renewal = self.renewals.get(&worker).copied().unwrap_or(unknown);
