--- a/crates/dockpier-simulation/examples/transcript/election_lines.rs
+++ b/crates/dockpier-simulation/examples/transcript/election_lines.rs
@@ -83,7 +83,7 @@
         .with("node", node)
         .with("by_members", log.known_until_by_members())
         .with("by_state", log.known_until_by_store())
-        .with("keeps_until", log.responses_allowed_until())
+        .with("keeps_until", log.may_keep_alive_until())
         .with("blindly", log.has_confirmed_none_recently(now))
         .list("over", jobs.clone().filter(|number| log.is_terminated(JobId(*number))))
         .list("live", jobs.filter(|number| log.is_live(JobId(*number))))
--- a/crates/dockpier-simulation/examples/transcript/leaseholders.rs
+++ b/crates/dockpier-simulation/examples/transcript/leaseholders.rs
@@ -244,7 +244,7 @@
         let line = Line::new("block-heartbeat")
             .with("node", leaseholder + 1)
             .with("whole", heartbeat.complete)
-            .with("fresh", heartbeat.none_acknowledged)
+            .with("fresh", heartbeat.without_lease)
             .list("machines", &heartbeat.machines);
         self.out.write(now, line);
         if lost || now < *cut_until {
@@ -255,12 +255,12 @@
         }
         // What it covers lies some way back.
         let covers = heartbeat.complete.then(|| Timestamp::from_micros(now.saturating_sub(2 * STEP)));
-        let (machines, fresh) = (heartbeat.machines, heartbeat.none_acknowledged);
+        let (machines, fresh) = (heartbeat.machines, heartbeat.without_lease);
         Some(Command::ShardHeartbeat {
             node: leaseholder + 1,
             machines,
             covers_until: covers,
-            none_acknowledged: fresh,
+            without_lease: fresh,
         })
     }
 
--- a/crates/dockpier-simulation/examples/transcript/network/clients.rs
+++ b/crates/dockpier-simulation/examples/transcript/network/clients.rs
@@ -142,7 +142,7 @@
             self.nodes[node].shard.follow(token);
             let Some(heartbeat) = self.nodes[node].shard.next_heartbeat(now) else { continue };
             let line = Line::new("network-block-heartbeat").with("node", node).with("id", heartbeat.id);
-            let line = line.with("whole", heartbeat.complete).with("fresh", heartbeat.none_acknowledged);
+            let line = line.with("whole", heartbeat.complete).with("fresh", heartbeat.without_lease);
             self.note(line.list("machines", &heartbeat.machines));
             let lost = self.rng.random_bool(0.1);
             if lost || !self.leads(leader, token) || self.cut_between(node, leader).is_some() {
@@ -264,7 +264,7 @@
     /// The stops that a node in keep-alive mode sends; `None` where it may not respond by itself.
     fn autonomous_stops(&self, node: usize, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let (now, log) = (self.local(node), &self.nodes[node].leadership.cancellations);
-        (now + limits::AUTHORITY_MARGIN < log.responses_allowed_until())
+        (now + limits::AUTHORITY_MARGIN < log.may_keep_alive_until())
             .then(|| log.stop_commands(heartbeat))
             .flatten()
     }
--- a/src/controller/cloud_driver.rs
+++ b/src/controller/cloud_driver.rs
@@ -183,7 +183,7 @@
 ) {
     let interval =
         Duration::from_secs_f64(allowed.list_lag_s.clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S));
-    let pace = Duration::from_secs_f64(limits::MACHINE_LIST_PACE / allowed.rps.max(0.1));
+    let pace = Duration::from_secs_f64(limits::MACHINE_LIST_INTERVAL_FACTOR / allowed.rps.max(0.1));
     loop {
         // With a partial list machines would seem missing.
         if let Some(machines) = complete_list(&cloud, pace).await {
--- a/src/controller/heartbeat_routing.rs
+++ b/src/controller/heartbeat_routing.rs
@@ -171,7 +171,7 @@
     /// cancellations to renew the lease.
     fn keep_alive_stops(&self, now: Timestamp, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let cancellations = &self.leadership.cancellations;
-        if now + limits::AUTHORITY_MARGIN >= cancellations.responses_allowed_until() {
+        if now + limits::AUTHORITY_MARGIN >= cancellations.may_keep_alive_until() {
             return None;
         }
         cancellations.stop_commands(heartbeat)
@@ -239,7 +239,7 @@
         let Some(to) = self.routing.pending_replies.remove(&response_id) else { return };
         // Checked again at the last moment: the round may have taken long.
         let now = self.clock.now();
-        let knows_cancellations = now < self.leadership.cancellations.responses_allowed_until();
+        let knows_cancellations = now < self.leadership.cancellations.may_keep_alive_until();
         let entitled = self.leadership.authority(now).filter(|_| knows_cancellations).zip(renewal);
         match to {
             ReplyTo::Worker(to, stops) => {
@@ -294,7 +294,7 @@
         heartbeat: Heartbeat,
         commands: &mut Vec<Command>,
     ) {
-        let knows_cancellations = now < self.leadership.cancellations.responses_allowed_until();
+        let knows_cancellations = now < self.leadership.cancellations.may_keep_alive_until();
         if !self.leads(now) || !is_recent_stamp(now, stamp) || !knows_cancellations {
             self.peers.count_ignored(from, IgnoredFrame::Stale);
             return self.respond_to_stale_relay(now, from, id, &heartbeat);
@@ -390,9 +390,9 @@
         let Some(leader) = self.leadership.followed_leader(now) else { return };
         self.routing.shard.follow(leader.token);
         let Some(heartbeat) = self.routing.shard.next_heartbeat(now) else { return };
-        let ShardHeartbeat { id, complete, none_acknowledged, machines } = heartbeat;
+        let ShardHeartbeat { id, complete, without_lease, machines } = heartbeat;
         let stamp = leader.heartbeat_stamp;
-        let frame = Payload::ShardHeartbeat { id, stamp, complete, none_acknowledged, machines };
+        let frame = Payload::ShardHeartbeat { id, stamp, complete, without_lease, machines };
         self.peers.send(leader.node, frame);
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -220,10 +220,9 @@
             Payload::RelayedResponse { id, token, leaseholder_may_respond, task_commands } => {
                 self.handle_relayed_response(now, from, id, token, leaseholder_may_respond, task_commands);
             }
-            Payload::ShardHeartbeat { id, stamp, complete, none_acknowledged, machines } => {
+            Payload::ShardHeartbeat { id, stamp, complete, without_lease, machines } => {
                 let covers_until = complete.then_some(stamp);
-                let command =
-                    Command::ShardHeartbeat { node: from, machines, covers_until, none_acknowledged };
+                let command = Command::ShardHeartbeat { node: from, machines, covers_until, without_lease };
                 self.handle_shard_heartbeat(now, from, id, stamp, command, commands);
             }
             Payload::ShardHeartbeatAck { id, lease_ms } => {
--- a/src/fleet_limits.rs
+++ b/src/fleet_limits.rs
@@ -56,7 +56,7 @@
             "recording all machines takes too long: new machines get no tasks until they are recorded",
         ),
         (
-            pages * limits::MACHINE_LIST_PACE / deployment.cloud.rps > MAX_PASS_S,
+            pages * limits::MACHINE_LIST_INTERVAL_FACTOR / deployment.cloud.rps > MAX_PASS_S,
             "deployment.cloud.rps",
             "reading the machine list takes too long: machines that the cloud reclaimed are noticed late",
         ),
--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -45,7 +45,7 @@
     /// tasks of a cancelled job alive for as long as it is cut off.
     fn keep_alive_until(&self, now: Timestamp) -> Timestamp {
         let majority_until = self.granted_until(now).max(self.votes_until(now));
-        majority_until.min(self.cancellations.responses_allowed_until())
+        majority_until.min(self.cancellations.may_keep_alive_until())
     }
 
     /// The bound by known cancellations on how long a leader may act without the lock lease. Readings of the
@@ -56,7 +56,7 @@
         let lease_confirmed_at = lease_until - limits::LOCK_LEASE;
         let store_known_until = self.cancellations.known_until_by_store().min(lease_confirmed_at);
         let known_until = store_known_until.max(self.cancellations.known_until_by_members());
-        self.cancellations.keep_alive_limit(known_until)
+        self.cancellations.keep_alive_end(known_until)
     }
 
     /// The duration of the shard lease (`lease::shard`) that this leader gives when a follower's shard
@@ -66,7 +66,7 @@
         if !self.is_leader() {
             return Duration::ZERO;
         }
-        self.cancellations.responses_allowed_until().since(now).min(self.longest_autonomy)
+        self.cancellations.may_keep_alive_until().since(now).min(self.longest_autonomy)
     }
 
     /// The last time at which another node, in keep-alive mode, may have renewed worker leases without this
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -66,7 +66,7 @@
         self.is_store_lost()
             && self.highest_token > FencingToken::NONE
             && !self.peer_reaches_store(now)
-            && now + limits::GRANT_DURATION < self.cancellations.responses_allowed_until()
+            && now + limits::GRANT_DURATION < self.cancellations.may_keep_alive_until()
     }
 
     fn campaign(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -100,7 +100,7 @@
         let granted_until = self.peers.granted_until(self.commitments.counts_itself(now));
         let acted_until = granted_until.max(term.lease_until).min(now);
         (acted_until + minus_clock_drift(self.longest_autonomy))
-            .min(self.cancellations.responses_allowed_until())
+            .min(self.cancellations.may_keep_alive_until())
     }
 
     /// Records a fencing token that a worker, a peer or the epoch record has shown. A leader with a lower
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -83,7 +83,7 @@
         stamp: Timestamp,
         received: TimeOnBothClocks,
     ) {
-        if heartbeat.none_acknowledged {
+        if heartbeat.without_lease {
             self.leases_begin_no_earlier_than(received.at_leader);
         }
         let record = self.leaseholders.entry(node).or_default();
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -308,7 +308,7 @@
             return Some(Vec::new());
         }
         let (now, cancellations) = (self.local_time(node), &self.nodes[node].leadership.cancellations);
-        (now + limits::AUTHORITY_MARGIN < cancellations.responses_allowed_until())
+        (now + limits::AUTHORITY_MARGIN < cancellations.may_keep_alive_until())
             .then(|| cancellations.stop_commands(heartbeat))
             .flatten()
     }
@@ -323,7 +323,7 @@
         let orphaned = heartbeat.tasks.iter().filter(|task| !cancellations.is_live(task.id.job_id));
         let stop =
             |task: &ReportedTask| TaskCommand::Stop { id: task.id, attempt: task.attempt, grace_s: 0.0 };
-        (now < cancellations.responses_allowed_until())
+        (now < cancellations.may_keep_alive_until())
             .then(|| cancellations.with_stop_commands(orphaned.map(stop).collect(), heartbeat))
     }
 }
--- a/src/lease/cancellation_log.rs
+++ b/src/lease/cancellation_log.rs
@@ -53,8 +53,8 @@
 /// how long it remembers them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancellationBounds {
-    /// How long workers may be kept alive beyond the time up to which every cancellation is known, without
-    /// the lock lease, which the log adds ([`limits::longest_autonomy`]).
+    /// How long workers may be kept alive beyond the time up to which every cancellation is known, less
+    /// `limits::LOCK_LEASE`, which the log adds ([`limits::longest_autonomy`]).
     pub longest_autonomy: Duration,
     /// How long a cancellation is remembered ([`limits::cancellation_retention`]).
     pub retention: Duration,
@@ -67,6 +67,7 @@
     /// The store responds.
     Available,
     /// The store has not responded for `limits::CONFIRMATION_SUSPENSION_DELAY`: confirmations are suspended.
+    /// Shorter than `limits::STORE_LOST_TIMEOUT`, after which elections treat the store as lost.
     Lost,
 }
 
@@ -105,9 +106,9 @@
     local_node: usize,
     incarnation: u64,
     started_at: Timestamp,
-    /// How long workers may be kept alive beyond the time up to which every cancellation is known: the bound
-    /// of the settings plus the lock lease.
-    keep_alive_bound: Duration,
+    /// How long workers may be kept alive beyond the time up to which every cancellation is known:
+    /// `CancellationBounds::longest_autonomy` plus the lock lease.
+    max_keep_alive: Duration,
     /// How long a cancellation is remembered. It is not needed once its tasks have ended, `cancel_s` after
     /// it was confirmed.
     retention: Duration,
@@ -138,7 +139,7 @@
             local_node,
             incarnation,
             started_at: now,
-            keep_alive_bound: bounds.longest_autonomy + limits::LOCK_LEASE,
+            max_keep_alive: bounds.longest_autonomy + limits::LOCK_LEASE,
             retention: bounds.retention,
             members: vec![Member::new(now); members],
             own_confirmations: VecDeque::new(),
@@ -175,17 +176,17 @@
 
     /// Until when a node that knows every cancellation up to `known_until` may keep workers alive;
     /// [`Timestamp::ZERO`]: not at all.
-    pub fn keep_alive_limit(&self, known_until: Timestamp) -> Timestamp {
+    pub fn keep_alive_end(&self, known_until: Timestamp) -> Timestamp {
         if known_until == Timestamp::ZERO {
             Timestamp::ZERO
         } else {
-            known_until + minus_clock_drift(self.keep_alive_bound)
+            known_until + minus_clock_drift(self.max_keep_alive)
         }
     }
 
     /// Until when this node may keep workers alive.
-    pub fn responses_allowed_until(&self) -> Timestamp {
-        self.keep_alive_limit(self.known_until_by_store().max(self.known_until_by_members()))
+    pub fn may_keep_alive_until(&self) -> Timestamp {
+        self.keep_alive_end(self.known_until_by_store().max(self.known_until_by_members()))
     }
 
     /// Whether the job has ended, so that none of its tasks may start.
@@ -354,9 +355,9 @@
     /// Whether this node has confirmed no cancellation within the retention time. False for a restarted node
     /// until it has read the live jobs or the retention time has passed.
     ///
-    /// Needed for members of an earlier version only: once all members report the key-value store as lost,
-    /// they conclude that there is no recent cancellation. This node therefore reports the loss to them only
-    /// if this returns true.
+    /// For members of an earlier version only. Such a member concludes that there is no recent cancellation
+    /// once all others report the key-value store as lost. This node therefore reports the loss to it only if
+    /// this node has confirmed no cancellation recently.
     pub fn has_confirmed_none_recently(&self, now: Timestamp) -> bool {
         let is_recent = |own: &OwnConfirmation| now < own.recorded_at + self.retention;
         let has_recent = self.own_confirmations.back().is_some_and(is_recent);
--- a/src/lease/cancellation_log_member.rs
+++ b/src/lease/cancellation_log_member.rs
@@ -31,7 +31,7 @@
 
 impl Member {
     /// The state when this process starts, at `now`. An earlier incarnation of this node may have promised
-    /// the member up to that moment to suspend confirmations, so the promise is taken as given.
+    /// the member, as late as `now`, to suspend confirmations. This incarnation keeps such a promise.
     pub(super) fn new(now: Timestamp) -> Self {
         Member { suspended_until: now + limits::CONFIRMATION_SUSPENSION, ..Member::default() }
     }
@@ -51,7 +51,7 @@
         self.known_until
     }
 
-    /// Whether this member allows this node to confirm its own cancellation with this number.
+    /// Whether this node may give a user its confirmation `number` as far as this member is concerned.
     pub(super) fn permits_confirmation(&self, now: Timestamp, number: u64) -> bool {
         self.sends_no_attestations || now >= self.suspended_until || self.acknowledged >= number
     }
@@ -60,6 +60,7 @@
     /// sends attestations and accepts them.
     pub(super) fn observe_heartbeat(&mut self, incarnation: u64, gives_attestations: bool, stamp: Timestamp) {
         self.sends_no_attestations = !gives_attestations;
+        // Incarnation zero is treated as unknown.
         let incarnation = Some(incarnation).filter(|incarnation| gives_attestations && *incarnation != 0);
         if self.incarnation != incarnation {
             // A new incarnation has acknowledged no confirmation of this node, and numbers its own from one.
@@ -97,7 +98,8 @@
         store_read_at: Timestamp,
     ) -> bool {
         self.acknowledged = self.acknowledged.max(attestation.acknowledged);
-        // An attestation that was overtaken by a later one has no cancellations that the later one lacked.
+        // An attestation that a later one overtook reports nothing new: the later one included its
+        // cancellations.
         let has_new = attestation.last_number > self.received;
         self.received = self.received.max(attestation.last_number);
         let incarnation_began = now - minus_clock_drift(attestation.incarnation_age);
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -158,14 +158,14 @@
     let mut node_0 = CancellationLog::new(2, 0, 70, NOW, BOUNDS);
     node_1.observe_heartbeat(0, 70, true, NOW);
     exchange(NOW + 2 * SECOND, &mut node_0, &mut node_1, StoreAccess::Lost);
-    assert_eq!(node_1.responses_allowed_until(), Timestamp::ZERO);
+    assert_eq!(node_1.may_keep_alive_until(), Timestamp::ZERO);
 }
 
 /// If a node has more cancellations than one frame holds, it sends no attestations, so that workers' leases
-/// expire rather than keep a cancelled task alive: the other members' bounds do not advance. Attestations
-/// resume once the cancellations are older than their retention.
+/// expire rather than keep a cancelled task alive: the time up to which the other members know every
+/// cancellation does not advance. Attestations resume once the cancellations are older than their retention.
 #[test]
-fn more_cancellations_than_a_frame_holds_suspend_attestations_until_retention_ends() {
+fn more_cancellations_than_a_frame_holds_stop_attestations_until_retention_ends() {
     let (mut node_0, mut node_1) = two_nodes();
     node_1.observe_heartbeat(0, 70, true, NOW);
     node_0.observe_heartbeat(1, 71, true, NOW);
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -5,10 +5,10 @@
 //! controller may respond to workers without knowing every cancellation.
 //!
 //! A controller node in keep-alive mode keeps workers alive under the last fencing token while the key-value
-//! store is out of service and there is no leader. It needs votes and grants of a majority, and starts no
-//! tasks.
+//! store is out of service and there is no leader. A majority must have voted for it, and it keeps the mode
+//! while the votes or the grants of a majority are valid. It starts no tasks.
 //!
-//! The controller's event loop (`controller`) owns one [`shard::Shard`]. [`crate::leadership`] owns the
+//! The controller's heartbeat routing owns one [`shard::Shard`]. [`crate::leadership`] owns the
 //! [`cancellation_log::CancellationLog`]. The scheduler keeps a [`renewal::LastRenewal`] for each machine.
 
 pub mod cancellation_log;
--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -1,10 +1,10 @@
 //! Records of the responses to heartbeats that may renew a worker's lease.
 //!
 //! A worker keeps its tasks for `lease_s` after it sent the last heartbeat that got a response, so the leader
-//! may start them elsewhere only after that. Every response must therefore be recorded where the leader
-//! counts it. A response is built from a [`LeaseRenewal`]. One is created by recording the response
-//! ([`LastRenewal`], `UnacknowledgedRenewals`) or, without a record on this node, where another rule makes
-//! the leader wait long enough (see [`RenewalBasis`]).
+//! may start them elsewhere only after that. The leader must therefore learn of every response, or wait
+//! as if there had been one. A response is built from a [`LeaseRenewal`]. One is created by recording the
+//! response ([`LastRenewal`], `UnacknowledgedRenewals`) or, without a record on this node, where another rule
+//! makes the leader wait long enough (see [`RenewalBasis`]).
 //!
 //! The scheduler owns a [`LastRenewal`] for each machine, [`crate::lease::shard::Shard`] the
 //! `UnacknowledgedRenewals`, and the controller's event loop the [`RenewalCounts`].
@@ -18,8 +18,8 @@
 pub enum RenewalBasis {
     /// The leader recorded the response to the machine.
     Leader,
-    /// A leader that has not loaded its state responded: leases count from the time of loading
-    /// (`Scheduler::load`).
+    /// A leader that has not loaded its state responded: once it has loaded its state, it treats every
+    /// worker's lease as renewed at that time (`Scheduler::load`).
     BeforeLoad,
     /// A node in keep-alive mode responded: the next leader counts leases from the last time at which that
     /// node may have responded (`Leadership::others_kept_alive_until`).
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -21,19 +21,20 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// A machine's last heartbeat that got a response. The leader knows its content.
+/// A machine's last heartbeat whose tasks the leader knows. Changed heartbeats to which this node responds
+/// without a leader are not cached.
 struct CachedHeartbeat {
     agent_epoch: u64,
     sequence: u64,
     tasks: Vec<ReportedTask>,
     /// The leader has a command for the machine: the next heartbeat is relayed even if it is unchanged.
     relay_required: bool,
-    /// When this node last responded to the machine.
+    /// When this node last responded to a heartbeat with these tasks, itself or with the leader's response.
     responded_at: Timestamp,
 }
 
 impl CachedHeartbeat {
-    fn is_as_recent_as(&self, heartbeat: &Heartbeat) -> bool {
+    fn is_not_older_than(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.agent_epoch, heartbeat.sequence) <= (self.agent_epoch, self.sequence)
     }
 
@@ -53,7 +54,8 @@
     NotTried,
     /// Redirected to the other nodes, which may be in contact with the leader.
     Redirected,
-    /// The worker came back at this time: the other nodes are not in contact with a leader either.
+    /// The worker came back from the other nodes at this time: they are not in contact with a leader either.
+    /// Assumed of a worker whose heartbeat is not cached.
     Returned(Timestamp),
 }
 
@@ -65,7 +67,7 @@
     pub complete: bool,
     /// Whether this shard has had no lease under its token. The node may then have just restarted, and an
     /// earlier incarnation may have responded to machines that this heartbeat does not name.
-    pub none_acknowledged: bool,
+    pub without_lease: bool,
     /// Names of the machines.
     pub machines: Vec<String>,
 }
@@ -152,12 +154,13 @@
     /// leader. `has_leader`: whether this node is in contact with the leader.
     pub fn respond(&mut self, now: Timestamp, heartbeat: &Heartbeat, has_leader: bool) -> ShardResponse {
         // A worker that has seen a higher token ignores responses under ours: its lease would expire while it
-        // keeps sending heartbeats here.
+        // keeps sending heartbeats here. One with a lower token or none has no tasks that this shard may
+        // keep alive.
         if heartbeat.token != self.token || now + limits::AUTHORITY_MARGIN >= self.lease_until {
             return ShardResponse::NotResponsible;
         }
         let cached = self.cached.get(&heartbeat.machine);
-        if cached.is_some_and(|cached| cached.is_as_recent_as(heartbeat)) {
+        if cached.is_some_and(|cached| cached.is_not_older_than(heartbeat)) {
             return ShardResponse::Duplicate;
         }
         let unchanged = cached.is_some_and(|cached| cached.allows_local_response(heartbeat));
@@ -227,14 +230,14 @@
 
     /// The shard heartbeat for the leader, if one is due. It repeats machines that were not acknowledged: a
     /// frame may be lost with its connection, and from a complete shard heartbeat the leader concludes that
-    /// this node responded to no other machine before.
+    /// this node has responded to no other machine since the last acknowledged one.
     #[must_use = "the shard lease is extended only by a heartbeat that is sent"]
     pub fn next_heartbeat(&mut self, now: Timestamp) -> Option<ShardHeartbeat> {
         if now < self.next_heartbeat_at {
             return None;
         }
-        // Machines that were deleted or report elsewhere are dropped from the cache here, where it costs
-        // least.
+        // Machines that were deleted or report elsewhere are dropped from the cache here, once per shard
+        // heartbeat and not at every worker's heartbeat.
         self.cached.retain(|_, cached| now < cached.responded_at + limits::CACHED_HEARTBEAT_TTL);
         let id = self.heartbeat_ids.take();
         let machines = self.unacknowledged_names_that_fit();
@@ -250,12 +253,7 @@
         if self.sent_heartbeats.len() > limits::MAX_UNACKNOWLEDGED_SHARD_HEARTBEATS {
             self.sent_heartbeats.pop_front();
         }
-        Some(ShardHeartbeat {
-            id,
-            complete,
-            none_acknowledged: self.lease_until == Timestamp::ZERO,
-            machines,
-        })
+        Some(ShardHeartbeat { id, complete, without_lease: self.lease_until == Timestamp::ZERO, machines })
     }
 
     /// Names of unacknowledged machines, as many as fit into one frame.
--- a/src/lease/shard_tests.rs
+++ b/src/lease/shard_tests.rs
@@ -174,8 +174,9 @@
     );
 }
 
-/// From a shard heartbeat the leader concludes that no other machine got a response before. Machines that it
-/// has not acknowledged must be in the next one, since a frame may be lost with its connection.
+/// From a complete shard heartbeat the leader concludes that no other machine has got a response since the
+/// last acknowledged one. Machines that it has not acknowledged must be in the next one, since a frame may be
+/// lost with its connection.
 #[test]
 fn a_shard_heartbeat_names_every_machine_since_the_last_acknowledged_one() {
     let mut shard = shard_with_lease();
--- a/src/limits/autoscaling.rs
+++ b/src/limits/autoscaling.rs
@@ -6,15 +6,16 @@
 pub const REPLICA_MOVE_INITIAL_DELAY: Duration = Duration::from_secs(30);
 /// Time between two batches of replica moves, so that few replicas are down at once.
 pub const REPLICA_MOVE_INTERVAL: Duration = Duration::from_secs(4);
-/// One of this many replicas is moved at a time (at least one). With some four seconds of downtime for each,
-/// moving costs half a percent of the replica time while it lasts.
+/// A batch moves at most the number of all the fleet's replicas divided by this, or one. A replica is down
+/// for some four seconds, the interval of batches, so at most half a percent of the replicas are down while
+/// moves go on.
 pub const REPLICA_MOVE_DIVISOR: usize = 200;
 /// Time between two moves of one job's replicas, and between its last rescaling (or start) and the next move.
 pub const JOB_REPLICA_MOVE_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Interval between two plans of the autoscaler.
 pub const AUTOSCALER_INTERVAL: Duration = Duration::from_secs(1);
-/// A plan that ran out of budget is resumed after this time.
+/// A plan that used up its budget of decision steps is resumed after this time.
 pub const AUTOSCALER_RESUME_DELAY: Duration = Duration::from_millis(100);
 /// A boot is given up after this multiple of the machine type's nominal boot time. Most boots take at most
 /// 1.5 times.
@@ -32,9 +33,9 @@
 /// four requests.
 pub const MACHINE_LIST_PAGE_SIZE: u32 = 500;
 
-/// Time between two pages of one list, in units of the interval at which the cloud's limit allows requests:
-/// half of the limit is left for rentals.
-pub const MACHINE_LIST_PACE: f64 = 2.0;
+/// Time between two pages of one list, as a multiple of the shortest interval that the cloud's limit allows
+/// between requests: half of the limit is left for rentals.
+pub const MACHINE_LIST_INTERVAL_FACTOR: f64 = 2.0;
 /// Refused requests that are tolerated while one list is read. After one more the list is given up until its
 /// next turn.
 pub const MAX_LIST_REFUSALS: u32 = 4;
--- a/src/limits/cold_start.rs
+++ b/src/limits/cold_start.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Interval between two checks of the cold-start phase: at 4,000 machines with some ten tasks each, one check
-/// joins 40,000 entries.
+/// compares 40,000 reported tasks with the recorded jobs.
 pub const COLD_START_INTERVAL: Duration = Duration::from_secs(1);
 /// A job that workers report and the leader does not know is read from the key-value store again after this
 /// time.
--- a/src/limits/drain.rs
+++ b/src/limits/drain.rs
@@ -9,7 +9,7 @@
 pub const DRAIN_SOLVER_TIMEOUT_S: f64 = 0.02;
 /// Candidates that the solver gets, as a multiple of the number of machines that may begin to drain in the
 /// step.
-pub const MAX_DRAIN_CANDIDATES: usize = 8;
+pub const DRAIN_CANDIDATES_FACTOR: usize = 8;
 /// Searches for a destination in one round, each over every machine: 16 at 4,000 machines take some 5 ms of a
 /// full core.
 pub const MAX_DRAIN_PLACEMENT_SEARCHES: usize = 16;
--- a/src/limits/election.rs
+++ b/src/limits/election.rs
@@ -7,9 +7,9 @@
 
 /// Relative drift between two clocks. The rate of each may be off by 0.05% (PROTOCOL, durations).
 pub const CLOCK_DRIFT: f64 = 0.001;
-/// How long a peer's grant or vote is valid. Short enough that a new leader reaches workers well within a
-/// worker lease of 10 s. Long enough for five missed peer heartbeats, as they occur if a process has only 4%
-/// of a core.
+/// How long a peer's grant (its consent that the leader acts) or vote (its consent that a candidate takes
+/// over) is valid. Short enough that a new leader reaches workers well within a worker lease of 10 s. Long
+/// enough for five missed peer heartbeats, as they occur if a process has only 4% of a core.
 pub const GRANT_DURATION: Duration = Duration::from_millis(2_500);
 /// The lock lease behind `leader/lock`. Longer than a grant: a takeover by votes also needs the lock to be
 /// free, so a short network partition between peers causes none.
@@ -36,16 +36,17 @@
 /// A leader that stepped down in favour of the others starts no campaign for this long.
 pub const STEP_DOWN_BACKOFF: Duration = Duration::from_secs(6);
 
-/// How long a node may keep workers alive after the time up to which it knows every cancellation, without the
-/// lock lease, which `CancellationLog` adds. It applies to leaders that hold grants of a majority but not the
-/// lock, nodes in keep-alive mode, former leaders, and leaseholders without contact with a leader.
+/// How long a node may keep workers alive after the time up to which it knows every cancellation, less the
+/// lock lease. `CancellationLog` adds the lock lease again, since it counts from that time. The bound applies
+/// to leaders that hold grants of a majority but not the lock, nodes in keep-alive mode, former leaders, and
+/// leaseholders without contact with a leader.
 ///
 /// All tasks must have ended `cancel_s` after the cancellation was confirmed to the user, and a worker that
-/// gets a response at the very end keeps its tasks for its lease. Subtracted besides are the lock lease (the
-/// longest time for which a leader may miss a cancellation), the delay with which a worker observes the end
-/// of its lease, and a second of transfer time. A second suffices, since stop commands are sent to workers
-/// directly: those that a network partition holds back belong to cancellations confirmed by the time it
-/// began.
+/// gets a response at the very end keeps its tasks for its lease. The lock lease (the longest time for which a
+/// leader may miss a cancellation), the delay with which a worker observes the end of its lease, and a second
+/// of transfer time are subtracted too. A second suffices: stop commands are sent to workers directly, and a
+/// network partition holds back only those of cancellations that were confirmed by the time when the
+/// partition began.
 pub fn longest_autonomy(cancel_s: f64, lease_s: f64) -> Duration {
     from_seconds(cancel_s - lease_s).saturating_sub(LOCK_LEASE + LEASE_MARGIN + SECOND)
 }
@@ -65,8 +66,8 @@
 pub const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(300);
 /// Cancellations in one attestation: 32 KiB of the 64 KiB that a frame holds.
 pub const MAX_ATTESTED_CANCELLATIONS: usize = 4_096;
-/// The live jobs are read at least this often. Users' polls also cause readings, but without polls a node
-/// must learn of cancellations too, and by the key-value store it knows those up to the last reading.
+/// The live jobs are read at least this often. Users' polls also cause readings. A node must learn of
+/// cancellations without polls too: by the key-value store it knows them only up to its last reading.
 pub const LIVE_JOBS_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a cancellation is remembered. Its tasks have ended `cancel_s` after it was confirmed. Doubled,
--- a/src/limits/lease.rs
+++ b/src/limits/lease.rs
@@ -14,8 +14,8 @@
 }
 
 /// A machine that has sent no heartbeat for this long gets no new tasks and is suspected of being dead.
-/// Heartbeats arrive up to 1.25 times `report_s` apart. If a leaseholder could not relay one, the next
-/// follows 2.5 s later; the other 0.75 s are a margin.
+/// Heartbeats arrive up to 1.25 times `report_s` apart. If a leaseholder could not relay one, the worker
+/// sends the next 2.5 s later (`RELAY_TIMEOUT` and a pause of 1 s); the other 0.75 s are a margin.
 pub fn silence_timeout(report_s: f64) -> Duration {
     from_seconds(report_s * 1.25) + Duration::from_millis(3_250)
 }
@@ -26,8 +26,8 @@
 /// Suspected machines are deleted before their lease expires only while at most this share of all machines
 /// (or two machines) is silent: with more, the fault is likely to be on the controllers' side.
 pub const MAX_SILENT_SHARE: f64 = 0.25;
-/// The corresponding limit for the machines whose heartbeats arrive by one route: the route may be at fault
-/// although heartbeats of some machines still arrive by it.
+/// The corresponding limit for the machines whose heartbeats arrive by one route, that is, through one
+/// controller node: the route may be at fault although heartbeats of some machines still arrive by it.
 pub const MAX_SILENT_ROUTE_SHARE: f64 = 0.5;
 
 /// After this many consecutive heartbeats that show no effect of the previous response, responses are taken
--- a/src/limits/scheduling.rs
+++ b/src/limits/scheduling.rs
@@ -59,7 +59,7 @@
 pub const MAX_JOB_BACKOFF: Duration = Duration::from_secs(60);
 /// A machine that refused a start for lack of room, or on which a task failed, gets no new tasks for this
 /// long.
-pub const NO_ROOM_BACKOFF: Duration = Duration::from_secs(3);
+pub const PLACEMENT_BACKOFF: Duration = Duration::from_secs(3);
 /// Default of `gang_wait_s`: how long a gang's tasks wait for one another, in seconds. The smallest value
 /// that occurs in operators' files.
 pub const GANG_WAIT_S: f64 = 30.0;
@@ -68,14 +68,14 @@
 pub const GANG_PEER_S: f64 = 6.0;
 
 /// A gang that lacks some of its tasks and finds no room for them is stopped as a whole after this time. The
-/// started tasks wait for the others for `gang_wait_s`. This time plus a heartbeat and a fetch is shorter, so
-/// that the started tasks' places do not idle until `gang_wait_s` ends.
+/// timeout plus a heartbeat and a fetch is shorter than `gang_wait_s`, for which the started tasks wait for
+/// the others, so that the started tasks' places do not idle until `gang_wait_s` ends.
 pub fn gang_completion_timeout(gang_wait_s: f64) -> Duration {
     from_seconds(gang_wait_s / 3.0)
 }
 
-/// On a spot notice, tasks that save checkpoints are stopped when their saving time plus this margin is left,
-/// in seconds.
+/// On a spot notice (a recall of the machine by the cloud), tasks that save checkpoints are stopped when
+/// their saving time plus this margin is left, in seconds.
 pub const RECALL_MARGIN_S: f64 = 4.0;
 
 /// A task's run time is compared with the mean of its job's earlier tasks once there are this many.
--- a/src/peer/codec/mod.rs
+++ b/src/peer/codec/mod.rs
@@ -77,11 +77,11 @@
             head.kind = WAKE_REQUEST;
             names::write(machines, body);
         }
-        Payload::ShardHeartbeat { id, stamp, complete, none_acknowledged, machines } => {
+        Payload::ShardHeartbeat { id, stamp, complete, without_lease, machines } => {
             (head.kind, head.stamp, head.state_age) =
                 (SHARD_HEARTBEAT, (*id).into(), stamp.as_micros().into());
             head.workers = u32::from(*complete).into();
-            head.successor = u32::from(*none_acknowledged).into();
+            head.successor = u32::from(*without_lease).into();
             names::write(machines, body);
         }
         Payload::ShardHeartbeatAck { id, lease_ms } => {
@@ -200,7 +200,7 @@
             id: number,
             stamp: echoed,
             complete: head.workers.get() != 0,
-            none_acknowledged: head.successor.get() != 0,
+            without_lease: head.successor.get() != 0,
             machines: names::read(body)?,
         },
         ATTESTATION => Payload::Attestation(read_attestation(stamp, body)?),
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -56,8 +56,8 @@
         stamp: Timestamp,
         /// These are all that were answered since the last word that was confirmed.
         complete: bool,
-        /// None was confirmed yet.
-        none_acknowledged: bool,
+        /// The sender's current incarnation has had no lease under the leader's token.
+        without_lease: bool,
         /// Names of the machines answered.
         machines: Vec<String>,
     },
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -98,7 +98,7 @@
         id: 3,
         stamp: Timestamp::from_micros(4),
         complete: true,
-        none_acknowledged: false,
+        without_lease: false,
         machines: vec!["m-1".into(), "m-22".into()],
     };
     let heard = encode(sender, 3, &heard);
--- a/src/scheduler/drains/step.rs
+++ b/src/scheduler/drains/step.rs
@@ -88,7 +88,7 @@
                 }
                 continue;
             }
-            let most = quotas[index] * limits::MAX_DRAIN_CANDIDATES;
+            let most = quotas[index] * limits::DRAIN_CANDIDATES_FACTOR;
             let names = self.first_to_begin(id, waiting, most, &mut taken);
             let is_replaced = self.drains.drains[id].stored.request.replace;
             let machines = names.iter().filter_map(|name| self.machines.get(name));
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -138,9 +138,9 @@
         /// Each machine to which the leaseholder responded before this time is in `machines` or was in an
         /// earlier shard heartbeat that the leader acknowledged. None: the list may be incomplete.
         covers_until: Option<Timestamp>,
-        /// Whether this leader has not yet acknowledged a shard heartbeat of this incarnation of the
-        /// leaseholder. Then an earlier incarnation may have responded to any machine until now.
-        none_acknowledged: bool,
+        /// Whether this incarnation of the leaseholder has had no lease under this leader's token. Then an
+        /// earlier incarnation may have responded to any machine until now.
+        without_lease: bool,
     },
     /// A worker's heartbeat in response to a direct command.
     DirectResponse(Heartbeat),
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -219,8 +219,8 @@
             Command::Heartbeat { response_id, heartbeat, relayed_by } => {
                 return self.handle_heartbeat(response_id, heartbeat, relayed_by);
             }
-            Command::ShardHeartbeat { node, machines, covers_until, none_acknowledged } => {
-                return self.handle_shard_heartbeat(node, machines, covers_until, none_acknowledged);
+            Command::ShardHeartbeat { node, machines, covers_until, without_lease } => {
+                return self.handle_shard_heartbeat(node, machines, covers_until, without_lease);
             }
             Command::DirectResponse(heartbeat) => return self.handle_direct_response(heartbeat),
             Command::StateLoaded { jobs, records } => self.load(jobs, records),
@@ -253,9 +253,9 @@
         node: usize,
         machines: Vec<String>,
         covers_until: Option<Timestamp>,
-        none_acknowledged: bool,
+        without_lease: bool,
     ) {
-        if none_acknowledged {
+        if without_lease {
             // A leaseholder that crashed has lost the names of the machines to which it responded. If its
             // first shard heartbeat were taken to cover the time before the crash, leases that still run
             // would be treated as expired (`leadership::tests`).
--- a/src/scheduler/quarantine.rs
+++ b/src/scheduler/quarantine.rs
@@ -48,7 +48,7 @@
         }
         if let Some(machine) = self.machines.get_mut(name) {
             // For a while nothing is placed here, so that other machines are tried first.
-            machine.health.placement_backoff_until = now + limits::NO_ROOM_BACKOFF;
+            machine.health.placement_backoff_until = now + limits::PLACEMENT_BACKOFF;
             if !suspected {
                 machine.health.failed_jobs.insert(job_id);
             }
--- a/tests/leases/interleavings/world.rs
+++ b/tests/leases/interleavings/world.rs
@@ -138,13 +138,13 @@
             }
             Message::DirectAnswer(heartbeat) => self.leader(vec![Command::DirectResponse(heartbeat)]),
             Message::Heartbeat { heartbeat, stamp } => {
-                let ShardHeartbeat { id, complete, none_acknowledged, machines } = heartbeat;
+                let ShardHeartbeat { id, complete, without_lease, machines } = heartbeat;
                 let covers_until = complete.then_some(stamp);
                 self.leader(vec![Command::ShardHeartbeat {
                     node: LEASEHOLDER,
                     machines,
                     covers_until,
-                    none_acknowledged,
+                    without_lease,
                 }]);
                 self.send(Message::Confirmed(id));
             }
@@ -231,13 +231,13 @@
         while self.now < until && self.started_elsewhere.is_none() {
             self.now += SECOND;
             let heartbeat = self.shard.next_heartbeat(self.now).filter(|_| leaseholder_reachable);
-            if let Some(ShardHeartbeat { id, complete, none_acknowledged, machines }) = heartbeat {
+            if let Some(ShardHeartbeat { id, complete, without_lease, machines }) = heartbeat {
                 let covers_until = complete.then_some(self.now);
                 self.leader(vec![Command::ShardHeartbeat {
                     node: LEASEHOLDER,
                     machines,
                     covers_until,
-                    none_acknowledged,
+                    without_lease,
                 }]);
                 self.shard.acknowledge(id, SHARD_LEASE);
             }
--- a/tests/scheduler_rules/leaseholders.rs
+++ b/tests/scheduler_rules/leaseholders.rs
@@ -24,7 +24,7 @@
                 continue;
             }
             leaseholder.shard.follow(token);
-            if let Some(ShardHeartbeat { id, complete, none_acknowledged, machines }) =
+            if let Some(ShardHeartbeat { id, complete, without_lease, machines }) =
                 leaseholder.shard.next_heartbeat(now)
             {
                 // A shard heartbeat may be lost with its connection, and so may its acknowledgment: the next one
@@ -36,7 +36,7 @@
                     node,
                     machines,
                     covers_until: complete.then_some(now),
-                    none_acknowledged,
+                    without_lease,
                 });
                 if self.rng.random_bool(0.9) {
                     leaseholder.shard.acknowledge(id, SHARD_LEASE);
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -106,7 +106,7 @@
                 id: 3,
                 stamp: Timestamp::from_micros(4),
                 complete: true,
-                none_acknowledged: false,
+                without_lease: false,
                 machines,
             },
         ),
