--- a/src/limits/election.rs
+++ b/src/limits/election.rs
@@ -42,11 +42,11 @@
 /// leaseholders without contact with a leader.
 ///
 /// All tasks must have ended `cancel_s` after the cancellation was confirmed to the user, and a worker that
-/// gets a response at the very end keeps its tasks for its lease. The lock lease (the longest time for which a
-/// leader may miss a cancellation), the delay with which a worker observes the end of its lease, and a second
-/// of transfer time are subtracted too. A second suffices: stop commands are sent to workers directly, and a
-/// network partition holds back only those of cancellations that were confirmed by the time when the
-/// partition began.
+/// gets a response at the very end keeps its tasks for its lease. The lock lease (the longest time for which
+/// a leader may miss a cancellation), the delay with which a worker observes the end of its lease, and a
+/// second of transfer time are subtracted too. A second suffices: stop commands are sent to workers
+/// directly, and a network partition holds back only those of cancellations that were confirmed by the time
+/// when the partition began.
 pub fn longest_autonomy(cancel_s: f64, lease_s: f64) -> Duration {
     from_seconds(cancel_s - lease_s).saturating_sub(LOCK_LEASE + LEASE_MARGIN + SECOND)
 }
