--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -20,13 +20,13 @@
     Leftover,
 }
 
-/// Whether a job may have to preempt after the attempt to place its tasks.
+/// Outcome of placing a job's tasks: whether preemption is to be tried next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 enum Admission {
     /// Nothing more to do for the job in this round.
     Settled,
-    /// Not all tasks that the job needs were placed.
+    /// Too few tasks were placed; in the regular pass, preemption is tried next.
     ShortOfRoom,
 }
 
@@ -72,9 +72,9 @@
         None
     }
 
-    /// How many tasks of the job may start now, given its width, its team's limit and, for a job inherited
-    /// from an earlier leader, the pace of a cold start. At least 1; the error is the reason why none may
-    /// start.
+    /// How many tasks of the job may start now, given its width, its team's limit, the limit to the minimum
+    /// width (exception 5) and, for a job inherited from an earlier leader, the rate limit on starts during a
+    /// cold start (see `cold_start`). At least 1; the error is the reason why none may start.
     fn tasks_to_start(
         &mut self,
         job_id: JobId,
@@ -84,7 +84,7 @@
         let Some(job) = self.jobs.get(&job_id) else { return Err(PendingReason::RescaleGap) };
         let (placed, admission_minimum) = (job.placements.len() as u32, job.admission_width());
         let allowed_by_width = self.tasks_allowed_by_width(job, pass);
-        // A pending task that the width does not allow is growth, which waits for the end of the gap.
+        // The job has its full width. Its pending tasks would be growth, which waits for the end of the gap.
         if allowed_by_width == 0 {
             return Err(PendingReason::RescaleGap);
         }
@@ -141,7 +141,7 @@
         for machine in found {
             self.assign(job_id, &machine, attempt, &mut round.capacity);
         }
-        self.admission_after_placement(job_id)
+        self.admission_of_remaining_tasks(job_id)
     }
 
     /// Exception 6 of `docs/design.md`: tasks of the job may go to machines that are fetching another image,
@@ -168,7 +168,7 @@
 
     /// Whether the job may preempt for the tasks that are still pending after some were placed. A service may
     /// (exception 2 of `docs/design.md`). Other jobs have their admission minimum by now and may not.
-    fn admission_after_placement(&mut self, job_id: JobId) -> Admission {
+    fn admission_of_remaining_tasks(&mut self, job_id: JobId) -> Admission {
         let Some(job) = self.jobs.get(&job_id).filter(|job| !job.progress.pending.is_empty()) else {
             return Admission::Settled;
         };
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -2,8 +2,9 @@
 //! `preemption`, `victims` and the scheduling of gangs; it changes no state, and the callers decide what to
 //! do with the machines.
 //!
-//! The best machine of a zone remains the best until it is full, since each task only makes it fuller. So
-//! machines are filtered and scored once, and for each task only the best machines of the zones are compared.
+//! The best machine of a zone remains the best until it is full, since each task only makes it fuller, and
+//! the fullest machines are preferred (`scoring::best_fit_remainder`). So machines are filtered and scored
+//! once, and for each task only the best machines of the zones are compared.
 
 use super::capacity::FreeCapacity;
 use super::headroom_guard::HeadroomGuard;
@@ -45,8 +46,8 @@
 
 impl Scheduler {
     /// Names of machines for the tasks of the request, best first, with one entry per task: a machine that
-    /// takes several tasks is listed several times. What figure 2 of the paper calls free slots are here the
-    /// places with room for a task. Adds the decision steps taken to `steps`.
+    /// takes several tasks is listed several times. The entries are the free slots of figure 2 of the
+    /// paper. Adds the decision steps taken to `steps`.
     pub(in crate::scheduler) fn find_machines(
         &self,
         request: PlacementRequest<'_>,
@@ -65,7 +66,7 @@
             headroom: HeadroomGuard::new(request.job, capacity),
         };
         pool.sort(steps);
-        pool.assign(request.tasks, steps)
+        pool.choose_machines(request.tasks, steps)
     }
 
     fn filter_and_score<'a>(
@@ -152,12 +153,12 @@
 
     /// Assign: each task goes to the best candidate of the best zone, until no zone has a candidate. Returns
     /// the names of the machines, one per task.
-    fn assign(mut self, tasks: u32, steps: &mut usize) -> Vec<String> {
+    fn choose_machines(mut self, tasks: u32, steps: &mut usize) -> Vec<String> {
         let request = &self.job.spec.resource_request;
         let mut assigned = Vec::new();
         while (assigned.len() as u32) < tasks {
             *steps += 1;
-            let best_zone = self.best_zone();
+            let best_zone = self.best_zone_for_next_task();
             let Some(candidates) = best_zone.and_then(|zone| self.by_zone.get_mut(zone)) else { break };
             let Some(best) = candidates.last_mut() else { break };
             if !self.headroom.allows(best.machine, &best.available, request) {
@@ -178,7 +179,7 @@
 
     /// The zone with the best candidate, among the zones where the job's zone rules allow another task.
     /// Between equal scores, critical jobs prefer the zone with fewest of their tasks.
-    fn best_zone(&self) -> Option<&'a str> {
+    fn best_zone_for_next_task(&self) -> Option<&'a str> {
         let spreads = self.job.spec.priority == Priority::Critical;
         let allowed_zones = self.by_zone.iter().filter(|(zone, _)| self.tasks_by_zone.allows(self.job, zone));
         allowed_zones
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -17,16 +17,16 @@
     pub(super) available: BTreeMap<String, Resources>,
     /// The machines of `available` by equivalence class.
     pub(super) classes: EquivalenceClasses,
-    /// By zone, the number of places for the largest critical task on the ordinary (not spot) machines of
-    /// `available`.
+    /// By zone, the number of critical places on the ordinary (not spot) machines of `available`.
     pub(super) critical_places_by_zone: BTreeMap<String, i64>,
-    /// By machine name, the resources that stops under way will free.
+    /// By machine name, the resources that stops under way, except overdue ones, will free.
     pub(super) freed_by_stops: BTreeMap<String, Resources>,
     /// By job, the number of its tasks that were asked to stop.
     pub(super) stopping_tasks: BTreeMap<JobId, u32>,
-    /// Resources of one place for a critical task. None: there are no critical jobs.
+    /// Resources of one critical place, room for a task of any critical job. None: there are no critical
+    /// jobs.
     pub(super) critical_place_size: Option<Resources>,
-    /// Number of places kept free in each zone for critical services.
+    /// Number of critical places kept free in each zone for critical services.
     pub(super) headroom_per_zone: i64,
     /// The lowest priority among arrays with placed tasks. None: there are no such arrays.
     pub(super) lowest_preemptible: Option<Priority>,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The free capacity after all stops under way are confirmed.
+    /// The free capacity after all stops under way, except overdue ones, are confirmed.
     pub(super) fn after_stops(&self, machines: &BTreeMap<String, Machine>) -> FreeCapacity {
         let mut after = self.clone();
         for (name, freed) in &self.freed_by_stops {
--- a/src/scheduler/elastic/equivalence_class.rs
+++ b/src/scheduler/elastic/equivalence_class.rs
@@ -1,8 +1,9 @@
 //! Equivalence classes of machines with free resources, so that a job evaluates few of thousands of machines.
 //! Built once per round by `capacity`; `candidates` uses them to choose the machines to evaluate.
 //!
-//! Machines of one class differ only in their names and images, and are used in the order of their names. So
-//! a job with n tasks uses at most n machines of a class that have its image and n that do not. Machines that
+//! Machines of one class differ only in their names and images, and in properties that matter only to gangs
+//! and to jobs with failures, which do not use classes. They are used in the order of their names. So a job
+//! with n tasks uses at most n machines of a class that have its image and n that do not. Machines that
 //! change during the round, or that are fetching an image, are in no class and are evaluated individually.
 
 use crate::scheduler::model::{Job, Kind, Machine, Resources, TaskStatus};
@@ -28,7 +29,7 @@
     is_consolidation_target: bool,
     is_quarantined: bool,
     is_replacement: bool,
-    is_drain_target: bool,
+    will_be_drained: bool,
     available: Resources,
 }
 
@@ -97,7 +98,7 @@
             is_consolidation_target: machine.lifecycle.consolidation_target,
             is_quarantined: machine.health.quarantined_until > self.scheduler.now,
             is_replacement: self.scheduler.drains.is_replacement(&machine.name),
-            is_drain_target: self.scheduler.drains.is_targeted(&machine.name),
+            will_be_drained: self.scheduler.drains.is_targeted(&machine.name),
             available,
         })
     }
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -1,16 +1,18 @@
 //! Elastic scheduling: in rounds, allocates free capacity to jobs and preempts tasks for jobs that do not
-//! fit. Follows figures 2 and 3 of the paper with the exceptions of `docs/design.md`. `Scheduler::step` runs
-//! a round when one is due.
+//! fit. Follows figures 2 and 3 of the paper "An elastic job scheduler for HPC applications on the cloud"
+//! with the exceptions of `docs/design.md`. `Scheduler::step` runs a round when one is due.
 //!
-//! The width of a job is the number of its tasks that run at once, its maximum width the number of its
-//! unfinished tasks, and a slot a place that fits one of its tasks. The rescale gap is the time after a
-//! change of a job's width in which the width is normally not changed again.
+//! The width of a job is the target number of its tasks placed at the same time; tasks lost below it are
+//! replaced without waiting. The maximum width is the number of the job's unfinished tasks. The minimum
+//! width is 1 for an array, all unfinished tasks for a gang, and all replicas for a service, each of which may
+//! start alone, however. A slot is room for one task of the job. The rescale gap is the time after a change
+//! of a job's width in which the width is normally not changed again.
 //!
-//! Jobs are considered by aged priority, earlier ones first. A waiting job starts with the smaller of its
-//! maximum width and the number of free slots, if that is at least its minimum width. Otherwise jobs of lower
-//! priority that are outside their rescale gap are shrunk, lowest first and never below their minimum width,
-//! and only if together they free the minimum width of the newcomer (the job that preempts). Their room is
-//! free once their workers confirm the stops.
+//! Jobs are considered by aged priority, the highest first. A waiting job, the newcomer, starts with the
+//! smaller of its maximum width and the number of free slots, if that is at least its minimum width.
+//! Otherwise it preempts: jobs of lower priority that are outside their rescale gap are shrunk, lowest first
+//! and never below their minimum width, and none is shrunk unless together they free the newcomer's minimum
+//! width. Their resources are free once their workers confirm the stops.
 //!
 //! `priority` orders the jobs, `capacity` counts free resources, `candidates` selects machines, `admission`
 //! starts tasks, and `preemption` stops tasks of other jobs.
@@ -58,6 +60,8 @@
         let order = self.round_order();
         self.update_unaccounted_kinds();
         let mut round = self.begin_round(&order);
+        // Replicas that drains move: their reserved places are closed to other tasks, and those that have
+        // ended on their old machine start on the new one.
         self.reserve_for_moves(&mut round.capacity);
         self.place_moved_replicas(&mut round.capacity);
         self.regular_pass(&order, &mut round);
@@ -112,7 +116,7 @@
                 job = %job_id,
                 reason = reason.as_str(),
                 pending_tasks = job.progress.pending.len(),
-                "job pending"
+                "tasks of the job are pending"
             );
             job.pending_reason = Some(reason);
         }
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -28,9 +28,10 @@
 }
 
 impl Scheduler {
-    /// Figure 2: stops tasks of other jobs if that frees places for `missing` tasks of the job, beginning
-    /// with the job of lowest rank and in each job with the newest task. If places that stops under way will
-    /// free and places on machines that are fetching another image suffice, reserves those and stops nothing.
+    /// Figure 2: stops tasks of other jobs if that frees slots for `missing` tasks of the job: the jobs in
+    /// the order of `preemption_order`, and in each job the newest task first. If the free slots, those that
+    /// stops under way will free, and those on machines that are fetching another image suffice together,
+    /// reserves them and stops nothing.
     pub(super) fn try_preempt_for(&mut self, job_id: JobId, missing: u32, round: &mut Round) -> Preemption {
         let Some(job) = self.jobs.get(&job_id) else { return Preemption::Impossible };
         let request = job.spec.resource_request;
@@ -106,7 +107,7 @@
                 let request = &job.spec.resource_request;
                 let freed = capacity.freed_by_stops.entry(machine.clone()).or_default();
                 *freed = freed.plus(request);
-                capacity.team_usage.stop(&job.spec.team, request);
+                capacity.team_usage.add_stop(&job.spec.team, request);
                 *capacity.stopping_tasks.entry(task.job_id).or_default() += 1;
             }
             self.request_stop(&machine, task, grace_s);
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -17,9 +17,10 @@
 
 impl Scheduler {
     /// Aged rank, in thousandths of a priority class: the class plus what the job has gained by age. Higher
-    /// is served first. Every job ages from its submission. If only waiting jobs aged, a new job would
-    /// overtake earlier jobs that are still growing, and a later job that still waits for tasks would outrank
-    /// an earlier one that has its full width, which would then be preempted first.
+    /// is served first. Every job ages from its submission, also while it runs. If only jobs with pending
+    /// tasks aged, a later job would overtake an earlier one once that had its full width, and the earlier
+    /// one would be preempted first; if only jobs without placed tasks aged, a new job would also overtake
+    /// earlier ones that are still growing.
     ///
     /// A job that has not started any task for `AGING_DELAY` ages faster, so that wide jobs do not starve
     /// (exception 5 of `docs/design.md`).
@@ -32,12 +33,13 @@
     }
 
     /// The rank without exception 5. A job with a deadline ages fast enough to gain at least one priority
-    /// class by then, apart from the scaling below. A job that has missed its deadline ages at the normal
-    /// rate and leaves capacity to jobs that can still meet theirs.
+    /// class by its deadline, before the scaling by size described below. A job that has missed its deadline
+    /// ages at the normal rate and leaves capacity to jobs that can still meet theirs.
     ///
-    /// The rate, with or without a deadline, is scaled by `size`, the relative size of the remaining work:
-    /// smaller jobs age faster (exception 7 of `docs/design.md`). Under overload, serving jobs in order of
-    /// arrival makes all of them late; as most jobs are short, preferring short ones keeps most in time.
+    /// The interval in which a job gains a class, with or without a deadline, is multiplied by `size`, the
+    /// relative size of the remaining work: smaller jobs age faster (exception 7 of `docs/design.md`). Under
+    /// overload, serving jobs in order of arrival makes all of them late; as most jobs are short, preferring
+    /// short ones keeps most in time.
     pub(super) fn regular_rank(&self, job: &Job, size: f64) -> u64 {
         if job.spec.priority == Priority::Critical {
             return CRITICAL_RANK;
@@ -75,8 +77,9 @@
         rank.min(CRITICAL_RANK - 1)
     }
 
-    /// The order in which jobs are preempted (figure 2): lowest regular rank first, the latest first on ties.
-    /// The remaining work is ignored here, since otherwise long jobs would be preempted for all others.
+    /// The order in which jobs are preempted (figure 2): lowest first by `regular_rank` with size 1, the
+    /// latest first on ties. Size 1 leaves out the remaining work, since otherwise long jobs would be preempted
+    /// for all others.
     pub(super) fn preemption_order(&self) -> Arc<[JobId]> {
         let placed = self.jobs.values().filter(|job| !job.terminated && !job.placements.is_empty());
         let mut order: Vec<_> = placed
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -93,6 +93,7 @@
         let zone = zones[rng.random_range(0..3)].clone();
         let name = format!("m-{number:06}");
         let machine_type = if rng.random_bool(0.7) { "m" } else { "n" };
+        // Also adds the machine if it is unknown.
         scheduler.machine(&StoredMachine {
             name: name.clone(),
             machine_type: machine_type.into(),
@@ -142,6 +143,7 @@
         let specs: Vec<JobSpec> = (1..12).map(|id| random_job(&mut rng, id)).collect();
         for spec in specs {
             let version = spec.job_id.0;
+            // `false`: not inherited from an earlier leader.
             scheduler
                 .add_job(StoredJob { spec, version, age: Duration::ZERO, succeeded: BTreeSet::new() }, false);
         }
--- a/src/scheduler/elastic/victims.rs
+++ b/src/scheduler/elastic/victims.rs
@@ -89,7 +89,8 @@
         }
     }
 
-    fn least_width(&self, job: &Job) -> u32 {
+    /// The number of tasks that this search leaves to the job.
+    fn width_to_keep(&self, job: &Job) -> u32 {
         match self.protection {
             Protection::GapAndMinimum | Protection::Minimum => job.minimum_width(),
             Protection::None => 0,
@@ -99,11 +100,11 @@
     /// Chooses victims among the tasks of one job, the newest first.
     fn shrink(&mut self, job: &Job, steps: &mut usize) -> Room {
         let scheduler = self.scheduler;
-        let least_width = self.least_width(job);
+        let width_to_keep = self.width_to_keep(job);
         let mut preemptible = tasks_not_stopping(scheduler, job);
         // `may_preempt` is checked for each task, since each stop reduces the usage of the job's team, which
         // may bring it within its guarantee.
-        while preemptible.len() as u32 > least_width
+        while preemptible.len() as u32 > width_to_keep
             && scheduler.may_preempt(self.newcomer.job, job, &self.capacity.team_usage)
         {
             let Some(task) = preemptible.pop() else { break };
@@ -128,7 +129,7 @@
             return false;
         };
         self.capacity.release(machine, &job.spec.resource_request);
-        self.capacity.team_usage.stop(&job.spec.team, &job.spec.resource_request);
+        self.capacity.team_usage.add_stop(&job.spec.team, &job.spec.resource_request);
         self.victims.push(Victim { machine: candidate.machine.to_string(), task: candidate.task });
         true
     }
--- a/src/scheduler/elastic/zone_choice.rs
+++ b/src/scheduler/elastic/zone_choice.rs
@@ -43,9 +43,9 @@
     const NEVER: StartDelay = StartDelay { image_fetches: i64::MAX, heartbeat_due_s: i64::MAX };
 }
 
-/// Places for tasks of the job on one machine. Those where tasks start earliest sort first.
+/// Free slots for tasks of the job on one machine. Those where tasks start earliest sort first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Places {
+struct Slots {
     delay: StartDelay,
     count: i64,
 }
@@ -55,8 +55,8 @@
 struct ZoneScore {
     /// For a gang: the delay until its last task would start. None for other jobs.
     last_start: Option<Reverse<StartDelay>>,
-    /// Number of places in the zone.
-    places: i64,
+    /// Number of free slots in the zone.
+    slots: i64,
 }
 
 impl Scheduler {
@@ -66,26 +66,26 @@
         if !job.spec.one_zone || !job.placements.is_empty() {
             return ZoneChoice::Any;
         }
-        match self.best_zone(job, capacity) {
+        match self.best_zone_for_all_tasks(job, capacity) {
             Some(zone) => ZoneChoice::Only(zone),
             None => ZoneChoice::NoZone,
         }
     }
 
-    /// The zone with most places; for a gang, the zone where its last task would start earliest.
-    fn best_zone(&self, job: &Job, capacity: &FreeCapacity) -> Option<String> {
+    /// The zone with most slots; for a gang, the zone where its last task would start earliest.
+    fn best_zone_for_all_tasks(&self, job: &Job, capacity: &FreeCapacity) -> Option<String> {
         let tasks = i64::from(job.spec.tasks);
-        let mut zones: BTreeMap<&str, Vec<Places>> = BTreeMap::new();
+        let mut zones: BTreeMap<&str, Vec<Slots>> = BTreeMap::new();
         for (name, available) in &capacity.available {
             let machine = self.machines.get(name).filter(|machine| scoring::is_eligible(job, machine));
             let Some(machine) = machine else { continue };
             let count = job.spec.resource_request.count_in(available).min(tasks);
             if count > 0 {
                 let delay = self.start_delay(job, machine);
-                zones.entry(&machine.zone).or_default().push(Places { delay, count });
+                zones.entry(&machine.zone).or_default().push(Slots { delay, count });
             }
         }
-        let scored = zones.into_iter().map(|(zone, places)| (zone_score(job, places), zone));
+        let scored = zones.into_iter().map(|(zone, slots)| (zone_score(job, slots), zone));
         scored.max().map(|(_, zone)| zone.to_string())
     }
 
@@ -102,17 +102,17 @@
     }
 }
 
-fn zone_score(job: &Job, mut places: Vec<Places>) -> ZoneScore {
-    places.sort_unstable();
-    let total = places.iter().map(|places| places.count).sum();
+fn zone_score(job: &Job, mut slots: Vec<Slots>) -> ZoneScore {
+    slots.sort_unstable();
+    let total = slots.iter().map(|slots| slots.count).sum();
     let mut unplaced_tasks = i64::from(job.spec.tasks);
-    let last = places.iter().find(|places| {
-        unplaced_tasks -= places.count;
+    let last = slots.iter().find(|slots| {
+        unplaced_tasks -= slots.count;
         unplaced_tasks <= 0
     });
-    let last_start = last.map_or(StartDelay::NEVER, |places| places.delay);
+    let last_start = last.map_or(StartDelay::NEVER, |slots| slots.delay);
     let is_gang = job.spec.kind == Kind::Gang;
-    ZoneScore { last_start: is_gang.then_some(Reverse(last_start)), places: total }
+    ZoneScore { last_start: is_gang.then_some(Reverse(last_start)), slots: total }
 }
 
 #[cfg(test)]
--- a/src/scheduler/elastic/zone_choice_tests.rs
+++ b/src/scheduler/elastic/zone_choice_tests.rs
@@ -4,8 +4,8 @@
 use crate::scheduler::model::JobSpec;
 use crate::scheduler::scoring::tests::{job, spec};
 
-fn places(image_fetches: i64, heartbeat_due_s: i64, count: i64) -> Places {
-    Places { delay: StartDelay { image_fetches, heartbeat_due_s }, count }
+fn slots(image_fetches: i64, heartbeat_due_s: i64, count: i64) -> Slots {
+    Slots { delay: StartDelay { image_fetches, heartbeat_due_s }, count }
 }
 
 fn one_zone_job(kind: Kind, tasks: u32) -> Job {
@@ -13,9 +13,9 @@
 }
 
 #[test]
-fn an_array_takes_the_zone_with_most_places() {
+fn an_array_takes_the_zone_with_most_slots() {
     let array = one_zone_job(Kind::Array, 4);
-    let (few, many) = (vec![places(0, 0, 2)], vec![places(0, 0, 2), places(0, 0, 1)]);
+    let (few, many) = (vec![slots(0, 0, 2)], vec![slots(0, 0, 2), slots(0, 0, 1)]);
     assert!(zone_score(&array, few) < zone_score(&array, many));
 }
 
@@ -23,16 +23,16 @@
 fn a_gang_takes_the_zone_where_its_last_task_starts_first() {
     let gang = one_zone_job(Kind::Gang, 4);
     // The last of four tasks waits for an image in the cold zone, and for a heartbeat in the warm zone.
-    let cold = vec![places(1, 0, 8), places(0, 0, 3)];
-    let warm = vec![places(0, 5, 2), places(0, 1, 2)];
+    let cold = vec![slots(1, 0, 8), slots(0, 0, 3)];
+    let warm = vec![slots(0, 5, 2), slots(0, 1, 2)];
     assert!(zone_score(&gang, cold) < zone_score(&gang, warm.clone()));
-    let earlier_heartbeat = vec![places(0, 4, 2), places(0, 1, 2)];
+    let earlier_heartbeat = vec![slots(0, 4, 2), slots(0, 1, 2)];
     assert!(zone_score(&gang, warm) < zone_score(&gang, earlier_heartbeat));
 }
 
 #[test]
 fn a_zone_without_room_for_all_of_a_gang_comes_last() {
     let gang = one_zone_job(Kind::Gang, 4);
-    let (too_small, large_enough) = (vec![places(0, 0, 3)], vec![places(2, 9, 4)]);
+    let (too_small, large_enough) = (vec![slots(0, 0, 3)], vec![slots(2, 9, 4)]);
     assert!(zone_score(&gang, too_small) < zone_score(&gang, large_enough));
 }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -22,9 +22,9 @@
         /// The attempt that the missing tasks may join.
         attempt: u64,
     },
-    /// The attempt has ended: a task was asked to stop, a task is missing although another has run, or a task
-    /// exited as stopped, for example because it gave up waiting for the others. The next attempt begins when
-    /// every task of this one has provably terminated.
+    /// The attempt has ended: a task was asked to stop, a task is missing although another runs or saves, a
+    /// task exited as stopped (for example because it gave up waiting for the others), or tasks of several
+    /// attempts are placed. The next attempt begins when every placed task has provably terminated.
     Ended,
 }
 
@@ -37,9 +37,9 @@
         let mut has_ended = false;
         for (_, _, task) in self.placements_of(job) {
             attempts.insert(task.attempt);
-            let has_run = matches!(task.status, TaskStatus::Running | TaskStatus::Saving);
+            let is_running = matches!(task.status, TaskStatus::Running | TaskStatus::Saving);
             has_ended |= task.stopping.is_some()
-                || has_run && placed < job.spec.tasks
+                || is_running && placed < job.spec.tasks
                 || task.attempt <= job.gang.ended_attempt;
         }
         match attempts.first() {
@@ -138,9 +138,10 @@
 
     /// Seconds, rounded down, until the machine's next heartbeat is due; a start is sent in the response to
     /// it. A leaseholder, a node that responds to heartbeats without the leader, reports them up to
-    /// `SHARD_HEARTBEAT_INTERVAL` late. So a machine that seems due within that time may just have sent a
-    /// heartbeat; its next one is then taken to be due one heartbeat interval later. Returns 0 if the
-    /// heartbeat interval is at most twice `SHARD_HEARTBEAT_INTERVAL`: machines then hardly differ.
+    /// `SHARD_HEARTBEAT_INTERVAL` late, so `last_at` may be too late by as much. A machine that seems due
+    /// within that time may already have sent its heartbeat; its next one is then taken to be due one
+    /// heartbeat interval later. Returns 0 if the heartbeat interval is at most twice
+    /// `SHARD_HEARTBEAT_INTERVAL`: machines then hardly differ.
     pub(super) fn heartbeat_due_s(&self, machine: &Machine) -> i64 {
         let heartbeat_interval = from_seconds(self.config.workers.report_s);
         if heartbeat_interval <= 2 * limits::SHARD_HEARTBEAT_INTERVAL {
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -1,18 +1,18 @@
-//! Headroom: places kept free for critical services. Computes their number and the resources of each, for
+//! Headroom: critical places kept free for critical services. Computes their number and resources, for
 //! `elastic`, consolidation, the scaling plan and drains.
 
 use super::model::{Job, Priority, Resources};
 use super::Scheduler;
 
 impl Scheduler {
-    /// Resources of one place for a critical task: the largest amount of each resource that a critical job
-    /// requests. None: there are no critical jobs.
+    /// Resources of one critical place, room for a task of any critical job: the largest amount of each
+    /// resource that a critical job requests. None: there are no critical jobs.
     pub(super) fn critical_place(&self) -> Option<Resources> {
         self.largest_request(|job| job.spec.priority == Priority::Critical)
     }
 
-    /// Number of places kept free in each zone: enough for `reserve_services` critical services of the
-    /// largest width, spread over the zones.
+    /// Number of critical places kept free in each zone: enough for `reserve_services` critical services of
+    /// the largest width, spread over the zones.
     pub(super) fn headroom_per_zone(&self) -> i64 {
         let critical = self.jobs.values().filter(|job| job.spec.priority == Priority::Critical);
         let widest = critical.map(|job| job.spec.tasks).max().unwrap_or(0);
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -17,7 +17,7 @@
     /// Upper bound of the resources that unknown tasks of any team may use: the capacity of the machines of
     /// an earlier leader that have not sent a heartbeat, and of machines with tasks of jobs unknown to this
     /// leader. None: the capacity of one of them is unknown, or no team has a quota.
-    unaccounted: Option<Resources>,
+    unknown_usage_bound: Option<Resources>,
 }
 
 impl TeamUsage {
@@ -27,15 +27,16 @@
     }
 
     /// Records that a task of the team was asked to stop.
-    pub fn stop(&mut self, team: &str, request: &Resources) {
+    pub fn add_stop(&mut self, team: &str, request: &Resources) {
         add_to(&mut self.stopping, team, request);
     }
 
-    /// Counts the whole capacity of the machine as unaccounted for: it may be full of tasks of any team.
-    fn add_unaccounted(&mut self, machine: &Machine) {
+    /// Counts the whole capacity of the machine as possibly used by unknown tasks, of any team.
+    fn add_machine_with_unknown_tasks(&mut self, machine: &Machine) {
         // The capacity is zero until the machine's type is known.
         let capacity = Some(machine.capacity).filter(|capacity| *capacity != Resources::default());
-        self.unaccounted = self.unaccounted.zip(capacity).map(|(sum, capacity)| sum.plus(&capacity));
+        self.unknown_usage_bound =
+            self.unknown_usage_bound.zip(capacity).map(|(sum, capacity)| sum.plus(&capacity));
     }
 
     fn used_by(&self, team: &str) -> Resources {
@@ -80,13 +81,13 @@
         if !self.config.teams.iter().any(has_quota) {
             return TeamUsage::default();
         }
-        let mut usage = TeamUsage { unaccounted: Some(Resources::default()), ..TeamUsage::default() };
+        let mut usage = TeamUsage { unknown_usage_bound: Some(Resources::default()), ..TeamUsage::default() };
         // The tasks of a machine are sorted by job, so the team of the last job is kept to avoid repeated
         // lookups.
         let mut last_team: Option<(JobId, &str)> = None;
         for machine in self.machines.values() {
             if self.may_hold_unknown_tasks(machine) {
-                usage.add_unaccounted(machine);
+                usage.add_machine_with_unknown_tasks(machine);
             }
             for (id, task) in &machine.tasks {
                 let team = match last_team {
@@ -97,7 +98,7 @@
                 last_team = Some((id.job_id, team));
                 usage.add(team, &task.resource_request);
                 if task.stopping.is_some() {
-                    usage.stop(team, &task.resource_request);
+                    usage.add_stop(team, &task.resource_request);
                 }
             }
         }
@@ -106,11 +107,11 @@
 
     /// Whether the machine may be full of tasks that are unknown to this leader: a machine of an earlier
     /// leader that has sent no heartbeat to this one, or a machine that reports tasks of unknown jobs. Such a
-    /// machine counts in full against every team. If teams waited instead until all machines have reported,
-    /// one machine that has died would keep every team of the fleet without work.
+    /// machine counts in full against the limit of every team. Refusing all starts until every machine has
+    /// reported instead would let a single dead machine stop every team that has a limit.
     fn may_hold_unknown_tasks(&self, machine: &Machine) -> bool {
-        let is_unreconciled = !self.all_accounted_for && machine.inherited && !machine.accounted_for;
-        is_unreconciled || machine.unplaced_tasks.has_tasks_of_unknown_jobs()
+        let is_unaccounted_for = !self.all_accounted_for && machine.inherited && !machine.accounted_for;
+        is_unaccounted_for || machine.unplaced_tasks.has_tasks_of_unknown_jobs()
     }
 
     /// How many more tasks of the job its team's limit allows. 0 if the team is unknown, or if it has a limit
@@ -121,10 +122,12 @@
             return u32::MAX;
         }
         // Until the records are loaded, the set of machines is unknown.
-        let Some(unaccounted) = usage.unaccounted.filter(|_| self.loaded) else { return 0 };
+        let Some(unknown_usage_bound) = usage.unknown_usage_bound.filter(|_| self.loaded) else {
+            return 0;
+        };
         let (cpus, gpus) = (limit_or_unlimited(team.cpus_max), limit_or_unlimited(team.gpus_max));
         let limit = Resources { memory_mb: i64::MAX / 2, ..Resources::rounded_down(cpus, gpus, 0.0) };
-        let remaining = limit.minus(&usage.used_by(&team.name)).minus(&unaccounted);
+        let remaining = limit.minus(&usage.used_by(&team.name)).minus(&unknown_usage_bound);
         job.spec.resource_request.count_in(&remaining).clamp(0, i64::from(u32::MAX)) as u32
     }
 
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -1,6 +1,5 @@
 //! Eligibility and score of a machine for a task of a job, and the number of a job's tasks by zone. Used by
-//! `elastic`, drains, consolidation and the scaling plan. A slot is a place that fits the task; machines have
-//! no fixed number of slots.
+//! `elastic`, drains, consolidation and the scaling plan.
 
 use super::model::{Job, Machine, Priority, Resources};
 use std::collections::BTreeMap;
@@ -72,8 +71,8 @@
 /// the fields are compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Score {
-    /// Whether the job, which may use spot machines, would take an ordinary machine while some other job may
-    /// use only ordinary machines.
+    /// True if the job may use spot machines, the machine is ordinary, and some other job may use only
+    /// ordinary machines.
     pub takes_from_non_spot_work: bool,
     /// Number of image fetches that a task waits for; see [`Machine::image_fetches`].
     pub image_fetches: i64,
