--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -10,7 +10,7 @@
 use super::headroom_guard::HeadroomGuard;
 use super::zone_choice::ZoneChoice;
 use crate::scheduler::model::{Job, Kind, Machine, Priority, Resources};
-use crate::scheduler::scoring::{self, Score, ZoneCount};
+use crate::scheduler::scoring::{self, Score, TasksByZone};
 use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 
@@ -62,7 +62,7 @@
         let mut pool = CandidatePool {
             job: request.job,
             by_zone,
-            tasks_by_zone: ZoneCount::of(request.job, &self.machines),
+            tasks_by_zone: TasksByZone::of(request.job, &self.machines),
             headroom: HeadroomGuard::new(request.job, capacity),
         };
         pool.sort(steps);
@@ -104,15 +104,15 @@
     }
 
     /// Filter: whether the job may use the machine now, regardless of the machine's free resources. A
-    /// consolidation target, a machine to be emptied, is closed to jobs that may use spot machines (exception
-    /// 3 of `docs/design.md`). A replacement is reserved for critical jobs and the tasks that move off the
-    /// machine it replaces. A quarantined machine takes services only.
+    /// machine that consolidation empties is closed to jobs that may use spot machines (exception 3 of
+    /// `docs/design.md`). A replacement is reserved for critical jobs and the tasks that move off the machine
+    /// it replaces. A quarantined machine takes services only.
     fn passes_filter(&self, job: &Job, machine: &Machine) -> bool {
         // A suspected job has failed on several machines; excluding them might leave it none.
         let failed_here = !job.is_suspected() && job.failure_history.machines.contains(&machine.name);
         scoring::is_eligible(job, machine)
             && !failed_here
-            && !(machine.lifecycle.consolidation_target && job.spec.allows_spot)
+            && !(machine.lifecycle.to_be_emptied && job.spec.allows_spot)
             && (job.spec.priority == Priority::Critical || !self.drains.is_replacement(&machine.name))
             && (job.spec.kind == Kind::Service || machine.health.quarantined_until <= self.now)
     }
@@ -137,7 +137,7 @@
     job: &'a Job,
     /// The candidates of each zone. After `sort` the best one is last, so that it can be popped.
     by_zone: BTreeMap<&'a str, Vec<Candidate<'a>>>,
-    tasks_by_zone: ZoneCount,
+    tasks_by_zone: TasksByZone,
     headroom: HeadroomGuard,
 }
 
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -2,11 +2,11 @@
 //! fit. Follows figures 2 and 3 of the paper "An elastic job scheduler for HPC applications on the cloud"
 //! with the exceptions of `docs/design.md`. `Scheduler::step` runs a round when one is due.
 //!
-//! The width of a job is the target number of its tasks placed at the same time; tasks lost below it are
-//! replaced without waiting. The maximum width is the number of the job's unfinished tasks. The minimum
-//! width is 1 for an array, all unfinished tasks for a gang, and all replicas for a service, each of which may
-//! start alone, however. A slot is room for one task of the job. The rescale gap is the time after a change
-//! of a job's width in which the width is normally not changed again.
+//! The width of a job (`granted_width`) is the target number of its tasks placed at the same time; tasks lost
+//! below it are replaced without waiting. The maximum width is the number of the job's unfinished tasks. The
+//! minimum width is 1 for an array, all unfinished tasks for a gang, and all replicas for a service, each of
+//! which may start alone, however. A slot is room for one task of the job. The rescale gap is the time after
+//! a change of a job's width in which the width is normally not changed again.
 //!
 //! Jobs are considered by aged priority, the highest first. A waiting job, the newcomer, starts with the
 //! smaller of its maximum width and the number of free slots, if that is at least its minimum width.
@@ -82,11 +82,12 @@
 
     /// Applies figures 2 and 3 of the paper to each job, starting where the last round ran out of budget.
     fn regular_pass(&mut self, order: &[JobId], round: &mut Round) {
-        let resume_at = self.rounds.resume_at.take();
-        let start = resume_at.and_then(|resume_at| order.iter().position(|job_id| *job_id == resume_at));
+        let resume_from = self.rounds.resume_from.take();
+        let start =
+            resume_from.and_then(|resume_from| order.iter().position(|job_id| *job_id == resume_from));
         for job_id in &order[start.unwrap_or(0)..] {
             if round.is_out_of_budget() {
-                self.rounds.resume_at = Some(*job_id);
+                self.rounds.resume_from = Some(*job_id);
                 debug!(job = %job_id, "scheduling round out of budget; the next round resumes at this job");
                 break;
             }
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -78,8 +78,8 @@
     }
 
     /// The order in which jobs are preempted (figure 2): lowest first by `regular_rank` with size 1, the
-    /// latest first on ties. Size 1 leaves out the remaining work, since otherwise long jobs would be preempted
-    /// for all others.
+    /// latest first on ties. Size 1 leaves out the remaining work, since otherwise long jobs would be
+    /// preempted for all others.
     pub(super) fn preemption_order(&self) -> Arc<[JobId]> {
         let placed = self.jobs.values().filter(|job| !job.terminated && !job.placements.is_empty());
         let mut order: Vec<_> = placed
