--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -37,8 +37,8 @@
     /// By how many seconds the cloud's list of machines may lag behind.
     pub list_lag_s: f64,
     /// Budget of a round or of one call of the scaling plan, in decision steps (about one look at a job or
-    /// a machine each). A round gets at least the steps that `MIN_ROUND_JOBS` jobs need to examine every
-    /// machine once.
+    /// a machine each). A round gets more if this does not suffice to compare `MIN_ROUND_JOBS` jobs with
+    /// every machine.
     pub max_round_steps: usize,
     /// Share of one processor core that this process has.
     pub cpu_share: f64,
@@ -106,7 +106,8 @@
     Stale,
 }
 
-/// An event that the scheduler has to take into account.
+/// Input of the scheduler: a message, or the outcome of an effect. Commands to workers are
+/// [`TaskCommand`]s.
 #[derive(Debug)]
 pub enum Command {
     /// What the state service held when this leader took over.
@@ -139,8 +140,9 @@
         /// Each machine to which the leaseholder responded before this time is in `machines` or was in an
         /// earlier shard heartbeat that the leader acknowledged. None: the list may be incomplete.
         covers_until: Option<Timestamp>,
-        /// Whether this incarnation of the leaseholder has had no lease under this leader's token. Then an
-        /// earlier incarnation may have responded to any machine until now.
+        /// Whether this incarnation of the leaseholder has never had a shard lease from this leader, not even
+        /// one that has expired. If so, an earlier incarnation may have responded, until now, to machines
+        /// that no shard heartbeat names.
         without_lease: bool,
     },
     /// A worker's heartbeat in response to a direct command.
@@ -149,7 +151,8 @@
     FinishedTasksWritten {
         /// The job.
         job_id: JobId,
-        /// Indices of the tasks that were to be written.
+        /// Indices of the tasks that the write covered: those of the effect, or as many as one transaction
+        /// allows.
         tasks: BTreeSet<u32>,
         /// Outcome of the write.
         outcome: RequestOutcome,
@@ -254,8 +257,8 @@
         version: u64,
         /// Indices of the succeeded tasks that have to be stored.
         tasks: BTreeSet<u32>,
-        /// Indices of all its succeeded tasks, stored or not: they are stored in chunks, and a chunk with a
-        /// new one is written as a whole.
+        /// Indices of all its succeeded tasks, stored or not: they are stored in chunks, and a chunk that
+        /// contains one of `tasks` is written as a whole.
         all_succeeded: BTreeSet<u32>,
     },
     /// Write the final state of a job whose tasks have all succeeded and remove its live record, in one
@@ -281,8 +284,9 @@
     Rent {
         /// Number of the request.
         request: u64,
-        /// Name of the rental, if it must be the same under every leader. None: the controller chooses a
-        /// unique name.
+        /// Name of the rental, if it replaces a machine that is drained: each repetition of the request, also
+        /// by a later leader, has the same name, so that the cloud rents only one machine. None: the
+        /// controller chooses a unique name.
         name: Option<String>,
         /// Name of the machine type.
         machine_type: String,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -92,8 +92,8 @@
     pub decision_steps: u64,
     /// Number of attempts that this leader has started.
     attempts_started: u64,
-    /// Mean estimated work of the jobs that are neither services nor terminated, as of the last round: the
-    /// estimated run times of all tasks of a job added up, in seconds.
+    /// Mean estimated work of a job in seconds, over the arrays and gangs that were not terminated at the
+    /// last round. The work of a job is the sum of the estimated run times of all its tasks.
     mean_job_work: f64,
     /// Recent decisions for operators, the oldest first.
     recent_decisions: VecDeque<String>,
@@ -133,7 +133,8 @@
     /// A scheduler that has not loaded its state yet.
     pub fn new(config: Config, now: Timestamp) -> Self {
         let write_budget = records::write_budget(config.write_rps, now);
-        // Leaseholders of the last leader may renew leases of workers until their shard leases expire.
+        // Controllers that hold a shard lease from the last leader (leaseholders, see `messages`) may renew
+        // worker leases until that shard lease expires.
         let others_may_have_renewed_until = now + limits::plus_clock_drift(config.shard_lease);
         Scheduler {
             config,
@@ -224,7 +225,7 @@
             }
             Command::DirectResponse(heartbeat) => return self.handle_direct_response(heartbeat),
             Command::StateLoaded { jobs, records } => self.load(jobs, records),
-            Command::JobAdded(stored) => self.add_job(stored, false),
+            Command::JobAdded(stored) => self.add_job(stored, /* inherited */ false),
             Command::JobRemoved(job_id) => self.remove_job(job_id),
             Command::FinishedTasksWritten { job_id, tasks, outcome } => {
                 self.handle_finished_tasks_written(job_id, tasks, outcome)
@@ -276,12 +277,13 @@
     fn load(&mut self, jobs: Vec<StoredJob>, records: Vec<(String, Vec<StoredMachine>)>) {
         info!(jobs = jobs.len(), records = records.len(), "loaded jobs and machine records");
         for stored in jobs {
-            self.add_job(stored, true);
+            self.add_job(stored, /* inherited */ true);
         }
         for (key, machines) in records {
             self.load_record(key, machines);
         }
-        // Responses to heartbeats before this time were not recorded: leases may have been renewed until now.
+        // Until now this leader knew no machine, and responded to heartbeats without recording the renewals:
+        // any lease may have been renewed until now.
         self.loaded_at = self.now;
         self.loaded = true;
         self.begin_cold_start();
--- a/src/scheduler/model/commands.rs
+++ b/src/scheduler/model/commands.rs
@@ -33,9 +33,10 @@
 /// What the next periodic heartbeat of a machine has to acknowledge; `response_delivery` evaluates this.
 #[derive(Debug, Clone, Default)]
 pub struct CommandTracker {
-    /// Commands in the last response, if it went directly to the worker; empty if it was relayed, since a
-    /// response that is lost on the way to the relay says nothing about the machine. If the next periodic
-    /// heartbeat shows no effect of any of these commands, the machine may not be receiving responses.
+    /// Commands in the last response, if it went directly to the worker and the machine was accounted for and
+    /// recorded. Empty if a leaseholder relays the response: its loss on the way to the leaseholder would say
+    /// nothing about the machine. If the next periodic heartbeat shows the effect of none of these commands,
+    /// the machine may not be receiving responses.
     pub unacknowledged: Vec<TaskCommand>,
     /// Whether the last response went directly to a worker that had not stated this leader's fencing token
     /// yet. The next periodic heartbeat acknowledges the response by stating the token.
--- a/src/scheduler/model/heartbeat.rs
+++ b/src/scheduler/model/heartbeat.rs
@@ -76,7 +76,9 @@
     /// Sequence of the last periodic heartbeat of this agent epoch; zero: none yet. Responses to direct
     /// commands increase only `newest`, and may overtake periodic heartbeats that are still under way.
     pub last_periodic_sequence: u64,
-    /// When the machine last showed that it is alive. Failure detection measures silence from this time.
+    /// When the machine last showed that it is alive, by a periodic heartbeat or by a shard heartbeat that
+    /// names it. Responses to direct commands and stale heartbeats do not change it, nor do newest heartbeats
+    /// while the machine is not accounted for. Failure detection measures silence from this time.
     /// Lease expiry is measured from the later of this and `Machine::last_renewal`; see `lease_expiry`.
     pub last_at: Timestamp,
     /// Whether a stale heartbeat of this machine has been logged; further ones are only counted.
--- a/src/scheduler/model/job.rs
+++ b/src/scheduler/model/job.rs
@@ -102,8 +102,8 @@
     pub pending: BTreeSet<u32>,
     /// Tasks that have succeeded, stored or not.
     pub succeeded: BTreeSet<u32>,
-    /// Succeeded tasks that have to be stored in the state service. May include stored ones: a gang's success
-    /// is recorded for all its tasks at once.
+    /// Succeeded tasks that no confirmed write has stored since they were added here. The success of a gang
+    /// adds all its tasks, even those that are already stored.
     pub unstored: BTreeSet<u32>,
     /// Since when there have been unstored tasks. None: there are none.
     pub unstored_since: Option<Timestamp>,
@@ -149,8 +149,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct JobFailures {
     /// Backoffs of the job since one of its tasks last succeeded. The job backs off if a task fails while the
-    /// job is suspected to be faulty (`is_suspected`), or if a worker did not know a task. Each doubles the
-    /// next backoff, up to `MAX_JOB_BACKOFF`.
+    /// job is suspected to be faulty (`is_suspected`), or if a task that was not asked to stop exits with
+    /// `ExitReason::Unknown`. Each backoff doubles the next one, up to `MAX_JOB_BACKOFF`.
     pub consecutive_backoffs: u32,
     /// Names of the machines on which its tasks have failed since a task of the job last succeeded.
     pub machines: BTreeSet<String>,
--- a/src/scheduler/model/machine.rs
+++ b/src/scheduler/model/machine.rs
@@ -87,9 +87,9 @@
     pub recall_at: Option<Timestamp>,
     /// Whether it is to be replaced because tasks fail on it: it gets no new tasks, and is deleted once idle.
     pub to_be_replaced: bool,
-    /// Whether it is a consolidation target, an ordinary machine to be emptied and deleted: the tasks that
-    /// may not use spot machines and the headroom (places kept free for critical services) do not need it;
-    /// see `consolidation`.
+    /// Whether it is a consolidation target: an ordinary (not spot) machine to be emptied and deleted. It is
+    /// needed neither for tasks that may not use spot machines nor for the headroom (places kept free for
+    /// critical services), and other machines have room for its tasks; see `consolidation`.
     pub to_be_emptied: bool,
     /// Whether its deletion has been requested from the cloud.
     pub deleting: bool,
@@ -127,8 +127,8 @@
     /// Its state.
     pub state: MachineState,
     /// Whether the leader knows all tasks on it: true from the first heartbeat that states this leader's
-    /// fencing token (it is no old copy of one sent to an earlier leader, so its task list is exact), or from
-    /// the expiry of its lease.
+    /// fencing token (such a heartbeat cannot be a delayed one to an earlier leader, so its task list is
+    /// exact), or from the expiry of its lease.
     pub accounted_for: bool,
     /// Whether it is recorded in the state service. A later leader then waits for its heartbeat or the expiry
     /// of its lease before it restarts tasks.
@@ -146,7 +146,7 @@
     pub route: Route,
     /// What its next periodic heartbeat has to acknowledge.
     pub commands: CommandTracker,
-    /// Tasks that its heartbeats list and for which the leader has no placement here.
+    /// Tasks that its heartbeats list and for which the leader has no placement here (not pending tasks).
     pub unplaced_tasks: UnplacedTasks,
     /// Images that are known to be on it.
     pub image_cache: ImageCache,
--- a/src/scheduler/model/route.rs
+++ b/src/scheduler/model/route.rs
@@ -7,13 +7,13 @@
 pub struct Route {
     /// Index of the node that relayed the last heartbeat. None: it came directly to the leader.
     pub relayed_by: Option<usize>,
-    /// Whether that node, as a leaseholder (see `messages`), may respond to unchanged heartbeats without the
-    /// leader.
+    /// Whether the node `relayed_by`, as a leaseholder (see `messages`), may respond to unchanged heartbeats
+    /// without the leader.
     pub leaseholder_may_respond: bool,
     /// The route before this one.
     pub previous: Option<PreviousRoute>,
-    /// Whether that node has been asked to relay the machine's next heartbeat even if it is unchanged, so
-    /// that the leader can respond with commands.
+    /// Whether the node `relayed_by` has been asked to relay the machine's next heartbeat even if it is
+    /// unchanged, so that the leader can respond with commands.
     pub relay_requested: bool,
 }
 
--- a/src/scheduler/model/task.rs
+++ b/src/scheduler/model/task.rs
@@ -14,18 +14,22 @@
     Stopped,
     /// It failed.
     Error,
-    /// The worker had no resources for it.
+    /// The worker had no resources for it. No task is placed on the machine for `PLACEMENT_BACKOFF`.
     NoRoom,
-    /// The worker refused it (reason `in_use` in its heartbeat). Handled like `NoRoom`.
+    /// Reason `in_use` in the worker's words; the heartbeat does not say what is in use. Handled like
+    /// `NoRoom`.
     Busy,
-    /// The worker did not know the task (reason `unknown` in its heartbeat). The job backs off.
+    /// Reason `unknown` in the worker's words; the heartbeat does not say what the worker does not know. The
+    /// job backs off, and the machine is added to `JobFailures::machines` but gets no placement backoff. No
+    /// effect on job or machine if the task was asked to stop.
     Unknown,
 }
 
-/// State of a task, as its worker reports it.
+/// State of a task, as its worker reports it; see also [`Placement::status`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskStatus {
-    /// Not running yet: it waits for its image, or for the other tasks of its gang.
+    /// Not running yet: it waits for its image or for the other tasks of its gang, or no heartbeat has listed
+    /// it yet.
     Fetching,
     /// It runs.
     Running,
--- a/src/scheduler/model/unplaced_tasks.rs
+++ b/src/scheduler/model/unplaced_tasks.rs
@@ -4,8 +4,8 @@
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks that a machine's heartbeats list and for which the leader has no placement there. `task_lists`
-/// updates them; `HeartbeatTracker::reported_tasks` is the whole list.
+/// Tasks that a machine's heartbeats list and for which the leader has no placement there. They are not
+/// pending tasks. `task_lists` updates them; `HeartbeatTracker::reported_tasks` is the whole list.
 #[derive(Debug, Clone, Default)]
 pub struct UnplacedTasks {
     /// Exited tasks that the worker still lists, and the reason of each exit.
