--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -49,7 +49,7 @@
     }
 
     /// Until when the last outage explains that a machine is still silent; zero if there was none. After an
-    /// outage, a machine may have to wait for timeouts at two nodes before its heartbeats arrive.
+    /// outage, a machine may first try two nodes that do not respond before its heartbeats arrive.
     fn outage_explains_silence_until(&self) -> Timestamp {
         self.last_outage.map_or(Timestamp::ZERO, |outage| outage.until + limits::FAILOVER_GRACE_PERIOD)
     }
@@ -75,7 +75,7 @@
     pub last_heartbeat_at: Timestamp,
     /// Whether its heartbeats show that it receives no responses.
     pub receives_no_responses: bool,
-    /// Whether an earlier leader recorded it and it has sent no heartbeat to this one.
+    /// Whether an earlier leader recorded it and none of its heartbeats has stated this leader's token.
     pub awaits_first_heartbeat: bool,
     /// Whether its lease has expired: it holds no task, but still counts for the reachability of its zone.
     pub lost: bool,
@@ -87,6 +87,7 @@
     /// Machines hit by one outage fall silent one after another over a heartbeat interval. So late ones count
     /// towards a common cause; otherwise the first would be declared dead before enough of them were silent.
     fn is_late(&self, now: Timestamp, timeouts: &DetectionTimeouts) -> bool {
+        // Heartbeats arrive up to 1.25 intervals apart.
         let due = self.last_heartbeat_at + timeouts.heartbeat_interval / 4 * 5;
         self.receives_no_responses || now >= due + limits::LATE_HEARTBEAT_MARGIN
     }
@@ -113,16 +114,16 @@
     pub silence: Duration,
     /// How long a leaseholder that the leader cannot reach may respond without the leader.
     pub shard_lease: Duration,
-    /// When this leader began to receive heartbeats.
+    /// When this leader loaded its state. Earlier heartbeats are not recorded.
     pub started_at: Timestamp,
 }
 
 impl DetectionTimeouts {
     /// Whether a zone or route is unreachable, judged by the last heartbeat of any of its machines.
     ///
-    /// The more machines there are, the sooner their common silence is significant: after three times the
-    /// mean interval between their heartbeats, if these are spread evenly. After a partition they may all
-    /// arrive together, and then none for most of an interval; the fixed timeout covers that gap.
+    /// The time limit is `route_silence_timeout` plus three times the mean interval between heartbeats of all
+    /// machines. The first covers the gap after heartbeats that all arrived together, as after a partition.
+    /// The second is shorter with more machines: their common silence is significant sooner.
     fn is_unreachable(&self, now: Timestamp, arrivals: Arrivals) -> bool {
         let mean_interval =
             Duration::from_micros(to_micros(self.heartbeat_interval) / arrivals.machines.max(1) as u64);
@@ -154,9 +155,10 @@
     }
 }
 
-/// Whether so many machines, at least three, are silent that a common cause is more likely than chance.
-fn suggest_common_cause(silent: usize, total: usize, max_share: f64) -> bool {
-    silent > 2 && silent as f64 > max_share * total as f64
+/// Whether so many machines, at least three, are missing (late or not heard from) that a common cause is more
+/// likely than chance.
+fn suggest_common_cause(missing: usize, total: usize, max_share: f64) -> bool {
+    missing > 2 && missing as f64 > max_share * total as f64
 }
 
 /// The reachability of zones and routes, updated by each observation.
@@ -253,7 +255,8 @@
             let route_size = machines.len() + moved.count();
             let late = machines.iter().filter(|machine| machine.is_late(now, timeouts)).count();
             // If many machines of the cluster or of the route are late, none is declared dead: tasks restart
-            // when leases expire. A few may share a route by chance: three dead machines on a route of nine.
+            // when leases expire. The limit for a route is higher, since a few dead machines may share a
+            // route by chance: three on a route of nine are declared dead.
             if now < silence_explained_until(reachability, timeouts)
                 || many_are_late && !reachability.unreachable
                 || suggest_common_cause(late, route_size, limits::MAX_SILENT_ROUTE_SHARE)
@@ -266,8 +269,9 @@
         dead
     }
 
-    /// Whether so many machines of all recovered routes are late that a common cause is likely. Says nothing
-    /// about the machines of an unreachable route.
+    /// Whether so many machines of all recovered routes are late that a common cause is likely. Does not
+    /// apply to machines of unreachable routes, which are not counted either: each such route is judged
+    /// separately.
     fn many_are_late(&self, now: Timestamp, timeouts: &DetectionTimeouts, routes: &MachinesByRoute) -> bool {
         let recovered = routes.iter().filter(|(route, _)| self.route(**route).is_recovered(now));
         let (mut total, mut late) = (0, 0);
@@ -279,7 +283,7 @@
     }
 }
 
-/// Names of the machines of earlier leaders that have sent no heartbeat to this one: they are dead, unless
+/// Names of the machines of earlier leaders that await their first heartbeat: they are dead, unless
 /// they are many. They have no route yet, so their number is compared with all machines that should send
 /// heartbeats.
 fn dead_among_awaited<'a>(reachable: &[&ObservedMachine<'a>]) -> Vec<&'a str> {
@@ -294,8 +298,8 @@
     awaited
 }
 
-/// Until when the state of a route explains the silence of its machines. A leaseholder that its machines can
-/// reach and the leader cannot responds to unchanged heartbeats until its shard lease ends.
+/// Until when the state of a route explains the silence of its machines. A leaseholder that the leader cannot
+/// reach, but its machines can, responds to unchanged heartbeats until its shard lease ends.
 fn silence_explained_until(reachability: Reachability, timeouts: &DetectionTimeouts) -> Timestamp {
     if reachability.unreachable {
         reachability.outage_began_at() + timeouts.shard_lease + limits::FAILOVER_GRACE_PERIOD
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -53,23 +53,24 @@
 
 /// Simulates an outage of some of `machines`. Heartbeats are spread evenly over the interval, a third of them
 /// on each of three routes. `unreachable_node`: a node that the leader cannot reach from `OUTAGE_START` on.
-/// `time_after_start`: simulated time from `OUTAGE_START` on.
+/// The simulation begins halfway between time zero and `OUTAGE_START`, and ends `time_after_outage_start`
+/// after it.
 fn simulate(
     machines: usize,
     outage: SilenceDuration,
     unreachable_node: Option<usize>,
-    time_after_start: Duration,
+    time_after_outage_start: Duration,
 ) -> DeclaredDead {
     let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
     let timeouts = timeouts();
     let mut detector = FailureDetector::default();
     let mut declared_dead: BTreeSet<usize> = BTreeSet::new();
     let mut first_after = Duration::MAX;
-    let start = OUTAGE_START - OUTAGE_START.since(Timestamp::ZERO) / 2;
-    let total_time = start.since(Timestamp::ZERO) + time_after_start;
+    let simulation_start = OUTAGE_START - OUTAGE_START.since(Timestamp::ZERO) / 2;
+    let total_time = simulation_start.since(Timestamp::ZERO) + time_after_outage_start;
     let steps = to_micros(total_time) / to_micros(limits::EXPIRY_CHECK_INTERVAL);
     for step in 0..steps as u32 {
-        let now = start + step * limits::EXPIRY_CHECK_INTERVAL;
+        let now = simulation_start + step * limits::EXPIRY_CHECK_INTERVAL;
         let observed: Vec<ObservedMachine> = (0..machines)
             .filter(|i| !declared_dead.contains(i))
             .map(|i| ObservedMachine {
@@ -93,8 +94,8 @@
     DeclaredDead { machines: declared_dead.len(), first_after }
 }
 
-/// Guards against a zone that stays unreachable for ever after the cloud's list has named all its machines as
-/// failed.
+/// Guards against a zone that stays unreachable for ever after all its machines were deleted, for example
+/// because the cloud's machine list named them as failed: no machine would be rented there again.
 #[test]
 fn unreachable_zone_is_reachable_again_when_its_last_machine_is_gone() {
     let timeouts = timeouts();
@@ -218,7 +219,7 @@
         let dead = simulate(machines, partition, None, 90 * SECOND);
         let expected = (0..machines).filter(|i| partition(*i, machines) == PERMANENT).count();
         let first = dead.first_after;
-        assert!(expected < machines / 2 / 2);
+        assert!(expected < machines / 2 / 2, "fewer than half of the zone must stay silent");
         assert_eq!(dead.machines, expected, "a partition, {machines} machines");
         // The outage was last observed one check before its end, 45 s after its start.
         assert!(first >= 44 * SECOND + limits::FAILOVER_GRACE_PERIOD, "{machines} machines: after {first:?}");
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -134,9 +134,9 @@
     }
 
     /// Records that the leaseholder `node` renewed the leases of the machines `names` without the leader.
-    /// Before `covers_until` it renewed those of no other machine (None: the list may be incomplete). For a
-    /// machine with a command or a new route, asks the leaseholder to relay the next heartbeat, even if the
-    /// leaseholder was asked before.
+    /// Every machine whose lease it renewed before `covers_until` is in `names` or was in an earlier shard
+    /// heartbeat that the leader acknowledged (None: the list may be incomplete). For a machine with a
+    /// command or a new route, asks the leaseholder to relay the next heartbeat, even if it was asked before.
     pub(super) fn apply_shard_heartbeat(
         &mut self,
         node: usize,
@@ -151,10 +151,12 @@
             machine.heartbeats.last_at = now;
             // A machine may return to a leaseholder that still has its heartbeat cached and therefore relays
             // nothing. Unless the new route is recorded here, the machine is taken for silent on the route
-            // that it left. The leaseholder does not know what changed while the machine was on the other
-            // route, so it has to relay the next heartbeat.
+            // that it left.
             let changed_route = machine.route.record(Some(node), now);
             if changed_route || !machine.is_settled() {
+                // The leaseholder does not know what changed while the machine was on another route, so it
+                // has to relay the next heartbeat. `request_relay` asks only a leaseholder that may respond,
+                // and this one did respond without the leader.
                 machine.route.relay_requested = false;
                 machine.route.leaseholder_may_respond = true;
                 self.request_relay(&name);
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -14,11 +14,12 @@
 //! 4. `heartbeat_responses` makes the response.
 //!
 //! A leaseholder is a controller other than the leader that holds the lease of a shard of the machines: it
-//! relays their heartbeats to the leader and responds to unchanged ones itself (`lease::shard`).
+//! relays their heartbeats to the leader and responds to unchanged ones itself (`lease::shard`). A worker
+//! begins a new agent epoch each time it starts over without tasks, for example after its lease has ended.
 //!
 //! An arrival is recorded in two places:
-//! - `Machine::last_renewal`, for lease expiry: the last response that may have renewed the lease, also where
-//!   the task list is ignored (the first heartbeat of a machine to this leader, and overtaken ones).
+//! - `Machine::last_renewal`, for lease expiry: set with every response that may have renewed the lease, even
+//!   if the task list of the heartbeat was ignored.
 //! - `HeartbeatTracker::last_at`, for failure detection: when the machine last showed that it is alive.
 //!
 //! Wherever `last_at` is set, `last_renewal` is set in the same step. As a safeguard, lease expiry counts
@@ -39,7 +40,8 @@
 const DEFAULT_BOOT_S: f64 = 60.0;
 
 impl Machine {
-    /// Whether a periodic heartbeat repeats the last one and nothing is under way with the machine.
+    /// Whether a periodic heartbeat repeats the last one, and the machine and the leader agree on its tasks
+    /// ([`Machine::is_settled`]).
     fn is_unchanged_by(&self, heartbeat: &Heartbeat, token: FencingToken) -> bool {
         heartbeat.agent_epoch == self.heartbeats.newest.agent_epoch
             && heartbeat.sequence > self.heartbeats.newest.sequence
@@ -53,7 +55,12 @@
     fn record_alive(&mut self, now: Timestamp) {
         self.heartbeats.last_at = now;
         if self.state != MachineState::Ready {
-            info!(machine = self.name, zone = self.zone, spot = self.spot, "machine up");
+            info!(
+                machine = self.name,
+                zone = self.zone,
+                spot = self.spot,
+                "machine ready: new to this leader, or back after its lease expired"
+            );
             self.lifecycle.idle_since = now;
             self.state = MachineState::Ready;
         }
@@ -129,7 +136,7 @@
         let machine = self.machine(&StoredMachine::of_heartbeat(&heartbeat));
         // Delayed messages arrive out of order, so a task list older than the newest one is ignored.
         if heartbeat.number() <= machine.heartbeats.newest {
-            return self.ignore_late_heartbeat(&heartbeat, source);
+            return self.ignore_old_heartbeat(&heartbeat, source);
         }
         self.apply_newest_heartbeat(heartbeat, source, was_known)
     }
@@ -146,7 +153,8 @@
         true
     }
 
-    /// Applies a heartbeat that is newer than all before it. `was_known`: the machine was known already.
+    /// Applies a heartbeat that is newer than all before it. `was_known`: this leader knew the
+    /// machine before the heartbeat arrived.
     fn apply_newest_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -164,6 +172,7 @@
         machine.heartbeats.record_newest(number, source);
         machine.address = heartbeat.address;
         machine.lifecycle.recall_at = heartbeat.notice_s.map(|seconds| now + from_seconds(seconds));
+        // From the first heartbeat with this leader's token on, the leader knows all tasks on the machine.
         machine.accounted_for |= heartbeat.token == token;
         if machine.accounted_for {
             if source == HeartbeatSource::Periodic {
@@ -172,16 +181,18 @@
             self.apply_exact_task_list(&heartbeat.machine, heartbeat.tasks, number, source);
         } else if was_known && !machine.recorded {
             // This is the machine's first heartbeat to this leader, or a copy of one sent to an earlier
-            // leader, which may be of any age. Its task list may be out of date and is not applied: tasks
-            // would seem to be on two machines. The machine may be long gone, so its record is written only
-            // if this leader knew the machine before. The worker's next heartbeat states this leader's token.
+            // leader, which may be of any age. Its task list is not applied: a task that has moved since
+            // would seem to be on two machines. The worker's next heartbeat states this leader's token, and
+            // its list is applied. The machine may be long gone, so its record is written only if this
+            // leader knew the machine before.
             self.request_record_write(&heartbeat.machine);
         }
         HeartbeatOutcome::Changed
     }
 
     /// Applies the task list of a worker that has stated this leader's token. Such a list is exact: it is no
-    /// copy from the time of an earlier leader, so a task that it does not list is not on the machine.
+    /// copy from the time of an earlier leader, so a task that it does not list is not on the machine, unless
+    /// its start is still on the way (see `remove_unlisted`).
     fn apply_exact_task_list(
         &mut self,
         name: &str,
@@ -211,7 +222,8 @@
         if previous > 0 {
             info!(
                 machine = heartbeat.machine,
-                agent_epoch, "worker began a new agent epoch; tasks of earlier epochs have ended"
+                agent_epoch,
+                "worker started over without tasks (new agent epoch); its earlier tasks have ended"
             );
         }
         self.remove_all_placements(&heartbeat.machine, TerminationProof::NewAgentEpoch { agent_epoch });
--- a/src/scheduler/job_registry.rs
+++ b/src/scheduler/job_registry.rs
@@ -20,8 +20,9 @@
         self.jobs.insert(job_id, job);
     }
 
-    /// Terminates a job: no task of it starts, and all that run are stopped.
-    pub(super) fn remove_job(&mut self, job_id: JobId) {
+    /// Terminates a job: no task of it starts, and all that run are stopped. The job is removed once none of
+    /// its tasks is placed.
+    pub(super) fn terminate_job(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.terminated = true;
         job.progress.pending.clear();
@@ -29,10 +30,11 @@
         self.remove_if_terminated(job_id);
     }
 
-    /// Applies the outcome of the write that removes a job whose tasks have all succeeded.
+    /// Applies the outcome of the write that moves a job whose tasks have all succeeded to its final
+    /// state.
     pub(super) fn handle_job_end_written(&mut self, job_id: JobId, outcome: RequestOutcome) {
         match outcome {
-            RequestOutcome::Done => self.remove_job(job_id),
+            RequestOutcome::Done => self.terminate_job(job_id),
             // The job was cancelled meanwhile, or the outcome is not known. The write is repeated; it
             // succeeds only if the job's stored record still has the version that this leader knows.
             RequestOutcome::Refused | RequestOutcome::Unknown => {
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -10,7 +10,8 @@
 //! - `PeerNodes::others_may_have_renewed_until`: another node may have responded until then.
 //!
 //! A leaseholder may have responded to any machine since its last shard heartbeat, so a lease counts as
-//! expired only if it ended by `PeerNodes::responses_known_until`.
+//! expired only if it ended at or before the time until which the responses of all leaseholders are known
+//! (`PeerNodes::responses_known_until`).
 
 use super::autoscaler::MachineKind;
 use super::model::{Job, Machine, MachineState, TerminationProof};
@@ -21,13 +22,14 @@
 use tracing::info;
 
 impl Machine {
-    /// The last time at which its lease may have been renewed, as far as the machine's own records say.
+    /// The last time at which its lease may have been renewed, as far as the fields of this `Machine`
+    /// show; other nodes may have renewed it later.
     fn lease_renewed_at(&self) -> Timestamp {
         self.last_renewal.renewed_at().max(self.heartbeats.last_at)
     }
 
     /// Whether an earlier leader may have started tasks on it that this leader does not know.
-    fn is_unaccounted_for(&self) -> bool {
+    fn may_hold_unknown_tasks(&self) -> bool {
         self.inherited && !self.accounted_for
     }
 }
@@ -52,8 +54,8 @@
             && self.now < machine.heartbeats.last_at + limits::silence_timeout(self.config.workers.report_s)
     }
 
-    /// Whether every machine on which an earlier leader may have started the job is accounted for: true if no
-    /// machine of a kind that the job may use was unaccounted for at the start of the round.
+    /// Whether every machine on which an earlier leader may have started the job is accounted for: at the
+    /// start of the round, all machines of the kinds that the job may use were accounted for.
     pub(super) fn is_accounted_for_job(&self, job: &Job) -> bool {
         let may_use = |kind: &MachineKind| {
             job.spec.allows_type(&kind.machine_type)
@@ -69,7 +71,7 @@
             self.unaccounted_kinds = BTreeSet::new();
             return;
         }
-        let unaccounted_kinds = self.machines.values().filter(|machine| machine.is_unaccounted_for());
+        let unaccounted_kinds = self.machines.values().filter(|machine| machine.may_hold_unknown_tasks());
         self.unaccounted_kinds = unaccounted_kinds.map(MachineKind::of).collect();
     }
 
@@ -97,17 +99,19 @@
     /// Names of the machines that may have held tasks and whose leases have expired.
     fn expired_machines(&self) -> Vec<String> {
         let worker_lease = limits::worker_lease(self.config.workers.lease_s);
-        let known_until = self.peers.responses_known_until(self.now, self.config.shard_lease, worker_lease);
-        let responses_known_until = self.now.min(known_until);
+        let responses_known_until =
+            self.peers.responses_known_until(self.now, self.config.shard_lease, worker_lease);
+        let leases_judged_at = self.now.min(responses_known_until);
         let unrecorded_until = self.unrecorded_renewals_until();
         let lease_may_run = |machine: &Machine| {
-            // `lease_renewed_at` includes the last heartbeat as a safeguard: a machine younger than this
-            // leader whose renewal was not recorded would otherwise expire as soon as it came up.
-            responses_known_until < machine.lease_renewed_at().max(unrecorded_until) + worker_lease
+            // `lease_renewed_at` includes the last heartbeat as a safeguard: otherwise a machine newer
+            // than this leader whose renewal was missed by mistake would expire as soon as it came up, since
+            // its lease would count from `unrecorded_until`.
+            leases_judged_at < machine.lease_renewed_at().max(unrecorded_until) + worker_lease
         };
         let may_hold_tasks = |machine: &Machine| match machine.state {
             MachineState::Ready => true,
-            MachineState::Pending => !machine.tasks.is_empty() || machine.is_unaccounted_for(),
+            MachineState::Pending => !machine.tasks.is_empty() || machine.may_hold_unknown_tasks(),
             MachineState::Lost => false,
         };
         self.machines
@@ -139,7 +143,7 @@
     fn update_accounted_for(&mut self) {
         let worker_lease = limits::worker_lease(self.config.workers.lease_s);
         let all_expired = self.now >= self.unrecorded_renewals_until() + worker_lease;
-        self.all_accounted_for = all_expired || !self.machines.values().any(Machine::is_unaccounted_for);
+        self.all_accounted_for = all_expired || !self.machines.values().any(Machine::may_hold_unknown_tasks);
         if self.all_accounted_for {
             let after_ms = to_millis(self.now.since(self.started_at));
             info!(
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -225,7 +225,7 @@
             Command::DirectResponse(heartbeat) => return self.handle_direct_response(heartbeat),
             Command::StateLoaded { jobs, records } => self.load(jobs, records),
             Command::JobAdded(stored) => self.add_job(stored, false),
-            Command::JobRemoved(job_id) => self.remove_job(job_id),
+            Command::JobRemoved(job_id) => self.terminate_job(job_id),
             Command::FinishedTasksWritten { job_id, tasks, outcome } => {
                 self.handle_finished_tasks_written(job_id, tasks, outcome)
             }
--- a/src/scheduler/peer_nodes.rs
+++ b/src/scheduler/peer_nodes.rs
@@ -2,8 +2,8 @@
 //! reach.
 //!
 //! Owned by `Scheduler`: `heartbeat_responses` records shard heartbeats; the controller records unreachable
-//! peers and until when workers may have been kept alive. `lease_expiry` and `failure_detection` read the
-//! result.
+//! peers and until when nodes in keep-alive mode may have renewed leases of workers. `lease_expiry` and
+//! `failure_detection` read the result.
 
 use crate::limits;
 use crate::time::Timestamp;
@@ -25,8 +25,8 @@
     leaseholders: BTreeMap<usize, Leaseholder>,
     /// Until when another node may have renewed leases of workers without a record here.
     others_may_have_renewed_until: Timestamp,
-    /// When each node was last recorded as unreachable from this leader. Machines that report through such a
-    /// node may change their route for a while after that; `failure_detection` allows for it.
+    /// When each node was last recorded as unreachable from this leader. `failure_detection` takes a route
+    /// for unreachable if its node was recorded within the last `PEER_HEARTBEAT_INTERVAL`.
     last_unreachable_at: BTreeMap<usize, Timestamp>,
 }
 
@@ -52,8 +52,9 @@
         self.others_may_have_renewed_until
     }
 
-    /// Records a shard heartbeat, which renews the shard lease of its leaseholder `node`. It names all
-    /// machines to which the leaseholder responded before `covers_until` (None: the list may be incomplete).
+    /// Records a shard heartbeat, which renews the shard lease of its leaseholder `node`. Each machine to
+    /// which the leaseholder responded before `covers_until` is in it or was in an earlier one that the
+    /// leader acknowledged (None: the list may be incomplete).
     pub fn record_shard_heartbeat(&mut self, node: usize, covers_until: Option<Timestamp>, now: Timestamp) {
         let leaseholder = self.leaseholders.entry(node).or_default();
         leaseholder.covered_until = leaseholder.covered_until.max(covers_until.unwrap_or_default());
--- a/src/scheduler/quarantine.rs
+++ b/src/scheduler/quarantine.rs
@@ -16,7 +16,8 @@
 pub(super) enum TaskFailure {
     /// It started, and exited with an error.
     WhileRunning,
-    /// The worker reported that it does not know the task: the job backs off, the machine does not.
+    /// The worker reported that it did not know the task (exit reason `unknown`): the job backs off, the
+    /// machine does not.
     NotKnownToWorker,
 }
 
@@ -31,7 +32,7 @@
 
 impl Scheduler {
     /// Records that a task of the job failed on the machine with this name.
-    pub(super) fn record_job_failure(&mut self, name: &str, job_id: JobId, failure: TaskFailure) {
+    pub(super) fn attribute_task_failure(&mut self, name: &str, job_id: JobId, failure: TaskFailure) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         job.failure_history.machines.insert(name.to_string());
@@ -56,8 +57,9 @@
         self.replace_if_faulty(name, machine_proven_faulty);
     }
 
-    /// Records that a task of the job succeeded: machines on which other tasks of it failed are at fault.
-    pub(super) fn record_job_success(&mut self, job_id: JobId) {
+    /// Applies the success of a task of the job: machines on which other tasks of the job failed are at
+    /// fault.
+    pub(super) fn attribute_failures_to_machines(&mut self, job_id: JobId) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         if job.failure_history.machines.is_empty() {
             return;
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -18,8 +18,9 @@
         token: FencingToken,
     ) {
         if heartbeat.agent_epoch > previous_agent_epoch {
-            // The worker's lease ended. The response with the commands would have renewed it, so most likely
-            // it did not arrive. (A response that was sent more than a lease ago is counted too.)
+            // The worker's lease ended. The response with the commands would have renewed the lease, so most
+            // likely the response was lost. (If it was sent more than a lease ago, it may have arrived; these
+            // cases are not distinguished.)
             let commands_without_effect = previous_agent_epoch > 0 && !self.unacknowledged.is_empty();
             self.responses_without_effect += u32::from(commands_without_effect);
             self.unacknowledged.clear();
--- a/src/scheduler/recall.rs
+++ b/src/scheduler/recall.rs
@@ -30,7 +30,8 @@
     /// Whether the job's tasks on a machine must stop now if the machine is recalled in `left_s` seconds.
     fn must_stop_for_recall(&self, job: &Job, left_s: f64) -> bool {
         let saves_checkpoints = job.spec.checkpoint_interval_s > 0.0;
-        // The members of a gang wait for one another before they save.
+        // The tasks of a gang save together; `gang_peer_s` allows for their waiting for each other, as in
+        // `stop_gang`.
         let gang_wait_s = match job.spec.kind {
             Kind::Gang => self.config.workers.gang_peer_s,
             Kind::Array | Kind::Service => 0.0,
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -1,5 +1,5 @@
 //! Writes what the next leader must find in the state service: which machines may hold tasks, and which tasks
-//! are finished. Called by `Scheduler` and its modules.
+//! are finished, that is, have succeeded. Called by `Scheduler` and its modules.
 //!
 //! The state service limits writes, so several machines share a record, and writes wait here until the
 //! leader's write budget allows them: finished jobs first, then new machines, which get no task before they
@@ -15,8 +15,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Writes of a finished job besides its chunks of finished tasks: a put of its final state, and a delete of
-/// its live record, which it had while unfinished.
+/// Writes of a finished job besides its chunks (keys that each store which of `FINISHED_TASKS_CHUNK` tasks
+/// are finished): a put of its final state, and a delete of its live record, which it had while unfinished.
 const FINAL_WRITES: f64 = 2.0;
 /// Bytes that an image takes in a record besides its name: quotes and a comma.
 const IMAGE_OVERHEAD_BYTES: usize = 3;
@@ -28,8 +28,9 @@
     NotDue,
     /// The images of a machine changed. They only improve placements after a failover.
     Images,
-    /// A machine was deleted, or moved to another record. As long as the record names a deleted machine, the
-    /// next leader has to delete it before inherited work starts.
+    /// A machine was deleted, or moved to another record. As long as the record names a deleted machine, a
+    /// new leader does not know that the machine is gone: tasks of earlier leaders that may be on it start
+    /// again only after its deletion is confirmed once more or its lease has expired.
     RemovedMachine,
     /// A machine is new. It gets no task before its record is written.
     NewMachine,
@@ -44,7 +45,7 @@
     due_since: Timestamp,
     /// The machines in the write that is in flight. None: no write is in flight.
     in_flight: Option<BTreeSet<String>>,
-    /// Keys of the records that took machines over from this one, which is written only after they are.
+    /// Keys of the records that took over machines of this one. This one is written only after them.
     write_after: Vec<String>,
 }
 
@@ -60,8 +61,8 @@
         self.urgency = self.urgency.max(urgency);
     }
 
-    /// Whether no new machine in it waits to be recorded and no write is in flight.
-    fn has_no_new_machine(&self) -> bool {
+    /// Whether all its new machines are stored: no write is in flight, and none is due for a new machine.
+    fn new_machines_are_stored(&self) -> bool {
         self.urgency < Urgency::NewMachine && self.in_flight.is_none()
     }
 }
@@ -103,7 +104,7 @@
     /// Keys of the records of at least this urgency whose write was requested `delay` ago and has nothing to
     /// wait for.
     fn due(&self, urgency: Urgency, delay: Duration, now: Timestamp) -> Vec<String> {
-        let is_written = |key: &String| self.by_key.get(key).is_none_or(Record::has_no_new_machine);
+        let is_written = |key: &String| self.by_key.get(key).is_none_or(Record::new_machines_are_stored);
         let is_due = |record: &Record| {
             record.urgency >= urgency
                 && record.in_flight.is_none()
@@ -191,7 +192,8 @@
         }
     }
 
-    /// Applies the outcome of the write of a record. A failed write is requested again.
+    /// Applies the outcome of the write of a record. A failed write is requested again with
+    /// the highest urgency, since it may have held new machines.
     pub fn handle_machine_record_written(&mut self, key: &str, outcome: RequestOutcome) {
         let Some(record) = self.machine_records.by_key.get_mut(key) else { return };
         let Some(written) = record.in_flight.take() else { return };
--- a/src/scheduler/stale_heartbeats.rs
+++ b/src/scheduler/stale_heartbeats.rs
@@ -1,5 +1,6 @@
-//! Handles heartbeats whose task list is ignored: duplicates, late ones, and those overtaken by the response
-//! to a direct command. Called by `heartbeats`. Owns the counts of them in the operators' overview.
+//! Handles heartbeats whose task list is ignored: duplicates, late ones, and those overtaken by the heartbeat
+//! that their worker returned for a direct command. Called by `heartbeats`. Owns the counts of them in the
+//! operators' overview.
 
 use super::model::{Heartbeat, HeartbeatSource, MachineState};
 use super::{HeartbeatOutcome, Scheduler};
@@ -9,7 +10,7 @@
 /// Number of heartbeats ignored since this leader began.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct IgnoredHeartbeats {
-    /// Overtaken by the response to a direct command.
+    /// Overtaken by the heartbeat that the worker returned for a direct command.
     pub overtaken: u64,
     /// Duplicates, and heartbeats of agent epochs or machines that are gone.
     pub stale: u64,
@@ -18,10 +19,10 @@
 impl Scheduler {
     /// Ignores the task list of a heartbeat that is not newer than the newest one applied.
     ///
-    /// A periodic heartbeat may have been overtaken by the response to a direct command. Its worker still
-    /// waits for a response, which renews the lease, so the renewal must be recorded. Otherwise tasks would
-    /// be started elsewhere seconds before the lease under which they run ends.
-    pub(super) fn ignore_late_heartbeat(
+    /// A periodic heartbeat may have been overtaken by the one that its worker returned for a direct command.
+    /// The worker still waits for the response to the periodic one, which renews the lease, so the renewal
+    /// must be recorded. Otherwise tasks would be started elsewhere seconds before their lease ends.
+    pub(super) fn ignore_old_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         source: HeartbeatSource,
@@ -37,7 +38,10 @@
         let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
         let newest = machine.heartbeats.newest.sequence;
         if overtaken {
-            debug!(machine = name, agent_epoch, sequence, newest, "heartbeat overtaken by a direct response");
+            debug!(
+                machine = name,
+                agent_epoch, sequence, newest, "heartbeat overtaken by a later one for a direct command"
+            );
             machine.heartbeats.record_overtaken(sequence, now);
             self.ignored_heartbeats.overtaken += 1;
             return HeartbeatOutcome::Overtaken;
@@ -53,7 +57,7 @@
                 agent_epoch,
                 sequence,
                 newest,
-                "late or duplicate heartbeat ignored, lease not renewed; others of this machine only counted"
+                "late or duplicate heartbeat ignored, lease not renewed; further ones are only counted"
             );
         }
         self.ignored_heartbeats.stale += 1;
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -25,7 +25,7 @@
         }
         debug!(task = %exited.task, machine = name, ?reason, "task exited");
         if reason != ExitReason::Done && reason != ExitReason::Stopped {
-            info!(task = %exited.task, machine = name, ?reason, "task exited without success");
+            info!(task = %exited.task, machine = name, ?reason, "task did not succeed");
         }
         self.record_exit(name, exited, reason, stop_requested);
     }
@@ -47,12 +47,12 @@
         match reason {
             ExitReason::Done => {
                 self.record_succeeded(exited.task);
-                self.record_job_success(job_id);
+                self.attribute_failures_to_machines(job_id);
             }
             // A task that was asked to stop may fail without a fault of its job or machine.
             ExitReason::Error | ExitReason::Unknown if stop_requested => {}
-            ExitReason::Error => self.record_job_failure(name, job_id, TaskFailure::WhileRunning),
-            ExitReason::Unknown => self.record_job_failure(name, job_id, TaskFailure::NotKnownToWorker),
+            ExitReason::Error => self.attribute_task_failure(name, job_id, TaskFailure::WhileRunning),
+            ExitReason::Unknown => self.attribute_task_failure(name, job_id, TaskFailure::NotKnownToWorker),
             // The task was asked to stop, or other members of its gang were gone or did not start: the
             // attempt has ended for the whole gang.
             ExitReason::Stopped => {
--- a/src/scheduler/task_lists.rs
+++ b/src/scheduler/task_lists.rs
@@ -1,7 +1,7 @@
 //! Reconciles the task lists of heartbeats with the placements.
 //!
 //! Called by `heartbeats` with the list of each newest heartbeat, and by `cold_start` with the last list
-//! again when a job has become known. Owns `Machine::reported` and the confirmation of placements.
+//! again when a job has become known. Owns `Machine::unplaced_tasks` and the confirmation of placements.
 
 use super::model::{
     HeartbeatNumber, HeartbeatSource, JobSpec, Machine, Placement, ReportedTask, TaskAttempt, TaskId,
@@ -127,17 +127,17 @@
     /// Enters a listed task of an unknown job in `listed`: as orphaned, so that it is stopped, or as
     /// unverified, so that it is left alone until the state service has been asked about its job.
     fn classify_unknown(&self, name: &str, attempt: TaskAttempt, listed: &mut ListedTasks) {
-        let reported = self.machines.get(name).map(|machine| &machine.unplaced_tasks);
-        let is_orphaned = reported.is_some_and(|reported| reported.orphaned.contains(&attempt));
+        let unplaced = self.machines.get(name).map(|machine| &machine.unplaced_tasks);
+        let is_orphaned = unplaced.is_some_and(|unplaced| unplaced.orphaned.contains(&attempt));
         if is_orphaned || !self.keeps_unknown_tasks() {
             listed.orphaned.insert(attempt);
             return;
         }
-        let first_reported_at = reported.and_then(|reported| reported.unverified.get(&attempt)).copied();
+        let first_reported_at = unplaced.and_then(|unplaced| unplaced.unverified.get(&attempt)).copied();
         listed.unverified.insert(attempt, first_reported_at.unwrap_or(self.now));
     }
 
-    /// Adds a task that an earlier leader started on the machine to its job. Stops it there if its job is
+    /// Enters in its job a task that an earlier leader started on this machine. Stops it here if the job is
     /// terminated, if it has succeeded or is not one of the job's tasks, or if it is placed on another
     /// machine too.
     fn adopt(&mut self, name: &str, id: TaskId) {
@@ -153,7 +153,7 @@
         job.elasticity.width = job.elasticity.width.max(placed);
         let terminated = job.terminated;
         if is_elsewhere {
-            warn!(task = %id, machine = name, "task is on two machines; stopping it on this machine");
+            warn!(task = %id, machine = name, "task is placed on another machine too; stopping it on this one");
         }
         if terminated || is_elsewhere || must_not_run {
             self.request_stop(name, id, 0.0);
