--- a/src/scheduler/model/tests.rs
+++ b/src/scheduler/model/tests.rs
@@ -19,7 +19,7 @@
     Placement {
         attempt: 1,
         resource_request: Resources::rounded_up(1.0, 0.0, 1.0),
-        start_sent_in: None,
+        start_sent_in_response_to: None,
         confirmed: true,
         status,
         running_since: None,
@@ -69,7 +69,7 @@
     heartbeats.record_newest(number(6), HeartbeatSource::DirectResponse);
     assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 4));
     // The periodic heartbeat that the direct response has overtaken arrives.
-    heartbeats.record_overtaken(5, Timestamp::from_secs(1));
+    heartbeats.record_periodic_arrival(5, Timestamp::from_secs(1));
     assert_eq!((heartbeats.newest, heartbeats.last_periodic_sequence), (number(6), 5));
     assert_eq!(heartbeats.last_at, Timestamp::from_secs(1));
 }
@@ -160,22 +160,22 @@
 }
 
 #[test]
-fn success_is_recorded_only_if_a_task_is_new() {
+fn success_is_recorded_only_if_a_task_had_not_succeeded_before() {
     let mut progress = Progress { pending: BTreeSet::from([0, 1, 2]), ..Progress::default() };
     progress.record_succeeded(1..2, Timestamp::from_secs(1));
     assert_eq!(
-        (&progress.pending, progress.unrecorded_since),
+        (&progress.pending, progress.unstored_since),
         (&BTreeSet::from([0, 2]), Some(Timestamp::from_secs(1)))
     );
     // The success is stored. A second report of the same task must not cause another write.
-    progress.unrecorded.clear();
-    progress.unrecorded_since = None;
+    progress.unstored.clear();
+    progress.unstored_since = None;
     progress.record_succeeded(1..2, Timestamp::from_secs(2));
-    assert!(progress.unrecorded.is_empty());
-    assert_eq!(progress.unrecorded_since, None);
+    assert!(progress.unstored.is_empty());
+    assert_eq!(progress.unstored_since, None);
     progress.record_succeeded(0..3, Timestamp::from_secs(3));
     assert!(progress.pending.is_empty());
-    assert_eq!(progress.unrecorded, BTreeSet::from([0, 1, 2]));
+    assert_eq!(progress.unstored, BTreeSet::from([0, 1, 2]));
 }
 
 #[test]
@@ -184,7 +184,7 @@
     unsent.confirmed = false;
     assert!(unsent.is_unsent());
     let sent = HeartbeatNumber { agent_epoch: 1, sequence: 1 };
-    assert!(!Placement { start_sent_in: Some(sent), ..unsent.clone() }.is_unsent());
+    assert!(!Placement { start_sent_in_response_to: Some(sent), ..unsent.clone() }.is_unsent());
     assert!(!Placement { confirmed: true, ..unsent }.is_unsent());
 }
 
@@ -192,7 +192,7 @@
 fn termination_proofs_are_displayed_as_log_texts() {
     let heartbeat = HeartbeatNumber { agent_epoch: 3, sequence: 7 };
     let expired = |relayed_by| TerminationProof::LeaseExpired {
-        last_renewal: Timestamp::from_secs(1),
+        lease_renewed_at: Timestamp::from_secs(1),
         relayed_by,
         at: Timestamp::from_secs(13) + Duration::from_millis(500),
     };
--- a/src/scheduler/stale_heartbeats.rs
+++ b/src/scheduler/stale_heartbeats.rs
@@ -42,7 +42,7 @@
                 machine = name,
                 agent_epoch, sequence, newest, "heartbeat overtaken by a later one for a direct command"
             );
-            machine.heartbeats.record_overtaken(sequence, now);
+            machine.heartbeats.record_periodic_arrival(sequence, now);
             self.ignored_heartbeats.overtaken += 1;
             return HeartbeatOutcome::Overtaken;
         }
