--- a/src/scheduler/autoscaler/machine_list.rs
+++ b/src/scheduler/autoscaler/machine_list.rs
@@ -40,7 +40,7 @@
         debug!(machine = name, "listed and not known: adopted");
         let earliest_deadline = self.now + MIN_ADOPTION_TIMEOUT;
         let age = from_seconds(listed.age_s);
-        let lifecycle = &mut self.machine(&listed.machine).lifecycle;
+        let lifecycle = &mut self.get_or_add_machine(&listed.machine).lifecycle;
         lifecycle.boot_deadline = (lifecycle.boot_deadline - age).max(earliest_deadline);
     }
 
--- a/src/scheduler/autoscaler/mod.rs
+++ b/src/scheduler/autoscaler/mod.rs
@@ -207,7 +207,7 @@
             self.autoscaler.refused.remove(&offer);
         }
         for name in names {
-            self.machine(&offer.machine_named(name));
+            self.get_or_add_machine(&offer.machine_named(name));
         }
     }
 
--- a/src/scheduler/cold_start/mod.rs
+++ b/src/scheduler/cold_start/mod.rs
@@ -149,7 +149,7 @@
     }
 
     /// Every machine is accounted for: the verdicts of this moment are kept, before any task is started on them.
-    pub(in crate::scheduler) fn record_verdicts_when_accounted_for(&mut self) {
+    pub(in crate::scheduler) fn record_cold_start_verdicts(&mut self) {
         if self.cold_start.started_at.is_none() {
             return;
         }
--- a/src/scheduler/drains/replacement.rs
+++ b/src/scheduler/drains/replacement.rs
@@ -117,7 +117,7 @@
         let attempt = *attempt;
         drain.advance(&machine, MachineDrainState::Replacing { attempt, machine: Some(name.clone()) });
         if let Some(offer) = self.machines.get(&machine).map(MachineKind::of) {
-            self.machine(&offer.machine_named(name.clone()));
+            self.get_or_add_machine(&offer.machine_named(name.clone()));
         }
         self.drains.replacements.insert(name, machine);
         true
--- a/src/scheduler/drains/reservations.rs
+++ b/src/scheduler/drains/reservations.rs
@@ -133,6 +133,6 @@
             && TasksByZone::of(job, &self.machines).allows(job, &machine.zone)
             && job.spec.resource_request.fits_into(&reserved.available_on(machine))
             && job.failure_history.backoff_until <= self.now
-            && (!job.inherited || self.is_accounted_for_job(job))
+            && (!job.inherited || self.job_machines_accounted_for(job))
     }
 }
--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -66,7 +66,7 @@
         }
         // A task that an earlier leader started may still be on a machine that has sent no heartbeat to this
         // leader. Only machines that the job may use matter.
-        if job.inherited && !self.is_accounted_for_job(job) {
+        if job.inherited && !self.job_machines_accounted_for(job) {
             return Some(PendingReason::UnreconciledMachines);
         }
         None
--- a/src/scheduler/elastic/tests.rs
+++ b/src/scheduler/elastic/tests.rs
@@ -93,7 +93,7 @@
         let zone = zones[rng.random_range(0..3)].clone();
         let name = format!("m-{number:06}");
         let machine_type = if rng.random_bool(0.7) { "m" } else { "n" };
-        scheduler.machine(&StoredMachine {
+        scheduler.get_or_add_machine(&StoredMachine {
             name: name.clone(),
             machine_type: machine_type.into(),
             zone,
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -254,9 +254,8 @@
             let moved = reachable.iter().filter(|machine| machine.left_during_outage(*route, reachability));
             let route_size = machines.len() + moved.count();
             let late = machines.iter().filter(|machine| machine.is_late(now, timeouts)).count();
-            // If many machines of the cluster or of the route are late, none is declared dead: tasks restart
-            // when leases expire. The limit for a route is higher, since a few dead machines may share a
-            // route by chance: three on a route of nine are declared dead.
+            // If many of the cluster or the route are late, none is declared dead: tasks restart when leases
+            // expire. The limit is higher for a route: three dead ones of nine may share it by chance.
             if now < silence_explained_until(reachability, timeouts)
                 || many_are_late && !reachability.unreachable
                 || suggest_common_cause(late, route_size, limits::MAX_SILENT_ROUTE_SHARE)
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -30,19 +30,19 @@
 }
 
 /// Forget commands for exited tasks. The worker keeps the result of a succeeded task until the leader has
-/// committed it, since until then there is no other copy.
+/// stored it, since until then there is no other copy.
 fn forget_commands<'a>(
     machine: &'a Machine,
     jobs: &'a BTreeMap<JobId, Job>,
 ) -> impl Iterator<Item = TaskCommand> + 'a {
-    let is_uncommitted = |job: &Job, task: u32| job.progress.unstored.contains(&task);
+    let is_unstored = |job: &Job, task: u32| job.progress.unstored.contains(&task);
     machine
         .unplaced_tasks
         .exited
         .iter()
         .filter(move |(exited, reason)| {
             let job = jobs.get(&exited.task.job_id);
-            **reason != ExitReason::Done || !job.is_some_and(|job| is_uncommitted(job, exited.task.task))
+            **reason != ExitReason::Done || !job.is_some_and(|job| is_unstored(job, exited.task.task))
         })
         .map(|(exited, _)| TaskCommand::Forget { id: exited.task, attempt: exited.attempt })
 }
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -69,7 +69,7 @@
 
 impl Scheduler {
     /// Returns the machine with the name of `stored`. An unknown one is added, with a deadline for its boot.
-    pub(super) fn machine(&mut self, stored: &StoredMachine) -> &mut Machine {
+    pub(super) fn get_or_add_machine(&mut self, stored: &StoredMachine) -> &mut Machine {
         let machine_type = self.machine_types.get(&stored.machine_type);
         let capacity = machine_type.map(|known| known.capacity).unwrap_or_default();
         let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |known| known.boot_s) * limits::BOOT_TIMEOUT_FACTOR;
@@ -133,7 +133,7 @@
             return HeartbeatOutcome::Unchanged;
         }
         let was_known = self.machines.contains_key(&heartbeat.machine);
-        let machine = self.machine(&StoredMachine::of_heartbeat(&heartbeat));
+        let machine = self.get_or_add_machine(&StoredMachine::of_heartbeat(&heartbeat));
         // Delayed messages arrive out of order, so a task list older than the newest one is ignored.
         if heartbeat.number() <= machine.heartbeats.newest {
             return self.ignore_old_heartbeat(&heartbeat, source);
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -56,7 +56,7 @@
 
     /// Whether every machine on which an earlier leader may have started the job is accounted for: at the
     /// start of the round, all machines of the kinds that the job may use were accounted for.
-    pub(super) fn is_accounted_for_job(&self, job: &Job) -> bool {
+    pub(super) fn job_machines_accounted_for(&self, job: &Job) -> bool {
         let may_use = |kind: &MachineKind| {
             job.spec.allows_type(&kind.machine_type)
                 && job.spec.allows_zone(&kind.zone)
@@ -151,7 +151,7 @@
                 "all machines of earlier leaders accounted for, by a heartbeat or by an expired lease"
             );
             self.rounds.request();
-            self.record_verdicts_when_accounted_for();
+            self.record_cold_start_verdicts();
         }
     }
 }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -168,7 +168,7 @@
     }
 
     fn load_recorded_machine(&mut self, stored: StoredMachine) {
-        let machine = self.machine(&stored);
+        let machine = self.get_or_add_machine(&stored);
         machine.recorded = true;
         machine.inherited = true;
         machine.image_cache.images.clone_from(&stored.images);
