--- a/src/leadership/authority.rs
+++ b/src/leadership/authority.rs
@@ -1,6 +1,6 @@
 //! Computes until when this node may act as the leader or keep workers alive, and how long followers with a
-//! shard lease may respond to workers without it. Called by the controller's event loop and by the other
-//! modules of leadership.
+//! shard lease may respond to workers without this leader. Called by the controller's event loop and by the
+//! other modules of leadership.
 
 use super::role::Role;
 use super::Leadership;
@@ -37,22 +37,24 @@
     /// not.
     pub fn keep_alive_token(&self, now: Timestamp) -> Option<FencingToken> {
         let Role::KeepAlive { token } = self.role else { return None };
-        (now + limits::AUTHORITY_MARGIN < self.keep_alive_until(now)).then_some(token)
+        (now + limits::AUTHORITY_MARGIN < self.keep_alive_mode_until(now)).then_some(token)
     }
 
     /// Until when a node in keep-alive mode may keep workers alive. Cancellations might fail to reach this
     /// node: without the bound by the cancellation log, a zone cut off with a majority in it would keep the
-    /// tasks of a cancelled job alive for as long as it is cut off.
-    fn keep_alive_until(&self, now: Timestamp) -> Timestamp {
+    /// tasks of a cancelled job alive for as long as it is cut off. `limits::AUTHORITY_MARGIN` is not
+    /// subtracted yet.
+    fn keep_alive_mode_until(&self, now: Timestamp) -> Timestamp {
         let majority_until = self.capped_granted_until(now).max(self.votes_until(now));
         majority_until.min(self.cancellations.may_keep_alive_until())
     }
 
     /// Until when a leader may act without the lock lease, given the time up to which it knows all
     /// cancellations. Readings of the key-value store count only up to when the last confirmed renewal of the
-    /// lock lease was sent: a peer may take over a fixed time after it first saw the lock free, so later
-    /// readings must not extend this leader's authority.
+    /// lock lease was sent: a peer may take over a fixed time after it first saw the lock free
+    /// (`former_leader_authority_until`), so later readings must not extend this leader's authority.
     fn cancellation_bound_without_lock(&self, lease_until: Timestamp) -> Timestamp {
+        // Slightly earlier than that renewal was sent, because `lease_until` is shortened for clock drift.
         let last_confirmed_renewal_sent_at = lease_until - limits::LOCK_LEASE;
         let store_known_until = self.cancellations.known_until_by_store().min(last_confirmed_renewal_sent_at);
         let known_until = store_known_until.max(self.cancellations.known_until_by_members());
@@ -66,7 +68,7 @@
         if !self.is_leader() {
             return Duration::ZERO;
         }
-        self.cancellations.may_keep_alive_until().since(now).min(self.autonomy_without_lock_lease)
+        self.cancellations.may_keep_alive_until().since(now).min(self.longest_autonomy)
     }
 
     /// The last time at which another node in keep-alive mode may have renewed worker leases without this
@@ -75,7 +77,7 @@
     pub fn others_kept_alive_until(&self, now: Timestamp) -> Timestamp {
         let has_majority = self.peers.granted_until(self.commitments.counts_itself(now)) > now;
         if has_majority {
-            self.without_majority_until
+            self.last_without_majority_at
         } else {
             now
         }
--- a/src/leadership/commitments.rs
+++ b/src/leadership/commitments.rs
@@ -58,7 +58,7 @@
     /// Whether this node may count itself in the majority that grants it leadership. It may not as long as
     /// a grant or vote is running that it gave to another node before its takeover. Without this rule a
     /// leader that took over after a restart counted worker leases as expired while a node in keep-alive
-    /// mode, which held its grant, still renewed them (found by the network test).
+    /// mode, to which it had given a grant, still renewed them (found by the network test).
     pub(super) fn counts_itself(&self, now: Timestamp) -> bool {
         !self.in_restart_grace(now) && now >= self.bound_to_others_until
     }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -31,8 +31,8 @@
                 return;
             }
             info!(
-                "keep-alive mode ended: no majority of grants or votes, knowledge of cancellations too old, \
-                 lock free, or key-value store reached by a peer"
+                "keep-alive mode ended; possible reasons: no majority of grants or votes, knowledge of \
+                 cancellations too old, lock free, key-value store answers a peer"
             );
             self.role = Role::Follower;
             self.next_campaign_at = now;
@@ -49,7 +49,7 @@
     }
 
     /// Whether a node in keep-alive mode stays in it: until its permission to keep workers alive expires
-    /// (`keep_alive_until`), the lock is free, or a peer reaches the key-value store.
+    /// (`keep_alive_mode_until`), the lock is free, or a peer reaches the key-value store.
     fn should_stay_in_keep_alive(&self, now: Timestamp) -> bool {
         self.keep_alive_token(now).is_some() && !self.lock.is_known_free(now) && !self.peer_reaches_store(now)
     }
@@ -88,15 +88,16 @@
     }
 
     /// The time after which the former holder of a lock that has been free since `unlocked_at` can no longer
-    /// act with grants only. Let K be the time up to which that leader knows all cancellations. K is at most
-    /// the later of `unlocked_at` minus `limits::LOCK_LEASE` (by the key-value store) and `attested_until`
-    /// (by the attestations of all its peers, this node among them). The leader may act until K plus
-    /// `limits::LOCK_LEASE` plus `autonomy_without_lock_lease`. Added are `limits::PEER_TIMEOUT`, for which
-    /// an earlier release trusts a peer's status, and `limits::GRANT_DURATION`.
+    /// act with grants only. Let K be the time up to which that leader knows all cancellations. It may act
+    /// until K plus `limits::LOCK_LEASE` plus `longest_autonomy`. K is at most the later of `unlocked_at`
+    /// minus `limits::LOCK_LEASE` (by the key-value store) and `attested_until` (by the attestations of all
+    /// its peers, this node among them), so K plus `limits::LOCK_LEASE` is at most the later of `unlocked_at`
+    /// and `attested_until` plus `limits::LOCK_LEASE`. The result also includes `limits::PEER_TIMEOUT`, for
+    /// which an earlier release trusts a peer's status, and `limits::GRANT_DURATION`.
     fn former_leader_authority_until(&self, unlocked_at: Timestamp) -> Timestamp {
         let attested = self.attested_until + limits::LOCK_LEASE;
         unlocked_at.max(attested)
-            + plus_clock_drift(self.autonomy_without_lock_lease)
+            + plus_clock_drift(self.longest_autonomy)
             + limits::PEER_TIMEOUT
             + limits::GRANT_DURATION
     }
@@ -131,9 +132,10 @@
         }
     }
 
-    /// Starts to keep workers alive. Without the key-value store this node cannot verify that both proofs of
-    /// a former leader have expired. A former leader that still acts by its lock lease alone does no harm:
-    /// without grants of a majority it counts no worker lease as expired (`others_kept_alive_until`).
+    /// Starts to keep workers alive. Without the key-value store this node cannot verify that a former
+    /// leader's lock lease and grants have both expired. A former leader that still acts by its lock lease
+    /// alone does no harm: without grants of a majority it counts no worker lease as expired
+    /// (`others_kept_alive_until`).
     fn enter_keep_alive(&mut self, now: Timestamp) {
         info!(
             token = %self.highest_token,
--- a/src/leadership/handover.rs
+++ b/src/leadership/handover.rs
@@ -14,8 +14,8 @@
 pub(super) struct WorkerReachability {
     /// Whether a worker has sent this leader a heartbeat since it was elected.
     reached: bool,
-    /// Since when no worker reaches this leader, and either a peer could lead instead or no peer is in
-    /// contact. None: this is not the case.
+    /// Since when this leader has had reason to end its term: no worker reaches it any more, and either a
+    /// peer could lead instead or no peer is in contact (`check_reachability`). None: it has no reason.
     unreached_since: Option<Timestamp>,
 }
 
@@ -100,7 +100,7 @@
     fn keep_alive_after_term(&self, term: Term, now: Timestamp) -> Timestamp {
         let granted_until = self.peers.granted_until(self.commitments.counts_itself(now));
         let acted_until = granted_until.max(term.lease_until).min(now);
-        (acted_until + minus_clock_drift(self.autonomy_without_lock_lease))
+        (acted_until + minus_clock_drift(self.longest_autonomy))
             .min(self.cancellations.may_keep_alive_until())
     }
 
--- a/src/leadership/interface.rs
+++ b/src/leadership/interface.rs
@@ -153,7 +153,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[must_use = "the actions are to be carried out"]
 pub struct ConfirmationOutcome {
-    /// Whether this node did not know yet that the job has ended, or had recorded no confirmation of its own.
+    /// True when this node first learns that the job has ended, or first records its own confirmation.
     pub is_new: bool,
     /// Whether the cancellation may be confirmed to the user now.
     pub is_permitted: bool,
--- a/src/leadership/lock_observation.rs
+++ b/src/leadership/lock_observation.rs
@@ -98,7 +98,8 @@
         self.next_probe_at = now + interval;
     }
 
-    /// Records that the probe under way, if there is one, was answered or failed.
+    /// Records that no probe is under way any more. Also called when a request other than a probe fails
+    /// ([`super::StoreResponse::Failed`]).
     pub(super) fn end_probe(&mut self) {
         self.probe_in_flight = false;
     }
--- a/src/leadership/messages.rs
+++ b/src/leadership/messages.rs
@@ -51,8 +51,10 @@
             StoreAccess::Available
         };
         let Some(attestation) = self.cancellations.attest_to(now, to, store_access) else { return };
-        // By this attestation the receiver knows all cancellations that this node confirmed up to the
-        // heartbeat answered or, with confirmations suspended, up to `CONFIRMATION_SUSPENSION` later.
+        // By this attestation the receiver knows all cancellations that this node confirmed before the
+        // receiver's last heartbeat arrived. While the store is lost, the attestation also covers the
+        // `CONFIRMATION_SUSPENSION` after that, in which this node confirms no cancellation that the receiver
+        // has not acknowledged.
         let suspension = match store_access {
             StoreAccess::Lost => limits::CONFIRMATION_SUSPENSION,
             StoreAccess::Available => Duration::ZERO,
@@ -143,7 +145,7 @@
     fn handle_grant(&mut self, now: Timestamp, from: usize, token: FencingToken, echo: Timestamp) {
         // An echo from the future belongs to the clock of an earlier incarnation.
         if self.role.token_for_grants() == Some(token) && echo <= now {
-            self.without_majority_until = self.others_kept_alive_until(now);
+            self.last_without_majority_at = self.others_kept_alive_until(now);
             self.peers.record_grant(from, echo);
         }
     }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -14,9 +14,9 @@
 //! mode: it renews worker leases, but starts no tasks (`Role::KeepAlive`).
 //!
 //! A node keeps a worker alive by answering its heartbeat, which renews the worker's lease, so that its tasks
-//! go on. The tasks of a cancelled job must end within the setting `cancel_s`. Therefore a node without the
-//! lock lease may respond to workers only for a bounded time after the time up to which it knows every
-//! confirmed cancellation. It learns of cancellations from the key-value store and from its peers'
+//! go on. The tasks of a cancelled job must end within the setting `cancel_s`. Let K be the time up to which
+//! a node knows every confirmed cancellation: each node, the leader included, may respond to workers only for
+//! a bounded time after K. A node learns of cancellations from the key-value store and from its peers'
 //! attestations, in which a peer states which ones it has confirmed to users (`lease::cancellation_log`).
 
 mod authority;
@@ -79,14 +79,13 @@
     /// The last time at which this leader had no grants of a majority, as recorded at the election and at
     /// each grant. Until then a node in keep-alive mode may have renewed worker leases without its knowledge;
     /// see [`Leadership::others_kept_alive_until`] for the present value.
-    without_majority_until: Timestamp,
+    last_without_majority_at: Timestamp,
     /// How long workers may be kept alive after the time up to which every cancellation is known, not
     /// including `limits::LOCK_LEASE`, which [`CancellationLog`] adds ([`limits::longest_autonomy`]).
-    autonomy_without_lock_lease: Duration,
+    longest_autonomy: Duration,
     /// The cancellations that this node knows, and up to when it knows all of them.
     pub cancellations: CancellationLog,
-    /// The latest time up to which a peer may assume, because of this node's attestations, that it knows all
-    /// cancellations that this node confirmed.
+    /// No attestation that this node has sent covers its confirmations after this time, on its own clock.
     attested_until: Timestamp,
     rng: SmallRng,
 }
@@ -105,7 +104,8 @@
         Leadership {
             cancellations: CancellationLog::new(node_names.len(), local_node, incarnation, now, bounds),
             // The previous incarnation may have sent, right before it ended, an attestation with the promise
-            // to suspend confirmations, which is valid for `CONFIRMATION_SUSPENSION`.
+            // to suspend confirmations (`Attestation::confirmations_suspended`), which is valid for
+            // `CONFIRMATION_SUSPENSION`.
             attested_until: now + limits::CONFIRMATION_SUSPENSION,
             peers: Peers::new(node_names, local_node),
             incarnation,
@@ -121,8 +121,8 @@
             may_resume: true,
             status: Status { store_answer_age: Duration::MAX, ..Status::default() },
             reachability: WorkerReachability::default(),
-            without_majority_until: now,
-            autonomy_without_lock_lease: bounds.longest_autonomy,
+            last_without_majority_at: now,
+            longest_autonomy: bounds.longest_autonomy,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -170,8 +170,8 @@
         let mut actions = Vec::new();
         if self.is_leader() && self.authority(now).is_none() {
             warn!(
-                "leadership lost: lock lease expired, and no majority of grants or \
-                 knowledge of cancellations too old"
+                "leadership lost: lock lease expired, and either no majority of grants is left or \
+                 knowledge of cancellations is too old"
             );
             self.step_down(now, &mut actions);
         }
--- a/src/leadership/store_responses.rs
+++ b/src/leadership/store_responses.rs
@@ -32,6 +32,8 @@
             StoreResponse::TakeoverFailed { lease } => self.handle_failed_takeover(now, lease, &mut actions),
             StoreResponse::Renewed { lease, sent, alive: true } => self.extend_lock_lease(lease, sent),
             StoreResponse::Renewed { lease, sent: _, alive: false } => self.end_lock_lease(now, lease),
+            // `Failed` does not tell which request failed. If it was not the probe under way, the next probe
+            // may be sent before that one is answered.
             StoreResponse::Failed => self.lock.end_probe(),
         }
         actions
@@ -75,7 +77,7 @@
         self.commitments.record_own_election();
         self.may_resume = false;
         self.reachability.begin_term();
-        self.without_majority_until = now;
+        self.last_without_majority_at = now;
         self.followed = None;
         self.next_renewal_at = now + limits::LOCK_RENEWAL_INTERVAL;
         self.next_heartbeat_at = now;
--- a/src/leadership/tests/cancellation_scenarios.rs
+++ b/src/leadership/tests/cancellation_scenarios.rs
@@ -36,9 +36,10 @@
 
 /// The key-value store refuses only the leader, while other nodes confirm cancellations to users. Then it is
 /// down for all nodes, for longer than `CANCELLATION_DEADLINE`, while the workers go on reporting. Guards
-/// against this fault: the other nodes report only that they cannot commit at present, the leader concludes
-/// that nothing was cancelled, and it keeps alive tasks whose cancellation it has missed. `additional_fault`:
-/// begins right after the outage does; its arguments are the cluster and the leader's number.
+/// against this fault: from its peers' reports of a lost store the leader concludes that nothing was
+/// cancelled, although they confirmed cancellations before the outage, and it keeps alive tasks whose
+/// cancellation it has missed. `additional_fault`: begins right after the outage does; its arguments are the
+/// cluster and the leader's number.
 fn run_outage_after_refused_leader(additional_fault: impl Fn(&mut Cluster, usize)) {
     let mut confirmed = 0;
     for seed in 0..20 {
@@ -168,12 +169,14 @@
             cluster.run(15 * SECOND);
             assert!(
                 cluster.leader().is_some(),
-                "fault {case} of the list, seed {seed}: nobody leads after it"
+                "fault {case} (0: restart at once, 1: crash, 2: refused by the store, 3: cut off), \
+                 seed {seed}: nobody leads after it"
             );
         }
         assert!(
             confirmed > 100,
-            "fault {case} of the list: only {confirmed} cancellations were confirmed in it"
+            "fault {case} (0: restart at once, 1: crash, 2: refused by the store, 3: cut off): \
+             only {confirmed} cancellations were confirmed in it"
         );
     }
 }
--- a/src/leadership/tests/cluster.rs
+++ b/src/leadership/tests/cluster.rs
@@ -80,7 +80,8 @@
     pub(super) workers: Vec<Worker>,
     /// Zero: no jobs, and no node reads the live jobs. Otherwise each node that reaches the key-value store
     /// reads them, and on average once in this many steps submits a job and cancels the oldest one if more
-    /// than four are live.
+    /// than four are live. Tests without workers set it too: only nodes that read the live jobs know up to
+    /// when they know every cancellation, on which authority without the lock lease depends.
     pub(super) mean_steps_between_jobs: u32,
     /// Cancelled jobs, and when the cancellation was confirmed to the user, in true time.
     pub(super) confirmed: BTreeMap<JobId, Timestamp>,
--- a/src/leadership/tests/key_value_store.rs
+++ b/src/leadership/tests/key_value_store.rs
@@ -61,7 +61,7 @@
             }
             Action::RevokeLease { lease } => {
                 self.leases.remove(&lease);
-                // A revocation has no response of its own; this one only lets the node send its next probe.
+                // A revocation has no response of its own. `Failed` only ends a probe that is under way.
                 StoreResponse::Failed
             }
             Action::Send(..) | Action::Attest(..) | Action::Elected { .. } | Action::Deposed { .. } => {
--- a/src/leadership/tests/lease_ledger.rs
+++ b/src/leadership/tests/lease_ledger.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// The time of a renewal of a worker lease, or of the arrival of a shard heartbeat, on the leader's clock and
-/// in true time.
+/// in true time. [`LeaseLedger::last_renewal`] returns two different times in it.
 #[derive(Clone, Copy)]
 pub(super) struct TimeOnBothClocks {
     pub(super) at_leader: Timestamp,
@@ -31,7 +31,7 @@
     /// When the leader was elected, in true time.
     elected_at: Timestamp,
     /// Leases of workers without a later renewal are assumed to have begun at this time, on the leader's
-    /// clock.
+    /// clock: until then, other nodes may renew them without this leader's knowledge.
     assumed_lease_start: Timestamp,
     /// By worker.
     renewals: BTreeMap<usize, TimeOnBothClocks>,
@@ -53,9 +53,9 @@
         self.assumed_lease_start = self.assumed_lease_start.max(time);
     }
 
-    /// The time up to which the leader knows every response of the leaseholders that may still renew leases.
-    /// `validity`: a leaseholder is ignored this long after its last shard heartbeat. By then its shard lease
-    /// and the worker leases renewed under it have expired.
+    /// The time up to which the leader knows every response of all leaseholders, without those whose last
+    /// shard heartbeat is `validity` or more ago: by then the shard lease and the worker leases renewed under
+    /// it have expired.
     pub(super) fn responses_known_until(&self, now: Timestamp, validity: Duration) -> Timestamp {
         let records = self.leaseholders.values();
         let unexpired = records.filter(|record| now < record.last_heartbeat_at + validity);
--- a/src/leadership/tests/network.rs
+++ b/src/leadership/tests/network.rs
@@ -146,7 +146,8 @@
                 | Delivery::CancellationCommitted { .. } => None,
             };
             match self.suspension.filter(|suspension| Some(suspension.node) == receiver) {
-                // A response or message for a suspended node is delivered when the node resumes.
+                // Messages and store responses for a suspended node are delivered when it resumes.
+                // Attestations, live jobs and committed cancellations are not held back.
                 Some(suspension) => self.send(suspension.until.since(self.now), delivery),
                 None => self.deliver(delivery),
             }
@@ -175,7 +176,8 @@
                 self.apply_actions(to, outcome.actions);
             }
             Delivery::StoreRequest { node, process, action, sent } => {
-                // The response to a process that has ended is lost, but the transaction remains in effect.
+                // A late request gets the incarnation of the node's present process. The response to a
+                // process that has ended is lost, but the transaction remains in effect.
                 let incarnation = self.nodes[node].leadership.incarnation;
                 let response = self.store.apply(self.now, action, Request { node, incarnation, sent });
                 let delay = self.random_delay();
--- a/src/leadership/tests/workers.rs
+++ b/src/leadership/tests/workers.rs
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Checks that the worker runs no task past `CANCELLATION_DEADLINE`. Called when it reports, so that its
-    /// last response has taken effect.
+    /// Checks that the worker runs no task past `CANCELLATION_DEADLINE`. Called right before it reports: the
+    /// response to its previous report has taken effect.
     fn check_cancelled_tasks_ended(&self, number: usize) {
         for (job_id, confirmed_at) in &self.confirmed {
             let runs = self.workers[number].tasks.contains(job_id);
