--- a/src/scheduler/elastic/admission.rs
+++ b/src/scheduler/elastic/admission.rs
@@ -125,7 +125,8 @@
             && self.rank(job) > self.regular_rank(job, self.relative_size(job))
     }
 
-    /// Places up to `tasks` tasks of the job, if there is room for at least its admission minimum (figure 2).
+    /// Places up to `tasks` tasks of the job, if there is room for at least its admission minimum, the fewest
+    /// tasks with which it starts (see `Job::admission_width`; figure 2).
     fn admit(&mut self, job_id: JobId, tasks: u32, round: &mut Round) -> Admission {
         let Some(job) = self.jobs.get(&job_id) else { return Admission::Settled };
         let placed = job.placements.len() as u32;
@@ -166,8 +167,9 @@
         }
     }
 
-    /// Whether the job may preempt for the tasks that are still pending after some were placed. A service may
-    /// (exception 2 of `docs/design.md`). Other jobs have their admission minimum by now and may not.
+    /// Sets the pending reason of the tasks that are still pending after some were placed, and returns
+    /// `ShortOfRoom` if the job may preempt for them, else `Settled`. A service may preempt (exception 2 of
+    /// `docs/design.md`). Other jobs have their admission minimum by now and may not.
     fn admission_of_remaining_tasks(&mut self, job_id: JobId) -> Admission {
         let Some(job) = self.jobs.get(&job_id).filter(|job| !job.progress.pending.is_empty()) else {
             return Admission::Settled;
--- a/src/scheduler/elastic/candidates.rs
+++ b/src/scheduler/elastic/candidates.rs
@@ -105,8 +105,8 @@
 
     /// Filter: whether the job may use the machine now, regardless of the machine's free resources. A
     /// machine that consolidation empties is closed to jobs that may use spot machines (exception 3 of
-    /// `docs/design.md`). A replacement is reserved for critical jobs and the tasks that move off the machine
-    /// it replaces. A quarantined machine takes services only.
+    /// `docs/design.md`). A machine that replaces one under drain is reserved for critical jobs and the
+    /// tasks that move off the drained machine. A quarantined machine takes services only.
     fn passes_filter(&self, job: &Job, machine: &Machine) -> bool {
         // A suspected job has failed on several machines; excluding them might leave it none.
         let failed_here = !job.is_suspected() && job.failure_history.machines.contains(&machine.name);
@@ -123,8 +123,8 @@
         // A task placed on a machine that will be drained would have to move again.
         score.penalty += i64::from(self.drains.is_targeted(&machine.name));
         // All tasks of a gang wait for the last one to start, and starts are sent in responses to heartbeats:
-        // prefer machines whose next heartbeat is due soon. A second until then counts twice as much as each
-        // of the other reasons in the penalty.
+        // prefer machines whose next heartbeat is due soon. With the factor 2, one second until then
+        // outweighs any one of the other reasons in the penalty.
         if job.spec.kind == Kind::Gang {
             score.penalty += 2 * self.heartbeat_due_s(machine);
         }
--- a/src/scheduler/elastic/capacity.rs
+++ b/src/scheduler/elastic/capacity.rs
@@ -1,4 +1,4 @@
-//! Free capacity during a round: the resources available on each machine, and figures that are the same for
+//! Free capacity during a round: the resources available on each machine, and values that are the same for
 //! all jobs of the round. Created once per round by `Scheduler::begin_round`; placements and stops update it.
 
 use super::equivalence_class::{ClassBuilder, EquivalenceClasses};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Free resources of each machine as the round places tasks, and figures that are the same for all its jobs.
+/// Free resources of each machine as the round places tasks, and values that are the same for all its jobs.
 /// Computed once per round, since examining every machine for every job does not scale.
 #[derive(Clone)]
 pub struct FreeCapacity {
--- a/src/scheduler/elastic/equivalence_class.rs
+++ b/src/scheduler/elastic/equivalence_class.rs
@@ -1,10 +1,11 @@
 //! Equivalence classes of machines with free resources, so that a job evaluates few of thousands of machines.
 //! Built once per round by `capacity`; `candidates` uses them to choose the machines to evaluate.
 //!
-//! Machines of one class differ only in their names and images, and in properties that matter only to gangs
-//! and to jobs with failures, which do not use classes. They are used in the order of their names. So a job
-//! with n tasks uses at most n machines of a class that have its image and n that do not. Machines that
-//! change during the round, or that are fetching an image, are in no class and are evaluated individually.
+//! For jobs that use classes, the machines of one class differ only in their names and images. Gangs and jobs
+//! with failures do not use classes, since other properties of machines matter to them too. The machines of
+//! a class are used in the order of their names, so a job with n tasks uses at most n machines of a class
+//! that have its image and n that do not. Machines that change during the round, or that are fetching an
+//! image, are in no class and are evaluated individually.
 
 use crate::scheduler::model::{Job, Kind, Machine, Resources, TaskStatus};
 use crate::scheduler::Scheduler;
@@ -33,7 +34,8 @@
     available: Resources,
 }
 
-/// Machines with a job's image are all evaluated individually if there are at most this many.
+/// Warm machines (those that have a job's image) are all evaluated individually if there are at most this
+/// many.
 const MAX_INDIVIDUAL_WARM_MACHINES: usize = 64;
 
 /// The equivalence classes of a round, and the machines that belong to none.
@@ -176,8 +178,8 @@
                 *remaining -= 1;
                 names.insert(name);
             }
-            // Within a class, all machines with the image are better than those without, so `tasks` of them
-            // are enough. If they are all evaluated anyway, only members without the image are counted here.
+            // If all machines with the image are evaluated anyway, `tasks` members without it are enough.
+            // Otherwise `tasks` members with it are, since those without it are worse within a class.
             let is_enough = if warm.are_all_evaluated() {
                 without_image_remaining == 0
             } else {
--- a/src/scheduler/elastic/mod.rs
+++ b/src/scheduler/elastic/mod.rs
@@ -1,12 +1,14 @@
 //! Elastic scheduling: in rounds, allocates free capacity to jobs and preempts tasks for jobs that do not
-//! fit. Follows figures 2 and 3 of the paper "An elastic job scheduler for HPC applications on the cloud"
-//! with the exceptions of `docs/design.md`. `Scheduler::step` runs a round when one is due.
+//! fit. Follows figure 2 (a waiting job starts, preempting others if needed) and figure 3 (a running job
+//! grows) of the paper "An elastic job scheduler for HPC applications on the cloud" with the exceptions of
+//! `docs/design.md`. `Scheduler::step` runs a round when one is due.
 //!
-//! The width of a job (`granted_width`) is the target number of its tasks placed at the same time; tasks lost
-//! below it are replaced without waiting. The maximum width is the number of the job's unfinished tasks. The
-//! minimum width is 1 for an array, all unfinished tasks for a gang, and all replicas for a service, each of
-//! which may start alone, however. A slot is room for one task of the job. The rescale gap is the time after
-//! a change of a job's width in which the width is normally not changed again.
+//! The width of a job (`granted_width`) is the target number of its tasks placed at the same time. The
+//! rescale gap is the time after a change of a job's width in which the width is normally not changed again;
+//! lost tasks are replaced up to the width also during the gap. The maximum width is the number of the job's
+//! unfinished tasks. The minimum width is 1 for an array, all unfinished tasks for a gang, and all replicas
+//! for a service. A service nevertheless starts with any number of replicas; its minimum width is the number
+//! for which it may preempt others. A slot is room for one task of the job.
 //!
 //! Jobs are considered by aged priority, the highest first. A waiting job, the newcomer, starts with the
 //! smaller of its maximum width and the number of free slots, if that is at least its minimum width.
@@ -60,8 +62,8 @@
         let order = self.round_order();
         self.update_unaccounted_kinds();
         let mut round = self.begin_round(&order);
-        // Replicas that drains move: their reserved places are closed to other tasks, and those that have
-        // ended on their old machine start on the new one.
+        // Drains move replicas. Close the places reserved for them to other tasks, and start each replica
+        // that has ended on its old machine in its reserved place.
         self.reserve_for_moves(&mut round.capacity);
         self.place_moved_replicas(&mut round.capacity);
         self.regular_pass(&order, &mut round);
@@ -96,8 +98,8 @@
         }
     }
 
-    /// Exception 1 of `docs/design.md`: capacity that no job outside its rescale gap takes goes to jobs
-    /// inside theirs.
+    /// Exception 1 of `docs/design.md`: jobs inside their rescale gap get the capacity that the regular pass
+    /// has left.
     fn leftover_pass(&mut self, order: Vec<JobId>, round: &mut Round) {
         for job_id in order {
             let waits_in_gap = self.jobs.get(&job_id).is_some_and(|job| {
--- a/src/scheduler/elastic/preemption.rs
+++ b/src/scheduler/elastic/preemption.rs
@@ -29,9 +29,9 @@
 
 impl Scheduler {
     /// Figure 2: stops tasks of other jobs if that frees slots for `missing` tasks of the job: the jobs in
-    /// the order of `preemption_order`, and in each job the newest task first. If the free slots, those that
-    /// stops under way will free, and those on machines that are fetching another image suffice together,
-    /// reserves them and stops nothing.
+    /// the order of `preemption_order`, and in each job the newest task first. Stops nothing and reserves
+    /// slots if there are enough without preemption: free ones, those that stops under way will free, and
+    /// those on machines that are fetching another image.
     pub(super) fn try_preempt_for(&mut self, job_id: JobId, missing: u32, round: &mut Round) -> Preemption {
         let Some(job) = self.jobs.get(&job_id) else { return Preemption::Impossible };
         let request = job.spec.resource_request;
--- a/src/scheduler/elastic/priority.rs
+++ b/src/scheduler/elastic/priority.rs
@@ -17,10 +17,9 @@
 
 impl Scheduler {
     /// Aged rank, in thousandths of a priority class: the class plus what the job has gained by age. Higher
-    /// is served first. Every job ages from its submission, also while it runs. If only jobs with pending
-    /// tasks aged, a later job would overtake an earlier one once that had its full width, and the earlier
-    /// one would be preempted first; if only jobs without placed tasks aged, a new job would also overtake
-    /// earlier ones that are still growing.
+    /// is served first. Every job ages from its submission, also while it runs. If a job stopped aging at its
+    /// full width, later jobs would overtake it from then on, and it would be preempted before them. If it
+    /// stopped aging with its first placed task, later jobs would overtake it even while it still grows.
     ///
     /// A job that has not started any task for `AGING_DELAY` ages faster, so that wide jobs do not starve
     /// (exception 5 of `docs/design.md`).
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -22,15 +22,16 @@
         /// The attempt that the missing tasks may join.
         attempt: u64,
     },
-    /// The attempt has ended: a task was asked to stop, a task is missing although another runs or saves, a
-    /// task exited as stopped (for example because it gave up waiting for the others), or tasks of several
-    /// attempts are placed. The next attempt begins when every placed task has provably terminated.
+    /// The attempt has ended: a task was asked to stop, a task is missing although another runs or saves, the
+    /// attempt is recorded as ended in `last_ended_attempt` because a task of it exited as stopped (for
+    /// example, it gave up waiting for the others), or tasks of several attempts are placed. The next attempt
+    /// begins when every placed task has provably terminated.
     Ended,
 }
 
 impl Scheduler {
-    /// Derives the stage from the placements alone, so that a new leader comes to the same result once it has
-    /// a heartbeat from every machine.
+    /// Derives the stage from the placements and from `last_ended_attempt`. The stage itself is not stored:
+    /// a new leader derives it once it has a heartbeat from every machine.
     fn gang_stage(&self, job: &Job) -> GangStage {
         let mut attempts = BTreeSet::new();
         let placed = job.placements.len() as u32;
@@ -138,10 +139,10 @@
 
     /// Seconds, rounded down, until the machine's next heartbeat is due; a start is sent in the response to
     /// it. A leaseholder, a node that responds to heartbeats without the leader, reports them up to
-    /// `SHARD_HEARTBEAT_INTERVAL` late, so `last_at` may be too late by as much. A machine that seems due
-    /// within that time may already have sent its heartbeat; its next one is then taken to be due one
-    /// heartbeat interval later. Returns 0 if the heartbeat interval is at most twice
-    /// `SHARD_HEARTBEAT_INTERVAL`: machines then hardly differ.
+    /// `SHARD_HEARTBEAT_INTERVAL` late, so the last heartbeat may have been sent earlier than `last_at` by as
+    /// much. A machine that seems due within that time may already have sent its heartbeat; its next one is
+    /// then taken to be due one heartbeat interval later. Returns 0 if the heartbeat interval is at most
+    /// twice `SHARD_HEARTBEAT_INTERVAL`: the due times of machines then differ too little to prefer any.
     pub(super) fn heartbeat_due_s(&self, machine: &Machine) -> i64 {
         let heartbeat_interval = from_seconds(self.config.workers.report_s);
         if heartbeat_interval <= 2 * limits::SHARD_HEARTBEAT_INTERVAL {
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -1,4 +1,5 @@
-//! Headroom: critical places kept free for critical services. Computes their number and resources, for
+//! Headroom: room kept free in each zone for tasks of critical services, counted in critical places, each
+//! large enough for a task of any critical job. Computes the number and the resources of these places, for
 //! `elastic`, consolidation, the scaling plan and drains.
 
 use super::model::{Job, Priority, Resources};
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -91,6 +91,7 @@
             debug!(task = %id, machine = machine_name, attempt, previous_placement, "task placed");
             machine.tasks.insert(id, Placement::reserved(resource_request, image, attempt, now));
         }
+        // Only the leader can send the start, in its response to a heartbeat that the leaseholder relays.
         self.request_relay(machine_name);
     }
 
@@ -132,7 +133,8 @@
         self.remove_if_terminated(id.job_id);
     }
 
-    /// Removes all placements of a machine that provably runs no task any more.
+    /// Removes all placements of a machine that provably runs no task any more. If draining is enabled, the
+    /// lost work is recorded as disruption.
     pub(super) fn remove_all_placements(&mut self, machine_name: &str, proof: TerminationProof) {
         self.record_lost_work(machine_name);
         let Some(machine) = self.machines.get_mut(machine_name) else { return };
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -106,9 +106,10 @@
     }
 
     /// Whether the machine may be full of tasks that are unknown to this leader: a machine of an earlier
-    /// leader that has sent no heartbeat to this one, or a machine that reports tasks of unknown jobs. Such a
-    /// machine counts in full against the limit of every team. Refusing all starts until every machine has
-    /// reported instead would let a single dead machine stop every team that has a limit.
+    /// leader whose tasks this leader does not know yet (see [`Machine::accounted_for`]), or a machine that
+    /// reports tasks of unknown jobs. Such a machine counts in full against the limit of every team. Refusing
+    /// all starts until every machine has reported instead would let a single dead machine stop every team
+    /// that has a limit.
     fn may_hold_unknown_tasks(&self, machine: &Machine) -> bool {
         let is_unaccounted_for = !self.all_accounted_for && machine.inherited && !machine.accounted_for;
         is_unaccounted_for || machine.unplaced_tasks.has_tasks_of_unknown_jobs()
--- a/src/scheduler/scoring.rs
+++ b/src/scheduler/scoring.rs
@@ -67,18 +67,18 @@
         && (!machine.spot || job.spec.allows_spot)
 }
 
-/// The part of a machine's score that is the same for every further task of the job on it. Smaller is better;
-/// the fields are compared in order.
+/// The score of a machine for a job, without the best-fit remainder (see [`best_fit_remainder`]), which
+/// changes with each task placed on the machine. Smaller is better; the fields are compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Score {
     /// True if the job may use spot machines, the machine is ordinary, and some other job may use only
     /// ordinary machines.
     pub takes_from_non_spot_work: bool,
-    /// Number of image fetches that a task waits for; see [`Machine::image_fetches`].
+    /// Number of image fetches that a task waits for, its own image included; see [`Machine::image_fetches`].
     pub image_fetches: i64,
-    /// Larger is worse. 1 each for a machine to be emptied, an ordinary machine for a job that may use spot
-    /// machines, and (added by `elastic`) a machine to be drained; for gangs also 2 for each second until the
-    /// next heartbeat.
+    /// Larger is worse. 1 each for a machine that consolidation empties, an ordinary machine for a job that
+    /// may use spot machines, and (added by `elastic`) a machine that `drains` will drain; for gangs also 2
+    /// for each second until the next heartbeat.
     pub penalty: i64,
 }
 
