--- a/src/lease/cancellation_log.rs
+++ b/src/lease/cancellation_log.rs
@@ -10,15 +10,16 @@
 //! each response contains the stop commands for the cancellations that the node knows.
 //!
 //! The time up to which a node knows every cancellation is the later of two:
-//! 1. by the key-value store: when the node sent the request that last read the live jobs;
+//! 1. by the key-value store: when the node sent the request that last read the live jobs, that is, the jobs
+//!    that have not ended;
 //! 2. by the attestations of all other members: a member's attestation answers a heartbeat of this node. With
 //!    it this node knows every cancellation that the member confirmed to users before it sent that heartbeat.
 //!    The earliest such send time over all members applies. An attestation covers only the incarnation that
-//!    gives it, since a restarted member does not know what its earlier incarnation confirmed. The
-//!    attestations of a new incarnation therefore apply only if it began before the time up to which this
-//!    node already knows every cancellation. A member that has lost the key-value store also promises that
-//!    for a while it will confirm no cancellation that this node has not acknowledged. Its attestation covers
-//!    that time too, even if the member restarts within it.
+//!    gives it, since a restarted member does not know what its earlier incarnation confirmed. After a member
+//!    restarts, its attestations therefore apply only once this node knows every cancellation up to the
+//!    restart. A member that has lost the key-value store also promises that for a while it will confirm no
+//!    cancellation that this node has not acknowledged. Its attestation covers that time too, even if the
+//!    member restarts within it: the new incarnation keeps a promise that an earlier one may have given.
 
 use super::cancellation_log_member::Member;
 use crate::limits::{self, minus_clock_drift};
@@ -164,7 +165,7 @@
             return Timestamp::ZERO;
         }
         // Without other members this node always knows every cancellation. Half of the range is later than
-        // every instant of a clock, and a duration can be added to it without saturation.
+        // every reading of a clock, and adding a duration to it does not reach the end of the range.
         self.other_members().map(Member::known_until).min().unwrap_or(Timestamp::from_micros(u64::MAX / 2))
     }
 
@@ -200,8 +201,8 @@
     }
 
     /// Stop commands for the tasks in the heartbeat whose jobs have ended. None if the heartbeat lists a task
-    /// of a job that this node does not know: without a leader's list of jobs it cannot decide whether the
-    /// job was cancelled before this incarnation began or is too new for the copy of the live jobs.
+    /// of a job that this node does not know: the job may have been cancelled before this incarnation began,
+    /// or be newer than the last reading of the live jobs. Only a leader's list of jobs can tell which.
     pub fn stop_commands(&self, heartbeat: &Heartbeat) -> Option<Vec<TaskCommand>> {
         let mut stops = Vec::new();
         for task in heartbeat.tasks.iter().filter(|task| is_alive(task)) {
--- a/src/lease/cancellation_log_member.rs
+++ b/src/lease/cancellation_log_member.rs
@@ -20,11 +20,11 @@
     /// The send time of its last heartbeat, on its clock.
     heartbeat_stamp: Timestamp,
     /// Number of this node's last confirmation that the member's current incarnation has acknowledged.
-    acknowledged: u64,
+    acknowledged_by_member: u64,
     /// Until when this node has promised to confirm no cancellation that the member has not acknowledged.
     suspended_until: Timestamp,
     /// Number of the member's last confirmation that this node knows.
-    received: u64,
+    last_received_number: u64,
     /// This node knows every cancellation that the member confirmed before then.
     known_until: Timestamp,
 }
@@ -43,7 +43,7 @@
 
     /// Number of this node's last confirmation that the member's current incarnation has acknowledged.
     pub(super) fn acknowledged(&self) -> u64 {
-        self.acknowledged
+        self.acknowledged_by_member
     }
 
     /// This node knows every cancellation that the member confirmed before then.
@@ -53,7 +53,7 @@
 
     /// Whether this node may give a user its confirmation `number` as far as this member is concerned.
     pub(super) fn permits_confirmation(&self, now: Timestamp, number: u64) -> bool {
-        self.sends_no_attestations || now >= self.suspended_until || self.acknowledged >= number
+        self.sends_no_attestations || now >= self.suspended_until || self.acknowledged_by_member >= number
     }
 
     /// A heartbeat of the member arrived, sent at `stamp` on its clock. `gives_attestations`: the member
@@ -65,8 +65,8 @@
         if self.incarnation != incarnation {
             // A new incarnation has acknowledged no confirmation of this node, and numbers its own from one.
             self.incarnation = incarnation;
-            self.acknowledged = 0;
-            self.received = 0;
+            self.acknowledged_by_member = 0;
+            self.last_received_number = 0;
         }
         self.heartbeat_stamp = stamp;
     }
@@ -83,7 +83,7 @@
             for_incarnation: self.incarnation?,
             echo: self.heartbeat_stamp,
             confirmations_suspended,
-            acknowledged: self.received,
+            acknowledged: self.last_received_number,
             ..Attestation::default()
         })
     }
@@ -97,11 +97,11 @@
         attestation: &Attestation,
         store_read_at: Timestamp,
     ) -> bool {
-        self.acknowledged = self.acknowledged.max(attestation.acknowledged);
+        self.acknowledged_by_member = self.acknowledged_by_member.max(attestation.acknowledged);
         // An attestation that a later one overtook reports nothing new: the later one included its
         // cancellations.
-        let has_new = attestation.last_number > self.received;
-        self.received = self.received.max(attestation.last_number);
+        let has_new = attestation.last_number > self.last_received_number;
+        self.last_received_number = self.last_received_number.max(attestation.last_number);
         let incarnation_began = now - minus_clock_drift(attestation.incarnation_age);
         // If the incarnation began after the time up to which this node knows every cancellation, an earlier
         // incarnation may have confirmed some in between, which the member no longer knows.
--- a/src/lease/cancellation_log_tests.rs
+++ b/src/lease/cancellation_log_tests.rs
@@ -27,17 +27,17 @@
     (node_0, node_1)
 }
 
-/// Delivers a heartbeat of `receiver` to `sender`, and the attestation of `sender` that answers it. Returns
-/// the jobs that `receiver` did not yet know to be cancelled.
+/// `asker` sends `attester` a heartbeat, and `attester` answers with an attestation. Returns the jobs that
+/// `asker` did not yet know to be cancelled.
 fn exchange(
     now: Timestamp,
-    sender: &mut CancellationLog,
-    receiver: &mut CancellationLog,
+    attester: &mut CancellationLog,
+    asker: &mut CancellationLog,
     store_access: StoreAccess,
 ) -> Vec<JobId> {
-    sender.observe_heartbeat(receiver.local_node, receiver.incarnation, true, now);
-    let attestation = sender.attest_to(now, receiver.local_node, store_access).unwrap();
-    receiver.apply_attestation(now, sender.local_node, sender.incarnation, &attestation).cancelled_jobs
+    attester.observe_heartbeat(asker.local_node, asker.incarnation, true, now);
+    let attestation = attester.attest_to(now, asker.local_node, store_access).unwrap();
+    asker.apply_attestation(now, attester.local_node, attester.incarnation, &attestation).cancelled_jobs
 }
 
 fn heartbeat(job_ids: &[u64]) -> Heartbeat {
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -6,7 +6,8 @@
 //!
 //! A controller node in keep-alive mode keeps workers alive under the last fencing token while the key-value
 //! store is out of service and there is no leader. A majority must have voted for it, and it keeps the mode
-//! while the votes or the grants of a majority are valid. It starts no tasks.
+//! while the votes or the grants (consents of peers that it acts) of a majority are
+//! valid. It starts no tasks.
 //!
 //! The controller's heartbeat routing owns one [`shard::Shard`]. [`crate::leadership`] owns the
 //! [`cancellation_log::CancellationLog`]. The scheduler keeps a [`renewal::LastRenewal`] for each machine.
--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -2,9 +2,9 @@
 //!
 //! A worker keeps its tasks for `lease_s` after it sent the last heartbeat that got a response, so the leader
 //! may start them elsewhere only after that. The leader must therefore learn of every response, or wait
-//! as if there had been one. A response is built from a [`LeaseRenewal`]. One is created by recording the
-//! response ([`LastRenewal`], `UnacknowledgedRenewals`) or, without a record on this node, where another rule
-//! makes the leader wait long enough (see [`RenewalBasis`]).
+//! as if there had been one. A response is built from a [`LeaseRenewal`], which exists only if the response
+//! was recorded ([`LastRenewal`], `UnacknowledgedRenewals`), or if the leader waits long enough without a
+//! record on this node, for a reason listed at [`RenewalBasis`].
 //!
 //! The scheduler owns a [`LastRenewal`] for each machine, [`crate::lease::shard::Shard`] the
 //! `UnacknowledgedRenewals`, and the controller's event loop the [`RenewalCounts`].
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -8,7 +8,8 @@
 //!
 //! While it is not in contact with a leader, a leaseholder responds to every worker whose heartbeat has the
 //! last token, so that all workers of a partitioned zone keep running, whichever node they reported to
-//! before. The leader always knows until when a leaseholder may have kept a worker alive.
+//! before. The leader always knows until when a leaseholder may have kept a worker alive: until the end of
+//! the shard lease, as the leader counts it.
 //!
 //! The controller's heartbeat routing owns the [`Shard`] and is its only caller.
 
@@ -48,14 +49,14 @@
     }
 }
 
-/// Whether a worker with changes was redirected to other nodes while this node is not in contact with a
-/// leader.
+/// Whether a worker whose heartbeat does not allow a local response was redirected to other nodes, while this
+/// node is not in contact with a leader.
 enum Redirection {
     NotTried,
     /// Redirected to the other nodes, which may be in contact with the leader.
     Redirected,
     /// The worker came back from the other nodes at this time: they are not in contact with a leader either.
-    /// Assumed of a worker whose heartbeat is not cached.
+    /// Assumed of a worker whose heartbeat is not cached: another node has probably redirected it here.
     Returned(Timestamp),
 }
 
@@ -80,7 +81,8 @@
     Renewed(FencingToken, LeaseRenewal),
     /// The heartbeat was repeated or overtaken: it renews nothing.
     Duplicate,
-    /// The heartbeat is for the leader, or for another node.
+    /// This node must not respond itself: the heartbeat is relayed to the leader, or the worker is redirected
+    /// to another node.
     NotResponsible,
 }
 
@@ -119,6 +121,7 @@
     unacknowledged: UnacknowledgedRenewals,
     /// Shard heartbeats that are not acknowledged, the oldest first.
     sent_heartbeats: VecDeque<SentHeartbeat>,
+    /// Ids of shard heartbeats; `upcoming` is the id that the next `take` returns.
     heartbeat_ids: RequestIds,
     next_heartbeat_at: Timestamp,
 }
@@ -144,7 +147,8 @@
         }
     }
 
-    /// This node has stopped leading under `token` and may keep workers alive until `until`.
+    /// This node has stopped leading under `token` and may keep workers alive until `until`. Sets the end of
+    /// the shard lease to `until`.
     pub fn keep_alive_after_leadership(&mut self, token: FencingToken, until: Timestamp) {
         self.follow(token);
         self.lease_until = until;
@@ -164,7 +168,7 @@
             return ShardResponse::Duplicate;
         }
         let unchanged = cached.is_some_and(|cached| cached.allows_local_response(heartbeat));
-        if !unchanged && (has_leader || self.redirects(now, heartbeat)) {
+        if !unchanged && (has_leader || self.decide_redirection(now, heartbeat)) {
             return ShardResponse::NotResponsible;
         }
         if let Some(cached) = self.cached.get_mut(&heartbeat.machine).filter(|_| unchanged) {
@@ -175,11 +179,12 @@
         ShardResponse::Renewed(self.token, renewal)
     }
 
-    /// Whether to redirect a worker with changes while this node is not in contact with a leader. A worker of
-    /// this shard tries the other nodes first, since perhaps only this node has lost the leader. A worker
-    /// that has just come back from them is kept alive. So is a worker that is not cached: another node has
-    /// probably redirected it here.
-    fn redirects(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> bool {
+    /// Decides whether to redirect a worker whose heartbeat does not allow a local response, while this node
+    /// is not in contact with a leader, and records the decision. A worker of this shard tries the
+    /// other nodes first, since perhaps only this node has lost the leader. A worker that has just come back
+    /// from them is kept alive. So is a worker that is not cached: another node has probably redirected it
+    /// here.
+    fn decide_redirection(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> bool {
         let is_cached = self.cached.contains_key(&heartbeat.machine);
         let initial = if is_cached { Redirection::NotTried } else { Redirection::Returned(now) };
         let redirection = self.redirections.entry(heartbeat.machine.clone()).or_insert(initial);
--- a/src/limits/autoscaling.rs
+++ b/src/limits/autoscaling.rs
@@ -6,7 +6,7 @@
 pub const REPLICA_MOVE_INITIAL_DELAY: Duration = Duration::from_secs(30);
 /// Time between two batches of replica moves, so that few replicas are down at once.
 pub const REPLICA_MOVE_INTERVAL: Duration = Duration::from_secs(4);
-/// A batch moves at most the number of all the fleet's replicas divided by this, or one. A replica is down
+/// A batch moves at most the fleet's replicas divided by this, but at least one is allowed. A replica is down
 /// for some four seconds, the interval of batches, so at most half a percent of the replicas are down while
 /// moves go on.
 pub const REPLICA_MOVE_DIVISOR: usize = 200;
@@ -40,8 +40,8 @@
 /// next turn.
 pub const MAX_LIST_REFUSALS: u32 = 4;
 
-/// Rental requests in flight at once: as many as are sent in two seconds at the half of the cloud's limit
-/// that is left for rentals. `rps`: the cloud's limit in requests per second.
+/// Rental requests in flight at once. `rps`: the cloud's limit in requests per second. Half of it is left for
+/// rentals, so `rps` requests are those of two seconds.
 pub fn max_concurrent_rentals(rps: f64) -> usize {
     (rps as usize).max(1)
 }
--- a/src/limits/drain.rs
+++ b/src/limits/drain.rs
@@ -13,8 +13,9 @@
 /// Searches for a destination in one round, each over every machine: 16 at 4,000 machines take some 5 ms of a
 /// full core.
 pub const MAX_DRAIN_PLACEMENT_SEARCHES: usize = 16;
-/// A team's ledger of disruptions is written before the stops that it records are sent. If no stop waits for
-/// it, changes are written at this interval, so that a new leader misses little.
+/// A team's ledger of disruptions is written before the stops that it records are sent. While no stop
+/// waits for it, its other changes (such as losses, settled costs and released reservations) are written at
+/// this interval, so that a new leader misses little.
 pub const DRAIN_LEDGER_INTERVAL: Duration = Duration::from_secs(10);
 /// Interval at which a drain's summary for operators is written.
 pub const DRAIN_SUMMARY_INTERVAL: Duration = Duration::from_secs(2);
--- a/src/limits/election.rs
+++ b/src/limits/election.rs
@@ -37,16 +37,17 @@
 pub const STEP_DOWN_BACKOFF: Duration = Duration::from_secs(6);
 
 /// How long a node may keep workers alive after the time up to which it knows every cancellation, less the
-/// lock lease. `CancellationLog` adds the lock lease again, since it counts from that time. The bound applies
-/// to leaders that hold grants of a majority but not the lock, nodes in keep-alive mode, former leaders, and
-/// leaseholders without contact with a leader.
+/// lock lease. `leadership` counts this duration from when a former leader could last act; by then that leader may
+/// have missed cancellations for as long as the lock lease. `CancellationLog` counts from the time up to which
+/// it knows every cancellation, and therefore adds the lock lease. The bound applies to leaders that hold
+/// grants of a majority but not the lock, nodes in keep-alive mode, former leaders, and leaseholders without
+/// contact with a leader.
 ///
 /// All tasks must have ended `cancel_s` after the cancellation was confirmed to the user, and a worker that
 /// gets a response at the very end keeps its tasks for its lease. The lock lease (the longest time for which
 /// a leader may miss a cancellation), the delay with which a worker observes the end of its lease, and a
 /// second of transfer time are subtracted too. A second suffices: stop commands are sent to workers
-/// directly, and a network partition holds back only those of cancellations that were confirmed by the time
-/// when the partition began.
+/// directly, and a network partition delays only those for cancellations confirmed before it began.
 pub fn longest_autonomy(cancel_s: f64, lease_s: f64) -> Duration {
     from_seconds(cancel_s - lease_s).saturating_sub(LOCK_LEASE + LEASE_MARGIN + SECOND)
 }
--- a/src/limits/lease.rs
+++ b/src/limits/lease.rs
@@ -30,14 +30,15 @@
 /// controller node: the route may be at fault although heartbeats of some machines still arrive by it.
 pub const MAX_SILENT_ROUTE_SHARE: f64 = 0.5;
 
-/// After this many consecutive heartbeats that show no effect of the previous response, responses are taken
-/// not to reach the machine: it gets no new tasks and is deleted. One lost response is ordinary.
+/// After this many consecutive heartbeats that show no effect of the previous response (neither one of its
+/// commands nor its fencing token), responses are taken not to reach the machine: it gets no new tasks and is
+/// deleted. One lost response is ordinary.
 pub const MAX_RESPONSES_WITHOUT_EFFECT: u32 = 2;
 /// A node's route, or a zone, is unreachable once no heartbeat has arrived from any of its machines for this
-/// long plus three times the mean time between two heartbeats of all its machines, which the caller adds.
-/// `heartbeat_interval`: that of one machine. Machines that all reported at once (after a network partition)
-/// next do so three quarters of an interval later at the earliest. At least 1.5 s, since leaseholders send a
-/// shard heartbeat only once a second.
+/// long. The caller adds three times the mean time between two heartbeats of all its machines.
+/// `heartbeat_interval`: that of one machine. Workers vary it by up to a quarter, so after all have
+/// reported at once (after a network partition), none reports again for three quarters of it. At least
+/// 1.5 s, since leaseholders send a shard heartbeat only once a second.
 pub fn route_silence_timeout(heartbeat_interval: Duration) -> Duration {
     let three_quarters = Duration::from_micros(to_micros(heartbeat_interval) / 4 * 3);
     (three_quarters + Duration::from_millis(500)).max(Duration::from_millis(1_500))
@@ -50,7 +51,7 @@
 /// its heartbeat reaches the leader.
 pub const FAILOVER_GRACE_PERIOD: Duration = Duration::from_millis(9_500);
 
-/// The time window in which heartbeats are counted to decide whether workers reach a node.
+/// The time window in which heartbeats are counted to decide whether workers can contact a node.
 pub fn reach_window(report_s: f64) -> Duration {
     from_seconds(report_s * 1.5) + Duration::from_secs(1)
 }
--- a/src/limits/scheduling.rs
+++ b/src/limits/scheduling.rs
@@ -35,8 +35,9 @@
 pub const AGING_DELAY: Duration = Duration::from_secs(90);
 /// Time in which a job that has waited for `AGING_DELAY` gains a priority class.
 pub const AGING_INTERVAL: Duration = Duration::from_secs(30);
-/// A job smaller or larger than the average ages faster or slower, by this factor at most: owners' estimates
-/// are often wrong by half, and a job of a single task must not pass all others at once.
+/// A job with less or more remaining work than the mean ages faster or slower, in proportion, by this factor
+/// at most. Owners' estimates are often wrong by half, and without a bound a job of a single task would pass
+/// all others at once.
 pub const MAX_AGING_FACTOR: f64 = 10.0;
 /// Interval of rounds while nothing changes: jobs age, and the time `rescale_gap_s` between two changes of a
 /// job's width ends.
@@ -68,8 +69,8 @@
 pub const GANG_PEER_S: f64 = 6.0;
 
 /// A gang that lacks some of its tasks and finds no room for them is stopped as a whole after this time. The
-/// timeout plus a heartbeat and a fetch is shorter than `gang_wait_s`, for which the started tasks wait for
-/// the others, so that the started tasks' places do not idle until `gang_wait_s` ends.
+/// started tasks wait for the others for `gang_wait_s`. The timeout plus a heartbeat and a fetch is shorter,
+/// so that the places of the started tasks do not idle until `gang_wait_s` ends.
 pub fn gang_completion_timeout(gang_wait_s: f64) -> Duration {
     from_seconds(gang_wait_s / 3.0)
 }
--- a/src/limits/shard.rs
+++ b/src/limits/shard.rs
@@ -5,9 +5,9 @@
 
 /// Interval of a leaseholder's shard heartbeats, which name the machines that it responded to.
 pub const SHARD_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// While a node is not in contact with a leader, it redirects a worker with changes to the other nodes. Once
-/// the worker has come back from them, it is redirected again only after this time: there it may wait four
-/// seconds for each of two nodes, with a pause of one second, and its lease must outlast that.
+/// While a node is not in contact with a leader, it redirects a worker with a changed heartbeat to the other
+/// nodes. Once the worker has come back from them, it is redirected again only after this time: there it may
+/// wait four seconds for each of two nodes, with a pause of one second, and its lease must outlast that.
 pub const REDIRECT_RETRY_INTERVAL: Duration = Duration::from_secs(8);
 /// Bytes of machine names in one shard heartbeat: a frame holds 64 KiB.
 pub const SHARD_HEARTBEAT_MAX_BYTES: usize = 60 * 1024;
@@ -15,8 +15,8 @@
 /// treats no lease of the shard as expired until all have been named, and 6,000 machines with long names take
 /// several frames.
 pub const SHARD_HEARTBEAT_CONTINUATION_INTERVAL: Duration = Duration::from_millis(250);
-/// Shard heartbeats without acknowledgement that a leaseholder remembers: those of four seconds while the
-/// names take several frames.
+/// Shard heartbeats without acknowledgement that a leaseholder remembers: four seconds' worth at
+/// [`SHARD_HEARTBEAT_CONTINUATION_INTERVAL`], while the names take several frames.
 pub const MAX_UNACKNOWLEDGED_SHARD_HEARTBEATS: usize = 16;
 /// How long a relayed heartbeat waits for the leader's response. After that the leaseholder keeps the worker
 /// alive if it may, and otherwise redirects it. Well within the 4 s for which a worker waits for a response
--- a/src/limits/transport.rs
+++ b/src/limits/transport.rs
@@ -24,8 +24,8 @@
     /// worker has changes at once. Further requests are shed.
     pub event_queue: usize,
     /// Frames that wait to be sent to one peer: after a change of leader, those for all workers of a shard,
-    /// and heartbeats between them. Further frames are dropped; the next heartbeat to the peer and the
-    /// worker's next heartbeat replace them. Also the bound of received frames that wait; beyond it no more
+    /// with peer heartbeats in between. Further frames are dropped: the next peer heartbeat or the worker's
+    /// next heartbeat replaces a dropped one. Also the bound of received frames that wait; beyond it no more
     /// are read.
     pub peer_frame_queue: usize,
     /// Machines whose heartbeats one leaseholder caches: some 300 bytes each.
@@ -102,9 +102,9 @@
 /// Share of the key-value store's request limit that one node spends on users' requests.
 pub const USER_STORE_REQUEST_SHARE: f64 = 0.3;
 
-/// Puts and deletes per second that one node may spend on users' requests: half as much again as its share of
-/// what the leader leaves, since users are not spread evenly. Without a bound, a burst of submissions delays
-/// the transaction of a takeover by 8 s.
+/// Puts and deletes per second that one node may spend on users' requests: 1.5 times an equal share of the
+/// writes that the leader leaves, since users are not spread evenly. Without a bound, a burst of submissions
+/// delays the transaction of a takeover by 8 s.
 pub fn user_writes(write_rps: f64, nodes: usize) -> f64 {
     1.5 * write_rps * (1.0 - LEADER_WRITE_SHARE) / nodes.max(1) as f64
 }
