--- a/src/fleet_limits.rs
+++ b/src/fleet_limits.rs
@@ -8,8 +8,8 @@
 use tracing::warn;
 
 /// Processor time of one heartbeat, in seconds of a full core, rounded up: a controller that does not lead
-/// uses 0.07 of a core to respond to a third of 4,000 workers, each with a heartbeat every 2.5 s (533 heartbeats
-/// a second).
+/// uses 0.07 of a core to respond to a third of 4,000 workers, each with a heartbeat every 2.5 s (533
+/// heartbeats a second).
 const HEARTBEAT_CPU_S: f64 = 0.000_15;
 /// Memory of a process without machines, in MB.
 const BASE_MEMORY_MB: f64 = 24.0;
--- a/src/lease/shard.rs
+++ b/src/lease/shard.rs
@@ -8,8 +8,8 @@
 //!
 //! While it is not in contact with a leader, a leaseholder responds to every worker whose heartbeat has the
 //! last token, so that all workers of a partitioned zone keep running, whichever node they reported to
-//! before. The leader always knows until when a leaseholder may have kept a worker alive: until the end of
-//! the shard lease, as the leader counts it.
+//! before. The leader always knows until when a leaseholder may have kept a worker alive: at the latest
+//! until the end of the shard lease, as the leader counts it.
 //!
 //! The controller's heartbeat routing owns the [`Shard`] and is its only caller.
 
--- a/src/limits/election.rs
+++ b/src/limits/election.rs
@@ -37,11 +37,11 @@
 pub const STEP_DOWN_BACKOFF: Duration = Duration::from_secs(6);
 
 /// How long a node may keep workers alive after the time up to which it knows every cancellation, less the
-/// lock lease. `leadership` counts this duration from when a former leader could last act; by then that leader may
-/// have missed cancellations for as long as the lock lease. `CancellationLog` counts from the time up to which
-/// it knows every cancellation, and therefore adds the lock lease. The bound applies to leaders that hold
-/// grants of a majority but not the lock, nodes in keep-alive mode, former leaders, and leaseholders without
-/// contact with a leader.
+/// lock lease. `leadership` counts this duration from when a former leader could last act, and grants no
+/// longer shard lease; by then a leader may have missed cancellations for as long as the lock lease.
+/// `CancellationLog` counts from the time up to which it knows every cancellation, and therefore adds the
+/// lock lease. The bound applies to leaders that hold grants of a majority but not the lock, nodes in
+/// keep-alive mode, former leaders, and leaseholders without contact with a leader.
 ///
 /// All tasks must have ended `cancel_s` after the cancellation was confirmed to the user, and a worker that
 /// gets a response at the very end keeps its tasks for its lease. The lock lease (the longest time for which
