--- a/src/limits/election.rs
+++ b/src/limits/election.rs
@@ -38,7 +38,7 @@
 
 /// How long a node may keep workers alive after the time up to which it knows every cancellation, less the
 /// lock lease. `leadership` counts this duration from when a former leader could last act, and grants no
-/// longer shard lease; by then a leader may have missed cancellations for as long as the lock lease.
+/// longer shard lease. At those times a leader may have missed cancellations for as long as the lock lease.
 /// `CancellationLog` counts from the time up to which it knows every cancellation, and therefore adds the
 /// lock lease. The bound applies to leaders that hold grants of a majority but not the lock, nodes in
 /// keep-alive mode, former leaders, and leaseholders without contact with a leader.
--- a/src/limits/shard.rs
+++ b/src/limits/shard.rs
@@ -5,9 +5,10 @@
 
 /// Interval of a leaseholder's shard heartbeats, which name the machines that it responded to.
 pub const SHARD_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// While a node is not in contact with a leader, it redirects a worker with a changed heartbeat to the other
-/// nodes. Once the worker has come back from them, it is redirected again only after this time: there it may
-/// wait four seconds for each of two nodes, with a pause of one second, and its lease must outlast that.
+/// While a node is not in contact with a leader, it redirects a worker whose heartbeat does not allow a
+/// local response to the other nodes. Once the worker has come back from them, it is redirected again only
+/// after this time: there it may wait four seconds for each of two nodes, with a pause of one second, and its
+/// lease must outlast that.
 pub const REDIRECT_RETRY_INTERVAL: Duration = Duration::from_secs(8);
 /// Bytes of machine names in one shard heartbeat: a frame holds 64 KiB.
 pub const SHARD_HEARTBEAT_MAX_BYTES: usize = 60 * 1024;
