--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -255,7 +255,7 @@
             let route_size = machines.len() + moved.count();
             let late = machines.iter().filter(|machine| machine.is_late(now, timeouts)).count();
             // If many of the cluster or the route are late, none is declared dead: tasks restart when leases
-            // expire. The limit is higher for a route: three dead ones of nine may share it by chance.
+            // expire. The limit is higher for a route: three of its nine machines may be dead by chance.
             if now < silence_explained_until(reachability, timeouts)
                 || many_are_late && !reachability.unreachable
                 || suggest_common_cause(late, route_size, limits::MAX_SILENT_ROUTE_SHARE)
@@ -282,9 +282,9 @@
     }
 }
 
-/// Names of the machines of earlier leaders that await their first heartbeat: they are dead, unless
-/// they are many. They have no route yet, so their number is compared with all machines that should send
-/// heartbeats.
+/// Names of the machines of earlier leaders of which no heartbeat has stated this leader's token: they are
+/// dead, unless they are many. They may have no route yet, so their number is compared with all machines
+/// that should send heartbeats.
 fn dead_among_awaited<'a>(reachable: &[&ObservedMachine<'a>]) -> Vec<&'a str> {
     let awaited: Vec<&str> = reachable
         .iter()
--- a/src/scheduler/failure_detection_tests.rs
+++ b/src/scheduler/failure_detection_tests.rs
@@ -159,7 +159,7 @@
             |i, _| if i % 10 == 4 { 25 * SECOND } else { Duration::ZERO },
             |n| n / 10,
         ),
-        // A third of the machines on one route: in a small cluster this may be chance.
+        // A third of the machines of one route fail: in a small cluster this may be chance.
         Case::failures(
             "a ninth fails, all of one route",
             |i, _| if i % 9 == 1 { PERMANENT } else { Duration::ZERO },
@@ -221,7 +221,7 @@
         let first = dead.first_after;
         assert!(expected < machines / 2 / 2, "fewer than half of the zone must stay silent");
         assert_eq!(dead.machines, expected, "a partition, {machines} machines");
-        // The outage was last observed one check before its end, 45 s after its start.
+        // The outage ends 45 s after its start and was last observed one check before its end.
         assert!(first >= 44 * SECOND + limits::FAILOVER_GRACE_PERIOD, "{machines} machines: after {first:?}");
     }
 }
--- a/src/scheduler/heartbeat_responses.rs
+++ b/src/scheduler/heartbeat_responses.rs
@@ -133,10 +133,9 @@
         machine.route.leaseholder_may_respond
     }
 
-    /// Records that the leaseholder `node` renewed the leases of the machines `names` without the leader.
-    /// Every machine whose lease it renewed before `covers_until` is in `names` or was in an earlier shard
-    /// heartbeat that the leader acknowledged (None: the list may be incomplete). For a machine with a
-    /// command or a new route, asks the leaseholder to relay the next heartbeat, even if it was asked before.
+    /// Records that the leaseholder `node` renewed the leases of the machines `names` without the leader. For
+    /// a machine with a command or a new route, asks the leaseholder to relay the next heartbeat, even if it
+    /// was asked before. `covers_until`: see `PeerNodes::record_shard_heartbeat`.
     pub(super) fn apply_shard_heartbeat(
         &mut self,
         node: usize,
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -4,10 +4,10 @@
 //! 1. `Scheduler::apply` in `mod.rs` passes a periodic heartbeat to [`Scheduler::handle_heartbeat`]. A
 //!    heartbeat that a worker returns in answer to a direct command goes to [`Scheduler::apply_heartbeat`].
 //! 2. `apply_heartbeat` classifies it as a [`HeartbeatOutcome`]. An unchanged one is recorded and needs
-//!    nothing else. A late one goes to `stale_heartbeats`. For a new one, `response_delivery` checks that the
-//!    machine receives its responses, `task_lists` reconciles the task list with the placements, `task_exit`
-//!    and `placements` apply the results, and `recall` stops tasks on machines that the cloud is about to
-//!    recall.
+//!    nothing else. One that is not newer than the newest applied goes to `stale_heartbeats` (overtaken or
+//!    stale). For a new one, `response_delivery` checks that the machine receives its responses, `task_lists`
+//!    reconciles the task list with the placements, `task_exit` and `placements` apply the results, and
+//!    `recall` stops tasks on machines that the cloud is about to recall.
 //! 3. `handle_heartbeat` records the lease renewal, before any response is made; a stale heartbeat renews no
 //!    lease. The response to a changed heartbeat waits for the next round of decisions, which may start a
 //!    task there.
@@ -184,7 +184,7 @@
             // leader, which may be of any age. Its task list is not applied: a task that has moved since
             // would seem to be on two machines. The worker's next heartbeat states this leader's token, and
             // its list is applied. The machine may be long gone, so its record is written only if this
-            // leader knew the machine before.
+            // leader knew it before the heartbeat arrived, for example from the cloud's list.
             self.request_record_write(&heartbeat.machine);
         }
         HeartbeatOutcome::Changed
--- a/src/scheduler/lease_expiry.rs
+++ b/src/scheduler/lease_expiry.rs
@@ -101,13 +101,13 @@
         let worker_lease = limits::worker_lease(self.config.workers.lease_s);
         let responses_known_until =
             self.peers.responses_known_until(self.now, self.config.shard_lease, worker_lease);
-        let leases_judged_at = self.now.min(responses_known_until);
+        let leases_judged_as_of = self.now.min(responses_known_until);
         let unrecorded_until = self.unrecorded_renewals_until();
         let lease_may_run = |machine: &Machine| {
-            // `lease_renewed_at` includes the last heartbeat as a safeguard: otherwise a machine newer
-            // than this leader whose renewal was missed by mistake would expire as soon as it came up, since
+            // `lease_renewed_at` includes the last heartbeat as a safeguard: without it, if a bug left a
+            // renewal unrecorded, a machine newer than this leader would expire as soon as it came up, since
             // its lease would count from `unrecorded_until`.
-            leases_judged_at < machine.lease_renewed_at().max(unrecorded_until) + worker_lease
+            leases_judged_as_of < machine.lease_renewed_at().max(unrecorded_until) + worker_lease
         };
         let may_hold_tasks = |machine: &Machine| match machine.state {
             MachineState::Ready => true,
@@ -151,6 +151,7 @@
                 "all machines of earlier leaders accounted for, by a heartbeat or by an expired lease"
             );
             self.rounds.request();
+            // Counts the cold start's verdicts on tasks (such as missing) as of now.
             self.record_cold_start_verdicts();
         }
     }
--- a/src/scheduler/peer_nodes.rs
+++ b/src/scheduler/peer_nodes.rs
@@ -52,9 +52,10 @@
         self.others_may_have_renewed_until
     }
 
-    /// Records a shard heartbeat, which renews the shard lease of its leaseholder `node`. Each machine to
-    /// which the leaseholder responded before `covers_until` is in it or was in an earlier one that the
-    /// leader acknowledged (None: the list may be incomplete).
+    /// Records a shard heartbeat, which renews the shard lease of its leaseholder `node`. `covers_until`:
+    /// this shard heartbeat and the earlier ones that the leader acknowledged name every machine to which the
+    /// leaseholder responded before this time. None: the list may be incomplete, so that no later time than
+    /// before is covered.
     pub fn record_shard_heartbeat(&mut self, node: usize, covers_until: Option<Timestamp>, now: Timestamp) {
         let leaseholder = self.leaseholders.entry(node).or_default();
         leaseholder.covered_until = leaseholder.covered_until.max(covers_until.unwrap_or_default());
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -46,12 +46,12 @@
     /// The machines in the write that is in flight. None: no write is in flight.
     in_flight: Option<BTreeSet<String>>,
     /// Keys of the records that took over machines of this one. This one is written only after them.
-    write_after: Vec<String>,
+    write_after_records: Vec<String>,
 }
 
 impl Record {
     fn new(machines: BTreeSet<String>, urgency: Urgency, due_since: Timestamp) -> Self {
-        Record { machines, urgency, due_since, in_flight: None, write_after: Vec::new() }
+        Record { machines, urgency, due_since, in_flight: None, write_after_records: Vec::new() }
     }
 
     fn request_write(&mut self, urgency: Urgency, now: Timestamp) {
@@ -109,7 +109,7 @@
             record.urgency >= urgency
                 && record.in_flight.is_none()
                 && now >= record.due_since + delay
-                && record.write_after.iter().all(is_written)
+                && record.write_after_records.iter().all(is_written)
         };
         self.by_key.iter().filter(|(_, record)| is_due(record)).map(|(key, _)| key.clone()).collect()
     }
@@ -163,7 +163,7 @@
         }
         let urgency = if new_keys.is_empty() { Urgency::NotDue } else { Urgency::RemovedMachine };
         let mut record = Record::new(remaining.into_iter().collect(), urgency, now);
-        record.write_after = new_keys;
+        record.write_after_records = new_keys;
         self.insert_record(key, record);
     }
 
@@ -234,7 +234,7 @@
             }
             let Some(record) = self.machine_records.by_key.get_mut(&key) else { continue };
             record.urgency = Urgency::NotDue;
-            record.write_after.clear();
+            record.write_after_records.clear();
             record.in_flight = Some(record.machines.clone());
             let machines = record.machines.iter().filter_map(|name| self.machines.get(name));
             let machines = machines.map(stored_machine).collect();
--- a/src/scheduler/records_tests.rs
+++ b/src/scheduler/records_tests.rs
@@ -63,7 +63,7 @@
 fn a_record_is_due_only_after_those_that_took_machines_over_from_it_are_written() {
     let mut records = Records::default();
     let mut old = Record::new(machines(&["a"]), Urgency::RemovedMachine, Timestamp::ZERO);
-    old.write_after = vec!["7-1".into()];
+    old.write_after_records = vec!["7-1".into()];
     insert(&mut records, "6-1", old);
     insert(&mut records, "7-1", Record::new(machines(&["b"]), Urgency::NewMachine, Timestamp::ZERO));
     assert_eq!(records.due(Urgency::RemovedMachine, Duration::ZERO, Timestamp::from_micros(10)), ["7-1"]);
--- a/src/scheduler/stale_heartbeats.rs
+++ b/src/scheduler/stale_heartbeats.rs
@@ -38,7 +38,7 @@
         let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
         let newest = machine.heartbeats.newest.sequence;
         if overtaken {
-            debug!(machine = name, agent_epoch, sequence, newest, "overtaken by heartbeat of direct command");
+            debug!(machine = name, agent_epoch, sequence, newest, "heartbeat overtaken by a direct response");
             machine.heartbeats.record_periodic_arrival(sequence, now);
             self.ignored_heartbeats.overtaken += 1;
             return HeartbeatOutcome::Overtaken;
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -49,7 +49,7 @@
                 self.record_succeeded(exited.task);
                 self.attribute_failures_to_machines(job_id);
             }
-            // A task that was asked to stop may fail without a fault of its job or machine.
+            // A task that was asked to stop may exit with these reasons without a fault of its job or machine.
             ExitReason::Error | ExitReason::Unknown if stop_requested => {}
             ExitReason::Error => self.attribute_task_failure(name, job_id, TaskFailure::WhileRunning),
             ExitReason::Unknown => self.attribute_task_failure(name, job_id, TaskFailure::NotKnownToWorker),
--- a/src/scheduler/task_lists.rs
+++ b/src/scheduler/task_lists.rs
@@ -150,7 +150,7 @@
             names.push(name.into());
         }
         let placed = job.placements.len() as u32;
-        // The target number of placed tasks is at least the number placed already.
+        // `granted_width`, the target number of placed tasks, is at least the number placed already.
         job.width_state.granted_width = job.width_state.granted_width.max(placed);
         let terminated = job.terminated;
         if is_elsewhere {
